--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 
 build:
 	@mkdir -p bin
-	go build -o bin/ ./node/cmd/... ./standin/cmd/... ./proof/cmd/demo
+	go build -o bin/ ./node/cmd/... ./standin/cmd/... ./e2e/cmd/demo
 
 demo: build
 	@scripts/demo.sh
--- a/decide/entry/doc.go
+++ b/decide/entrypoints/doc.go
@@ -1,4 +1,4 @@
-// Package entry decides which entry VMs a caller should use.
+// Package entrypoints decides which entry VMs a caller should use.
 //
 // Use: Answer gives the addresses for a caller and how long they hold. Homes
 // gives the nodes that share a team's limit; HomeCount says how many a team
@@ -28,4 +28,4 @@
 //   - HomeHeadroom 4: callers come unevenly, and a home that is full sends them on.
 //   - NearPreference 8: entry VMs are near to each other and callers farther
 //     off, so a home elsewhere is worth using when those at hand are full.
-package entry
+package entrypoints
--- a/decide/entry/near.go
+++ b/decide/entrypoints/near.go
@@ -1,4 +1,4 @@
-package entry
+package entrypoints
 
 import (
 	"cmp"
--- a/decide/roll/roll.go
+++ b/decide/nodelist/nodelist.go
@@ -1,4 +1,4 @@
-// Package roll keeps the list of nodes that one node enters in the platform's store for
+// Package nodelist keeps the list of nodes that one node enters in the platform's store for
 // others.
 //
 // # Load pattern
@@ -21,7 +21,7 @@
 //     all of them had been heard at its start. Without that a fleet that lost power would
 //     name a handful of nodes to all callers until the others have called.
 //   - The list is bounded by Most: a caller of the nodes' door can't make it grow.
-package roll
+package nodelist
 
 import (
 	"cmp"
--- a/decide/roll/roll_test.go
+++ b/decide/nodelist/nodelist_test.go
@@ -1,4 +1,4 @@
-package roll
+package nodelist
 
 import (
 	"fmt"
--- a/decide/evidence/evidence.go
+++ b/decide/peerreports/peerreports.go
@@ -1,4 +1,4 @@
-// Package evidence decides what a node makes of what others have found out about replicas.
+// Package peerreports decides what a node makes of what others have found out about replicas.
 //
 // # Load pattern
 //
@@ -22,7 +22,7 @@
 //     others: a network that fails looks like replicas that do.
 //   - A message holds Most claims, the youngest first. Claims that no node would make are
 //     passed over and counted.
-package evidence
+package peerreports
 
 import (
 	"cmp"
--- a/decide/evidence/evidence_test.go
+++ b/decide/peerreports/peerreports_test.go
@@ -1,4 +1,4 @@
-package evidence
+package peerreports
 
 import (
 	"fmt"
--- a/decide/detour/detour.go
+++ b/decide/reroute/reroute.go
@@ -1,4 +1,4 @@
-// Package detour decides how a request goes on whose path has lost a part: around it,
+// Package reroute decides how a request goes on whose path has lost a part: around it,
 // or from its last event at another first replica.
 //
 // # Load pattern
@@ -28,7 +28,7 @@
 //
 // A node sees only what it has sent itself. What strikes one node's streams strikes those of
 // all nodes of the domain alike, so it reckons with as many times its own.
-package detour
+package reroute
 
 import "time"
 
--- a/decide/detour/detour_test.go
+++ b/decide/reroute/reroute_test.go
@@ -1,4 +1,4 @@
-package detour
+package reroute
 
 import (
 	"testing"
--- a/decide/bookings/bookings.go
+++ b/decide/reservations/reservations.go
@@ -1,4 +1,4 @@
-// Package bookings adds up what the nodes of a failure domain have booked on replicas,
+// Package reservations adds up what the nodes of a failure domain have booked on replicas,
 // so that each can reckon with the room that is really left.
 //
 // # Load pattern
@@ -22,7 +22,7 @@
 //     reckons that they use their even part (decide/paths).
 //
 // All of it is a hint: a wrong sum costs a refusal or some unused room.
-package bookings
+package reservations
 
 import (
 	"maps"
--- a/decide/bookings/bookings_test.go
+++ b/decide/reservations/reservations_test.go
@@ -1,4 +1,4 @@
-package bookings
+package reservations
 
 import (
 	"fmt"
--- a/decide/owner/doc.go
+++ b/decide/shardowner/doc.go
@@ -1,4 +1,4 @@
-// Package owner picks the node to which the writes of a shard go.
+// Package shardowner picks the node to which the writes of a shard go.
 //
 // The load pattern it answers: the orders of one team come in at several nodes
 // at once, and the team's claims stand in a few values of the store. Without it
@@ -21,4 +21,4 @@
 //     most, and about what members need to suspect a node.
 //   - MaxPause 16 s: a node that was cut off from only this one is used again
 //     soon after; until then, one operation in 16 s is held up.
-package owner
+package shardowner
--- a/decide/owner/owner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -1,4 +1,4 @@
-package owner
+package shardowner
 
 import (
 	"fmt"
--- a/decide/silence/silence.go
+++ b/decide/stall/stall.go
@@ -1,4 +1,4 @@
-// Package silence decides when a stream that has gone silent is a sign that a part of
+// Package stall decides when a stream that has gone silent is a sign that a part of
 // its path is lost.
 //
 // # Load pattern
@@ -28,7 +28,7 @@
 //
 // That several streams are silent at once adds nothing: of those that run through a lost
 // part the one whose event was due first asks, and all are told what it finds.
-package silence
+package stall
 
 import (
 	"math"
--- a/decide/silence/silence_test.go
+++ b/decide/stall/stall_test.go
@@ -1,4 +1,4 @@
-package silence
+package stall
 
 import (
 	"math/rand/v2"
--- a/decide/readers/readers.go
+++ b/decide/storereaders/storereaders.go
@@ -1,4 +1,4 @@
-// Package readers decides which nodes read the platform's store themselves, which ask
+// Package storereaders decides which nodes read the platform's store themselves, which ask
 // those, and which have an entry of their own there.
 //
 // # Load pattern
@@ -15,7 +15,7 @@
 // # Rules
 //
 //   - PerDomain nodes of each failure domain have an entry of their own, in which they
-//     list the others (decide/roll); two may be lost or cut off at the same moment. They
+//     list the others (decide/nodelist); two may be lost or cut off at the same moment. They
 //     are the domain's readers.
 //   - They are in an order, and each asks those before it first, so that one reads while
 //     all is well; the next does as soon as what the ones before it tell is no longer
@@ -27,7 +27,7 @@
 //
 // Everything a node is told is a hint with an age; a node that is told nothing young
 // reads for itself, so a wrong choice costs calls only.
-package readers
+package storereaders
 
 import (
 	"cmp"
--- a/decide/readers/readers_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -1,4 +1,4 @@
-package readers
+package storereaders
 
 import (
 	"fmt"
--- a/decide/waiting/waiting.go
+++ b/decide/waitqueue/waitqueue.go
@@ -1,4 +1,4 @@
-// Package waiting orders the requests that wait on one node for room on a model's
+// Package waitqueue orders the requests that wait on one node for room on a model's
 // replicas.
 //
 // # Load pattern
@@ -25,12 +25,12 @@
 //
 // # Use
 //
-//	q.Add(now, waiting.Request{ID: 1, Rank: 0, OnTimeUntil: t})
+//	q.Add(now, waitqueue.Request{ID: 1, Rank: 0, OnTimeUntil: t})
 //	id, ok := q.First(now) // may go as soon as there is room for it
 //	q.Remove(id)
 //
 // It is a pure state machine: the caller locks, and looks again when room comes free.
-package waiting
+package waitqueue
 
 import (
 	"cmp"
--- a/decide/waiting/waiting_test.go
+++ b/decide/waitqueue/waitqueue_test.go
@@ -1,4 +1,4 @@
-package waiting
+package waitqueue
 
 import (
 	"math/rand/v2"
--- a/proof/bench/caller.go
+++ b/e2e/bench/caller.go
@@ -13,9 +13,9 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/front"
+	"github.com/cicadatack/cicadatack/route/httpapi"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // keptConnections per address cover the most callers that are open at once.
@@ -178,8 +178,8 @@
 }
 
 // askEntry asks a node which addresses a team is to use.
-func askEntry(ctx context.Context, address, key string) (front.EntryAnswer, error) {
-	var a front.EntryAnswer
+func askEntry(ctx context.Context, address, key string) (httpapi.EntryAnswer, error) {
+	var a httpapi.EntryAnswer
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entry", nil)
 	if err != nil {
 		return a, Error.Wrap(err)
@@ -199,12 +199,12 @@
 // entries holds the teams' entry answers, as their callers keep them.
 type entries struct {
 	mu      sync.Mutex
-	answers []front.EntryAnswer
+	answers []httpapi.EntryAnswer
 }
 
 // ask gets all teams' answers from a node.
 func (e *entries) ask(ctx context.Context, address string) error {
-	var all []front.EntryAnswer
+	var all []httpapi.EntryAnswer
 	for i := range teamCount {
 		a, err := askEntry(ctx, address, teamKey(i))
 		if err != nil {
@@ -226,7 +226,7 @@
 func (e *entries) pickOther(team int, failed map[string]bool) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var left []front.EntryAddress
+	var left []httpapi.EntryAddress
 	for _, a := range e.answers[team].Addresses {
 		if !failed[a.Address] {
 			left = append(left, a)
@@ -246,7 +246,7 @@
 	return draw(e.answers[team].Addresses)
 }
 
-func draw(addresses []front.EntryAddress) string {
+func draw(addresses []httpapi.EntryAddress) string {
 	total := 0.0
 	for _, a := range addresses {
 		total += a.Weight
--- a/proof/bench/control.go
+++ b/e2e/bench/control.go
@@ -8,11 +8,11 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	"github.com/cicadatack/cicadatack/node/operators"
 	"github.com/cicadatack/cicadatack/node/settings"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/proof/bench/decisions.go
+++ b/e2e/bench/decisions.go
@@ -7,13 +7,13 @@
 	"runtime"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
 	"github.com/cicadatack/cicadatack/decide/limits"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/limiter"
+	"github.com/cicadatack/cicadatack/fleet/membership"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/service"
+	"github.com/cicadatack/cicadatack/route/teamlimiter"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 const (
@@ -75,8 +75,8 @@
 		before := heap()
 		var doc *document.Document
 		parse := best(func() { doc, _ = document.Parse(text) })
-		var d *directory.Directory
-		build := best(func() { d = directory.Build(doc, 1, "") })
+		var d *docindex.Directory
+		build := best(func() { d = docindex.Build(doc, 1, "") })
 		registry := service.NewRegistry(service.Config{Node: "entry-1", FailureDomain: domains[0], Now: time.Now})
 		apply := best(func() { registry.Apply(d) })
 		kept := heap() - before
@@ -121,10 +121,10 @@
 		members := entryMembers(size.nodes)
 		teams := newTeams(size.teams, teamLimit)
 		share := 1 / float64(size.teams)
-		splitter := limiter.New(limits.New(limits.Config{Self: members[0].ID}), time.Now)
+		splitter := teamlimiter.New(limits.New(limits.Config{Self: members[0].ID}), time.Now)
 		all := best(func() { setHomes(splitter, teams, members, share) })
 		one := best(func() {
-			entry.Answer(entry.Query{Team: teams[0].Name, FailureDomain: domains[0], Share: share}, members)
+			entrypoints.Answer(entrypoints.Query{Team: teams[0].Name, FailureDomain: domains[0], Share: share}, members)
 		})
 		result.row(size.nodes, size.teams, all, one)
 	}
@@ -132,19 +132,19 @@
 }
 
 // setHomes does what a node does each second.
-func setHomes(l *limiter.Limiter, teams []document.Team, members []entry.Member, share float64) {
-	split := make([]limiter.Team, 0, len(teams))
+func setHomes(l *teamlimiter.Limiter, teams []document.Team, members []entrypoints.Member, share float64) {
+	split := make([]teamlimiter.Team, 0, len(teams))
 	for _, t := range teams {
-		count := entry.HomeCount(share, len(members))
-		split = append(split, limiter.Team{Name: t.Name, Limit: t.TokensPerSecond, Homes: entry.Homes(t.Name, members, count)})
+		count := entrypoints.HomeCount(share, len(members))
+		split = append(split, teamlimiter.Team{Name: t.Name, Limit: t.TokensPerSecond, Homes: entrypoints.Homes(t.Name, members, count)})
 	}
 	l.SetTeams(split)
 }
 
-func entryMembers(n int) []entry.Member {
-	members := make([]entry.Member, 0, n)
+func entryMembers(n int) []entrypoints.Member {
+	members := make([]entrypoints.Member, 0, n)
 	for i := range n {
-		members = append(members, entry.Member{ID: vmName(i), Address: vmAddress(i), FailureDomain: domains[i%len(domains)]})
+		members = append(members, entrypoints.Member{ID: vmName(i), Address: vmAddress(i), FailureDomain: domains[i%len(domains)]})
 	}
 	return members
 }
@@ -161,20 +161,20 @@
 		note:    fmt.Sprintf("Shortest of %d; an interval without news.", decisionRuns),
 	}
 	for _, n := range []int{9, 100, 500, targetNodes} {
-		vms := make([]member.VM, 0, n)
+		vms := make([]membership.VM, 0, n)
 		for i := range n {
-			vms = append(vms, member.VM{Name: vmName(i), Address: vmAddress(i), FailureDomain: domains[i%len(domains)]})
+			vms = append(vms, membership.VM{Name: vmName(i), Address: vmAddress(i), FailureDomain: domains[i%len(domains)]})
 		}
 		before := heap()
 		now := time.Now()
-		m := member.New(member.Config{Self: member.Member{
+		m := membership.New(membership.Config{Self: membership.Member{
 			Name: vmName(0), Address: vmAddress(0), FailureDomain: domains[0], Incarnation: 1,
 		}, Interval: time.Second}, now)
-		m.Step(now, member.Listed{VMs: vms})
+		m.Step(now, membership.Listed{VMs: vms})
 		kept := heap() - before
 		tick := best(func() {
 			now = now.Add(time.Second)
-			m.Step(now, member.Tick{})
+			m.Step(now, membership.Tick{})
 		})
 		list := best(func() { m.Members() })
 		result.row(n, kept/1e3, kept/float64(n), tick, list)
--- a/proof/bench/node.go
+++ b/e2e/bench/node.go
@@ -12,9 +12,9 @@
 	"strings"
 	"time"
 
+	"github.com/cicadatack/cicadatack/e2e/harness"
 	"github.com/cicadatack/cicadatack/node/operators"
 	"github.com/cicadatack/cicadatack/node/settings"
-	"github.com/cicadatack/cicadatack/proof/harness"
 )
 
 // loopback is where everything listens.
--- a/proof/bench/recovery_stage.go
+++ b/e2e/bench/recovery_stage.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"github.com/cicadatack/cicadatack/proof/harness"
+	"github.com/cicadatack/cicadatack/e2e/harness"
 )
 
 const (
--- a/proof/bench/site.go
+++ b/e2e/bench/site.go
@@ -12,13 +12,13 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/promotion"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/operators"
 	"github.com/cicadatack/cicadatack/node/settings"
 	"github.com/cicadatack/cicadatack/standin/engine"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/promotion"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 const (
--- a/proof/cmd/bench/main.go
+++ b/e2e/cmd/bench/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/alexflint/go-arg"
 
-	"github.com/cicadatack/cicadatack/proof/bench"
+	"github.com/cicadatack/cicadatack/e2e/bench"
 )
 
 // wholeTimeout ends a run that hangs.
--- a/proof/cmd/demo/main.go
+++ b/e2e/cmd/demo/main.go
@@ -17,11 +17,11 @@
 
 	"github.com/alexflint/go-arg"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/e2e/harness"
 	"github.com/cicadatack/cicadatack/node/operators"
-	"github.com/cicadatack/cicadatack/proof/harness"
 	"github.com/cicadatack/cicadatack/standin/engine"
 	"github.com/cicadatack/cicadatack/standin/plain"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/proof/matrix/cell_test.go
+++ b/e2e/faultmatrix/cell_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/standin/engine"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/proof/matrix/drain_test.go
+++ b/e2e/faultmatrix/drain_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"context"
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/proof/matrix/faults_test.go
+++ b/e2e/faultmatrix/faults_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"errors"
@@ -7,11 +7,11 @@
 	"syscall"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/proof/harness"
+	"github.com/cicadatack/cicadatack/e2e/harness"
 	"github.com/cicadatack/cicadatack/standin/engine"
 	"github.com/cicadatack/cicadatack/standin/plain"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // fault is something that goes wrong at a step.
--- a/proof/matrix/leaving_test.go
+++ b/e2e/faultmatrix/leaving_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"encoding/json"
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/standin/engine"
 	"github.com/cicadatack/cicadatack/standin/plain"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/proof/matrix/model_test.go
+++ b/e2e/faultmatrix/model_test.go
@@ -1,13 +1,13 @@
-package matrix
+package faultmatrix
 
 import (
 	"sync"
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // onChains arms a trap on the first engine of every chain; the chain that first
--- a/proof/matrix/order_test.go
+++ b/e2e/faultmatrix/order_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"github.com/cicadatack/cicadatack/standin/storefake"
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/owner"
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/decide/shardowner"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/ledger"
 )
 
 const (
@@ -160,10 +160,10 @@
 // The order's shard must be another node's in the path that says so, or its
 // cells prove nothing.
 func TestFirstNodeOwnsTheOrder(t *testing.T) {
-	nodes := owner.New()
+	nodes := shardowner.New()
 	nodes.SetLive([]string{"entry-1", "entry-2", "entry-3"})
 	key := ledger.Key{Team: harness.Team, Service: harness.Plain, Key: orderKey}
-	if got := nodes.Pick(time.Now(), owner.Shard(key.Shard())); got != "entry-1" {
+	if got := nodes.Pick(time.Now(), shardowner.Shard(key.Shard())); got != "entry-1" {
 		t.Errorf("the order's shard is owned by %s", got)
 	}
 }
--- a/proof/matrix/promotion_test.go
+++ b/e2e/faultmatrix/promotion_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"os"
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/node/operators"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // onKey arms a trap on the writes of one of the environment's keys.
--- a/proof/matrix/strike_test.go
+++ b/e2e/faultmatrix/strike_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"slices"
--- a/proof/matrix/table_test.go
+++ b/e2e/faultmatrix/table_test.go
@@ -1,4 +1,4 @@
-package matrix
+package faultmatrix
 
 import (
 	"flag"
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 )
 
 // Verdicts of a cell. A cell is planned before its path's test runs, so that
--- a/proof/harness/caller.go
+++ b/e2e/harness/caller.go
@@ -9,9 +9,9 @@
 	"net/http"
 	"strings"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/front"
+	"github.com/cicadatack/cicadatack/route/httpapi"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // Caller is one of a team's callers. Its methods do what the team's own program
@@ -37,8 +37,8 @@
 }
 
 // Entry asks a node which entry VMs to use.
-func (c *Caller) Entry(ctx context.Context, node, domain string) (front.EntryAnswer, error) {
-	var answer front.EntryAnswer
+func (c *Caller) Entry(ctx context.Context, node, domain string) (httpapi.EntryAnswer, error) {
+	var answer httpapi.EntryAnswer
 	response, err := c.do(ctx, http.MethodGet, "http://"+node+"/v1/entry?failure_domain="+domain, nil, nil)
 	if err != nil {
 		return answer, err
--- a/proof/harness/layout.go
+++ b/e2e/harness/layout.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"net/http"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // Names of the small site that the demo and the process tests run.
--- a/proof/harness/node.go
+++ b/e2e/harness/node.go
@@ -11,9 +11,9 @@
 	"path/filepath"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/operators"
 	"github.com/cicadatack/cicadatack/node/settings"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // intervalMillis lets a site of a few nodes come together in well under a
--- a/proof/placement/hints_test.go
+++ b/e2e/placement/hints_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 )
 
 // Callers who share the beginning of a prompt are sent where it is cached. The
--- a/proof/placement/links_test.go
+++ b/e2e/placement/links_test.go
@@ -5,9 +5,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 const (
--- a/proof/placement/rollout_test.go
+++ b/e2e/placement/rollout_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	"github.com/cicadatack/cicadatack/proof/rig"
+	"github.com/cicadatack/cicadatack/e2e/harness"
+	"github.com/cicadatack/cicadatack/e2e/rig"
 	"github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/proof/rig/rig.go
+++ b/e2e/rig/rig.go
@@ -15,15 +15,15 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/promotion"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/e2e/harness"
 	"github.com/cicadatack/cicadatack/node/operators"
-	"github.com/cicadatack/cicadatack/proof/harness"
-	engineclient "github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
 	"github.com/cicadatack/cicadatack/standin/engine"
 	"github.com/cicadatack/cicadatack/standin/link"
 	"github.com/cicadatack/cicadatack/standin/plain"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/promotion"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Config sizes a rig.
--- a/proof/soak/nodes_test.go
+++ b/e2e/soak/nodes_test.go
@@ -10,7 +10,7 @@
 	"sync"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/proof/harness"
+	"github.com/cicadatack/cicadatack/e2e/harness"
 	"github.com/cicadatack/cicadatack/standin/link"
 )
 
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -1,7 +1,7 @@
 // Package bookings lets the nodes of a failure domain tell each other what they have
 // booked on replicas, and which of these they have seen lost, slow or turning requests
 // away. It is the driver of
-// decide/bookings and decide/evidence.
+// decide/reservations and decide/peerreports.
 package bookings
 
 import (
@@ -12,8 +12,8 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/cicadatack/cicadatack/decide/bookings"
-	"github.com/cicadatack/cicadatack/decide/evidence"
+	"github.com/cicadatack/cicadatack/decide/peerreports"
+	"github.com/cicadatack/cicadatack/decide/reservations"
 	"github.com/cicadatack/cicadatack/fleet/bookings/bookingspb"
 )
 
@@ -31,18 +31,18 @@
 	name   string
 	now    func() time.Time
 	own    func() map[string]float64
-	seen   func() []evidence.Claim
+	seen   func() []peerreports.Claim
 	client *http.Client
 
 	mu       sync.Mutex
-	board    bookings.Board
-	evidence evidence.Board
+	board    reservations.Board
+	evidence peerreports.Board
 	dropped  int
 }
 
 // New returns an Exchange of a node that knows nothing. own says what this node has
 // booked now, seen which replicas it has seen lost or slow.
-func New(name string, now func() time.Time, own func() map[string]float64, seen func() []evidence.Claim) *Exchange {
+func New(name string, now func() time.Time, own func() map[string]float64, seen func() []peerreports.Claim) *Exchange {
 	return &Exchange{
 		name: name, now: now, own: own, seen: seen,
 		client: &http.Client{Timeout: timeout, Transport: &http.Transport{IdleConnTimeout: 30 * time.Second}},
@@ -56,7 +56,7 @@
 func (e *Exchange) Close() { e.client.CloseIdleConnections() }
 
 // Others is what other nodes have booked, as far as it is known.
-func (e *Exchange) Others() bookings.Held {
+func (e *Exchange) Others() reservations.Held {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.board.Others(e.now())
@@ -64,7 +64,7 @@
 
 // Claims are what other nodes have seen of replicas, and how many claims were passed over
 // since the last call as no node would make them.
-func (e *Exchange) Claims() (claims []evidence.Claim, dropped int) {
+func (e *Exchange) Claims() (claims []peerreports.Claim, dropped int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	dropped, e.dropped = e.dropped, 0
@@ -108,9 +108,9 @@
 	return last
 }
 
-func (e *Exchange) held() bookings.Held { return bookings.Held{Nodes: 1, Amounts: e.own()} }
+func (e *Exchange) held() reservations.Held { return reservations.Held{Nodes: 1, Amounts: e.own()} }
 
-func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held bookings.Held, claims []evidence.Claim) (*bookingspb.ExchangeResponse, error) {
+func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Held, claims []peerreports.Claim) (*bookingspb.ExchangeResponse, error) {
 	peer := bookingspb.NewBookingsProtobufClient("http://"+to.Address, e.client)
 	answer, err := peer.Exchange(ctx, &bookingspb.ExchangeRequest{Node: e.name, Hub: hub, Held: toWire(held), Claims: claimsToWire(claims)})
 	return answer, Error.Wrap(err)
@@ -144,7 +144,7 @@
 	return &bookingspb.ExchangeResponse{Held: toWire(answer), Claims: claimsToWire(claims)}, nil
 }
 
-func claimsToWire(claims []evidence.Claim) []*bookingspb.Claim {
+func claimsToWire(claims []peerreports.Claim) []*bookingspb.Claim {
 	wire := make([]*bookingspb.Claim, 0, len(claims))
 	for _, c := range claims {
 		wire = append(wire, &bookingspb.Claim{
@@ -155,10 +155,10 @@
 	return wire
 }
 
-func claimsFromWire(wire []*bookingspb.Claim) []evidence.Claim {
-	claims := make([]evidence.Claim, 0, len(wire))
+func claimsFromWire(wire []*bookingspb.Claim) []peerreports.Claim {
+	claims := make([]peerreports.Claim, 0, len(wire))
 	for _, c := range wire {
-		claims = append(claims, evidence.Claim{
+		claims = append(claims, peerreports.Claim{
 			Replica: c.GetReplica(), Lost: c.GetLost(), TurnsAway: c.GetTurnsAway(), Pace: float64(c.GetPace()),
 			Age: time.Duration(c.GetAgeMillis()) * time.Millisecond, Nodes: int(c.GetNodes()),
 		})
@@ -166,7 +166,7 @@
 	return claims
 }
 
-func toWire(held bookings.Held) *bookingspb.Held {
+func toWire(held reservations.Held) *bookingspb.Held {
 	wire := &bookingspb.Held{Nodes: int32(held.Nodes)}
 	for replica, amount := range held.Amounts {
 		wire.Replicas = append(wire.Replicas, replica)
@@ -177,8 +177,8 @@
 
 // fromWire reads what another node told. Of lists of different lengths, which no node
 // writes, the part that both have counts.
-func fromWire(wire *bookingspb.Held) bookings.Held {
-	held := bookings.Held{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
+func fromWire(wire *bookingspb.Held) reservations.Held {
+	held := reservations.Held{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
 	amounts := wire.GetAmounts()
 	for i, replica := range wire.GetReplicas() {
 		if i < len(amounts) && amounts[i] > 0 {
--- a/fleet/bookings/bookings_test.go
+++ b/fleet/bookings/bookings_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/evidence"
+	"github.com/cicadatack/cicadatack/decide/peerreports"
 	"github.com/cicadatack/cicadatack/fleet/bookings/bookingspb"
 )
 
@@ -17,9 +17,9 @@
 	server *httptest.Server
 }
 
-func start(t *testing.T, name string, booked float64, seen ...evidence.Claim) node {
+func start(t *testing.T, name string, booked float64, seen ...peerreports.Claim) node {
 	t.Helper()
-	e := New(name, time.Now, func() map[string]float64 { return map[string]float64{"r": booked} }, func() []evidence.Claim { return seen })
+	e := New(name, time.Now, func() map[string]float64 { return map[string]float64{"r": booked} }, func() []peerreports.Claim { return seen })
 	server := httptest.NewServer(e.Handler())
 	t.Cleanup(server.Close)
 	t.Cleanup(e.Close)
@@ -80,9 +80,9 @@
 // node hears of both, with how many have seen them, and none hears its own word.
 func TestClaimsAreTold(t *testing.T) {
 	ctx := context.Background()
-	lost := evidence.Claim{Replica: "r", Lost: true, Nodes: 1}
-	away := evidence.Claim{Replica: "u", TurnsAway: true, Nodes: 1}
-	hub := start(t, "hub", 1, evidence.Claim{Replica: "s", Pace: 4, Nodes: 1})
+	lost := peerreports.Claim{Replica: "r", Lost: true, Nodes: 1}
+	away := peerreports.Claim{Replica: "u", TurnsAway: true, Nodes: 1}
+	hub := start(t, "hub", 1, peerreports.Claim{Replica: "s", Pace: 4, Nodes: 1})
 	a, b, c := start(t, "a", 1, lost), start(t, "b", 1, lost, away), start(t, "c", 1)
 	for _, leaf := range []node{a, b, c} {
 		if err := leaf.AsLeaf(ctx, []Peer{hub.peer}); err != nil {
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -7,8 +7,8 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/spread"
+	"github.com/cicadatack/cicadatack/fleet/docsync"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 )
 
 // Defaults of Config.
@@ -27,7 +27,7 @@
 	listFloor = 5
 	// maxMessageBytes bounds a request: a body that does not compress and the
 	// rest of the message.
-	maxMessageBytes = spread.MaxBodyBytes + 1<<18
+	maxMessageBytes = docsync.MaxBodyBytes + 1<<18
 	// inlineBytes is the largest payload sent without being asked for: about
 	// what asking costs in headers.
 	inlineBytes = 2048
@@ -45,13 +45,13 @@
 )
 
 // Record is an environment's document as accepted at one revision.
-type Record = spread.Record
+type Record = docsync.Record
 
 // Member is what is known of one node.
-type Member = member.Member
+type Member = membership.Member
 
 // VM is one line of the platform's list.
-type VM = member.VM
+type VM = membership.VM
 
 // Config of a Fleet. Name, Address, FailureDomain and Environment are needed.
 type Config struct {
--- a/fleet/convert.go
+++ b/fleet/convert.go
@@ -5,9 +5,9 @@
 	"compress/flate"
 	"io"
 
+	"github.com/cicadatack/cicadatack/fleet/docsync"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/spread"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 	"google.golang.org/protobuf/proto"
 )
 
@@ -33,7 +33,7 @@
 		CallerAddress: m.GetCallerAddress(),
 		FailureDomain: m.GetFailureDomain(),
 		Incarnation:   m.GetIncarnation(),
-		State:         member.State(m.GetState()),
+		State:         membership.State(m.GetState()),
 		Slot:          m.GetSlot(),
 	}
 }
@@ -51,7 +51,7 @@
 	out := make([]Member, 0, len(list))
 	for _, w := range list {
 		m := memberFromWire(w)
-		if m.Name == "" || m.Address == "" || m.Incarnation <= 0 || m.State < member.Joining || m.State > member.Gone {
+		if m.Name == "" || m.Address == "" || m.Incarnation <= 0 || m.State < membership.Joining || m.State > membership.Gone {
 			continue
 		}
 		out = append(out, m)
@@ -96,11 +96,11 @@
 	return membersFromWire(table.GetMembers()), nil
 }
 
-func holdingFromWire(d *exchange.Document) spread.Holding {
-	return spread.Holding{Revision: d.GetRevision(), Mark: d.GetMark()}
+func holdingFromWire(d *exchange.Document) docsync.Holding {
+	return docsync.Holding{Revision: d.GetRevision(), Mark: d.GetMark()}
 }
 
-func payloadToWire(p spread.Payload) *exchange.Payload {
+func payloadToWire(p docsync.Payload) *exchange.Payload {
 	return &exchange.Payload{
 		Digest:       p.Digest,
 		BaseRevision: p.Base.Revision,
@@ -110,10 +110,10 @@
 	}
 }
 
-func payloadFromWire(p *exchange.Payload) spread.Payload {
-	return spread.Payload{
+func payloadFromWire(p *exchange.Payload) docsync.Payload {
+	return docsync.Payload{
 		Digest: p.GetDigest(),
-		Base:   spread.Holding{Revision: p.GetBaseRevision(), Mark: p.GetBaseMark()},
+		Base:   docsync.Holding{Revision: p.GetBaseRevision(), Mark: p.GetBaseMark()},
 		Length: int(p.GetLength()),
 		Data:   p.GetData(),
 	}
--- a/fleet/spread/doc.go
+++ b/fleet/docsync/doc.go
@@ -1,9 +1,9 @@
-// Package spread decides how the record of an environment's document reaches
+// Package docsync decides how the record of an environment's document reaches
 // every node: who watches the store, who pushes to whom, what repairs a miss.
 //
-//	m := spread.New(spread.Config{Self: "vm-1", FailureDomain: "bandung", Environment: "stock"})
-//	m.Step(spread.Members{Nodes: nodes})
-//	batch := m.Step(spread.Learned{Record: record, Source: spread.FromStore})
+//	m := docsync.New(docsync.Config{Self: "vm-1", FailureDomain: "bandung", Environment: "stock"})
+//	m.Step(docsync.Members{Nodes: nodes})
+//	batch := m.Step(docsync.Learned{Record: record, Source: docsync.FromStore})
 //	// batch.Accepted is in force from now on; offer it to batch.Push
 //
 // The machine does no I/O and reads no clock.
@@ -20,4 +20,4 @@
 // Load pattern: a few watches per failure domain at any size; each node is
 // offered a change once, from its parent in a tree over its failure domain,
 // and the digest on the regular exchange repairs what the tree missed.
-package spread
+package docsync
--- a/fleet/spread/errors.go
+++ b/fleet/docsync/errors.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"errors"
--- a/fleet/spread/measure_test.go
+++ b/fleet/docsync/measure_test.go
@@ -1,4 +1,4 @@
-package spread
+package docsync
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 // BenchmarkChange measures a node's work for one change of a document: the
 // difference to the one before, and unpacking it:
 //
-//	go test -run '^$' -bench Change ./fleet/spread
+//	go test -run '^$' -bench Change ./fleet/docsync
 func BenchmarkChange(b *testing.B) {
 	for _, size := range []int{50_000, MaxBodyBytes} {
 		base := testRecord(1, document(size))
--- a/fleet/notice/doc.go
+++ b/fleet/drainnotice/doc.go
@@ -1,8 +1,8 @@
-// Package notice spreads among the nodes which endpoint VMs leave.
+// Package drainnotice spreads among the nodes which endpoint VMs leave.
 //
-//	m := notice.New(notice.Config{Interval: time.Second})
-//	batch := m.Step(now, notice.Listed{VMs: changed, Revision: revision})
-//	batch = m.Step(now, notice.Heard{Notices: fromPeer})
+//	m := drainnotice.New(drainnotice.Config{Interval: time.Second})
+//	batch := m.Step(now, drainnotice.Listed{VMs: changed, Revision: revision})
+//	batch = m.Step(now, drainnotice.Heard{Notices: fromPeer})
 //	if batch.Relay {
 //		// exchange with a few peers at once
 //	}
@@ -34,4 +34,4 @@
 // Until a node has read the same itself, a notice is a hint: the caller bounds how
 // much of a service hints may take away. The next look at the list drops a hint
 // that it contradicts, and any hint ends after HintLife.
-package notice
+package drainnotice
--- a/fleet/notice/machine.go
+++ b/fleet/drainnotice/machine.go
@@ -1,4 +1,4 @@
-package notice
+package drainnotice
 
 import (
 	"math/bits"
--- a/fleet/notice/machine_test.go
+++ b/fleet/drainnotice/machine_test.go
@@ -1,4 +1,4 @@
-package notice
+package drainnotice
 
 import (
 	"fmt"
@@ -129,7 +129,7 @@
 }
 
 const (
-	// These are of package member.
+	// These are of package membership.
 	nearKept    = 24
 	farKept     = 16
 	relayFanout = 2
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -8,11 +8,11 @@
 	"sync"
 	"time"
 
+	"github.com/cicadatack/cicadatack/fleet/docsync"
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/notice"
-	"github.com/cicadatack/cicadatack/fleet/spread"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/fleet/membership"
+	"github.com/cicadatack/cicadatack/state/wait"
 	"github.com/hashicorp/go-hclog"
 )
 
@@ -59,7 +59,7 @@
 // viewShard holds the members; snapshot is read without copying.
 type viewShard struct {
 	sync.Mutex
-	machine  *member.Machine
+	machine  *membership.Machine
 	snapshot []Member
 	stale    bool
 }
@@ -67,7 +67,7 @@
 // recordShard holds the record and what the store last said.
 type recordShard struct {
 	sync.Mutex
-	machine   *spread.Machine
+	machine   *docsync.Machine
 	lastStore time.Time
 	packed    packedCache
 	watching  bool
@@ -90,27 +90,27 @@
 		orders:    &http.Client{Transport: ordersTransport(cfg.Transport)},
 	}
 	f.running, f.stop = context.WithCancel(context.Background())
-	f.records.machine = spread.New(spread.Config{
+	f.records.machine = docsync.New(docsync.Config{
 		Self: cfg.Name, FailureDomain: cfg.FailureDomain, Environment: cfg.Environment,
 	})
-	f.notices.machine = notice.New(notice.Config{Interval: cfg.Interval})
-	f.view.machine = member.New(f.memberConfig(), time.Now())
+	f.notices.machine = drainnotice.New(drainnotice.Config{Interval: cfg.Interval})
+	f.view.machine = membership.New(f.memberConfig(), time.Now())
 	f.view.stale = true
 	return f, nil
 }
 
-func (f *Fleet) memberConfig() member.Config {
+func (f *Fleet) memberConfig() membership.Config {
 	now := time.Now()
 	seed := fnv.New64a()
 	seed.Write([]byte(f.cfg.Name))
-	return member.Config{
+	return membership.Config{
 		Self: Member{
 			Name:          f.cfg.Name,
 			Address:       f.cfg.Address,
 			CallerAddress: f.cfg.CallerAddress,
 			FailureDomain: f.cfg.FailureDomain,
 			Incarnation:   now.UnixMilli(),
-			State:         member.Joining,
+			State:         membership.Joining,
 			Slot:          slotOf(f.cfg.Environment),
 		},
 		Interval:  f.cfg.Interval,
@@ -165,7 +165,7 @@
 // not exchange in step.
 func (f *Fleet) tickLoop() {
 	for {
-		f.stepView(member.Tick{})
+		f.stepView(membership.Tick{})
 		jitter := 0.9 + 0.2*rand.Float64()
 		if !wait.For(f.running, time.Duration(float64(f.cfg.Interval)*jitter)) {
 			return
@@ -188,7 +188,7 @@
 // Drain tells the fleet that this node takes no new work. It returns once the
 // first peers were told or ctx ended; the rest follows as a rumor.
 func (f *Fleet) Drain(ctx context.Context) {
-	batch := f.stepViewQuiet(member.Drain{})
+	batch := f.stepViewQuiet(membership.Drain{})
 	var told sync.WaitGroup
 	for _, send := range batch.Sends {
 		told.Go(func() { f.exchangeWith(ctx, send) })
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
+	"github.com/cicadatack/cicadatack/fleet/docsync"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/spread"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 )
 
 // Three nodes start with a store that holds revision 7. Each serves it, sees
@@ -248,7 +248,7 @@
 		Environment: testEnvironment, Revision: held.Revision, Mark: held.Mark}}
 	if r.GetWantDocument() {
 		p.asked.Add(1)
-		answer.Document.Payload = payloadToWire(spread.Pack(p.record, Record{}))
+		answer.Document.Payload = payloadToWire(docsync.Pack(p.record, Record{}))
 	}
 	return answer, nil
 }
@@ -274,7 +274,7 @@
 	store.update(func() { store.vms = append(store.vms, VM{Name: "vm-large", Address: address, FailureDomain: "fd-00"}) })
 	n.awaitRevision(t, 7, 5*time.Second)
 	for range 5 {
-		n.exchangeWith(t.Context(), member.Send{To: Member{Name: "vm-large", Address: address}})
+		n.exchangeWith(t.Context(), membership.Send{To: Member{Name: "vm-large", Address: address}})
 	}
 	if asked := peer.asked.Load(); asked != 1 {
 		t.Errorf("the body was asked for %d times", asked)
@@ -292,10 +292,10 @@
 	for round := range rounds {
 		var together sync.WaitGroup
 		for i := range at {
-			heard := member.Member{
+			heard := membership.Member{
 				Name: name(1 + round*at + i), Address: "127.0.0.1:1", FailureDomain: "fd-00", Incarnation: 1, Slot: slotOf(testEnvironment),
 			}
-			together.Go(func() { n.stepViewQuiet(member.Received{Message: member.Message{Sender: heard}}) })
+			together.Go(func() { n.stepViewQuiet(membership.Received{Message: membership.Message{Sender: heard}}) })
 		}
 		together.Wait()
 		if told, want := n.Status().Near, 1+(round+1)*at; told != want {
--- a/fleet/harness_test.go
+++ b/fleet/harness_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/fleet/spread"
+	"github.com/cicadatack/cicadatack/fleet/docsync"
 	"github.com/hashicorp/go-hclog"
 )
 
@@ -299,7 +299,7 @@
 }
 
 func record(revision int64, body string) Record {
-	return Record{Environment: testEnvironment, Revision: revision, Digest: spread.DigestOf([]byte(body)), Body: []byte(body)}
+	return Record{Environment: testEnvironment, Revision: revision, Digest: docsync.DigestOf([]byte(body)), Body: []byte(body)}
 }
 
 // replace kills a node and returns a new listener at its address.
--- a/fleet/measure_test.go
+++ b/fleet/measure_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/fleet/notice"
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
 )
 
 // measureTime is how long a fleet is measured once it has settled.
@@ -136,7 +136,7 @@
 	}
 	nodes := startNodes(b, store, n, 3, time.Second)
 	for _, each := range nodes {
-		each.EndpointsListed(notice.Listed{Revision: 1})
+		each.EndpointsListed(drainnotice.Listed{Revision: 1})
 		await(b, "all live", 2*time.Minute, func() bool { return each.count("live") == n })
 	}
 	awaitQuiet(b, nodes, secure)
@@ -173,8 +173,8 @@
 func leaveOnce(b *testing.B, nodes []*node, i int) time.Duration {
 	start := time.Now()
 	revision := int64(i + 1)
-	nodes[i*7%len(nodes)].EndpointsListed(notice.Listed{
-		VMs:      []notice.VM{{Name: fmt.Sprintf("gpu-%05d", i), Revision: revision, Leaving: true}},
+	nodes[i*7%len(nodes)].EndpointsListed(drainnotice.Listed{
+		VMs:      []drainnotice.VM{{Name: fmt.Sprintf("gpu-%05d", i), Revision: revision, Leaving: true}},
 		Revision: revision,
 	})
 	for _, each := range nodes {
--- a/fleet/member/doc.go
+++ b/fleet/membership/doc.go
@@ -1,11 +1,11 @@
-// Package member keeps a node's view of the fleet: which entry VMs there are,
+// Package membership keeps a node's view of the fleet: which entry VMs there are,
 // where they listen and whether they can be used.
 //
-//	m := member.New(member.Config{Self: self, Interval: time.Second, Seed: 1}, now)
-//	batch := m.Step(now, member.Tick{})
+//	m := membership.New(membership.Config{Self: self, Interval: time.Second, Seed: 1}, now)
+//	batch := m.Step(now, membership.Tick{})
 //	for _, send := range batch.Sends {
-//		// exchange send.Message with send.To, then Step(now, member.Answered{...})
-//		// or Step(now, member.Failed{...})
+//		// exchange send.Message with send.To, then Step(now, membership.Answered{...})
+//		// or Step(now, membership.Failed{...})
 //	}
 //
 // The machine does no I/O and reads no clock: time is an argument, inputs are
@@ -19,4 +19,4 @@
 // Load pattern: one exchange an interval per node, whatever the size of the
 // fleet, with a bounded number of changes on each, so that bytes a second per
 // node stay flat. Nothing that must hold rests on the view; it is a hint.
-package member
+package membership
--- a/fleet/member/measure_test.go
+++ b/fleet/membership/measure_test.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 // of the target: an interval's work (a tick and an exchange in both roles, no
 // news) and the memory of the view:
 //
-//	go test -run '^$' -bench View ./fleet/member
+//	go test -run '^$' -bench View ./fleet/membership
 func BenchmarkView(b *testing.B) {
 	for _, n := range []int{9, 100, 2200} {
 		b.Run(fmt.Sprintf("nodes=%d", n), func(b *testing.B) {
--- a/fleet/member/merge.go
+++ b/fleet/membership/merge.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"hash/fnv"
--- a/fleet/notices.go
+++ b/fleet/notices.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/notice"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 )
 
 // maxNotices bounds the notices taken from one message.
@@ -15,27 +15,27 @@
 // noticeShard holds what is known of endpoints that leave.
 type noticeShard struct {
 	sync.Mutex
-	machine *notice.Machine
+	machine *drainnotice.Machine
 }
 
 // EndpointsListed takes what this node has read of the platform's list of
 // endpoint VMs, and tells the peers of those that leave.
-func (f *Fleet) EndpointsListed(list notice.Listed) { f.stepNotices(list) }
+func (f *Fleet) EndpointsListed(list drainnotice.Listed) { f.stepNotices(list) }
 
 // LeavingEndpoints returns the endpoints that leave, by this node's own list or
 // by peers'.
-func (f *Fleet) LeavingEndpoints() []notice.Endpoint {
+func (f *Fleet) LeavingEndpoints() []drainnotice.Endpoint {
 	f.notices.Lock()
 	defer f.notices.Unlock()
 	return f.notices.machine.Leaving(time.Now())
 }
 
-func (f *Fleet) stepNotices(in notice.Input) {
+func (f *Fleet) stepNotices(in drainnotice.Input) {
 	f.notices.Lock()
 	batch := f.notices.machine.Step(time.Now(), in)
 	f.notices.Unlock()
 	if batch.Relay {
-		f.stepView(member.Relay{})
+		f.stepView(membership.Relay{})
 	}
 	if batch.Changed {
 		f.cfg.OnLeaving()
@@ -44,7 +44,7 @@
 
 func (f *Fleet) hearNotices(list []*exchange.Notice) {
 	if len(list) > 0 {
-		f.stepNotices(notice.Heard{Notices: noticesFromWire(list)})
+		f.stepNotices(drainnotice.Heard{Notices: noticesFromWire(list)})
 	}
 }
 
@@ -57,7 +57,7 @@
 	return noticesToWire(f.notices.machine.Take(nodes, noticesFromWire(known)))
 }
 
-func noticesToWire(list []notice.Notice) []*exchange.Notice {
+func noticesToWire(list []drainnotice.Notice) []*exchange.Notice {
 	out := make([]*exchange.Notice, 0, len(list))
 	for _, n := range list {
 		out = append(out, &exchange.Notice{Endpoint: n.Endpoint, Revision: n.Revision})
@@ -66,11 +66,11 @@
 }
 
 // noticesFromWire leaves out what no node can have sent.
-func noticesFromWire(list []*exchange.Notice) []notice.Notice {
-	out := make([]notice.Notice, 0, min(len(list), maxNotices))
+func noticesFromWire(list []*exchange.Notice) []drainnotice.Notice {
+	out := make([]drainnotice.Notice, 0, min(len(list), maxNotices))
 	for _, n := range list[:min(len(list), maxNotices)] {
 		if n.GetEndpoint() != "" && n.GetRevision() > 0 {
-			out = append(out, notice.Notice{Endpoint: n.GetEndpoint(), Revision: n.GetRevision()})
+			out = append(out, drainnotice.Notice{Endpoint: n.GetEndpoint(), Revision: n.GetRevision()})
 		}
 	}
 	return out
--- a/fleet/notices_test.go
+++ b/fleet/notices_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/notice"
 )
 
 // manyNodesInterval is a quarter of the real interval. At 50 ms, 45 nodes in one
@@ -23,10 +23,10 @@
 	store := newFakeStore(record(7, "first"))
 	nodes := startNodes(t, store, n, 3, manyNodesInterval)
 	for _, each := range nodes {
-		each.EndpointsListed(notice.Listed{Revision: 10})
+		each.EndpointsListed(drainnotice.Listed{Revision: 10})
 		await(t, "all live", 30*time.Second, func() bool { return each.count("live") == n })
 	}
-	nodes[0].EndpointsListed(notice.Listed{VMs: []notice.VM{{Name: "gpu-1", Revision: 20, Leaving: true}}, Revision: 20})
+	nodes[0].EndpointsListed(drainnotice.Listed{VMs: []drainnotice.VM{{Name: "gpu-1", Revision: 20, Leaving: true}}, Revision: 20})
 	for i, each := range nodes {
 		await(t, "the notice", 10*time.Second, func() bool { return len(each.LeavingEndpoints()) == 1 })
 		if got := each.LeavingEndpoints()[0]; got.Name != "gpu-1" || got.Confirmed != (i == 0) {
@@ -34,7 +34,7 @@
 		}
 		await(t, "the call", 10*time.Second, func() bool { return each.leavingCalls.Load() > 0 })
 	}
-	nodes[1].EndpointsListed(notice.Listed{VMs: []notice.VM{{Name: "gpu-1", Revision: 30}}, Revision: 30})
+	nodes[1].EndpointsListed(drainnotice.Listed{VMs: []drainnotice.VM{{Name: "gpu-1", Revision: 30}}, Revision: 30})
 	nodes[1].hearNotices([]*exchange.Notice{{Endpoint: "gpu-1", Revision: 20}})
 	if got := nodes[1].LeavingEndpoints(); len(got) > 0 {
 		t.Errorf("a node that read the endpoint live holds %+v", got)
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -6,16 +6,16 @@
 	"syscall"
 	"time"
 
+	"github.com/cicadatack/cicadatack/fleet/docsync"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/spread"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 	"github.com/twitchtv/twirp"
 )
 
 // packedCache keeps the last payload, which is the same for most peers.
 type packedCache struct {
-	of, base spread.Holding
-	payload  spread.Payload
+	of, base docsync.Holding
+	payload  docsync.Payload
 }
 
 // pack returns the latest record as the difference to base.
@@ -28,7 +28,7 @@
 	if cached.of == of && cached.base == from {
 		return cached
 	}
-	packed := packedCache{of: of, base: from, payload: spread.Pack(record, base)}
+	packed := packedCache{of: of, base: from, payload: docsync.Pack(record, base)}
 	f.records.Lock()
 	f.records.packed = packed
 	f.records.Unlock()
@@ -40,12 +40,12 @@
 	return f.documentOf(f.latest().Holding())
 }
 
-func (f *Fleet) documentOf(held spread.Holding) *exchange.Document {
+func (f *Fleet) documentOf(held docsync.Holding) *exchange.Document {
 	return &exchange.Document{Environment: f.cfg.Environment, Revision: held.Revision, Mark: held.Mark}
 }
 
 // base returns the record that a difference for a peer can start from.
-func (f *Fleet) base(held spread.Holding) Record {
+func (f *Fleet) base(held docsync.Holding) Record {
 	f.records.Lock()
 	defer f.records.Unlock()
 	return f.records.machine.Base(held)
@@ -63,7 +63,7 @@
 	return answer, nil
 }
 
-func (f *Fleet) request(msg member.Message) *exchange.ExchangeRequest {
+func (f *Fleet) request(msg membership.Message) *exchange.ExchangeRequest {
 	return &exchange.ExchangeRequest{
 		Sender:        memberToWire(msg.Sender),
 		Updates:       membersToWire(msg.Updates),
@@ -75,7 +75,7 @@
 
 // exchangeWith carries out one regular exchange. An answer later than an
 // interval counts as none: a peer that slow is no use to callers either.
-func (f *Fleet) exchangeWith(ctx context.Context, send member.Send) {
+func (f *Fleet) exchangeWith(ctx context.Context, send membership.Send) {
 	ctx, cancel := context.WithTimeout(ctx, max(f.cfg.Interval, retryFloor))
 	defer cancel()
 	asked := time.Now()
@@ -87,7 +87,7 @@
 	if err != nil {
 		if f.running.Err() == nil {
 			f.log.Debug("exchange failed", "peer", send.To.Name, "error", err)
-			f.stepView(member.Failed{Peer: send.To.Name, Refused: errors.Is(err, syscall.ECONNREFUSED)})
+			f.stepView(membership.Failed{Peer: send.To.Name, Refused: errors.Is(err, syscall.ECONNREFUSED)})
 		}
 		return
 	}
@@ -105,9 +105,9 @@
 	if err != nil {
 		f.log.Warn("membership table refused", "peer", sender[0].Name, "error", err)
 	}
-	f.stepView(member.Answered{
+	f.stepView(membership.Answered{
 		AskedTable: askedTable,
-		Message: member.Message{
+		Message: membership.Message{
 			Sender:  sender[0],
 			Updates: membersFromWire(answer.GetUpdates()),
 			Digest:  answer.GetMembersDigest(),
@@ -125,7 +125,7 @@
 		return
 	}
 	f.take(peer, theirs)
-	batch := f.stepRecords(spread.Heard{Peer: peer.Name, Holding: holdingFromWire(theirs), Asked: asked})
+	batch := f.stepRecords(docsync.Heard{Peer: peer.Name, Holding: holdingFromWire(theirs), Asked: asked})
 	if batch.Fetch != "" {
 		f.start(func() { f.fetch(peer, theirs.GetRevision()) })
 	}
@@ -137,15 +137,15 @@
 		return
 	}
 	payload := payloadFromWire(theirs.GetPayload())
-	record, err := spread.Unpack(f.cfg.Environment, theirs.GetRevision(), payload, f.base(payload.Base))
-	if errors.Is(err, spread.ErrBase) {
+	record, err := docsync.Unpack(f.cfg.Environment, theirs.GetRevision(), payload, f.base(payload.Base))
+	if errors.Is(err, docsync.ErrBase) {
 		return // the answer says what is held here; the peer packs anew
 	}
 	if err != nil {
 		f.log.Warn("record refused", "peer", peer.Name, "revision", theirs.GetRevision(), "error", err)
 		return
 	}
-	f.stepRecords(spread.Learned{Record: record, Source: spread.FromPeer})
+	f.stepRecords(docsync.Learned{Record: record, Source: docsync.FromPeer})
 }
 
 // startFetch returns false while the same record, or a higher one, is on its
@@ -186,10 +186,10 @@
 }
 
 // quietMessage names the sender and carries no news.
-func (f *Fleet) quietMessage() member.Message {
+func (f *Fleet) quietMessage() membership.Message {
 	f.view.Lock()
 	defer f.view.Unlock()
-	return member.Message{Sender: f.view.machine.Self(), Digest: f.view.machine.Digest()}
+	return membership.Message{Sender: f.view.machine.Self(), Digest: f.view.machine.Digest()}
 }
 
 // push offers the latest record to a peer: with a small difference at once,
@@ -206,7 +206,7 @@
 	}
 	if err != nil && f.running.Err() == nil {
 		f.log.Debug("push failed", "peer", name, "revision", offered, "error", err)
-		f.stepRecords(spread.PushFailed{Peer: name, Revision: offered})
+		f.stepRecords(docsync.PushFailed{Peer: name, Revision: offered})
 	}
 }
 
@@ -244,7 +244,7 @@
 	if len(sender) == 0 {
 		return nil, twirp.InvalidArgumentError("sender", "is incomplete")
 	}
-	batch := f.stepView(member.Received{Message: member.Message{
+	batch := f.stepView(membership.Received{Message: membership.Message{
 		Sender:    sender[0],
 		Updates:   membersFromWire(request.GetUpdates()),
 		Digest:    request.GetMembersDigest(),
@@ -255,7 +255,7 @@
 	return f.answer(sender[0], request, *batch.Reply)
 }
 
-func (f *Fleet) answer(to Member, request *exchange.ExchangeRequest, reply member.Message) (*exchange.ExchangeResponse, error) {
+func (f *Fleet) answer(to Member, request *exchange.ExchangeRequest, reply membership.Message) (*exchange.ExchangeResponse, error) {
 	table, err := packTable(reply.Table)
 	if err != nil {
 		f.log.Error("membership table not packed", "error", err)
--- a/fleet/reads/reads.go
+++ b/fleet/reads/reads.go
@@ -21,7 +21,7 @@
 	"github.com/zeebo/errs"
 
 	"github.com/cicadatack/cicadatack/fleet/reads/readspb"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Error is the class of this layer's errors.
--- a/fleet/reads/reads_test.go
+++ b/fleet/reads/reads_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"github.com/cicadatack/cicadatack/fleet/reads/readspb"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // clock is a reading that a test moves by hand.
--- a/fleet/records.go
+++ b/fleet/records.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/spread"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/fleet/docsync"
+	"github.com/cicadatack/cicadatack/fleet/membership"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // watchCheck intervals pass between two looks at whether this node is to hold
@@ -14,14 +14,14 @@
 const watchCheck = 3
 
 // stepRecords gives the record shard an input and carries out what it asks.
-func (f *Fleet) stepRecords(in spread.Input) spread.Batch {
+func (f *Fleet) stepRecords(in docsync.Input) docsync.Batch {
 	batch, ready := f.stepMachine(in)
 	f.carryOut(batch, ready)
 	return batch
 }
 
 // stepMachine gives the machine an input. It says whether the record may be served.
-func (f *Fleet) stepMachine(in spread.Input) (batch spread.Batch, ready bool) {
+func (f *Fleet) stepMachine(in docsync.Input) (batch docsync.Batch, ready bool) {
 	f.records.Lock()
 	defer f.records.Unlock()
 	batch = f.records.machine.Step(in)
@@ -29,12 +29,12 @@
 }
 
 // carryOut does what a step of the record shard asks for.
-func (f *Fleet) carryOut(batch spread.Batch, ready bool) {
+func (f *Fleet) carryOut(batch docsync.Batch, ready bool) {
 	if batch.Conflict {
 		f.log.Error("two records of one revision; the first one stays", "environment", f.cfg.Environment)
 	}
 	if ready {
-		f.stepView(member.Serve{})
+		f.stepView(membership.Serve{})
 	}
 	f.deliver()
 	if batch.Accepted != nil {
@@ -87,10 +87,10 @@
 	}
 	f.storeAnswered()
 	if record.Revision == 0 {
-		f.stepRecords(spread.StoreEmpty{})
+		f.stepRecords(docsync.StoreEmpty{})
 		return true
 	}
-	f.stepRecords(spread.Learned{Record: record, Source: spread.FromStore})
+	f.stepRecords(docsync.Learned{Record: record, Source: docsync.FromStore})
 	return true
 }
 
@@ -147,6 +147,6 @@
 	defer f.setWatching(false)
 	return f.documents.Watch(ctx, func(r Record) {
 		f.storeAnswered()
-		f.stepRecords(spread.Learned{Record: r, Source: spread.FromStore})
+		f.stepRecords(docsync.Learned{Record: r, Source: docsync.FromStore})
 	})
 }
--- a/fleet/refused_test.go
+++ b/fleet/refused_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/notice"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 )
 
 // A node's process is gone and its VM refuses the connection. The cause must come
@@ -25,8 +25,8 @@
 	address := l.Addr().String()
 	l.Close()
 	f := &Fleet{cfg: Config{Scheme: "http"}, client: &http.Client{}}
-	f.notices.machine = notice.New(notice.Config{})
-	f.view.machine = member.New(member.Config{}, time.Now())
+	f.notices.machine = drainnotice.New(drainnotice.Config{})
+	f.view.machine = membership.New(membership.Config{}, time.Now())
 	_, err = f.call(context.Background(), Member{Address: address}, &exchange.ExchangeRequest{})
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("got %v", err)
--- a/fleet/view.go
+++ b/fleet/view.go
@@ -5,13 +5,13 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/fleet/spread"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/fleet/docsync"
+	"github.com/cicadatack/cicadatack/fleet/membership"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // stepView gives the view an input and carries out what it asks for.
-func (f *Fleet) stepView(in member.Input) member.Batch {
+func (f *Fleet) stepView(in membership.Input) membership.Batch {
 	batch := f.stepViewQuiet(in)
 	for _, send := range batch.Sends {
 		f.start(func() { f.exchangeWith(f.running, send) })
@@ -20,7 +20,7 @@
 }
 
 // stepViewQuiet leaves the sends to the caller.
-func (f *Fleet) stepViewQuiet(in member.Input) member.Batch {
+func (f *Fleet) stepViewQuiet(in membership.Input) membership.Batch {
 	f.view.Lock()
 	batch := f.view.machine.Step(time.Now(), in)
 	if len(batch.Changes) > 0 {
@@ -32,7 +32,7 @@
 }
 
 // report logs changes and tells the record shard who is there.
-func (f *Fleet) report(changes []member.Change) {
+func (f *Fleet) report(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 // changes that come at once, the view of the older one must not be told last.
 func (f *Fleet) tellMembers() {
 	f.telling.Lock()
-	batch, ready := f.stepMachine(spread.Members{Nodes: f.nodes(), Whole: f.joined()})
+	batch, ready := f.stepMachine(docsync.Members{Nodes: f.nodes(), Whole: f.joined()})
 	f.telling.Unlock()
 	f.carryOut(batch, ready)
 }
@@ -57,18 +57,18 @@
 // nodes are the others that serve the same slot. One of another slot takes no
 // part in spreading this one's record: as a watch holder it would watch its
 // own, as an inner node of the tree it would pass nothing on.
-func (f *Fleet) nodes() []spread.Node {
+func (f *Fleet) nodes() []docsync.Node {
 	members := f.Members()
-	nodes := make([]spread.Node, 0, len(members))
+	nodes := make([]docsync.Node, 0, len(members))
 	for _, m := range members {
-		if m.Name == f.cfg.Name || m.State == member.Gone || !f.SameSlot(m) {
+		if m.Name == f.cfg.Name || m.State == membership.Gone || !f.SameSlot(m) {
 			continue
 		}
-		nodes = append(nodes, spread.Node{
+		nodes = append(nodes, docsync.Node{
 			Name:          m.Name,
 			FailureDomain: m.FailureDomain,
 			Heard:         m.Incarnation > 0,
-			Steady:        m.State != member.Suspect,
+			Steady:        m.State != membership.Suspect,
 		})
 	}
 	return nodes
@@ -112,7 +112,7 @@
 		return 0, Error.Wrap(err)
 	}
 	f.storeAnswered()
-	f.stepView(member.Listed{VMs: vms})
+	f.stepView(membership.Listed{VMs: vms})
 	return len(vms), nil
 }
 
--- a/node/cmd/cicadactl/documents.go
+++ b/node/cmd/cicadactl/documents.go
@@ -8,8 +8,8 @@
 	"os"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/promotion"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/promotion"
 )
 
 type checkCommand struct {
--- a/node/cmd/cicadactl/documents_test.go
+++ b/node/cmd/cicadactl/documents_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/promotion"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/promotion"
 )
 
 const testTimeout = 30 * time.Second
--- a/node/cmd/cicadactl/hints.go
+++ b/node/cmd/cicadactl/hints.go
@@ -8,8 +8,8 @@
 	"strings"
 	"syscall"
 
-	"github.com/cicadatack/cicadatack/keep/promotion"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/promotion"
 )
 
 // explain tells the operator of a promotion or rollback what to do next.
--- a/node/cmd/cicadactl/nodes.go
+++ b/node/cmd/cicadactl/nodes.go
@@ -13,8 +13,8 @@
 	"slices"
 
 	"github.com/cicadatack/cicadatack/node/operators"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/front"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/httpapi"
 )
 
 type statusCommand struct {
@@ -95,7 +95,7 @@
 	return nil
 }
 
-func printDecision(out io.Writer, d decision.Decision) {
+func printDecision(out io.Writer, d decisionlog.Decision) {
 	fmt.Fprintf(out, "%s  %-7s", d.At.UTC().Format("15:04:05.000"), d.Kind)
 	if d.Chosen != "" {
 		fmt.Fprintf(out, " %s", d.Chosen)
@@ -124,7 +124,7 @@
 }
 
 func (c *entryCommand) run(ctx context.Context, args *arguments, out io.Writer) error {
-	var answer front.EntryAnswer
+	var answer httpapi.EntryAnswer
 	address := c.Node + "/v1/entry?failure_domain=" + url.QueryEscape(c.FailureDomain)
 	as := caller{key: c.Key, hint: "--key is a key of one of the teams in the document, --node the callers' address of a node"}
 	if err := args.get(ctx, address, as, &answer); err != nil {
--- a/node/cmd/cicadactl/prune.go
+++ b/node/cmd/cicadactl/prune.go
@@ -7,8 +7,8 @@
 	"io"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/promotion"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/promotion"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 type pruneCommand struct {
--- a/node/documents/documents.go
+++ b/node/documents/documents.go
@@ -13,7 +13,7 @@
 //
 // Load pattern: a change of one endpoint of 10,000 brings a watch holder an
 // index of a few KB and makes it read one or two parts. Between peers the whole
-// text goes as a difference, as before (package spread).
+// text goes as a difference, as before (package docsync).
 package documents
 
 import (
@@ -27,10 +27,10 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // Why a document was not taken, as the metric's label has it.
@@ -79,14 +79,14 @@
 	held atomic.Pointer[func() (fleet.Record, bool)]
 
 	mu    sync.Mutex
-	cache parts.Cache
+	cache documentparts.Cache
 	// cached is the digest of the text that the cache was filled from.
 	cached string
 }
 
 // New returns a Source that knows of no record held.
 func New(cfg Config) *Source {
-	return &Source{cfg: cfg, cache: parts.Cache{}}
+	return &Source{cfg: cfg, cache: documentparts.Cache{}}
 }
 
 // Follow tells how to ask for the record that this node holds, wherever it came
@@ -197,7 +197,7 @@
 
 func reasonOf(err error) string {
 	switch {
-	case errors.Is(err, parts.ErrMissing):
+	case errors.Is(err, documentparts.ErrMissing):
 		return ReasonMissing
 	case errors.Is(err, document.ErrPart):
 		return ReasonDamaged
@@ -214,7 +214,7 @@
 		return held, nil
 	}
 	s.fill()
-	text, err := parts.Read(ctx, &partReader{source: s, index: index}, s.cfg.Environment, index, s.cache)
+	text, err := documentparts.Read(ctx, &partReader{source: s, index: index}, s.cfg.Environment, index, s.cache)
 	if errors.Is(err, errHeld) {
 		held, _ := s.heldFor(index)
 		return held, nil
@@ -264,7 +264,7 @@
 	reads  int
 }
 
-// Get implements parts.Getter.
+// Get implements documentparts.Getter.
 func (r *partReader) Get(ctx context.Context, key string) (store.Entry, error) {
 	if r.reads++; r.reads > quickParts {
 		wait.For(ctx, rand.N(partPause))
--- a/node/documents/documents_test.go
+++ b/node/documents/documents_test.go
@@ -13,11 +13,11 @@
 	"go.uber.org/goleak"
 
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/promotion"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/promotion"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
@@ -165,7 +165,7 @@
 
 // put writes a part's value as it is, or removes it.
 func (s *site) put(part document.Part, value []byte) {
-	write := storetest.Write{Key: parts.Key(environment, part.Ref.Digest), Value: value, Delete: value == nil}
+	write := storetest.Write{Key: documentparts.Key(environment, part.Ref.Digest), Value: value, Delete: value == nil}
 	if _, _, err := s.memory.Txn(nil, []storetest.Write{write}); err != nil {
 		s.t.Fatal(err)
 	}
@@ -247,7 +247,7 @@
 			}
 			// The node's reads of the part meet what stands there.
 			s.client.SetFault(func(call storetest.Call) storetest.Fault {
-				if call.Key == parts.Key(environment, part.Ref.Digest) {
+				if call.Key == documentparts.Key(environment, part.Ref.Digest) {
 					return storetest.Fault{Before: func() { s.put(part, value) }}
 				}
 				return storetest.Fault{}
@@ -293,7 +293,7 @@
 	s.promote(1)
 	s.watch()
 	s.awaitRecord(1)
-	lost := parts.Key(environment, s.own(2).Ref.Digest)
+	lost := documentparts.Key(environment, s.own(2).Ref.Digest)
 	s.client.SetFault(func(call storetest.Call) storetest.Fault {
 		return storetest.Fault{Unavailable: call.Key == lost}
 	})
--- a/node/losses/losses_test.go
+++ b/node/losses/losses_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 )
 
 // at is a log line of node n at a second, with fields in JSON.
@@ -21,7 +21,7 @@
 	return at(second, "decision", fmt.Sprintf(`"request":"r","kind":%q,"reason":%q,"service":"s",%s`, kind, reason, fields))
 }
 
-var started = at(0, "started", fmt.Sprintf(`"domain":"d","log_format":%d`, decision.LogFormat))
+var started = at(0, "started", fmt.Sprintf(`"domain":"d","log_format":%d`, decisionlog.LogFormat))
 
 func lateStream(second, first, longest, took float64, fields string) string {
 	return about(second, "finish", "done", fmt.Sprintf(
@@ -307,7 +307,7 @@
 		for i := range nodes {
 			log += strings.ReplaceAll(at(1, "stopped", `"domain":"d"`), `"n"`, fmt.Sprintf(`"n%d"`, i))
 		}
-		log += at(9, "started", fmt.Sprintf(`"domain":"d","log_format":%d`, decision.LogFormat)) + late
+		log += at(9, "started", fmt.Sprintf(`"domain":"d","log_format":%d`, decisionlog.LogFormat)) + late
 		if rep := read(t, log); rep.Causes[0].Name != string(want) {
 			t.Errorf("one of %d nodes started: %+v, want %s", nodes+1, rep.Causes, want)
 		}
--- a/node/losses/reader.go
+++ b/node/losses/reader.go
@@ -8,7 +8,7 @@
 	"io"
 	"time"
 
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 )
 
 const (
@@ -157,8 +157,8 @@
 	n := r.node(l.Node)
 	switch l.Message {
 	case messageStarted:
-		if l.Format != decision.LogFormat {
-			r.fault(name, number, fmt.Sprintf("a node whose log has format %d (this command reads %d): late answers may be missing", l.Format, decision.LogFormat))
+		if l.Format != decisionlog.LogFormat {
+			r.fault(name, number, fmt.Sprintf("a node whose log has format %d (this command reads %d): late answers may be missing", l.Format, decisionlog.LogFormat))
 		}
 		r.started(n, l)
 	case messageStopped:
--- a/node/operators/operators.go
+++ b/node/operators/operators.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 )
 
 // Paths of the calls.
@@ -59,11 +59,11 @@
 
 // Explanation is a node's answer to GET /v1/explain/{request}.
 type Explanation struct {
-	Decisions []decision.Decision `json:"decisions"`
+	Decisions []decisionlog.Decision `json:"decisions"`
 }
 
 // Mount adds the calls to a router. status tells the node's state now.
-func Mount(r chi.Router, status func() Status, decisions *decision.Log) {
+func Mount(r chi.Router, status func() Status, decisions *decisionlog.Log) {
 	r.Get(PathStatus, func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, status()) })
 	r.Get(PathExplain+"{request}", func(w http.ResponseWriter, r *http.Request) {
 		found := decisions.Explain(chi.URLParam(r, "request"))
--- a/node/server/documents.go
+++ b/node/server/documents.go
@@ -4,10 +4,10 @@
 	"runtime/debug"
 
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/keep/promotion"
 	"github.com/cicadatack/cicadatack/node/documents"
 	"github.com/cicadatack/cicadatack/node/settings"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/state/promotion"
 )
 
 // largeText is the size of a text from which its garbage is collected at once.
@@ -44,7 +44,7 @@
 		s.metrics.DocumentRefused(documents.ReasonText)
 		return
 	}
-	d := directory.Build(doc, r.Revision, r.Digest)
+	d := docindex.Build(doc, r.Revision, r.Digest)
 	s.registry.Apply(d)
 	s.book.Apply(d)
 	s.keeper.Apply(d)
--- a/node/server/drain.go
+++ b/node/server/drain.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
 	"github.com/cicadatack/cicadatack/fleet"
 )
 
@@ -114,7 +114,7 @@
 func (s *Server) entryValidity() time.Duration {
 	d := s.directory.Load()
 	if d == nil || d.Document.Policy.EntryValidSeconds == 0 {
-		return entry.ValidFor
+		return entrypoints.ValidFor
 	}
 	return time.Duration(d.Document.Policy.EntryValidSeconds) * time.Second
 }
--- a/node/server/entries.go
+++ b/node/server/entries.go
@@ -3,13 +3,13 @@
 import (
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/front"
-	"github.com/cicadatack/cicadatack/route/limiter"
+	"github.com/cicadatack/cicadatack/fleet/membership"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/httpapi"
+	"github.com/cicadatack/cicadatack/route/teamlimiter"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // entries answers which entry VMs a team should use.
@@ -17,19 +17,19 @@
 	server *Server
 }
 
-// Entry implements front.EntryAnswerer.
-func (e *entries) Entry(team *document.Team, failureDomain string) front.EntryAnswer {
+// Entry implements httpapi.EntryAnswerer.
+func (e *entries) Entry(team *document.Team, failureDomain string) httpapi.EntryAnswer {
 	if failureDomain == "" {
 		failureDomain = e.server.settings.FailureDomain
 	}
-	result := entry.Answer(entry.Query{
+	result := entrypoints.Answer(entrypoints.Query{
 		Team:          team.Name,
 		FailureDomain: failureDomain,
 		Share:         e.server.teamShare(team),
 	}, e.server.entryMembers())
-	answer := front.EntryAnswer{ValidForMillis: e.server.validFor(result.ValidFor).Milliseconds()}
+	answer := httpapi.EntryAnswer{ValidForMillis: e.server.validFor(result.ValidFor).Milliseconds()}
 	for _, a := range result.Addresses {
-		answer.Addresses = append(answer.Addresses, front.EntryAddress{
+		answer.Addresses = append(answer.Addresses, httpapi.EntryAddress{
 			Address:       a.Address,
 			FailureDomain: a.FailureDomain,
 			Weight:        a.Weight,
@@ -60,19 +60,19 @@
 // entryMembers lists the nodes that callers may be sent to. The platform's list
 // does not tell environments apart, so the members may serve another one, or its
 // trial: callers sent there would find their keys unknown.
-func (s *Server) entryMembers() []entry.Member {
+func (s *Server) entryMembers() []entrypoints.Member {
 	members := s.fleet.Members()
-	known := make([]entry.Member, 0, len(members))
+	known := make([]entrypoints.Member, 0, len(members))
 	for _, m := range members {
-		if !s.fleet.SameSlot(m) || m.CallerAddress == "" || m.State == member.Gone || m.State == member.Joining {
+		if !s.fleet.SameSlot(m) || m.CallerAddress == "" || m.State == membership.Gone || m.State == membership.Joining {
 			continue
 		}
-		known = append(known, entry.Member{
+		known = append(known, entrypoints.Member{
 			ID:            m.Name,
 			Address:       m.CallerAddress,
 			FailureDomain: m.FailureDomain,
-			Draining:      m.State == member.Draining,
-			Suspected:     m.State == member.Suspect,
+			Draining:      m.State == membership.Draining,
+			Suspected:     m.State == membership.Suspect,
 		})
 	}
 	return known
@@ -103,7 +103,7 @@
 
 // followed is what followMembers last acted on.
 type followed struct {
-	directory *directory.Directory
+	directory *docindex.Directory
 	members   *fleet.Member
 }
 
@@ -117,7 +117,7 @@
 	return &members[0]
 }
 
-func (s *Server) followPeers(members []entry.Member) {
+func (s *Server) followPeers(members []entrypoints.Member) {
 	var near []string
 	serving := 0
 	for _, m := range members {
@@ -136,15 +136,15 @@
 	}
 }
 
-func (s *Server) setLimits(doc *document.Document, members []entry.Member) {
-	teams := make([]limiter.Team, 0, len(doc.Teams))
+func (s *Server) setLimits(doc *document.Document, members []entrypoints.Member) {
+	teams := make([]teamlimiter.Team, 0, len(doc.Teams))
 	for i := range doc.Teams {
 		t := &doc.Teams[i]
-		count := entry.HomeCount(s.teamShare(t), len(members))
-		teams = append(teams, limiter.Team{
+		count := entrypoints.HomeCount(s.teamShare(t), len(members))
+		teams = append(teams, teamlimiter.Team{
 			Name:  t.Name,
 			Limit: t.TokensPerSecond,
-			Homes: entry.Homes(t.Name, members, count),
+			Homes: entrypoints.Homes(t.Name, members, count),
 		})
 	}
 	s.limits.SetTeams(teams)
@@ -152,7 +152,7 @@
 
 func (s *Server) countMembers(members []fleet.Member) {
 	counts := map[string]int{}
-	for state := member.Joining; state <= member.Gone; state++ {
+	for state := membership.Joining; state <= membership.Gone; state++ {
 		counts[state.String()] = 0
 	}
 	for _, m := range members {
--- a/node/server/events.go
+++ b/node/server/events.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/cacheindex"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	"github.com/cicadatack/cicadatack/route/service"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // eventsLoop asks the engines of the replicas that this node uses for their cache
--- a/node/server/leaving.go
+++ b/node/server/leaving.go
@@ -11,9 +11,9 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/balance"
-	"github.com/cicadatack/cicadatack/fleet/notice"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
 	"github.com/cicadatack/cicadatack/route/service"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 const (
@@ -93,7 +93,7 @@
 
 // read returns what was written since the last read, or the whole list when that
 // is due.
-func (l *endpointList) read(ctx context.Context) (notice.Listed, error) {
+func (l *endpointList) read(ctx context.Context) (drainnotice.Listed, error) {
 	whole := wholeDue(l.wholeAt, l.count)
 	since := l.revision
 	if whole {
@@ -101,24 +101,24 @@
 	}
 	entries, revision, err := l.store.Changed(ctx, endpointVMs, since)
 	if err != nil {
-		return notice.Listed{}, err
+		return drainnotice.Listed{}, err
 	}
 	l.revision = revision
 	if whole {
 		l.count, l.wholeAt = len(entries), time.Now()
 	}
-	return notice.Listed{VMs: endpointsOf(entries), Revision: revision}, nil
+	return drainnotice.Listed{VMs: endpointsOf(entries), Revision: revision}, nil
 }
 
 // endpointsOf leaves out entries that can't be read; they must not hide the others.
-func endpointsOf(entries []store.Entry) []notice.VM {
-	vms := make([]notice.VM, 0, len(entries))
+func endpointsOf(entries []store.Entry) []drainnotice.VM {
+	vms := make([]drainnotice.VM, 0, len(entries))
 	for _, e := range entries {
 		var vm platformVM
 		if json.Unmarshal(e.Value, &vm) != nil || vm.Name != strings.TrimPrefix(e.Key, endpointVMs) {
 			continue
 		}
-		vms = append(vms, notice.VM{Name: vm.Name, Revision: e.Revision, Leaving: vm.State == stateLeaving})
+		vms = append(vms, drainnotice.VM{Name: vm.Name, Revision: e.Revision, Leaving: vm.State == stateLeaving})
 	}
 	return vms
 }
@@ -140,7 +140,7 @@
 // follow asks for the endpoints that leave now; it asks under the lock, so that
 // an older answer never comes after a newer one. That one leaves is passed on each
 // time, as a service that a new document brought has not heard it.
-func (l *leavingList) follow(leaving func() []notice.Endpoint) {
+func (l *leavingList) follow(leaving func() []drainnotice.Endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := leaving()
@@ -156,7 +156,7 @@
 
 // tell marks a service's endpoints that leave and takes back what was said of
 // others before.
-func (l *leavingList) tell(s *service.Service, leaving []notice.Endpoint, before map[string]bool) map[string]bool {
+func (l *leavingList) tell(s *service.Service, leaving []drainnotice.Endpoint, before map[string]bool) map[string]bool {
 	now := map[string]bool{}
 	room := hintRoom(s.Replicas())
 	for _, e := range leaving {
--- a/node/server/leaving_test.go
+++ b/node/server/leaving_test.go
@@ -10,15 +10,15 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/balance"
-	"github.com/cicadatack/cicadatack/fleet/notice"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/fleet/drainnotice"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/service"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // ofReplicas is a service of replicas gpu-0 and so on, each an endpoint.
-func ofReplicas(n int) *directory.Directory {
+func ofReplicas(n int) *docindex.Directory {
 	doc := &document.Document{Teams: []document.Team{{Name: "menteng", Weight: 1}}}
 	m := &document.Model{Layers: 8}
 	for i := range n {
@@ -27,7 +27,7 @@
 		m.Replicas = append(m.Replicas, document.Replica{Name: name, Stages: []document.Stage{{Endpoint: name}}})
 	}
 	doc.Services = []document.Service{{Name: "pastry-llm", Kind: document.KindModel, Model: m}}
-	return directory.Build(doc, 1, "digest")
+	return docindex.Build(doc, 1, "digest")
 }
 
 // used counts the replicas that get any of many requests.
@@ -51,10 +51,10 @@
 	registry.Apply(ofReplicas(8))
 	pastry := registry.Get("pastry-llm")
 	list := newLeavingList(registry, hclog.NewNullLogger())
-	say := func(confirmed, hints int) func() []notice.Endpoint {
-		return func() (all []notice.Endpoint) {
+	say := func(confirmed, hints int) func() []drainnotice.Endpoint {
+		return func() (all []drainnotice.Endpoint) {
 			for i := range confirmed + hints {
-				all = append(all, notice.Endpoint{Name: fmt.Sprint("gpu-", i), Confirmed: i < confirmed})
+				all = append(all, drainnotice.Endpoint{Name: fmt.Sprint("gpu-", i), Confirmed: i < confirmed})
 			}
 			return all
 		}
@@ -104,7 +104,7 @@
 	}}
 	list := &endpointList{store: source}
 	got, err := list.read(context.Background())
-	want := fmt.Sprint(notice.Listed{VMs: []notice.VM{{Name: "gpu-1", Revision: 4, Leaving: true}, {Name: "gpu-3", Revision: 6}}, Revision: 10})
+	want := fmt.Sprint(drainnotice.Listed{VMs: []drainnotice.VM{{Name: "gpu-1", Revision: 4, Leaving: true}, {Name: "gpu-3", Revision: 6}}, Revision: 10})
 	if err != nil || fmt.Sprint(got) != want {
 		t.Fatalf("read %v, %v, want %s", got, err, want)
 	}
--- a/node/server/orders.go
+++ b/node/server/orders.go
@@ -9,11 +9,11 @@
 
 	"github.com/twitchtv/twirp"
 
-	"github.com/cicadatack/cicadatack/decide/owner"
+	"github.com/cicadatack/cicadatack/decide/shardowner"
 	"github.com/cicadatack/cicadatack/fleet"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/keep/ledger"
+	"github.com/cicadatack/cicadatack/fleet/membership"
+	"github.com/cicadatack/cicadatack/state/ledger"
 )
 
 // orderPeers carries the ledger's operations to the nodes that write its shards
@@ -22,7 +22,7 @@
 	server *Server
 
 	mu     sync.Mutex
-	owners *owner.Nodes
+	owners *shardowner.Nodes
 	// stamp is of the members that owners was last given; so many were live, and
 	// this node owned so many shards.
 	stamp        *fleet.Member
@@ -30,7 +30,7 @@
 }
 
 func newOrderPeers(s *Server) *orderPeers {
-	return &orderPeers{server: s, owners: owner.New()}
+	return &orderPeers{server: s, owners: shardowner.New()}
 }
 
 // Owner implements ledger.Peers.
@@ -38,7 +38,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.followLive()
-	picked := p.owners.Pick(time.Now(), owner.Shard(shard))
+	picked := p.owners.Pick(time.Now(), shardowner.Shard(shard))
 	if picked == p.server.settings.Name {
 		return ""
 	}
@@ -49,7 +49,7 @@
 func (s *Server) liveMembers() []string {
 	var live []string
 	for _, m := range s.fleet.Members() {
-		if m.State == member.Live && s.fleet.SameSlot(m) {
+		if m.State == membership.Live && s.fleet.SameSlot(m) {
 			live = append(live, m.Name)
 		}
 	}
--- a/node/server/orders_test.go
+++ b/node/server/orders_test.go
@@ -9,11 +9,11 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/cicadatack/cicadatack/decide/owner"
+	"github.com/cicadatack/cicadatack/decide/shardowner"
 	"github.com/cicadatack/cicadatack/fleet/exchange"
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
 	"github.com/cicadatack/cicadatack/node/settings"
+	"github.com/cicadatack/cicadatack/state/ledger"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // A node sends its orders' claims to a node of another environment, after a VM
@@ -81,22 +81,22 @@
 	p := newOrderPeers(&Server{settings: settings.Settings{Name: "near"}, log: hclog.NewNullLogger()})
 	p.owners.SetLive([]string{"far", "other"})
 	now := time.Now()
-	first := p.owners.Pick(now, owner.Shard(0))
+	first := p.owners.Pick(now, shardowner.Shard(0))
 	p.Refused(first)
-	second := p.owners.Pick(now, owner.Shard(0))
+	second := p.owners.Pick(now, shardowner.Shard(0))
 	if second == first || second == "" {
 		t.Fatalf("%q refused, and %q is asked next", first, second)
 	}
-	later := now.Add(owner.MinPause + time.Second)
-	if got := p.owners.Pick(later, owner.Shard(0)); got != first {
+	later := now.Add(shardowner.MinPause + time.Second)
+	if got := p.owners.Pick(later, shardowner.Shard(0)); got != first {
 		t.Fatalf("after its pause %q is asked, not %q", got, first)
 	}
 	p.Refused(first)
-	if got := p.owners.Pick(now.Add(owner.MinPause+owner.MinPause/2), owner.Shard(0)); got != second {
+	if got := p.owners.Pick(now.Add(shardowner.MinPause+shardowner.MinPause/2), shardowner.Shard(0)); got != second {
 		t.Errorf("it refused again, and after as short a pause %q is asked", got)
 	}
 	p.answered(first)
-	if got := p.owners.Pick(later, owner.Shard(0)); got != first {
+	if got := p.owners.Pick(later, shardowner.Shard(0)); got != first {
 		t.Errorf("it answered, and %q is asked", got)
 	}
 }
--- a/node/server/plans.go
+++ b/node/server/plans.go
@@ -3,14 +3,14 @@
 import (
 	"slices"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
 	"github.com/cicadatack/cicadatack/node/settings"
-	"github.com/cicadatack/cicadatack/route/plans"
+	"github.com/cicadatack/cicadatack/route/layerplans"
 )
 
 func (s *Server) buildPlans() {
-	s.book = plans.NewBook(s.store, s.settings.Environment, s.log)
-	s.keeper = plans.NewKeeper(plans.KeeperConfig{
+	s.book = layerplans.NewBook(s.store, s.settings.Environment, s.log)
+	s.keeper = layerplans.NewKeeper(layerplans.KeeperConfig{
 		Node:        s.settings.Name,
 		Environment: s.settings.Environment,
 		Store:       s.store,
@@ -25,8 +25,8 @@
 
 // planWatcher passes on what streams tell of replicas.
 type planWatcher struct {
-	*plans.Book
-	*plans.Keeper
+	*layerplans.Book
+	*layerplans.Keeper
 }
 
 // Suspect tells both the book, which reads the plan again, and the keeper, which
@@ -51,11 +51,11 @@
 }
 
 // planKeeper is the node whose turn it is, empty if there is none.
-func planKeeper(model, domain string, members []entry.Member) string {
+func planKeeper(model, domain string, members []entrypoints.Member) string {
 	key := "plans/" + model + "/" + domain
-	near := slices.DeleteFunc(slices.Clone(members), func(m entry.Member) bool { return m.FailureDomain != domain })
-	for _, candidates := range [][]entry.Member{near, members} {
-		if first := entry.Homes(key, candidates, 1); len(first) == 1 {
+	near := slices.DeleteFunc(slices.Clone(members), func(m entrypoints.Member) bool { return m.FailureDomain != domain })
+	for _, candidates := range [][]entrypoints.Member{near, members} {
+		if first := entrypoints.Homes(key, candidates, 1); len(first) == 1 {
 			return first[0]
 		}
 	}
--- a/node/server/plans_test.go
+++ b/node/server/plans_test.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
 )
 
 // A node of the failure domain keeps its plans, as only its streams measure the
 // hops there; another takes the turn while the domain has none that stays.
 func TestPlanKeeperIsNear(t *testing.T) {
-	var members []entry.Member
+	var members []entrypoints.Member
 	for i := range 9 {
 		domain := []string{"bandung", "bekasi", "bogor"}[i%3]
-		members = append(members, entry.Member{ID: fmt.Sprint("entry-", i), FailureDomain: domain})
+		members = append(members, entrypoints.Member{ID: fmt.Sprint("entry-", i), FailureDomain: domain})
 	}
 	domainOf := func(id string) string {
 		for _, m := range members {
--- a/node/server/polls.go
+++ b/node/server/polls.go
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	"github.com/cicadatack/cicadatack/route/service"
 	"github.com/cicadatack/cicadatack/route/upstream"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // pollTimeout bounds one question for load; an endpoint that takes longer says
--- a/node/server/secure.go
+++ b/node/server/secure.go
@@ -10,7 +10,7 @@
 	"github.com/cicadatack/cicadatack/fleet"
 	"github.com/cicadatack/cicadatack/node/settings"
 	"github.com/cicadatack/cicadatack/node/tlsfiles"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
 )
 
 func filesOf(t *settings.TLS) (*tlsfiles.Files, error) {
@@ -69,7 +69,7 @@
 func (s *Server) operatorsOnly(next http.Handler) http.Handler {
 	keys := s.settings.Operators.KeySHA256
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		sum := sha256.Sum256([]byte(directory.BearerKey(r)))
+		sum := sha256.Sum256([]byte(docindex.BearerKey(r)))
 		if len(keys) > 0 && !slices.Contains(keys, hex.EncodeToString(sum[:])) {
 			http.Error(w, "an operator's key is needed", http.StatusUnauthorized)
 			return
--- a/node/server/secure_test.go
+++ b/node/server/secure_test.go
@@ -14,10 +14,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/settings"
 	"github.com/cicadatack/cicadatack/node/tlsfiles/tlstest"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 const (
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -15,27 +15,27 @@
 
 	"github.com/cicadatack/cicadatack/decide/limits"
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/metrics"
 	"github.com/cicadatack/cicadatack/node/settings"
 	"github.com/cicadatack/cicadatack/node/tlsfiles"
 	"github.com/cicadatack/cicadatack/platform/kv"
 	"github.com/cicadatack/cicadatack/route/chains"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/engine"
-	"github.com/cicadatack/cicadatack/route/entrance"
-	"github.com/cicadatack/cicadatack/route/front"
-	"github.com/cicadatack/cicadatack/route/limiter"
-	"github.com/cicadatack/cicadatack/route/model"
-	"github.com/cicadatack/cicadatack/route/plain"
-	"github.com/cicadatack/cicadatack/route/plans"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/route/httpapi"
+	"github.com/cicadatack/cicadatack/route/layerplans"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
+	"github.com/cicadatack/cicadatack/route/modelservice"
+	"github.com/cicadatack/cicadatack/route/plainservice"
 	"github.com/cicadatack/cicadatack/route/relay"
 	"github.com/cicadatack/cicadatack/route/service"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/route/teamlimiter"
 	"github.com/cicadatack/cicadatack/route/upstream"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/ledger"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Error is the class of this layer's errors.
@@ -64,23 +64,23 @@
 	store      *store.Client
 	fleet      *fleet.Fleet
 	registry   *service.Registry
-	limits     *limiter.Limiter
-	decisions  *decision.Log
+	limits     *teamlimiter.Limiter
+	decisions  *decisionlog.Log
 	metrics    *metrics.Metrics
-	front      *front.Front
+	front      *httpapi.Front
 	pool       *upstream.Pool
-	engines    *engine.Client
+	engines    *engineclient.Client
 	streams    *stream.Runner
 	leaving    *leavingList
 	peerFiles  *tlsfiles.Files
 	orders     *ledger.Ledger
 	orderPeers *orderPeers
-	book       *plans.Book
-	keeper     *plans.Keeper
+	book       *layerplans.Book
+	keeper     *layerplans.Keeper
 
 	// parser is used by apply only, which the fleet calls one at a time.
 	parser    document.Parser
-	directory atomic.Pointer[directory.Directory]
+	directory atomic.Pointer[docindex.Directory]
 	draining  atomic.Bool
 	// listed is how many entry VMs the platform's list last had; zero: not read.
 	listed    atomic.Int64
@@ -119,21 +119,21 @@
 	}
 	s.store.Start()
 	s.metrics = metrics.New(s.settings.Name, func(err error) { s.log.Error("metric not registered", "error", err) })
-	s.decisions = decision.NewLog(s.log)
+	s.decisions = decisionlog.NewLog(s.log)
 	s.registry = service.NewRegistry(service.Config{
 		Node:          s.settings.Name,
 		FailureDomain: s.settings.FailureDomain,
 		Now:           time.Now,
 		OnSlots:       s.metrics.Slots,
 	})
-	s.limits = limiter.New(limits.New(limits.Config{
+	s.limits = teamlimiter.New(limits.New(limits.Config{
 		Self:         s.settings.Name,
 		Lease:        limitLease,
 		LeasePerHome: limitLeasePerHome,
 	}), time.Now)
 	s.leaving = newLeavingList(s.registry, s.log)
 	s.pool = upstream.New(time.Now)
-	s.engines = engine.New(nil)
+	s.engines = engineclient.New(nil)
 	s.streams = stream.New(s.engines, nil, stream.Options{MaxEpochs: streamEpochs, MaxTries: 2 * streamEpochs, CacheLost: s.cacheLost})
 	s.orderPeers = newOrderPeers(s)
 	s.orders = ledger.New(s.store, s.settings.Environment, ledger.Config{Peers: s.orderPeers})
@@ -175,30 +175,30 @@
 	}
 }
 
-func (s *Server) newFront() *front.Front {
-	desk := &entrance.Desk{
+func (s *Server) newFront() *httpapi.Front {
+	desk := &lifecycle.Desk{
 		Services: s.registry,
 		Limits:   s.limits,
 		Record:   s.decisions,
 		Figures:  s.metrics,
 		Now:      time.Now,
 	}
-	return &front.Front{
+	return &httpapi.Front{
 		Directory: s.directory.Load,
 		Now:       time.Now,
 		Entries:   &entries{server: s},
-		Models: &model.Server{
+		Models: &modelservice.Server{
 			Desk:    desk,
 			Streams: s.streams,
 			Chains:  &chains.Resolver{Plans: s.book},
 			Plans:   planWatcher{s.book, s.keeper},
 			Figures: s.metrics,
 		},
-		Plains: &plain.Server{
+		Plains: &plainservice.Server{
 			Desk: desk,
 			Path: &relay.Server{
-				Dialect: plain.Dialect{}, Pool: s.pool, Figures: s.metrics, Record: s.decisions, Log: s.log, Now: time.Now,
-				HoldBytes: plain.MaxAnswer,
+				Dialect: plainservice.Dialect{}, Pool: s.pool, Figures: s.metrics, Record: s.decisions, Log: s.log, Now: time.Now,
+				HoldBytes: plainservice.MaxAnswer,
 			},
 			Claims:  s.orders,
 			Figures: s.metrics,
--- a/node/server/share.go
+++ b/node/server/share.go
@@ -4,10 +4,10 @@
 	"context"
 
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 	"github.com/cicadatack/cicadatack/node/settings"
+	"github.com/cicadatack/cicadatack/state/ledger"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // sharedList is the platform's list of entry VMs; each read of it sets this node's
@@ -44,7 +44,7 @@
 func (s *Server) presentMembers() int {
 	present := 0
 	for _, m := range s.fleet.Members() {
-		if m.State != member.Gone {
+		if m.State != membership.Gone {
 			present++
 		}
 	}
--- a/node/server/share_test.go
+++ b/node/server/share_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/tlsfiles/tlstest"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // A node of a large fleet starts. Before it has read the platform's list it knows
--- a/node/server/slots_test.go
+++ b/node/server/slots_test.go
@@ -11,11 +11,11 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/fleet/member"
-	"github.com/cicadatack/cicadatack/keep/promotion"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/fleet/membership"
 	"github.com/cicadatack/cicadatack/node/tlsfiles/tlstest"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/promotion"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Two nodes of one environment and one of another use the same store, whose list
@@ -64,7 +64,7 @@
 // sees says whether a node knows another as live.
 func sees(s *Server, name string) bool {
 	return slices.ContainsFunc(s.fleet.Members(), func(m fleet.Member) bool {
-		return m.Name == name && m.State == member.Live && m.CallerAddress != ""
+		return m.Name == name && m.State == membership.Live && m.CallerAddress != ""
 	})
 }
 
--- a/node/server/vms.go
+++ b/node/server/vms.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/fleet"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/settings"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Prefixes of the platform's lists.
--- a/node/settings/examples_test.go
+++ b/node/settings/examples_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 const examples = "../../examples"
--- a/node/settings/settings.go
+++ b/node/settings/settings.go
@@ -13,7 +13,7 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // Error is the class of this layer's errors.
--- a/node/site/doors.go
+++ b/node/site/doors.go
@@ -8,10 +8,10 @@
 
 	"github.com/go-chi/chi/v5"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
 	"github.com/cicadatack/cicadatack/node/operators"
 	"github.com/cicadatack/cicadatack/platform/directory"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // serveReady answers the platform's checks.
@@ -30,7 +30,7 @@
 
 // serveDirectory tells callers which nodes to use.
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
-	near := entry.Near(directory.Domain(r), n.entries())
+	near := entrypoints.Near(directory.Domain(r), n.entries())
 	addresses := make([]string, 0, len(near))
 	for _, m := range near {
 		addresses = append(addresses, m.Address)
--- a/node/site/follow.go
+++ b/node/site/follow.go
@@ -6,10 +6,10 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/readers"
+	"github.com/cicadatack/cicadatack/decide/storereaders"
 	"github.com/cicadatack/cicadatack/fleet/reads"
-	"github.com/cicadatack/cicadatack/keep/wait"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // Timing sets the pace of a node's own loops.
@@ -68,9 +68,9 @@
 
 // poller is what is remembered from one read of the store to the next.
 type poller struct {
-	tracker roster.Tracker
-	decoded map[string]*roster.Replica // by id, with the revision that was decoded
-	faulty  map[string]int64           // entries that can't be read, by revision
+	tracker replicalist.Tracker
+	decoded map[string]*replicalist.Replica // by id, with the revision that was decoded
+	faulty  map[string]int64                // entries that can't be read, by revision
 	ruleRev int64
 	lost    bool // the last read failed
 	asked   bool // what is known was heard from another node
@@ -80,12 +80,12 @@
 	failed int
 
 	mu   sync.Mutex
-	list []*roster.Replica
+	list []*replicalist.Replica
 }
 
 // follow reads the store until the context ends.
 func (n *Node) follow(ctx context.Context) {
-	n.poll.decoded = map[string]*roster.Replica{}
+	n.poll.decoded = map[string]*replicalist.Replica{}
 	n.poll.faulty = map[string]int64{}
 	if n.settings.FirstStart && !wait.For(ctx, rand.N(n.timing.Spread+1)) {
 		return
@@ -179,7 +179,7 @@
 	}
 	n.poll.failed++
 	near, _ := n.peers(n.settings.Domain)
-	pause := readers.Retry(readers.Lost{
+	pause := storereaders.Retry(storereaders.Lost{
 		Soon: n.timing.PollSoon, Failed: n.poll.failed, Near: len(near), Reader: n.reads(), Told: reached,
 		Starting: n.rules.Load() == nil,
 	})
@@ -218,7 +218,7 @@
 // says whether one had anything young enough, and whether any was reached.
 func (n *Node) ask(ctx context.Context) (told, reached bool) {
 	young := time.Duration(float64(n.pollEvery()) * youngPart)
-	for _, m := range readers.Ask(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	for _, m := range storereaders.Ask(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		answer, ok := n.askOne(ctx, m.Address, young)
 		reached = reached || answer.Reached
 		if ok {
@@ -258,5 +258,5 @@
 
 // reads says whether this node reads the store itself.
 func (n *Node) reads() bool {
-	return readers.Reads(n.settings.Node, n.settings.Domain, n.members.readers())
+	return storereaders.Reads(n.settings.Node, n.settings.Domain, n.members.readers())
 }
--- a/node/site/listing.go
+++ b/node/site/listing.go
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/readers"
-	"github.com/cicadatack/cicadatack/decide/roll"
+	"github.com/cicadatack/cicadatack/decide/nodelist"
+	"github.com/cicadatack/cicadatack/decide/storereaders"
 	"github.com/cicadatack/cicadatack/fleet/reads"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // listEvery is how often a node with an entry looks whether that must be written again:
@@ -34,7 +34,7 @@
 	heard time.Time
 
 	mu   sync.Mutex
-	roll roll.Roll
+	roll nodelist.Roll
 	// lists is set while this node has an entry and reaches the store: only then may it
 	// say that it lists others.
 	lists bool
@@ -54,13 +54,13 @@
 	l.lists = lists
 }
 
-func (l *listing) near(now time.Time) []roll.Node {
+func (l *listing) near(now time.Time) []nodelist.Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.roll.List(now)
 }
 
-func (l *listing) adopt(now time.Time, list []roll.Node) {
+func (l *listing) adopt(now time.Time, list []nodelist.Node) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.roll.Adopt(now, list)
@@ -75,10 +75,10 @@
 	if p.Address != "" && p.Age > 0 && p.Age < n.Age() {
 		l.younger, l.youngerAt = p.Address, now
 	}
-	listed := l.roll.Tell(now, roll.Node{Name: p.Name, Callers: p.Callers, Link: p.Link})
+	listed := l.roll.Tell(now, nodelist.Node{Name: p.Name, Callers: p.Callers, Link: p.Link})
 	if !listed && !l.full {
 		l.full = true
-		n.log.Warn("node not listed", "node", p.Name, "most", roll.Most)
+		n.log.Warn("node not listed", "node", p.Name, "most", nodelist.Most)
 	}
 	return listed && l.lists && n.leavingFor() == 0
 }
@@ -153,14 +153,14 @@
 // needsEntry says whether this node needs an entry of its own: as a reader, or as no
 // reader has heard it for as long as it would have been listed.
 func (n *Node) needsEntry() bool {
-	if readers.Enters(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	if storereaders.Enters(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		return true
 	}
 	heard := n.listing.heard
 	if heard.IsZero() {
 		heard = n.started
 	}
-	return time.Since(heard) >= roll.Lives
+	return time.Since(heard) >= nodelist.Lives
 }
 
 // entry is this node's as of now. A node that is no reader can't be asked: the others
@@ -170,7 +170,7 @@
 		Name: n.settings.Node, Domain: n.settings.Domain, Callers: n.settings.Callers.String(),
 		Link: n.settings.LinkMbps, Leaving: n.leavingFor() > 0, Near: n.listing.near(time.Now()),
 	}
-	if readers.Enters(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	if storereaders.Enters(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		m.Peers = n.peersAddress()
 	}
 	return m
@@ -272,7 +272,7 @@
 		}
 		return
 	}
-	for _, m := range readers.Ask(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	for _, m := range storereaders.Ask(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		if err := n.asker.Leave(ctx, m.Address, n.settings.Node); err != nil {
 			n.log.Debug("reader not told", "node", m.Name, "error", err)
 		}
--- a/node/site/listing_test.go
+++ b/node/site/listing_test.go
@@ -10,11 +10,11 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/readers"
-	"github.com/cicadatack/cicadatack/decide/roll"
+	"github.com/cicadatack/cicadatack/decide/nodelist"
+	"github.com/cicadatack/cicadatack/decide/storereaders"
 	"github.com/cicadatack/cicadatack/fleet/reads"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // together is the pace of nodes that ask each other.
@@ -71,8 +71,8 @@
 	p.chains(3, time.Millisecond)
 	nodes := p.fleet(7)
 	p.until("each node names all", allNamed(t, nodes, nodes))
-	p.until("three have entries", func() bool { return len(p.entries()) == readers.PerDomain })
-	if granted := p.Store.Status().ByPath[storefake.PathLease]; granted > readers.PerDomain {
+	p.until("three have entries", func() bool { return len(p.entries()) == storereaders.PerDomain })
+	if granted := p.Store.Status().ByPath[storefake.PathLease]; granted > storereaders.PerDomain {
 		t.Errorf("%d leases were granted", granted)
 	}
 }
@@ -86,7 +86,7 @@
 	p.until("each node names all", allNamed(t, nodes, nodes))
 	first, rest := nodes[0], nodes[1:]
 	p.until("the first reader lists those without an entry", func() bool {
-		return len(p.entries()[first.settings.Node].Near) == len(nodes)-readers.PerDomain
+		return len(p.entries()[first.settings.Node].Near) == len(nodes)-storereaders.PerDomain
 	})
 	first.stop()
 	p.until("it is named no more", func() bool {
@@ -103,7 +103,7 @@
 				lists = max(lists, len(m.Near))
 			}
 		}
-		return len(held) >= readers.PerDomain && lists > 0
+		return len(held) >= storereaders.PerDomain && lists > 0
 	})
 }
 
@@ -118,9 +118,9 @@
 	before := time.Now()
 	last.stop()
 	p.until("the entry lacks it", func() bool {
-		return !slices.ContainsFunc(p.entries()["front-0"].Near, func(n roll.Node) bool { return n.Name == last.settings.Node })
+		return !slices.ContainsFunc(p.entries()["front-0"].Near, func(n nodelist.Node) bool { return n.Name == last.settings.Node })
 	})
-	if took := time.Since(before); took >= roll.Lives {
+	if took := time.Since(before); took >= nodelist.Lives {
 		t.Errorf("it was listed for %v", took)
 	}
 }
@@ -131,7 +131,7 @@
 func TestStartGoesOnWithItsList(t *testing.T) {
 	p := newPlatform(t)
 	p.chains(3, time.Millisecond)
-	old := member{Name: "front-0", Domain: "bandung", Callers: "10.0.0.1:80", Near: []roll.Node{
+	old := member{Name: "front-0", Domain: "bandung", Callers: "10.0.0.1:80", Near: []nodelist.Node{
 		{Name: "front-5", Callers: "10.0.0.5:80"}, {Name: "front-6", Callers: "10.0.0.6:80"},
 	}}
 	value, err := json.Marshal(old)
@@ -202,8 +202,8 @@
 		}
 		return !slices.ContainsFunc(nodes, func(n *running) bool { return !n.Fresh() })
 	})
-	p.until("the entries are back", func() bool { return len(p.entries()) >= readers.PerDomain })
-	if more := p.Store.Status().ByPath[storefake.PathLease] - calls; more > int64(readers.PerDomain) {
+	p.until("the entries are back", func() bool { return len(p.entries()) >= storereaders.PerDomain })
+	if more := p.Store.Status().ByPath[storefake.PathLease] - calls; more > int64(storereaders.PerDomain) {
 		t.Errorf("%d leases for %d nodes", more, len(nodes))
 	}
 	p.until("each node names all", allNamed(t, nodes, nodes))
@@ -215,9 +215,9 @@
 	var m members
 	peer := netip.MustParseAddrPort("10.0.0.9:81").String()
 	m.set([]member{
-		{Name: "a", Domain: "d", Callers: "a:1", Peers: peer, Near: []roll.Node{{Name: "b", Callers: "b:old"}, {Name: "c", Callers: "c:1"}, {Name: "l", Callers: "l:1"}}},
+		{Name: "a", Domain: "d", Callers: "a:1", Peers: peer, Near: []nodelist.Node{{Name: "b", Callers: "b:old"}, {Name: "c", Callers: "c:1"}, {Name: "l", Callers: "l:1"}}},
 		{Name: "b", Domain: "d", Callers: "b:2"},
-		{Name: "l", Domain: "d", Callers: "l:1", Leaving: true, Near: []roll.Node{{Name: "e", Callers: "e:1"}, {Name: "bad"}}},
+		{Name: "l", Domain: "d", Callers: "l:1", Leaving: true, Near: []nodelist.Node{{Name: "e", Callers: "e:1"}, {Name: "bad"}}},
 	}, false)
 	got := map[string]string{}
 	for _, n := range m.get() {
@@ -244,9 +244,9 @@
 func TestNodeTellsWhatItWasTold(t *testing.T) {
 	p := newPlatform(t)
 	p.chains(3, time.Millisecond)
-	nodes := p.fleet(readers.PerDomain + 1)
+	nodes := p.fleet(storereaders.PerDomain + 1)
 	last := nodes[len(nodes)-1]
-	p.until("the last is no reader", func() bool { return len(p.entries()) == readers.PerDomain && !last.reads() })
+	p.until("the last is no reader", func() bool { return len(p.entries()) == storereaders.PerDomain && !last.reads() })
 	asker := reads.NewAsker(sinceBoot, func() reads.Peer { return reads.Peer{} })
 	p.until("it tells", func() bool {
 		answer, err := asker.Ask(t.Context(), last.peerDoor.String(), together.Poll*2)
--- a/node/site/members.go
+++ b/node/site/members.go
@@ -8,10 +8,10 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/entry"
-	"github.com/cicadatack/cicadatack/decide/readers"
-	"github.com/cicadatack/cicadatack/decide/roll"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/decide/entrypoints"
+	"github.com/cicadatack/cicadatack/decide/nodelist"
+	"github.com/cicadatack/cicadatack/decide/storereaders"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 const (
@@ -39,7 +39,7 @@
 	// Leaving nodes are not named to callers; what they list is.
 	Leaving bool `json:"leaving,omitempty"`
 	// Near are the nodes of its failure domain that it lists.
-	Near []roll.Node `json:"near,omitempty"`
+	Near []nodelist.Node `json:"near,omitempty"`
 }
 
 func decodeMember(e store.Entry) (member, bool) {
@@ -55,7 +55,7 @@
 
 // node is a node that callers may be sent to.
 type node struct {
-	readers.Member
+	storereaders.Member
 	// Callers is where callers reach it.
 	Callers string
 }
@@ -91,14 +91,14 @@
 	for _, e := range entries {
 		for _, near := range e.Near {
 			if near.Valid() && !entries[near.Name].Leaving {
-				known[near.Name] = node{Member: readers.Member{Name: near.Name, Domain: e.Domain, Link: near.Link}, Callers: near.Callers}
+				known[near.Name] = node{Member: storereaders.Member{Name: near.Name, Domain: e.Domain, Link: near.Link}, Callers: near.Callers}
 			}
 		}
 	}
 	for _, e := range entries {
 		if !e.Leaving {
 			known[e.Name] = node{
-				Member: readers.Member{Name: e.Name, Domain: e.Domain, Address: e.Peers, Entered: true, Link: e.Link}, Callers: e.Callers,
+				Member: storereaders.Member{Name: e.Name, Domain: e.Domain, Address: e.Peers, Entered: true, Link: e.Link}, Callers: e.Callers,
 			}
 		}
 	}
@@ -118,10 +118,10 @@
 	return m.entries[name]
 }
 
-// readers are the nodes as decide/readers knows them.
-func (m *members) readers() []readers.Member {
+// readers are the nodes as decide/storereaders knows them.
+func (m *members) readers() []storereaders.Member {
 	list := m.get()
-	all := make([]readers.Member, 0, len(list))
+	all := make([]storereaders.Member, 0, len(list))
 	for _, each := range list {
 		all = append(all, each.Member)
 	}
@@ -138,15 +138,15 @@
 
 // entries are the nodes that callers may be sent to, this one included if it can
 // serve them.
-func (n *Node) entries() []entry.Member {
-	var list []entry.Member
+func (n *Node) entries() []entrypoints.Member {
+	var list []entrypoints.Member
 	for _, m := range n.members.get() {
 		if m.Name != n.settings.Node {
-			list = append(list, entry.Member{ID: m.Name, Address: m.Callers, FailureDomain: m.Domain})
+			list = append(list, entrypoints.Member{ID: m.Name, Address: m.Callers, FailureDomain: m.Domain})
 		}
 	}
 	if n.serving() {
-		list = append(list, entry.Member{
+		list = append(list, entrypoints.Member{
 			ID: n.settings.Node, Address: n.settings.Callers.String(), FailureDomain: n.settings.Domain,
 		})
 	}
@@ -162,11 +162,11 @@
 // the first of the domain's readers, or, where it has none, of all nodes with an entry.
 func (n *Node) keeps(domain string) bool {
 	list := n.members.readers()
-	if own := readers.Of(domain, list); len(own) > 0 {
+	if own := storereaders.Of(domain, list); len(own) > 0 {
 		return own[0].Name == n.settings.Node
 	}
-	entered := slices.DeleteFunc(list, func(m readers.Member) bool { return !m.Entered })
-	own := slices.DeleteFunc(slices.Clone(entered), func(m readers.Member) bool { return m.Domain != domain })
+	entered := slices.DeleteFunc(list, func(m storereaders.Member) bool { return !m.Entered })
+	own := slices.DeleteFunc(slices.Clone(entered), func(m storereaders.Member) bool { return m.Domain != domain })
 	if len(own) == 0 {
 		own = entered
 	}
--- a/node/site/operators_test.go
+++ b/node/site/operators_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/node/operators"
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/standin/replica"
 	"github.com/cicadatack/cicadatack/standin/site"
 )
@@ -57,7 +57,7 @@
 		if got := strings.Join(kinds, " "); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
-		if first := told.Decisions[0]; first.Kind != decision.Route || first.Chosen == "" || first.Figures["proof_age_ms"] < 0 {
+		if first := told.Decisions[0]; first.Kind != decisionlog.Route || first.Chosen == "" || first.Figures["proof_age_ms"] < 0 {
 			t.Errorf("%s: %+v", id, first)
 		}
 	}
--- a/node/site/peers.go
+++ b/node/site/peers.go
@@ -7,13 +7,13 @@
 	"slices"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/evidence"
-	"github.com/cicadatack/cicadatack/decide/readers"
+	"github.com/cicadatack/cicadatack/decide/peerreports"
+	"github.com/cicadatack/cicadatack/decide/storereaders"
 	"github.com/cicadatack/cicadatack/fleet/bookings"
 	"github.com/cicadatack/cicadatack/fleet/bookings/bookingspb"
-	"github.com/cicadatack/cicadatack/keep/wait"
-	"github.com/cicadatack/cicadatack/route/reach"
+	"github.com/cicadatack/cicadatack/route/connprobe"
 	"github.com/cicadatack/cicadatack/route/targets"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // peersDoor serves the other nodes of the failure domain.
@@ -53,8 +53,8 @@
 
 func (n *Node) exchangeBookings(ctx context.Context) error {
 	var hubs []bookings.Peer
-	may := readers.Of(n.settings.Domain, n.members.readers())
-	for _, m := range readers.Peers(n.settings.Node, int(n.seed%readers.PerDomain), may) {
+	may := storereaders.Of(n.settings.Domain, n.members.readers())
+	for _, m := range storereaders.Peers(n.settings.Node, int(n.seed%storereaders.PerDomain), may) {
 		hubs = append(hubs, bookings.Peer{Name: m.Name, Address: m.Address})
 	}
 	if n.reads() {
@@ -64,7 +64,7 @@
 }
 
 // heed does what is to be done about what other nodes have seen of a model's replicas.
-func (n *Node) heed(ctx context.Context, service string, model *targets.Model, claims []evidence.Claim) {
+func (n *Node) heed(ctx context.Context, service string, model *targets.Model, claims []peerreports.Claim) {
 	near, _ := n.peers(n.settings.Domain)
 	verdict := model.Judge(n.settings.Node, near, claims)
 	for _, c := range verdict.Believe {
@@ -95,13 +95,13 @@
 }
 
 // lookAt finds out for itself what another node has seen.
-func (n *Node) lookAt(ctx context.Context, service string, model *targets.Model, c evidence.Claim) {
+func (n *Node) lookAt(ctx context.Context, service string, model *targets.Model, c peerreports.Claim) {
 	r, ok := model.Replica(c.Replica)
 	if !ok {
 		return // it is no longer listed
 	}
 	if c.Lost {
-		for _, loss := range n.prober.Lost(ctx, reach.Told, []string{r.Address}) {
+		for _, loss := range n.prober.Lost(ctx, connprobe.Told, []string{r.Address}) {
 			if model.Doubt(r.ID, loss.Silent) {
 				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.Silent, "told_by", c.Nodes)
 			}
@@ -118,8 +118,8 @@
 }
 
 // seen is what this node has seen of all models' replicas.
-func (s *services) seen() []evidence.Claim {
-	var all []evidence.Claim
+func (s *services) seen() []peerreports.Claim {
+	var all []peerreports.Claim
 	for _, model := range s.allModels() {
 		all = append(all, model.Seen()...)
 	}
--- a/node/site/services.go
+++ b/node/site/services.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/keep/wait"
-	"github.com/cicadatack/cicadatack/route/budget"
-	"github.com/cicadatack/cicadatack/route/layering"
-	"github.com/cicadatack/cicadatack/route/reach"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/connprobe"
+	"github.com/cicadatack/cicadatack/route/layerorders"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // services are the endpoints of each service that the configuration names.
@@ -23,19 +23,19 @@
 	mu      sync.Mutex
 	models  map[string]*targets.Model
 	plain   map[string]*targets.Plain
-	keepers map[string]*layering.Keeper
-	budgets map[string]*budget.Budget
+	keepers map[string]*layerorders.Keeper
+	budgets map[string]*retrybudget.Budget
 }
 
 func (s *services) init(n *Node) {
 	s.node = n
 	s.models = map[string]*targets.Model{}
 	s.plain = map[string]*targets.Plain{}
-	s.keepers = map[string]*layering.Keeper{}
-	s.budgets = map[string]*budget.Budget{}
+	s.keepers = map[string]*layerorders.Keeper{}
+	s.budgets = map[string]*retrybudget.Budget{}
 }
 
-// Targets implements door.Services.
+// Targets implements ingress.Services.
 func (s *services) Targets(service string) targets.Targets {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// Budget implements door.Services.
-func (s *services) Budget(service string) *budget.Budget {
+// Budget implements ingress.Services.
+func (s *services) Budget(service string) *retrybudget.Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b, ok := s.budgets[service]
@@ -61,12 +61,12 @@
 }
 
 // update puts a list of replicas in force at the services that they belong to.
-func (s *services) update(list []*roster.Replica) {
+func (s *services) update(list []*replicalist.Replica) {
 	rules := s.node.rules.Load()
 	if rules == nil {
 		return
 	}
-	byService := map[string][]*roster.Replica{}
+	byService := map[string][]*replicalist.Replica{}
 	for _, r := range list {
 		byService[r.Service] = append(byService[r.Service], r)
 	}
@@ -116,12 +116,12 @@
 	return p
 }
 
-func (s *services) keeper(name string) *layering.Keeper {
+func (s *services) keeper(name string) *layerorders.Keeper {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.keepers[name]
 	if !ok {
-		k = layering.New(name, s.node.engines, s.node.timing.Settle, s.node.log)
+		k = layerorders.New(name, s.node.engines, s.node.timing.Settle, s.node.log)
 		s.keepers[name] = k
 	}
 	return k
@@ -172,7 +172,7 @@
 		n.noteStill(begun, recheckEvery)
 		for service, model := range n.services.allModels() {
 			for _, r := range model.Suspects() {
-				if !n.prober.Reachable(ctx, reach.Again, r.Address) {
+				if !n.prober.Reachable(ctx, connprobe.Again, r.Address) {
 					model.StillLost(r.ID)
 				} else if model.Alive(r.ID) {
 					n.log.Info("replica reached again", "replica", r.ID, "service", service, "address", r.Address)
@@ -236,7 +236,7 @@
 		if service.Model == nil {
 			continue
 		}
-		var own []*roster.Replica
+		var own []*replicalist.Replica
 		domains := map[string]bool{}
 		for _, r := range list {
 			if r.Service == service.Name {
@@ -267,14 +267,14 @@
 
 // newBudget is this node's part of the tries beyond the first that all nodes may
 // send to a service in a window.
-func (n *Node) newBudget() *budget.Budget {
+func (n *Node) newBudget() *retrybudget.Budget {
 	b := n.bounds()
 	part := n.tries()
 	start := part * restartPart
 	if n.settings.FirstStart {
 		start = part
 	}
-	return budget.New(retry.Config{
+	return retrybudget.New(retry.Config{
 		Share: b.RetryRatio * budgetPart, Burst: part, Start: start, Window: b.RetryWindow, Seed: n.seed,
 	}, time.Now)
 }
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -24,19 +24,19 @@
 	"github.com/cicadatack/cicadatack/decide/freshness"
 	"github.com/cicadatack/cicadatack/fleet/bookings"
 	"github.com/cicadatack/cicadatack/fleet/reads"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/node/metrics"
 	"github.com/cicadatack/cicadatack/platform/boot"
 	"github.com/cicadatack/cicadatack/platform/callers"
 	"github.com/cicadatack/cicadatack/platform/engines"
 	"github.com/cicadatack/cicadatack/platform/kv"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/door"
-	"github.com/cicadatack/cicadatack/route/reach"
+	"github.com/cicadatack/cicadatack/route/connprobe"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/ingress"
 	"github.com/cicadatack/cicadatack/route/relay"
-	"github.com/cicadatack/cicadatack/route/report"
+	"github.com/cicadatack/cicadatack/route/replicareport"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/upstream"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Error is the class of this layer's errors.
@@ -60,12 +60,12 @@
 
 	store   *store.Client
 	pool    *upstream.Pool
-	prober  *reach.Prober
-	reports *report.Inspector
+	prober  *connprobe.Prober
+	reports *replicareport.Inspector
 	engines *engines.Client
-	door    *door.Door
+	door    *ingress.Door
 	// decisions are the latest about requests, for the operators.
-	decisions *decision.Log
+	decisions *decisionlog.Log
 
 	rules atomic.Pointer[ruleset.Ruleset]
 	// first is closed when the first configuration is in force, with the replicas of its
@@ -139,14 +139,14 @@
 	}
 	n.metrics = metrics.New(settings.Node, func(err error) { log.Error("metric refused", "error", err) })
 	n.engines = &engines.Client{Pool: n.pool}
-	n.prober = reach.New(n.pool, time.Now)
-	n.reports = report.New(n.engines, time.Now)
+	n.prober = connprobe.New(n.pool, time.Now)
+	n.reports = replicareport.New(n.engines, time.Now)
 	n.inForce.Store(&settings.Bounds)
 	n.lease.Limit = freshLimit(settings.Bounds)
 	n.services.init(n)
 	n.bookings = bookings.New(settings.Node, time.Now, n.services.booked, n.services.seen)
-	n.decisions = decision.NewLog(log)
-	n.door = &door.Door{
+	n.decisions = decisionlog.NewLog(log)
+	n.door = &ingress.Door{
 		Rules: n, Services: &n.services, Leaving: n.leavingFor,
 		Path: &relay.Server{
 			Dialect: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
@@ -172,7 +172,7 @@
 	if err != nil {
 		return err
 	}
-	n.log.Info("started", "log_format", decision.LogFormat, "domain", n.settings.Domain, "callers", n.settings.Callers, "directory", n.settings.Directory,
+	n.log.Info("started", "log_format", decisionlog.LogFormat, "domain", n.settings.Domain, "callers", n.settings.Callers, "directory", n.settings.Directory,
 		"ready", n.settings.Ready, "control", n.settings.Control, "store", n.settings.Store)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -279,10 +279,10 @@
 	})
 }
 
-// Current implements door.Rules.
+// Current implements ingress.Rules.
 func (n *Node) Current() *ruleset.Ruleset { return n.rules.Load() }
 
-// First implements door.Rules.
+// First implements ingress.Rules.
 func (n *Node) First() <-chan struct{} { return n.first }
 
 // Fresh implements relay.Proof.
--- a/node/site/take.go
+++ b/node/site/take.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/fleet/reads"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/platform/operator"
 	"github.com/cicadatack/cicadatack/platform/replicas"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // use puts a read in force.
@@ -21,7 +21,7 @@
 
 // take puts in force what one read has found.
 func (n *Node) take(begun time.Time, proof time.Duration, entries []store.Entry) {
-	var found []*roster.Replica
+	var found []*replicalist.Replica
 	var members []member
 	current := false
 	for _, e := range entries {
@@ -82,7 +82,7 @@
 }
 
 // decode reads a replica's entry, once for each revision of it.
-func (n *Node) decode(id string, e store.Entry) *roster.Replica {
+func (n *Node) decode(id string, e store.Entry) *replicalist.Replica {
 	if known := n.poll.decoded[id]; known != nil && known.Revision == e.Revision {
 		return known
 	}
@@ -100,7 +100,7 @@
 }
 
 // replicas is the list in force.
-func (n *Node) replicas() []*roster.Replica {
+func (n *Node) replicas() []*replicalist.Replica {
 	n.poll.mu.Lock()
 	defer n.poll.mu.Unlock()
 	return n.poll.list
--- a/node/site/told.go
+++ b/node/site/told.go
@@ -1,18 +1,18 @@
 package site
 
-import "github.com/cicadatack/cicadatack/route/roster"
+import "github.com/cicadatack/cicadatack/route/replicalist"
 
 // mostTold bounds the lines about single replicas after one read of the store.
 const mostTold = 8
 
 // tellChanges logs what a read of the store has changed: one line with counts, and one
 // for each replica that this node has work on or a connection to.
-func (n *Node) tellChanges(changes []roster.Change, listed int) {
+func (n *Node) tellChanges(changes []replicalist.Change, listed int) {
 	if len(changes) == 0 {
 		return
 	}
 	booked := n.services.booked()
-	d := roster.Digested(changes, func(r *roster.Replica) bool {
+	d := replicalist.Digested(changes, func(r *replicalist.Replica) bool {
 		return booked[r.ID] > 0 || n.pool.Connected(r.Address)
 	}, mostTold)
 	newest := int64(0)
@@ -20,7 +20,7 @@
 		newest = max(newest, c.Replica.Revision)
 	}
 	line := []any{"now", listed, "revision", newest, "not_told", d.Left}
-	for _, what := range []string{roster.WhatListed, roster.WhatChanged, roster.WhatDraining, roster.WhatLapsed, roster.WhatGone} {
+	for _, what := range []string{replicalist.WhatListed, replicalist.WhatChanged, replicalist.WhatDraining, replicalist.WhatLapsed, replicalist.WhatGone} {
 		if d.Counts[what] > 0 {
 			line = append(line, what, d.Counts[what])
 		}
--- a/route/gate/gate.go
+++ b/route/admissionqueue/admissionqueue.go
@@ -1,4 +1,4 @@
-// Package gate lets requests of one service wait for room, in the order that
+// Package admissionqueue lets requests of one service wait for room, in the order that
 // decide/admission says, and tells at once those that will not be served.
 //
 //	ticket, err := g.Enter(ctx, Request{Team: "menteng", Cost: 200})
@@ -7,7 +7,7 @@
 //
 // The gate adds to the pure queue only what the queue must not have: a lock, a
 // timer and channels for those who wait.
-package gate
+package admissionqueue
 
 import (
 	"context"
--- a/route/gate/gate_test.go
+++ b/route/admissionqueue/admissionqueue_test.go
@@ -1,4 +1,4 @@
-package gate
+package admissionqueue
 
 import (
 	"context"
--- a/route/call/adapter.go
+++ b/route/callparser/adapter.go
@@ -1,4 +1,4 @@
-package call
+package callparser
 
 import (
 	"fmt"
--- a/route/call/adapter_test.go
+++ b/route/callparser/adapter_test.go
@@ -1,9 +1,9 @@
-package call
+package callparser
 
 import (
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // A caller gets the adapter that it asks for, its team's if it asks for none, and no
--- a/route/call/call.go
+++ b/route/callparser/callparser.go
@@ -1,6 +1,6 @@
-// Package call turns an HTTP request into a checked Call: whose it is, which
+// Package callparser turns an HTTP request into a checked Call: whose it is, which
 // service it names, how urgent it is and until when it is of use.
-package call
+package callparser
 
 import (
 	"crypto/rand"
@@ -11,9 +11,9 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/admission"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // defaultQueueDeadline is how long a request without a deadline of its own may
@@ -39,7 +39,7 @@
 	Adapter   string
 	Class     admission.Class
 	Arrived   time.Time
-	Directory *directory.Directory
+	Directory *docindex.Directory
 	// Start is the latest useful start.
 	Start time.Time
 	// Deadline is when the caller stops waiting; zero means no limit.
@@ -47,8 +47,8 @@
 }
 
 // Authenticate returns the team that r's key belongs to.
-func Authenticate(d *directory.Directory, r *http.Request) (*document.Team, *outcome.Refusal) {
-	team, ok := d.Team(directory.BearerKey(r))
+func Authenticate(d *docindex.Directory, r *http.Request) (*document.Team, *outcome.Refusal) {
+	team, ok := d.Team(docindex.BearerKey(r))
 	if !ok {
 		return nil, refuse(http.StatusUnauthorized, "unknown_key", "the key belongs to no team of this environment")
 	}
@@ -56,7 +56,7 @@
 }
 
 // New checks r against the document and returns it as a Call of a service.
-func New(d *directory.Directory, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
+func New(d *docindex.Directory, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
 	team, refusal := Authenticate(d, r)
 	if refusal != nil {
 		return nil, refusal
@@ -65,7 +65,7 @@
 	if !ok {
 		return nil, refuse(http.StatusNotFound, "unknown_service", fmt.Sprintf("no service is named %q", service))
 	}
-	if !directory.MayCall(team, service) {
+	if !docindex.MayCall(team, service) {
 		return nil, refuse(http.StatusForbidden, "not_allowed", fmt.Sprintf("team %q may not call %q", team.Name, service))
 	}
 	c := &Call{ID: NewID(), Team: team, Service: s, Arrived: now, Directory: d}
--- a/route/call/call_test.go
+++ b/route/callparser/callparser_test.go
@@ -1,4 +1,4 @@
-package call
+package callparser
 
 import (
 	"net/http"
@@ -6,16 +6,16 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/admission"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // sha256Key is the digest of "key".
 const sha256Key = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"
 
-func testDirectory(queueDeadline int) *directory.Directory {
-	return directory.Build(&document.Document{
+func testDirectory(queueDeadline int) *docindex.Directory {
+	return docindex.Build(&document.Document{
 		Services: []document.Service{{Name: "stock-ledger", Kind: document.KindPlain, Plain: &document.Plain{}}},
 		Teams:    []document.Team{{Name: "menteng", KeySHA256: []string{sha256Key}}},
 		Policy:   document.Policy{QueueDeadlineMillis: queueDeadline},
--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -9,12 +9,12 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 // Error is the class of this layer's errors.
@@ -39,7 +39,7 @@
 }
 
 // Chain returns the chain of a replica of c's service.
-func (r *Resolver) Chain(c *call.Call, replica string) (stream.Chain, error) {
+func (r *Resolver) Chain(c *callparser.Call, replica string) (stream.Chain, error) {
 	spec := find(c.Service.Model, replica)
 	if spec == nil {
 		return stream.Chain{}, Error.Wrap(fmt.Errorf("no replica is named %q", replica))
@@ -58,7 +58,7 @@
 // artifactOf is what a call runs on a replica. Of two versions of its adapter it is
 // the one that the replica was given first: the other may still be loading, and is
 // alone once it is there.
-func artifactOf(c *call.Call, agreed plan.Replica) (engineapi.Artifact, error) {
+func artifactOf(c *callparser.Call, agreed plan.Replica) (engineapi.Artifact, error) {
 	artifact := engineapi.Artifact{Weights: agreed.Weights}
 	if c.Adapter == "" {
 		return artifact, nil
@@ -77,7 +77,7 @@
 // number; what they hold is still compared.
 const DocumentVersion = 0
 
-func (r *Resolver) agreed(c *call.Call, spec *document.Replica) (plan.Replica, error) {
+func (r *Resolver) agreed(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
 	if len(spec.Stages[0].Layers) > 0 {
 		return fixed(spec), nil
 	}
@@ -106,7 +106,7 @@
 	return nil
 }
 
-func build(d *directory.Directory, replica string, agreed plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
+func build(d *docindex.Directory, replica string, agreed plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
 	chain := stream.Chain{Replica: replica, PlacementVersion: agreed.Version, Artifact: artifact}
 	for _, s := range agreed.Stages {
 		e, ok := d.Endpoint(s.Endpoint)
--- a/route/chains/chains_test.go
+++ b/route/chains/chains_test.go
@@ -4,11 +4,11 @@
 	"errors"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 type agreed []plan.Stage
@@ -32,7 +32,7 @@
 			{Name: "open", Stages: []document.Stage{{Endpoint: "a"}, {Endpoint: "b"}}},
 		}}}},
 	}
-	c := &call.Call{Service: &doc.Services[0], Directory: directory.Build(doc, 1, "digest")}
+	c := &callparser.Call{Service: &doc.Services[0], Directory: docindex.Build(doc, 1, "digest")}
 	planned := agreed{{Endpoint: "a", Last: 1}, {Endpoint: "b", First: 2, Last: 7}}
 	cases := []struct {
 		replica string
--- a/route/reach/reach.go
+++ b/route/connprobe/connprobe.go
@@ -1,7 +1,7 @@
-// Package reach finds out which endpoints of a path that has gone silent no longer
+// Package connprobe finds out which endpoints of a path that has gone silent no longer
 // answer, by opening connections to them. That asks the endpoints for nothing, so it
 // works also where their health answers can't be trusted or wait for a slot.
-package reach
+package connprobe
 
 import (
 	"context"
--- a/route/reach/reach_test.go
+++ b/route/connprobe/connprobe_test.go
@@ -1,4 +1,4 @@
-package reach
+package connprobe
 
 import (
 	"context"
--- a/route/decision/cost_test.go
+++ b/route/decisionlog/cost_test.go
@@ -1,4 +1,4 @@
-package decision
+package decisionlog
 
 import (
 	"io"
--- a/route/decision/decision.go
+++ b/route/decisionlog/decisionlog.go
@@ -1,7 +1,7 @@
-// Package decision records why a request was sent where it was, made to wait
+// Package decisionlog records why a request was sent where it was, made to wait
 // or refused: one log line each, and a bounded memory of the latest for
 // `cicadactl explain`.
-package decision
+package decisionlog
 
 import (
 	"hash/fnv"
--- a/route/directory/directory.go
+++ b/route/docindex/docindex.go
@@ -1,7 +1,7 @@
-// Package directory is the environment document in force, laid out for the
+// Package docindex is the environment document in force, laid out for the
 // data path: teams by the digest of their keys, services and endpoints by
 // name. A Directory never changes; a new document makes a new one.
-package directory
+package docindex
 
 import (
 	"crypto/sha256"
@@ -11,7 +11,7 @@
 	"path"
 	"strings"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // Directory is one revision of the document. Safe for concurrent use.
--- a/route/directory/directory_test.go
+++ b/route/docindex/docindex_test.go
@@ -1,10 +1,10 @@
-package directory
+package docindex
 
 import (
 	"net/http"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 func TestNonIdempotent(t *testing.T) {
--- a/route/engine/client.go
+++ b/route/engineclient/client.go
@@ -1,4 +1,4 @@
-package engine
+package engineclient
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/route/engine/client_test.go
+++ b/route/engineclient/client_test.go
@@ -1,4 +1,4 @@
-package engine
+package engineclient
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 	"go.uber.org/goleak"
 )
--- a/route/engine/decoder_test.go
+++ b/route/engineclient/decoder_test.go
@@ -1,4 +1,4 @@
-package engine
+package engineclient
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
--- a/route/engine/doc.go
+++ b/route/engineclient/doc.go
@@ -1,8 +1,8 @@
-// Package engine is the client of one model engine.
+// Package engineclient is the client of one model engine.
 //
-//	client := engine.New(nil)
+//	client := engineclient.New(nil)
 //	stream, err := client.Open(ctx, address, request)
-//	if engine.NotRun(err) {
+//	if engineclient.NotRun(err) {
 //		// The engine provably did nothing: try another one.
 //	}
 //	defer stream.Close()
@@ -16,4 +16,4 @@
 // it. Every error therefore carries a state: not run, when no byte could have
 // reached the engine or the engine said so itself, and unknown otherwise.
 // Every read is bounded, so a faulty engine cannot fill the node's memory.
-package engine
+package engineclient
--- a/route/engine/errors.go
+++ b/route/engineclient/errors.go
@@ -1,4 +1,4 @@
-package engine
+package engineclient
 
 import (
 	"errors"
--- a/route/engine/standard_test.go
+++ b/route/engineclient/standard_test.go
@@ -1,4 +1,4 @@
-package engine
+package engineclient
 
 import (
 	stdjson "encoding/json"
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // The decoder's JSON library was chosen for its speed. An engine's event that
--- a/route/engine/stream.go
+++ b/route/engineclient/stream.go
@@ -1,4 +1,4 @@
-package engine
+package engineclient
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 
 	"github.com/goccy/go-json"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // MaxEventBytes bounds one event. A token with the spans of a few dozen
--- a/route/dialect/dialect.go
+++ b/route/headers/headers.go
@@ -1,7 +1,7 @@
-// Package dialect names what the data path must know of a request and an answer,
+// Package headers names what the data path must know of a request and an answer,
 // whatever the headers that carry it are called. An adapter implements Dialect for
 // the protocol that callers and endpoints speak; the data path knows no header of it.
-package dialect
+package headers
 
 import (
 	"net/http"
--- a/route/front/front.go
+++ b/route/httpapi/httpapi.go
@@ -1,6 +1,6 @@
-// Package front is the callers' side of a node: it checks keys, answers which
+// Package httpapi is the callers' side of a node: it checks keys, answers which
 // entry VMs to use and hands calls to the model and plain services.
-package front
+package httpapi
 
 import (
 	"encoding/json"
@@ -16,11 +16,11 @@
 	"github.com/go-chi/chi/v5"
 
 	"github.com/cicadatack/cicadatack/decide/admission"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // maxBody bounds a caller's request body in bytes.
@@ -34,13 +34,13 @@
 
 // ModelServer answers calls of model services.
 type ModelServer interface {
-	ServeModel(w http.ResponseWriter, r *http.Request, c *call.Call, chat engineapi.ChatRequest)
+	ServeModel(w http.ResponseWriter, r *http.Request, c *callparser.Call, chat engineapi.ChatRequest)
 }
 
 // PlainServer answers calls of plain services. path is the part below the
 // service's name, escaped as the caller wrote it.
 type PlainServer interface {
-	ServePlain(w http.ResponseWriter, r *http.Request, c *call.Call, path string, body []byte)
+	ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte)
 }
 
 // EntryAnswerer says which entry VMs a team should use.
@@ -63,7 +63,7 @@
 
 // Front serves the callers' listener. Safe for concurrent use.
 type Front struct {
-	Directory func() *directory.Directory
+	Directory func() *docindex.Directory
 	Models    ModelServer
 	Plains    PlainServer
 	Entries   EntryAnswerer
@@ -107,7 +107,7 @@
 
 // ready returns the document in force, or refuses: a node that has never seen
 // one would have to guess who may call and what exists.
-func (f *Front) ready(w http.ResponseWriter) *directory.Directory {
+func (f *Front) ready(w http.ResponseWriter) *docindex.Directory {
 	d := f.Directory()
 	if d == nil {
 		r := refusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
@@ -122,7 +122,7 @@
 	if d == nil {
 		return
 	}
-	team, refused := call.Authenticate(d, r)
+	team, refused := callparser.Authenticate(d, r)
 	if refused != nil {
 		refused.Write(w)
 		return
@@ -139,7 +139,7 @@
 		return
 	}
 	// The key is looked at before the body, so that strangers cost little.
-	if _, refused := call.Authenticate(d, r); refused != nil {
+	if _, refused := callparser.Authenticate(d, r); refused != nil {
 		refused.Write(w)
 		return
 	}
@@ -148,8 +148,8 @@
 		refused.Write(w)
 		return
 	}
-	service, adapter := call.SplitModel(chat.Model)
-	c, refused := call.New(d, r, service, f.Now())
+	service, adapter := callparser.SplitModel(chat.Model)
+	c, refused := callparser.New(d, r, service, f.Now())
 	if refused != nil {
 		refused.Write(w)
 		return
@@ -194,7 +194,7 @@
 	if d == nil {
 		return
 	}
-	c, refused := call.New(d, r, chi.URLParam(r, "service"), f.Now())
+	c, refused := callparser.New(d, r, chi.URLParam(r, "service"), f.Now())
 	if refused != nil {
 		refused.Write(w)
 		return
@@ -209,7 +209,7 @@
 		return
 	}
 	path := belowService(r.URL)
-	if directory.NonIdempotent(c.Service.Plain, r.Method, path) {
+	if docindex.NonIdempotent(c.Service.Plain, r.Method, path) {
 		c.Class = admission.Order
 	}
 	w.Header().Set(outcome.HeaderRequest, c.ID)
--- a/route/front/model_test.go
+++ b/route/httpapi/model_test.go
@@ -1,4 +1,4 @@
-package front_test
+package httpapi_test
 
 import (
 	"bufio"
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/stream"
 	standinengine "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/route/front/order_test.go
+++ b/route/httpapi/order_test.go
@@ -1,4 +1,4 @@
-package front_test
+package httpapi_test
 
 import (
 	"compress/gzip"
@@ -9,9 +9,9 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/ledger"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	standinplain "github.com/cicadatack/cicadatack/standin/plain"
+	"github.com/cicadatack/cicadatack/state/ledger"
 )
 
 const orders = "/services/stock-ledger/orders"
--- a/route/front/refusal_test.go
+++ b/route/httpapi/refusal_test.go
@@ -1,4 +1,4 @@
-package front_test
+package httpapi_test
 
 import (
 	"encoding/json"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // The caller gets a refusal that it can act on: a status, a code, and the
--- a/route/front/site_test.go
+++ b/route/httpapi/site_test.go
@@ -1,4 +1,4 @@
-package front_test
+package httpapi_test
 
 import (
 	"bytes"
@@ -17,25 +17,25 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/limits"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
 	"github.com/cicadatack/cicadatack/route/chains"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/engine"
-	"github.com/cicadatack/cicadatack/route/entrance"
-	"github.com/cicadatack/cicadatack/route/front"
-	"github.com/cicadatack/cicadatack/route/limiter"
-	"github.com/cicadatack/cicadatack/route/model"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/route/httpapi"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
+	"github.com/cicadatack/cicadatack/route/modelservice"
 	"github.com/cicadatack/cicadatack/route/outcome"
-	"github.com/cicadatack/cicadatack/route/plain"
+	"github.com/cicadatack/cicadatack/route/plainservice"
 	"github.com/cicadatack/cicadatack/route/relay"
 	"github.com/cicadatack/cicadatack/route/service"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/route/teamlimiter"
 	"github.com/cicadatack/cicadatack/route/upstream"
 	standinengine "github.com/cicadatack/cicadatack/standin/engine"
 	standinplain "github.com/cicadatack/cicadatack/standin/plain"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/ledger"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 const (
@@ -50,10 +50,10 @@
 // fleet is the shipped code.
 type site struct {
 	t         *testing.T
-	front     *front.Front
+	front     *httpapi.Front
 	url       string
 	document  *document.Document
-	directory atomic.Pointer[directory.Directory]
+	directory atomic.Pointer[docindex.Directory]
 	store     *storetest.Client
 	plains    []*standinplain.Server
 	engines   [][2]*standinengine.Server
@@ -86,7 +86,7 @@
 		},
 	}
 	s.document.Services = []document.Service{s.startModel(cfg), s.startPlain(cfg)}
-	s.directory.Store(directory.Build(s.document, 1, "digest"))
+	s.directory.Store(docindex.Build(s.document, 1, "digest"))
 	s.wire(cfg.streams)
 	return s
 }
@@ -163,25 +163,25 @@
 	s.t.Cleanup(claims.Close)
 	registry := service.NewRegistry(service.Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
 	registry.Apply(s.directory.Load())
-	limit := limiter.New(limits.New(limits.Config{Self: "entry-1"}), time.Now)
-	record := decision.NewLog(hclog.NewNullLogger())
+	limit := teamlimiter.New(limits.New(limits.Config{Self: "entry-1"}), time.Now)
+	record := decisionlog.NewLog(hclog.NewNullLogger())
 	pool := upstream.New(time.Now)
 	s.t.Cleanup(pool.Close)
-	client := engine.New(nil)
+	client := engineclient.New(nil)
 	s.t.Cleanup(client.CloseIdle)
-	desk := &entrance.Desk{Services: registry, Limits: limit, Record: record, Figures: noFigures{}, Now: time.Now}
-	s.front = &front.Front{
+	desk := &lifecycle.Desk{Services: registry, Limits: limit, Record: record, Figures: noFigures{}, Now: time.Now}
+	s.front = &httpapi.Front{
 		Directory: s.directory.Load,
 		Now:       time.Now,
-		Models: &model.Server{
+		Models: &modelservice.Server{
 			Desk: desk, Streams: stream.New(client, nil, streams),
 			Chains: &chains.Resolver{}, Plans: noPlans{}, Figures: noFigures{},
 		},
-		Plains: &plain.Server{
+		Plains: &plainservice.Server{
 			Desk: desk, Claims: claims, Figures: noFigures{},
 			Path: &relay.Server{
-				Dialect: plain.Dialect{}, Pool: pool, Figures: noFigures{}, Record: record, Log: hclog.NewNullLogger(), Now: time.Now,
-				HoldBytes: plain.MaxAnswer,
+				Dialect: plainservice.Dialect{}, Pool: pool, Figures: noFigures{}, Record: record, Log: hclog.NewNullLogger(), Now: time.Now,
+				HoldBytes: plainservice.MaxAnswer,
 			},
 		},
 	}
--- a/route/door/door.go
+++ b/route/ingress/ingress.go
@@ -1,7 +1,7 @@
-// Package door lets callers' requests in by a ruleset: it reads the head, finds the
+// Package ingress lets callers' requests in by a ruleset: it reads the head, finds the
 // route, checks the key and the bounds, reads the body, and hands what it let in to the
 // data path. What it does not let in is refused at once, as not run.
-package door
+package ingress
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"strings"
 	"time"
 
-	"github.com/cicadatack/cicadatack/route/budget"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/relay"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
 )
@@ -34,7 +34,7 @@
 	// Targets returns the service's endpoints, or nil if it is not known.
 	Targets(service string) targets.Targets
 	// Budget returns the service's budget of further tries.
-	Budget(service string) *budget.Budget
+	Budget(service string) *retrybudget.Budget
 }
 
 // Door serves a callers' listener. Safe for concurrent use.
--- a/route/door/door_test.go
+++ b/route/ingress/ingress_test.go
@@ -1,4 +1,4 @@
-package door
+package ingress
 
 import (
 	"context"
--- a/route/layering/layering.go
+++ b/route/layerorders/layerorders.go
@@ -1,11 +1,11 @@
-// Package layering gives the orders of decide/layers to model replicas: it is the
+// Package layerorders gives the orders of decide/layers to model replicas: it is the
 // driver of the planner.
 //
 // One node orders the replicas of a failure domain; which one that is, is a hint. Two
 // that order at once do no harm: an order names how many the replica has accepted,
 // and the replica refuses the second. What a replica holds is believed only when the
 // replica says so.
-package layering
+package layerorders
 
 import (
 	"context"
@@ -16,8 +16,8 @@
 	"github.com/zeebo/errs"
 
 	"github.com/cicadatack/cicadatack/decide/layers"
-	"github.com/cicadatack/cicadatack/route/report"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/route/replicareport"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
@@ -32,7 +32,7 @@
 	// less than an earlier one.
 	Place(ctx context.Context, address, replica string, orders, fence int64, hold layers.Span) error
 	// Report asks a replica for its account of itself.
-	Report(ctx context.Context, address, replica string) (report.Report, error)
+	Report(ctx context.Context, address, replica string) (replicareport.Report, error)
 }
 
 const (
@@ -86,15 +86,15 @@
 // Step looks at the replicas of a domain and orders what they lack. lost says
 // whether a replica is thought to be dead; revision is the store's when the list was
 // read.
-func (k *Keeper) Step(ctx context.Context, now time.Time, model *ruleset.Model, domain string, revision int64, list []*roster.Replica, lost func(id string) bool) {
+func (k *Keeper) Step(ctx context.Context, now time.Time, model *ruleset.Model, domain string, revision int64, list []*replicalist.Replica, lost func(id string) bool) {
 	replicas := inDomain(domain, list)
 	for _, o := range k.plan(now, model, domain, replicas, lost) {
 		go k.give(ctx, o.replica, revision, o.Order)
 	}
 }
 
-func inDomain(domain string, list []*roster.Replica) []*roster.Replica {
-	var in []*roster.Replica
+func inDomain(domain string, list []*replicalist.Replica) []*replicalist.Replica {
+	var in []*replicalist.Replica
 	for _, r := range list {
 		if r.Domain == domain {
 			in = append(in, r)
@@ -105,16 +105,16 @@
 
 type assignment struct {
 	layers.Order
-	replica *roster.Replica
+	replica *replicalist.Replica
 }
 
-func (k *Keeper) plan(now time.Time, model *ruleset.Model, domain string, replicas []*roster.Replica, lost func(string) bool) []assignment {
+func (k *Keeper) plan(now time.Time, model *ruleset.Model, domain string, replicas []*replicalist.Replica, lost func(string) bool) []assignment {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.settled(now, domain, replicas) {
 		return nil
 	}
-	byID := map[string]*roster.Replica{}
+	byID := map[string]*replicalist.Replica{}
 	cards := make([]layers.Card, 0, len(replicas))
 	for _, r := range replicas {
 		byID[r.ID] = r
@@ -136,7 +136,7 @@
 }
 
 // settled says whether the first plan may be made.
-func (k *Keeper) settled(now time.Time, domain string, replicas []*roster.Replica) bool {
+func (k *Keeper) settled(now time.Time, domain string, replicas []*replicalist.Replica) bool {
 	if k.planned[domain] {
 		return true
 	}
@@ -162,7 +162,7 @@
 }
 
 // card is a replica with what it has been ordered.
-func (k *Keeper) card(now time.Time, model *ruleset.Model, r *roster.Replica, lost bool) layers.Card {
+func (k *Keeper) card(now time.Time, model *ruleset.Model, r *replicalist.Replica, lost bool) layers.Card {
 	c := layers.Card{
 		ID: r.ID, MemoryMB: model.Cards[r.Kind].MemoryMB, Held: r.Holds,
 		Fixed: r.Busy, Leaving: r.Draining || lost || model.Cards[r.Kind].MemoryMB == 0,
@@ -196,7 +196,7 @@
 // took it to be, the order is given once more: this node has just taken over, and a
 // domain that lacks layers would wait for the next read of the list. Else what the
 // replica reports decides what is ordered next.
-func (k *Keeper) give(ctx context.Context, r *roster.Replica, revision int64, o layers.Order) {
+func (k *Keeper) give(ctx context.Context, r *replicalist.Replica, revision int64, o layers.Order) {
 	known := k.accepted(r)
 	if k.place(ctx, r, revision, known, o) {
 		return
@@ -213,7 +213,7 @@
 
 // place gives an order that names how many the replica is thought to have accepted. It
 // says whether the replica took it.
-func (k *Keeper) place(ctx context.Context, r *roster.Replica, revision, accepted int64, o layers.Order) bool {
+func (k *Keeper) place(ctx context.Context, r *replicalist.Replica, revision, accepted int64, o layers.Order) bool {
 	err := k.orderer.Place(ctx, r.Address, r.ID, accepted, revision, o.Hold)
 	k.log.Info("layers ordered", "replica", r.ID, "domain", r.Domain, "kind", r.Kind, "held", r.Holds, "hold", o.Hold,
 		"reason", o.Reason, "orders", accepted, "born", r.Born, "revision", revision, "error", err)
@@ -223,7 +223,7 @@
 	return err == nil
 }
 
-func (k *Keeper) accepted(r *roster.Replica) int64 {
+func (k *Keeper) accepted(r *replicalist.Replica) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c := k.orders[r.ID]; c.born == r.Born {
@@ -232,14 +232,14 @@
 	return 0
 }
 
-func (k *Keeper) setAccepted(r *roster.Replica, n int64) {
+func (k *Keeper) setAccepted(r *replicalist.Replica, n int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.orders[r.ID] = count{born: r.Born, n: n}
 }
 
 // ask learns from a replica what it has accepted.
-func (k *Keeper) ask(ctx context.Context, r *roster.Replica) (report.Report, bool) {
+func (k *Keeper) ask(ctx context.Context, r *replicalist.Replica) (replicareport.Report, bool) {
 	account, err := k.orderer.Report(ctx, r.Address, r.ID)
 	if err != nil {
 		k.log.Warn("no report", "replica", r.ID, "error", err)
@@ -252,7 +252,7 @@
 
 // forget gives up an order that was not taken. One that may still come is none the less
 // expected: until its time has passed nothing else is ordered, and then the count tells.
-func (k *Keeper) forget(replica string, account report.Report) {
+func (k *Keeper) forget(replica string, account replicareport.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if p, ok := k.pending[replica]; ok && account.Holds != p.hold && !account.Busy {
--- a/route/layering/layering_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -1,4 +1,4 @@
-package layering
+package layerorders
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/layers"
-	"github.com/cicadatack/cicadatack/route/report"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/route/replicareport"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
@@ -63,19 +63,19 @@
 	return nil
 }
 
-func (e *engines) Report(_ context.Context, _, id string) (report.Report, error) {
+func (e *engines) Report(_ context.Context, _, id string) (replicareport.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.of(id)
-	return report.Report{Orders: r.orders, Holds: r.holds}, nil
+	return replicareport.Report{Orders: r.orders, Holds: r.holds}, nil
 }
 
-func (e *engines) list(ids ...string) []*roster.Replica {
+func (e *engines) list(ids ...string) []*replicalist.Replica {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var list []*roster.Replica
+	var list []*replicalist.Replica
 	for _, id := range ids {
-		list = append(list, &roster.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: e.of(id).holds})
+		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: e.of(id).holds})
 	}
 	return list
 }
@@ -101,7 +101,7 @@
 func TestFirstPlanWaitsForTheFleet(t *testing.T) {
 	e := newEngines()
 	k := keeper(e)
-	step := func(ms int, list []*roster.Replica) {
+	step := func(ms int, list []*replicalist.Replica) {
 		k.Step(context.Background(), start.Add(time.Duration(ms)*time.Millisecond), llm, "d", 1, list, none)
 	}
 	step(0, e.list("a"))
--- a/route/plans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -1,4 +1,4 @@
-package plans
+package layerplans
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 
 	"github.com/cicadatack/cicadatack/decide/adapters"
 	"github.com/cicadatack/cicadatack/decide/placement"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 // keptAdapters is what a keeper knows of one replica's adapters.
@@ -50,7 +50,7 @@
 
 // placeAdapters decides which replicas of this node's turn hold which adapters, and
 // enters it into their plans.
-func (k *Keeper) placeAdapters(ctx context.Context, now time.Time, d *directory.Directory) {
+func (k *Keeper) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
 	groups := map[place][]*keptReplica{}
 	for _, kept := range k.kept {
 		// Most models have no adapters, and this runs each second.
@@ -83,7 +83,7 @@
 	return wanted
 }
 
-func (k *Keeper) holders(d *directory.Directory, group []*keptReplica) []adapters.Replica {
+func (k *Keeper) holders(d *docindex.Directory, group []*keptReplica) []adapters.Replica {
 	slots := d.Document.Policy.ConcurrentPerReplica
 	if slots <= 0 {
 		slots = assumedSlots
@@ -116,7 +116,7 @@
 
 // adapterRoom is the memory for adapters in bytes over all layers: each engine keeps
 // the part of an adapter that belongs to its layers, so the tightest one counts.
-func adapterRoom(d *directory.Directory, open openReplica, agreed plan.Replica) int64 {
+func adapterRoom(d *docindex.Directory, open openReplica, agreed plan.Replica) int64 {
 	model := modelOf(open)
 	room := math.Inf(1)
 	for _, s := range agreed.Stages {
@@ -180,9 +180,9 @@
 }
 
 func (k *Keeper) recordAdapters(now time.Time, p place, c adapters.Change, unplaced int) {
-	k.cfg.Record.Record(decision.Decision{
+	k.cfg.Record.Record(decisionlog.Decision{
 		At:      now,
-		Kind:    decision.Place,
+		Kind:    decisionlog.Place,
 		Service: p.model,
 		Chosen:  c.Replica,
 		Reason:  c.Reason + describe(c),
@@ -212,7 +212,7 @@
 // orderAdapters tells the engines of a replica that is whole to hold the adapters of
 // its plan, once the weight store has time for those that are missing. The replica
 // serves meanwhile.
-func (k *Keeper) orderAdapters(ctx context.Context, now time.Time, d *directory.Directory, kept *keptReplica, agreed plan.Replica) {
+func (k *Keeper) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica, agreed plan.Replica) {
 	order := engineapi.AdapterOrder{Model: kept.open.place.model, Version: agreed.AdapterVersion}
 	for _, a := range agreed.Adapters {
 		order.Adapters = append(order.Adapters, engineapi.Adapter(a))
@@ -254,7 +254,7 @@
 }
 
 // bookAdapters gives an order its time at the weight store, once.
-func (k *Keeper) bookAdapters(ctx context.Context, now time.Time, d *directory.Directory, kept *keptReplica, order engineapi.AdapterOrder, differ []string) error {
+func (k *Keeper) bookAdapters(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica, order engineapi.AdapterOrder, differ []string) error {
 	if kept.adapters.booked == order.Version {
 		return nil
 	}
@@ -287,7 +287,7 @@
 		return
 	}
 	k.cfg.Log.Warn("order for adapters not taken", "endpoint", name, "version", order.Version, "error", err)
-	if engine.Status(err) == http.StatusConflict {
+	if engineclient.Status(err) == http.StatusConflict {
 		k.change(kept.open, func(r *plan.Record) bool {
 			return r.RaiseAdapters(kept.open.name, kept.reports[name].AdapterVersion)
 		})
--- a/route/plans/book.go
+++ b/route/layerplans/book.go
@@ -1,4 +1,4 @@
-// Package plans keeps the placement of layers on a node: the Book holds the
+// Package layerplans keeps the placement of layers on a node: the Book holds the
 // plans that the store has agreed, for the data path; the Keeper makes plans
 // and carries them out, on the node whose turn it is.
 //
@@ -7,7 +7,7 @@
 // of them watching the store. A node reads a plan when it needs it, and again
 // when an engine reports to hold something else than the plan says: the check
 // at use tells that a plan is old, so nothing has to be pushed.
-package plans
+package layerplans
 
 import (
 	"context"
@@ -16,10 +16,10 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/plan"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 const (
@@ -84,7 +84,7 @@
 }
 
 // Apply takes the replicas of a document whose layers it leaves to the planner.
-func (b *Book) Apply(d *directory.Directory) {
+func (b *Book) Apply(d *docindex.Directory) {
 	places := map[replicaName]place{}
 	for _, r := range openReplicas(d) {
 		places[r.full()] = r.place
@@ -226,7 +226,7 @@
 	return replicaName{r.place.model, r.name}
 }
 
-func openReplicas(d *directory.Directory) []openReplica {
+func openReplicas(d *docindex.Directory) []openReplica {
 	var open []openReplica
 	for i := range d.Document.Services {
 		s := &d.Document.Services[i]
--- a/route/plans/keeper.go
+++ b/route/layerplans/keeper.go
@@ -1,4 +1,4 @@
-package plans
+package layerplans
 
 import (
 	"cmp"
@@ -11,13 +11,13 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/placement"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/docindex"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 const (
@@ -46,7 +46,7 @@
 	Store       store.ReadSwapper
 	Engines     Engines
 	Book        *Book
-	Record      decision.Recorder
+	Record      decisionlog.Recorder
 	Log         hclog.Logger
 	// Turn says whether this node is the one to keep the plans of a model in a
 	// failure domain. It is a hint: two nodes that both think so are kept apart
@@ -63,13 +63,13 @@
 	cfg KeeperConfig
 
 	mu        sync.Mutex
-	directory *directory.Directory
+	directory *docindex.Directory
 	measures  []measured
 	suspects  map[replicaName]bool
 
 	// The rest belongs to Run alone.
 	kept     map[replicaName]*keptReplica
-	followed *directory.Directory
+	followed *docindex.Directory
 	stamp    any
 	// rollouts are this round's, by place.
 	rollouts map[place]placement.Rollout
@@ -109,7 +109,7 @@
 }
 
 // Apply takes a new document.
-func (k *Keeper) Apply(d *directory.Directory) {
+func (k *Keeper) Apply(d *docindex.Directory) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.directory = d
@@ -180,7 +180,7 @@
 	k.placeAdapters(ctx, now, d)
 }
 
-func (k *Keeper) taken() (*directory.Directory, []measured, map[replicaName]bool) {
+func (k *Keeper) taken() (*docindex.Directory, []measured, map[replicaName]bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	measures, suspects := k.measures, k.suspects
@@ -192,7 +192,7 @@
 // follow takes up the replicas of this node's turn and forgets the others. That
 // looks at every replica of the document, so it is done only when the document
 // or the members have changed.
-func (k *Keeper) follow(d *directory.Directory) {
+func (k *Keeper) follow(d *docindex.Directory) {
 	stamp := k.cfg.Members()
 	if d == k.followed && stamp == k.stamp {
 		return
@@ -234,7 +234,7 @@
 }
 
 // keep brings one replica towards its best plan and says whether it has one.
-func (k *Keeper) keep(ctx context.Context, now time.Time, d *directory.Directory, kept *keptReplica) bool {
+func (k *Keeper) keep(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica) bool {
 	if err := k.agree(ctx, now, d, kept); err != nil {
 		k.cfg.Log.Warn("plan not agreed", "model", kept.open.place.model, "replica", kept.open.name, "error", err)
 		return false
@@ -244,7 +244,7 @@
 
 // agree makes sure that the store holds a plan for the replica, a better one if
 // the measured times ask for it.
-func (k *Keeper) agree(ctx context.Context, now time.Time, d *directory.Directory, kept *keptReplica) error {
+func (k *Keeper) agree(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica) error {
 	model, chain := shapeOf(d, kept.open)
 	stages, reason, changed, err := kept.decide(now, model, chain, k.cfg.Book)
 	if err != nil || !changed {
@@ -306,9 +306,9 @@
 		figures["may_be_out"] = float64(rollout.MayBeOut)
 		figures["behind"] = float64(rollout.Behind)
 	}
-	k.cfg.Record.Record(decision.Decision{
+	k.cfg.Record.Record(decisionlog.Decision{
 		At:      now,
-		Kind:    decision.Place,
+		Kind:    decisionlog.Place,
 		Service: kept.open.place.model,
 		Chosen:  kept.open.name,
 		Reason:  reason,
--- a/route/plans/keeper_test.go
+++ b/route/layerplans/keeper_test.go
@@ -1,4 +1,4 @@
-package plans
+package layerplans
 
 import (
 	"context"
@@ -12,13 +12,13 @@
 
 	"github.com/hashicorp/go-hclog"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/engineclient"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 const (
@@ -68,7 +68,7 @@
 
 func (f *fleet) OrderAdapters(_ context.Context, address string, order engineapi.AdapterOrder) error {
 	if order.Version < f.adapters[address].Version {
-		return &engine.SendError{Endpoint: address, Status: http.StatusConflict}
+		return &engineclient.SendError{Endpoint: address, Status: http.StatusConflict}
 	}
 	f.adapters[address] = order
 	f.added = append(f.added, f.now.Sub(epoch))
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// Record implements decision.Recorder.
-func (f *fleet) Record(decision.Decision) {}
+// Record implements decisionlog.Recorder.
+func (f *fleet) Record(decisionlog.Decision) {}
 
 // site is replicas of two engines, in one failure domain or each in its own, and
 // a keeper for each domain.
@@ -116,7 +116,7 @@
 func siteOf(t *testing.T, doc *document.Document, domains int) *site {
 	memory := storetest.NewMemory()
 	t.Cleanup(memory.Close)
-	d := directory.Build(doc, 1, "digest")
+	d := docindex.Build(doc, 1, "digest")
 	s := &site{fleet: &fleet{now: epoch, holds: map[string]engineapi.Holding{}, loads: map[string]time.Duration{}, silent: map[string]bool{}, loading: map[string]load{}, running: map[string]int{}, adapters: map[string]engineapi.AdapterOrder{}}}
 	for i := range domains {
 		client := storetest.NewClient(memory)
--- a/route/plans/orders.go
+++ b/route/layerplans/orders.go
@@ -1,4 +1,4 @@
-package plans
+package layerplans
 
 import (
 	"context"
@@ -6,11 +6,11 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/placement"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 // booking is the time at the weight store that an order was given.
@@ -29,7 +29,7 @@
 // order tells each engine whose holding differs from the plan to follow it, once
 // the weight store has time for what it must fetch. An engine that restarted empty
 // is found the same way, so a rack that comes back is paced too.
-func (k *Keeper) order(ctx context.Context, now time.Time, d *directory.Directory, kept *keptReplica) {
+func (k *Keeper) order(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica) {
 	agreed, ok := k.cfg.Book.Agreed(kept.open.place.model, kept.open.name)
 	if !ok {
 		return
@@ -61,7 +61,7 @@
 
 // differing asks the engines of a replica what they hold, notes how it stands to its
 // plan, and returns the orders that are due.
-func (k *Keeper) differing(ctx context.Context, d *directory.Directory, kept *keptReplica, agreed plan.Replica) []due {
+func (k *Keeper) differing(ctx context.Context, d *docindex.Directory, kept *keptReplica, agreed plan.Replica) []due {
 	var differ []due
 	kept.state = placement.Whole
 	for _, s := range agreed.Stages {
@@ -98,7 +98,7 @@
 
 // book gives each order that has none yet its time at the weight store, all of them
 // in one write.
-func (k *Keeper) book(ctx context.Context, now time.Time, d *directory.Directory, kept *keptReplica, differ []due) error {
+func (k *Keeper) book(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica, differ []due) error {
 	model, _ := shapeOf(d, kept.open)
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
 	var fresh []due
@@ -152,7 +152,7 @@
 	defer cancel()
 	if err := k.cfg.Engines.Order(ctx, d.endpoint.Address, d.order); err != nil {
 		k.cfg.Log.Warn("order not taken", "endpoint", d.endpoint.Name, "version", d.order.PlacementVersion, "error", err)
-		if engine.Status(err) == http.StatusConflict {
+		if engineclient.Status(err) == http.StatusConflict {
 			k.raise(open, d.holding.PlacementVersion)
 		}
 		return
--- a/route/plans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -1,12 +1,12 @@
-package plans
+package layerplans
 
 import (
 	"context"
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/placement"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 // drainLimit is how long engines may finish their streams before they take other
--- a/route/plans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -1,4 +1,4 @@
-package plans
+package layerplans
 
 import (
 	"context"
@@ -10,15 +10,15 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/adapters"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 // promote puts a document in force at every node.
 func (s *site) promote(doc *document.Document) {
-	d := directory.Build(doc, 1, "digest")
+	d := docindex.Build(doc, 1, "digest")
 	for _, k := range s.keepers {
 		k.cfg.Book.Apply(d)
 		k.Apply(d)
@@ -337,7 +337,7 @@
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{{Name: "wide", MemoryMegabytes: 100}, {Name: "tight", MemoryMegabytes: 5}}
 	doc.Endpoints[0].Accelerator, doc.Endpoints[1].Accelerator, doc.Endpoints[2].Accelerator = "wide", "tight", "wide"
-	d := directory.Build(doc, 1, "digest")
+	d := docindex.Build(doc, 1, "digest")
 	agreed := plan.Replica{Stages: []plan.Stage{{Endpoint: "engine-0a", Last: 1}, {Endpoint: "engine-0b", First: 2, Last: 5}, {Endpoint: "engine-0c", First: 6, Last: 7}}}
 	if got := adapterRoom(d, openReplicas(d)[0], agreed); got != 2*megabyte {
 		t.Errorf("room for %d bytes, want %d", got, 2*megabyte) // 1 MB for half of the layers
--- a/route/plans/shape.go
+++ b/route/layerplans/shape.go
@@ -1,13 +1,13 @@
-package plans
+package layerplans
 
 import (
 	"slices"
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/placement"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/plan"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/plan"
 )
 
 const (
@@ -27,7 +27,7 @@
 )
 
 // shapeOf is a replica as the planner sees it.
-func shapeOf(d *directory.Directory, open openReplica) (placement.Model, placement.Chain) {
+func shapeOf(d *docindex.Directory, open openReplica) (placement.Model, placement.Chain) {
 	model := modelOf(open)
 	var chain placement.Chain
 	domains := make([]string, len(open.stages))
--- a/route/entrance/entrance.go
+++ b/route/lifecycle/lifecycle.go
@@ -1,11 +1,11 @@
-// Package entrance is what calls of all kinds of service have in common: a call
+// Package lifecycle is what calls of all kinds of service have in common: a call
 // is let in, or refused at once; its decisions are recorded; its end is counted.
 //
 //	visit, refusal := desk.Visit(c)
 //	pass, err := visit.Enter(ctx, cost)
 //	if err != nil { visit.Refuse(w, ...) }
 //	defer pass.Leave(used)
-package entrance
+package lifecycle
 
 import (
 	"context"
@@ -15,12 +15,12 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/balance"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/gate"
-	"github.com/cicadatack/cicadatack/route/limiter"
+	"github.com/cicadatack/cicadatack/route/admissionqueue"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/service"
+	"github.com/cicadatack/cicadatack/route/teamlimiter"
 )
 
 // setupRetry is when a caller may ask again for a service that the document
@@ -37,15 +37,15 @@
 // Desk lets calls in. Safe for concurrent use.
 type Desk struct {
 	Services *service.Registry
-	Limits   *limiter.Limiter
-	Record   decision.Recorder
+	Limits   *teamlimiter.Limiter
+	Record   decisionlog.Recorder
 	Figures  Figures
 	Now      func() time.Time
 }
 
 // Visit is one call on its way through the node. It is for one goroutine.
 type Visit struct {
-	*call.Call
+	*callparser.Call
 	// At is the service as this node has it; Spec, in the Call, is the
 	// document's.
 	At   *service.Service
@@ -55,13 +55,13 @@
 // Pass is a call's right to run.
 type Pass struct {
 	visit  *Visit
-	ticket *gate.Ticket
+	ticket *admissionqueue.Ticket
 	cost   float64
 	since  time.Time
 }
 
 // Visit begins a call.
-func (d *Desk) Visit(c *call.Call) (*Visit, *outcome.Refusal) {
+func (d *Desk) Visit(c *callparser.Call) (*Visit, *outcome.Refusal) {
 	v := &Visit{Call: c, At: d.Services.Get(c.Service.Name), desk: d}
 	if v.At != nil {
 		return v, nil
@@ -81,7 +81,7 @@
 func (v *Visit) Enter(ctx context.Context, cost float64) (*Pass, error) {
 	share, refusal := v.desk.Limits.Allow(v.Team.Name, cost)
 	if refusal != nil {
-		v.Decide(decision.Refuse, "", "team limit used up", map[string]float64{
+		v.Decide(decisionlog.Refuse, "", "team limit used up", map[string]float64{
 			"limit_tokens_per_s": share.Limit,
 			"share_tokens_per_s": share.Rate,
 			"cost_tokens":        cost,
@@ -90,7 +90,7 @@
 		v.desk.Figures.Refused(v.Service.Name, refusal.Code)
 		return nil, refusal
 	}
-	ticket, err := v.At.Gate.Enter(ctx, gate.Request{
+	ticket, err := v.At.Gate.Enter(ctx, admissionqueue.Request{
 		Team: v.Team.Name, Class: v.Class, Cost: cost, Deadline: v.latestStart(cost),
 	})
 	if err != nil {
@@ -116,9 +116,9 @@
 	return v.Start
 }
 
-func (v *Visit) entered(t *gate.Ticket, cost float64) {
+func (v *Visit) entered(t *admissionqueue.Ticket, cost float64) {
 	v.desk.Figures.Waited(v.Service.Name, t.Verdict.Waited)
-	v.Decide(decision.Admit, "", t.Verdict.Reason.String(), map[string]float64{
+	v.Decide(decisionlog.Admit, "", t.Verdict.Reason.String(), map[string]float64{
 		"waited_ms":   float64(t.Verdict.Waited.Microseconds()) / 1000,
 		"waiting":     float64(t.Verdict.QueueLength),
 		"cost_tokens": cost,
@@ -126,12 +126,12 @@
 }
 
 func (v *Visit) notEntered(err error) error {
-	var refused *gate.Refused
+	var refused *admissionqueue.Refused
 	if !errors.As(err, &refused) {
 		return err
 	}
 	verdict := refused.Verdict
-	v.Decide(decision.Refuse, "", verdict.Reason.String(), map[string]float64{
+	v.Decide(decisionlog.Refuse, "", verdict.Reason.String(), map[string]float64{
 		"predicted_ms":       float64(verdict.Predicted.Milliseconds()),
 		"waiting":            float64(verdict.QueueLength),
 		"drain_tokens_per_s": verdict.DrainRate,
@@ -182,21 +182,21 @@
 }
 
 // Decide records a decision about the call.
-func (v *Visit) Decide(kind decision.Kind, chosen, reason string, figures map[string]float64) {
+func (v *Visit) Decide(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) {
 	v.desk.Record.Record(v.decision(kind, chosen, reason, figures))
 }
 
 // Chose records the balancer's choice, with what it was chosen over.
-func (v *Visit) Chose(kind decision.Kind, choice balance.Choice, figures map[string]float64) {
-	weighed := decision.Weighed(&choice)
+func (v *Visit) Chose(kind decisionlog.Kind, choice balance.Choice, figures map[string]float64) {
+	weighed := decisionlog.Weighed(&choice)
 	maps.Copy(figures, weighed.Figures)
 	d := v.decision(kind, choice.Replica, weighed.Reason, figures)
 	d.Alternatives = weighed.Alternatives
 	v.desk.Record.Record(d)
 }
 
-func (v *Visit) decision(kind decision.Kind, chosen, reason string, figures map[string]float64) decision.Decision {
-	return decision.Decision{
+func (v *Visit) decision(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) decisionlog.Decision {
+	return decisionlog.Decision{
 		At:       v.desk.Now(),
 		Request:  v.ID,
 		Kind:     kind,
--- a/route/model/adapter.go
+++ b/route/modelservice/adapter.go
@@ -1,4 +1,4 @@
-package model
+package modelservice
 
 import (
 	"errors"
@@ -6,9 +6,9 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/route/call"
+	"github.com/cicadatack/cicadatack/route/callparser"
 	"github.com/cicadatack/cicadatack/route/chains"
-	"github.com/cicadatack/cicadatack/route/entrance"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
@@ -24,7 +24,7 @@
 // weight store's rate, one after the other, and nobody knows how long; the calls of
 // one adapter that is on its way would fill the queue before the calls of all
 // others. The adapter is loaded without them, as the document names it.
-func (s *Server) withoutAdapter(c *call.Call, visit *entrance.Visit) ([]string, *outcome.Refusal) {
+func (s *Server) withoutAdapter(c *callparser.Call, visit *lifecycle.Visit) ([]string, *outcome.Refusal) {
 	if c.Adapter == "" {
 		return nil, nil
 	}
--- a/route/model/attempts.go
+++ b/route/modelservice/attempts.go
@@ -1,4 +1,4 @@
-package model
+package modelservice
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"github.com/cicadatack/cicadatack/decide/health"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/keep/wait"
 	"github.com/cicadatack/cicadatack/route/stream"
 	"github.com/cicadatack/cicadatack/route/upstream"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // mayRetry asks the budget and waits out the back-off. A model call may always
--- a/route/model/chooser.go
+++ b/route/modelservice/chooser.go
@@ -1,4 +1,4 @@
-package model
+package modelservice
 
 import (
 	"context"
@@ -7,9 +7,9 @@
 
 	"github.com/cicadatack/cicadatack/decide/balance"
 	"github.com/cicadatack/cicadatack/decide/health"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 var errNoReplica = errors.New("no replica may be used now")
@@ -163,9 +163,9 @@
 }
 
 func (c *chooser) recordChoice(choice balance.Choice) {
-	kind := decision.Route
+	kind := decisionlog.Route
 	if len(c.runs) > 1 {
-		kind = decision.Resume
+		kind = decisionlog.Resume
 	}
 	c.answer.Chose(kind, choice, map[string]float64{"epoch": float64(len(c.runs))})
 }
--- a/route/model/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -1,4 +1,4 @@
-package model
+package modelservice
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/engine"
-	"github.com/cicadatack/cicadatack/route/entrance"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // replicas are chains of one engine by name, with the version that the plan says;
@@ -24,7 +24,7 @@
 	suspected []string
 }
 
-func (r *replicas) Chain(_ *call.Call, replica string) (stream.Chain, error) {
+func (r *replicas) Chain(_ *callparser.Call, replica string) (stream.Chain, error) {
 	return stream.Chain{
 		Replica:  replica,
 		Stages:   []engineapi.Stage{{Endpoint: replica, Address: replica}},
@@ -59,8 +59,8 @@
 		r := &replicas{planned: map[string]string{c.replica: c.planned}}
 		service := &document.Service{Name: "pastry-llm", Model: &document.Model{Layers: 1}}
 		chooser := &chooser{answer: &answer{
-			Visit:  &entrance.Visit{Call: &call.Call{Service: service}},
-			server: &Server{Chains: r, Plans: r, Streams: stream.New(engine.New(r), nil, stream.Options{})},
+			Visit:  &lifecycle.Visit{Call: &callparser.Call{Service: service}},
+			server: &Server{Chains: r, Plans: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
 			chat:   engineapi.ChatRequest{Model: "pastry-llm"},
 		}}
 		if c.begun != "" {
--- a/route/model/model.go
+++ b/route/modelservice/modelservice.go
@@ -1,7 +1,7 @@
-// Package model answers calls of model services: it lets a call in, chooses a
+// Package modelservice answers calls of model services: it lets a call in, chooses a
 // chain of engines for each epoch of its stream and passes the checked tokens
 // to the caller as they come.
-package model
+package modelservice
 
 import (
 	"context"
@@ -9,13 +9,13 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/entrance"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/stream"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // Figures is told what became of model calls; metrics implement it.
@@ -28,7 +28,7 @@
 
 // Chains turns a replica of a model into the chain to send along.
 type Chains interface {
-	Chain(c *call.Call, replica string) (stream.Chain, error)
+	Chain(c *callparser.Call, replica string) (stream.Chain, error)
 }
 
 // Plans is told how replicas do, for the planner.
@@ -41,7 +41,7 @@
 
 // Server answers model calls. Safe for concurrent use.
 type Server struct {
-	Desk    *entrance.Desk
+	Desk    *lifecycle.Desk
 	Streams *stream.Runner
 	Chains  Chains
 	Plans   Plans
@@ -59,7 +59,7 @@
 )
 
 // ServeModel answers one call, streamed or whole.
-func (s *Server) ServeModel(w http.ResponseWriter, r *http.Request, c *call.Call, chat engineapi.ChatRequest) {
+func (s *Server) ServeModel(w http.ResponseWriter, r *http.Request, c *callparser.Call, chat engineapi.ChatRequest) {
 	visit, refusal := s.Desk.Visit(c)
 	if refusal != nil {
 		visit.Refuse(w, refusal)
@@ -98,7 +98,7 @@
 
 // answer is one call underway.
 type answer struct {
-	*entrance.Visit
+	*lifecycle.Visit
 	server *Server
 	chat   engineapi.ChatRequest
 	cost   float64
@@ -192,7 +192,7 @@
 	if err != nil {
 		reason += ": " + err.Error()
 	}
-	a.Decide(decision.Finish, s.Last.End.String(), reason, map[string]float64{
+	a.Decide(decisionlog.Finish, s.Last.End.String(), reason, map[string]float64{
 		"tokens":         float64(s.Tokens),
 		"epochs":         float64(s.Epochs),
 		"stray_tokens":   float64(s.Stray),
--- a/route/model/prefix.go
+++ b/route/modelservice/prefix.go
@@ -1,9 +1,9 @@
-package model
+package modelservice
 
 import (
 	"hash/fnv"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // prefixBytes is how much of the first message names a prompt's prefix: the
--- a/route/model/progress.go
+++ b/route/modelservice/progress.go
@@ -1,9 +1,9 @@
-package model
+package modelservice
 
 import (
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // run is one chain's part of the answer.
--- a/route/model/sink.go
+++ b/route/modelservice/sink.go
@@ -1,4 +1,4 @@
-package model
+package modelservice
 
 import (
 	"bytes"
@@ -6,9 +6,9 @@
 	"net/http"
 	"strings"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/call"
+	"github.com/cicadatack/cicadatack/route/callparser"
 	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
@@ -24,7 +24,7 @@
 type sink struct {
 	w       http.ResponseWriter
 	flusher http.Flusher
-	call    *call.Call
+	call    *callparser.Call
 	stream  bool
 	begun   bool
 	text    strings.Builder
@@ -69,7 +69,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func newSink(w http.ResponseWriter, c *call.Call, chat engineapi.ChatRequest) *sink {
+func newSink(w http.ResponseWriter, c *callparser.Call, chat engineapi.ChatRequest) *sink {
 	flusher, _ := w.(http.Flusher)
 	s := &sink{w: w, flusher: flusher, call: c, stream: chat.Stream}
 	s.before, s.after = s.frame()
--- a/route/model/sink_test.go
+++ b/route/modelservice/sink_test.go
@@ -1,4 +1,4 @@
-package model
+package modelservice
 
 import (
 	"encoding/json"
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/call"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 func testSink(w http.ResponseWriter) *sink {
-	c := &call.Call{ID: `r"1`, Service: &document.Service{Name: "pastry-llm"}}
+	c := &callparser.Call{ID: `r"1`, Service: &document.Service{Name: "pastry-llm"}}
 	return newSink(w, c, engineapi.ChatRequest{Stream: true})
 }
 
--- a/route/plain/endpoints.go
+++ b/route/plainservice/endpoints.go
@@ -1,17 +1,17 @@
-package plain
+package plainservice
 
 import (
 	"context"
 
 	"github.com/cicadatack/cicadatack/decide/balance"
 	"github.com/cicadatack/cicadatack/decide/health"
-	"github.com/cicadatack/cicadatack/route/entrance"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
 // endpoints are those of a call's service, as the data path chooses among them: by the
 // service's balancer, at the addresses of the document that let the call in.
-type endpoints struct{ visit *entrance.Visit }
+type endpoints struct{ visit *lifecycle.Visit }
 
 // Choose implements targets.Targets. It does not wait: the entrance has.
 func (e endpoints) Choose(_ context.Context, q targets.Query) (targets.Target, error) {
--- a/route/plain/headers.go
+++ b/route/plainservice/headers.go
@@ -1,4 +1,4 @@
-package plain
+package plainservice
 
 import (
 	"net/http"
--- a/route/plain/plain.go
+++ b/route/plainservice/plainservice.go
@@ -1,8 +1,8 @@
-// Package plain answers calls of plain services. Limits and queue are the entrance's,
+// Package plainservice answers calls of plain services. Limits and queue are the entrance's,
 // the way from the choice of an endpoint to its checked answer is relay's; what is left
 // here is what is peculiar to orders: they are claimed in the ledger before they are
 // sent, and their results are kept.
-package plain
+package plainservice
 
 import (
 	"cmp"
@@ -12,14 +12,14 @@
 
 	"github.com/cicadatack/cicadatack/decide/admission"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/route/call"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/dialect"
-	"github.com/cicadatack/cicadatack/route/entrance"
+	"github.com/cicadatack/cicadatack/route/callparser"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/headers"
+	"github.com/cicadatack/cicadatack/route/lifecycle"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/relay"
 	"github.com/cicadatack/cicadatack/route/ruleset"
+	"github.com/cicadatack/cicadatack/state/ledger"
 )
 
 // Claims is the part of the ledger that orders need.
@@ -36,7 +36,7 @@
 
 // Server answers plain calls. Safe for concurrent use.
 type Server struct {
-	Desk *entrance.Desk
+	Desk *lifecycle.Desk
 	// Path speaks this package's Dialect and holds answers up to MaxAnswer.
 	Path    *relay.Server
 	Claims  Claims
@@ -58,7 +58,7 @@
 )
 
 // ServePlain answers one call.
-func (s *Server) ServePlain(w http.ResponseWriter, r *http.Request, c *call.Call, path string, body []byte) {
+func (s *Server) ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte) {
 	visit, refusal := s.Desk.Visit(c)
 	if refusal != nil {
 		visit.Refuse(w, refusal)
@@ -86,7 +86,7 @@
 
 // exchange is one call underway.
 type exchange struct {
-	*entrance.Visit
+	*lifecycle.Visit
 	server *Server
 	// key names an order; "" for none.
 	key    string
@@ -120,7 +120,7 @@
 	}
 	timeout := deadline.Sub(e.Arrived)
 	answer, refusal := e.server.Path.Do(ctx, &relay.Visit{
-		Call: dialect.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
+		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
 		Targets: endpoints{e.Visit}, Budget: e.At.Retry,
@@ -152,7 +152,7 @@
 func (e *exchange) finish(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
 	return func(a *relay.Answer, refusal *outcome.Refusal) {
 		if refusal != nil {
-			e.Decide(decision.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
+			e.Decide(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
 			e.Refuse(w, refusal)
 			return
 		}
@@ -168,5 +168,5 @@
 	// The caller may have gone; there is nobody left to tell.
 	_, _ = w.Write(a.Body)
 	e.Finished(outcome.Done)
-	e.Decide(decision.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
+	e.Decide(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
 }
