--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/health"
-	"github.com/cicadatack/cicadatack/route/dialect"
+	"github.com/cicadatack/cicadatack/route/headers"
 	"github.com/cicadatack/cicadatack/route/targets"
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
@@ -58,7 +58,7 @@
 	begun  time.Time
 	// after is the event to go on after, for a stream.
 	after string
-	seen  dialect.Answer
+	seen  headers.Answer
 }
 
 // send sends the request to the attempt's target and checks the answer's head.
@@ -74,7 +74,7 @@
 	exchange, err := q.s.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
 		Method:  q.Method, Target: q.Target, Host: cmp.Or(q.Host, a.target.Address), Body: q.Body,
-		Header: q.s.Dialect.Forward(q.Header, dialect.Sending{
+		Header: q.s.Dialect.Forward(q.Header, headers.Sending{
 			Replica: a.target.Replica, Team: q.Team, Left: left - leftMargin, After: a.after, Path: a.target.Path,
 		}),
 		// A request that may not repeat gets a connection of its own: if it ends
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/cicadatack/cicadatack/decide/health"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/route/budget"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
 )
@@ -38,7 +38,7 @@
 		q := &request{
 			Visit: &Visit{
 				Route:  &ruleset.Route{Kind: c.kind, MaxReplicas: 3},
-				Budget: budget.New(retry.Config{}, func() time.Time { return now }), Deadline: now.Add(time.Minute),
+				Budget: retrybudget.New(retry.Config{}, func() time.Time { return now }), Deadline: now.Add(time.Minute),
 			},
 			s: &Server{Now: func() time.Time { return now }}, sends: 1, ran: make([]string, c.ran),
 		}
--- a/route/relay/doc.go
+++ b/route/relay/doc.go
@@ -1,7 +1,7 @@
 // Package relay is the data path of one request that its door has let in: an endpoint or
 // a path is chosen, the request is sent, the answer is checked against it and passed on.
-// Both doors use it: the users' platform's (route/door) with streams and plain services,
-// the product's own (route/plain) with plain services.
+// Both doors use it: the users' platform's (route/ingress) with streams and plain services,
+// the product's own (route/plainservice) with plain services.
 //
 //	door (Visit) -> choice (targets) -> send (upstream) -> check (verdict)
 //	    -> answer (Serve passes it on, Do hands it back)
--- a/route/relay/goon.go
+++ b/route/relay/goon.go
@@ -5,13 +5,13 @@
 	"errors"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/detour"
 	"github.com/cicadatack/cicadatack/decide/health"
 	"github.com/cicadatack/cicadatack/decide/paths"
+	"github.com/cicadatack/cicadatack/decide/reroute"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/keep/wait"
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/route/targets"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 const (
@@ -121,7 +121,7 @@
 func (w *watch) goOn(flight *targets.Flight, why string) bool {
 	free := time.Duration(float64(w.a.q.maxPause()) * freePart)
 	way, path, next := flight.GoOn(w.mayMove && w.a.q.Budget.Left(), free, w.others)
-	if way == detour.Elsewhere {
+	if way == reroute.Elsewhere {
 		if w.quiet() && w.move(next, why+"; another failure domain goes on sooner") {
 			return true
 		}
@@ -183,12 +183,12 @@
 }
 
 func (w *watch) recordDetour(path paths.Path, why string, err error) {
-	notes := []decision.Note{{Name: "path", Text: path.String()}}
+	notes := []decisionlog.Note{{Name: "path", Text: path.String()}}
 	if err != nil {
-		notes = append(notes, decision.Note{Name: "error", Text: err.Error()})
+		notes = append(notes, decisionlog.Note{Name: "error", Text: err.Error()})
 	}
-	w.a.q.record(decision.Decision{
-		Kind: decision.Detour, Chosen: w.a.target.Replica, Reason: why, Notes: notes,
+	w.a.q.record(decisionlog.Decision{
+		Kind: decisionlog.Detour, Chosen: w.a.target.Replica, Reason: why, Notes: notes,
 		Figures: map[string]float64{
 			"taken": flag(err == nil), "silent_ms": millis(w.silentFor()), "crossings": float64(path.Crossings()),
 		},
--- a/route/relay/goon_test.go
+++ b/route/relay/goon_test.go
@@ -7,8 +7,8 @@
 
 	"github.com/cicadatack/cicadatack/decide/layers"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/route/budget"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
 )
@@ -20,16 +20,16 @@
 		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
 		Cards: map[string]ruleset.Card{"h100": {MemoryMB: 2000, Pace: 1}},
 	}
-	var list []*roster.Replica
+	var list []*replicalist.Replica
 	for _, id := range []string{"a", "b"} {
-		list = append(list, &roster.Replica{ID: id, Address: id, Domain: "d", Kind: "h100", Holds: layers.Span{To: 8}})
+		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "h100", Holds: layers.Span{To: 8}})
 	}
 	m.Update(model, list, targets.Part{Share: func(string) float64 { return 1 }, Conns: 10, Near: 1})
 	return m
 }
 
 // silentStream is a stream through a model that has been silent for some time.
-func silentStream(t *testing.T, m *targets.Model, tries *budget.Budget, silent time.Duration) (*watch, func()) {
+func silentStream(t *testing.T, m *targets.Model, tries *retrybudget.Budget, silent time.Duration) (*watch, func()) {
 	t.Helper()
 	target, err := m.Choose(context.Background(), targets.Query{Tokens: 100})
 	if err != nil {
@@ -54,7 +54,7 @@
 func TestFirstReplicaWithoutPowerIsReplacedAtOnce(t *testing.T) {
 	for _, silent := range []bool{true, false} {
 		m := twoChains()
-		w, cancel := silentStream(t, m, budget.New(retry.Config{Burst: 10}, time.Now), 100*time.Millisecond)
+		w, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 100*time.Millisecond)
 		defer cancel()
 		w.permit(w.a.q)
 		m.Suspect(w.a.target.Replica, silent)
@@ -71,7 +71,7 @@
 // node refuses everyone.
 func TestRoomForAMoveThatIsNotMadeIsGivenBack(t *testing.T) {
 	m := twoChains()
-	spent := budget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
+	spent := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
 	w, cancel := silentStream(t, m, spent, time.Minute)
 	defer cancel()
 	q, target, now := w.a.q, w.a.target, time.Now()
--- a/route/relay/path.go
+++ b/route/relay/path.go
@@ -10,12 +10,12 @@
 	"github.com/zeebo/errs"
 
 	"github.com/cicadatack/cicadatack/decide/paths"
-	"github.com/cicadatack/cicadatack/route/budget"
-	"github.com/cicadatack/cicadatack/route/decision"
-	"github.com/cicadatack/cicadatack/route/dialect"
+	"github.com/cicadatack/cicadatack/route/connprobe"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/headers"
 	"github.com/cicadatack/cicadatack/route/outcome"
-	"github.com/cicadatack/cicadatack/route/reach"
-	"github.com/cicadatack/cicadatack/route/report"
+	"github.com/cicadatack/cicadatack/route/replicareport"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
 	"github.com/cicadatack/cicadatack/route/upstream"
@@ -66,7 +66,7 @@
 // Visit is a request that its door has let in: whose it is, where it goes and within
 // which bounds. The data path reads nothing else of what the caller sent.
 type Visit struct {
-	Call dialect.Call
+	Call headers.Call
 	// Team is the caller's; "" if its route is open to all.
 	Team    string
 	Service string
@@ -81,7 +81,7 @@
 	Proof Proof
 
 	Targets targets.Targets
-	Budget  *budget.Budget
+	Budget  *retrybudget.Budget
 
 	// Method, Target (path and query), Host and Header are as the endpoint is to see
 	// them; Host is the endpoint's own address if it is "".
@@ -101,13 +101,13 @@
 // are set before use. Engines, Prober and Reports are needed for paths through layers
 // only.
 type Server struct {
-	Dialect dialect.Dialect
+	Dialect headers.Dialect
 	Engines Engines
 	Pool    *upstream.Pool
-	Prober  *reach.Prober
-	Reports *report.Inspector
+	Prober  *connprobe.Prober
+	Reports *replicareport.Inspector
 	Figures Figures
-	Record  decision.Recorder
+	Record  decisionlog.Recorder
 	Log     hclog.Logger
 	Now     func() time.Time
 	// HoldBytes is the longest answer that is held back until it is known to be whole;
@@ -226,9 +226,9 @@
 
 // refuse gives the final answer at once, with the reason in the log.
 func (q *request) refuse(r *outcome.Refusal) {
-	q.record(decision.Decision{
-		Kind: decision.Refuse, Reason: r.Code,
-		Notes: q.notes(decision.Note{Name: "outcome", Text: string(r.Outcome)}, decision.Note{Name: "last_try", Text: q.last.detail}),
+	q.record(decisionlog.Decision{
+		Kind: decisionlog.Refuse, Reason: r.Code,
+		Notes: q.notes(decisionlog.Note{Name: "outcome", Text: string(r.Outcome)}, decisionlog.Note{Name: "last_try", Text: q.last.detail}),
 		Figures: map[string]float64{
 			"status": float64(r.Status), "waited_ms": millis(q.s.Now().Sub(q.Arrived)), "sends": float64(q.sends),
 			"retry_after_ms": millis(r.RetryAfter),
@@ -239,7 +239,7 @@
 }
 
 // record completes a decision about the request with what it is about.
-func (q *request) record(d decision.Decision) {
+func (q *request) record(d decisionlog.Decision) {
 	d.At, d.Request, d.Team, d.Service, d.Revision = q.s.Now(), q.Call.ID, q.Team, q.Service, q.Revision
 	if q.Proof != nil && d.Figures != nil {
 		d.Figures["proof_age_ms"] = millis(q.Proof.Age())
@@ -248,9 +248,9 @@
 }
 
 // notes adds the route to what else is to be said.
-func (q *request) notes(list ...decision.Note) []decision.Note {
+func (q *request) notes(list ...decisionlog.Note) []decisionlog.Note {
 	if q.Route != nil {
-		list = append(list, decision.Note{Name: "route", Text: q.Route.Name})
+		list = append(list, decisionlog.Note{Name: "route", Text: q.Route.Name})
 	}
 	return list
 }
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -7,12 +7,12 @@
 
 	"github.com/cicadatack/cicadatack/decide/health"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/keep/wait"
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/connprobe"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/route/outcome"
-	"github.com/cicadatack/cicadatack/route/reach"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 const (
@@ -75,7 +75,7 @@
 	if replica == "" {
 		return
 	}
-	lost := q.s.Prober.Lost(q.ctx, reach.Named, []string{address})
+	lost := q.s.Prober.Lost(q.ctx, connprobe.Named, []string{address})
 	if len(lost) > 0 && t.Flight.Suspect(replica, lost[0].Silent) {
 		q.log.Info("replica out of reach", "service", q.Service, "replica", replica, "address", address)
 	}
@@ -83,13 +83,13 @@
 
 // recordRoute records where the request is sent and why.
 func (q *request) recordRoute(t targets.Target) {
-	d := decision.Weighed(t.Choice)
-	d.Kind, d.Chosen = decision.Route, t.Replica
+	d := decisionlog.Weighed(t.Choice)
+	d.Kind, d.Chosen = decisionlog.Route, t.Replica
 	d.Figures["try"] = float64(q.sends)
-	d.Notes = []decision.Note{{Name: "address", Text: t.Address}}
+	d.Notes = []decisionlog.Note{{Name: "address", Text: t.Address}}
 	if len(t.Path) > 0 {
 		d.Reason = "cheapest path with room"
-		d.Notes = append(d.Notes, decision.Note{Name: "path", Text: t.Path.String()})
+		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: t.Path.String()})
 	}
 	d.Quiet = !q.sampled && q.sends == 1
 	q.record(d)
@@ -175,9 +175,9 @@
 		d = q.mayRetry(v) // the budget is earned again with the time
 	}
 	q.waitedBudget += q.s.Now().Sub(asked)
-	q.record(decision.Decision{
-		Kind: decision.Retry, Chosen: lastOf(q.tried), Reason: d.Reason.String(),
-		Notes: []decision.Note{{Name: "end", Text: v.detail}},
+	q.record(decisionlog.Decision{
+		Kind: decisionlog.Retry, Chosen: lastOf(q.tried), Reason: d.Reason.String(),
+		Notes: []decisionlog.Note{{Name: "end", Text: v.detail}},
 		Figures: map[string]float64{
 			"not_run": flag(v.notRun()), "sends": float64(q.sends), "again": flag(d.Retry), "budget_left": math.Floor(d.Left),
 		},
--- a/route/relay/request_test.go
+++ b/route/relay/request_test.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/go-hclog"
 
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/route/budget"
-	"github.com/cicadatack/cicadatack/route/reach"
+	"github.com/cicadatack/cicadatack/route/connprobe"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
 )
 
 // reachable is what a dialer finds at every address.
@@ -25,11 +25,11 @@
 func TestDeadPartThatARefusalNamesIsLeftOut(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		m := twoChains()
-		w, cancel := silentStream(t, m, budget.New(retry.Config{Burst: 10}, time.Now), 0)
+		w, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 0)
 		defer cancel()
 		q, target := w.a.q, w.a.target
 		q.ctx, q.log = w.ctx, hclog.NewNullLogger()
-		q.s.Prober = reach.New(reachable(alive), time.Now)
+		q.s.Prober = connprobe.New(reachable(alive), time.Now)
 		q.lookAtFault(target, target.Address)
 		if left := len(m.Suspects()) == 0; left != alive {
 			t.Errorf("alive %t: %d are left out", alive, len(m.Suspects()))
--- a/route/relay/settle.go
+++ b/route/relay/settle.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/health"
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/targets"
 )
@@ -35,8 +35,8 @@
 // callerGone ends a request whose caller has left. The answer reaches nobody but a
 // door that keeps it.
 func (q *request) callerGone() *outcome.Refusal {
-	q.record(decision.Decision{
-		Kind: decision.Finish, Chosen: q.lastTarget.Replica, Reason: "the caller left",
+	q.record(decisionlog.Decision{
+		Kind: decisionlog.Finish, Chosen: q.lastTarget.Replica, Reason: "the caller left",
 		Figures: map[string]float64{
 			"sends": float64(q.sends), "events": float64(q.events), "took_ms": millis(q.s.Now().Sub(q.Arrived)),
 			"silent_ms": millis(q.silentFor()), "waited_room_ms": millis(q.waitedRoom),
--- a/route/relay/watch.go
+++ b/route/relay/watch.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/paths"
-	"github.com/cicadatack/cicadatack/decide/silence"
-	"github.com/cicadatack/cicadatack/route/reach"
+	"github.com/cicadatack/cicadatack/decide/stall"
+	"github.com/cicadatack/cicadatack/route/connprobe"
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
@@ -37,7 +37,7 @@
 	// last is when events last came, counted from the attempt's beginning; pace how they
 	// usually do, and patience the silence after which the path is looked at.
 	last     atomic.Int64
-	pace     silence.Pace
+	pace     stall.Pace
 	patience atomic.Int64
 	// vain is the silence of the last look that found nothing, until the next event.
 	vain atomic.Int64
@@ -147,7 +147,7 @@
 		addresses[i] = part.Address
 		replicas[part.Address] = part.Replica
 	}
-	lost := w.a.q.s.Prober.Lost(w.ctx, reach.Silence, addresses)
+	lost := w.a.q.s.Prober.Lost(w.ctx, connprobe.Silence, addresses)
 	if len(lost) == 0 {
 		w.lookAgain(path)
 		return
@@ -173,7 +173,7 @@
 	silent, late := w.silentFor(), w.a.q.maxPause()
 	w.vain.Store(int64(silent))
 	if silent < late {
-		w.timer.Reset(silence.Again(silent, late))
+		w.timer.Reset(stall.Again(silent, late))
 		return
 	}
 	w.timer.Reset(stallAgain)
--- a/route/relay/whole.go
+++ b/route/relay/whole.go
@@ -9,7 +9,7 @@
 	"strconv"
 
 	"github.com/cicadatack/cicadatack/decide/health"
-	"github.com/cicadatack/cicadatack/route/decision"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
 	"github.com/cicadatack/cicadatack/route/outcome"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 	"github.com/cicadatack/cicadatack/route/targets"
@@ -160,8 +160,8 @@
 	if q.late() {
 		q.addLateness(figures)
 	}
-	q.record(decision.Decision{
-		Kind: decision.Finish, Chosen: q.lastTarget.Replica, Reason: string(outcome.Done),
+	q.record(decisionlog.Decision{
+		Kind: decisionlog.Finish, Chosen: q.lastTarget.Replica, Reason: string(outcome.Done),
 		Notes: q.notes(), Figures: figures,
 		Quiet: !q.sampled && q.sends == 1 && !q.late(),
 	})
@@ -192,9 +192,9 @@
 // cut ends an answer that has begun and can't be completed. The connection ends
 // without the mark of a whole answer.
 func (q *request) cut(reason string) {
-	q.record(decision.Decision{
-		Kind: decision.Finish, Chosen: q.lastTarget.Replica, Reason: "answer cut: " + reason,
-		Notes: q.notes(decision.Note{Name: "last_event", Text: q.at.String()}, decision.Note{Name: "last_try", Text: q.last.detail}),
+	q.record(decisionlog.Decision{
+		Kind: decisionlog.Finish, Chosen: q.lastTarget.Replica, Reason: "answer cut: " + reason,
+		Notes: q.notes(decisionlog.Note{Name: "last_event", Text: q.at.String()}, decisionlog.Note{Name: "last_try", Text: q.last.detail}),
 		Figures: map[string]float64{
 			"sends": float64(q.sends), "events": float64(q.events), "took_ms": millis(q.s.Now().Sub(q.Arrived)),
 		},
--- a/route/roster/roster.go
+++ b/route/replicalist/replicalist.go
@@ -1,6 +1,6 @@
-// Package roster holds the replicas that the platform lists, as the data path
+// Package replicalist holds the replicas that the platform lists, as the data path
 // and the planner of layers read them.
-package roster
+package replicalist
 
 import "github.com/cicadatack/cicadatack/decide/layers"
 
--- a/route/roster/tracker_test.go
+++ b/route/replicalist/tracker_test.go
@@ -1,4 +1,4 @@
-package roster
+package replicalist
 
 import (
 	"testing"
--- a/route/picker/picker.go
+++ b/route/replicapicker/replicapicker.go
@@ -1,6 +1,6 @@
-// Package picker shares one service's balancer among the node's goroutines and
+// Package replicapicker shares one service's balancer among the node's goroutines and
 // keeps the gate's capacity in step with the replicas that may be used.
-package picker
+package replicapicker
 
 import (
 	"sync"
--- a/route/report/report.go
+++ b/route/replicareport/replicareport.go
@@ -1,6 +1,6 @@
-// Package report asks model replicas for their accounts of themselves, and shares
+// Package replicareport asks model replicas for their accounts of themselves, and shares
 // each among all requests that want it at the same time.
-package report
+package replicareport
 
 import (
 	"context"
--- a/route/budget/budget.go
+++ b/route/retrybudget/retrybudget.go
@@ -1,6 +1,6 @@
-// Package budget shares a service's budget of further tries among a node's
+// Package retrybudget shares a service's budget of further tries among a node's
 // goroutines.
-package budget
+package retrybudget
 
 import (
 	"sync"
--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/balance"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // leavingMark is what one source says of one endpoint.
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/balance"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/directory"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // word is what one source says of one engine.
@@ -17,7 +17,7 @@
 	leaving  bool
 }
 
-func twoChains(replicas ...string) *directory.Directory {
+func twoChains(replicas ...string) *docindex.Directory {
 	doc := &document.Document{Teams: []document.Team{{Name: "menteng", Weight: 1}}}
 	m := &document.Model{Layers: 8}
 	for _, name := range replicas {
@@ -29,7 +29,7 @@
 		m.Replicas = append(m.Replicas, r)
 	}
 	doc.Services = []document.Service{{Name: "pastry-llm", Kind: document.KindModel, Model: m}}
-	return directory.Build(doc, 1, "digest")
+	return docindex.Build(doc, 1, "digest")
 }
 
 func (s *Service) say(w word) {
@@ -91,7 +91,7 @@
 	}
 }
 
-func newTestService(d *directory.Directory) *Service {
+func newTestService(d *docindex.Directory) *Service {
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
 	r.Apply(d)
 	return r.Get("pastry-llm")
@@ -130,7 +130,7 @@
 	doc := *next.Document
 	doc.Endpoints = append(doc.Endpoints, document.Endpoint{Name: "new", FailureDomain: "bandung"})
 	doc.Services[0].Model.Replicas[0].Stages[1].Endpoint = "new"
-	r.Apply(directory.Build(&doc, 2, "digest"))
+	r.Apply(docindex.Build(&doc, 2, "digest"))
 	s.say(word{"xb", balance.SourcePlatform, true})
 	if !s.chosen("x") {
 		t.Error("an engine that has gone keeps the chain from callers")
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -14,11 +14,11 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 	"github.com/cicadatack/cicadatack/decide/balance"
 	"github.com/cicadatack/cicadatack/decide/retry"
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/route/budget"
-	"github.com/cicadatack/cicadatack/route/directory"
-	"github.com/cicadatack/cicadatack/route/gate"
-	"github.com/cicadatack/cicadatack/route/picker"
+	"github.com/cicadatack/cicadatack/route/admissionqueue"
+	"github.com/cicadatack/cicadatack/route/docindex"
+	"github.com/cicadatack/cicadatack/route/replicapicker"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 // defaultSlots is how many requests a replica is given at once when the
@@ -28,10 +28,10 @@
 // Service is one service on this node. Safe for concurrent use.
 type Service struct {
 	Name   string
-	Gate   *gate.Gate
-	Picker *picker.Picker
+	Gate   *admissionqueue.Gate
+	Picker *replicapicker.Picker
 	// Retry is the budget of further tries.
-	Retry *budget.Budget
+	Retry *retrybudget.Budget
 	// Prefixes are hints at what the engines have cached; empty for a plain
 	// service.
 	Prefixes *Prefixes
@@ -104,7 +104,7 @@
 
 // Apply puts a document in force. Requests underway keep their tickets, also
 // when their service has gone.
-func (r *Registry) Apply(d *directory.Directory) {
+func (r *Registry) Apply(d *docindex.Directory) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	teams := weights(d.Document)
@@ -141,8 +141,8 @@
 	seed := hash(r.cfg.Node + "/" + name)
 	s := &Service{
 		Name:  name,
-		Gate:  gate.New(admission.New(admission.Config{}), r.cfg.Now),
-		Retry: budget.New(retry.Config{Seed: seed}, r.cfg.Now),
+		Gate:  admissionqueue.New(admission.New(admission.Config{}), r.cfg.Now),
+		Retry: retrybudget.New(retry.Config{Seed: seed}, r.cfg.Now),
 		marks: map[leavingMark]bool{},
 
 		Prefixes: newPrefixes(r.cfg.Now),
@@ -154,7 +154,7 @@
 		now:      r.cfg.Now,
 	}
 	balancer := balance.New(balance.Config{Node: r.cfg.Node, FailureDomain: r.cfg.FailureDomain, Seed: seed})
-	s.Picker = picker.New(balancer, r.cfg.Now, func() {
+	s.Picker = replicapicker.New(balancer, r.cfg.Now, func() {
 		s.followCapacity()
 		if r.cfg.OnSlots != nil {
 			r.cfg.OnSlots(name, s.Picker.Slots())
@@ -185,7 +185,7 @@
 	})
 }
 
-func (s *Service) applyReplicas(d *directory.Directory, spec *document.Service) {
+func (s *Service) applyReplicas(d *docindex.Directory, spec *document.Service) {
 	slots := d.Document.Policy.ConcurrentPerReplica
 	if slots <= 0 {
 		slots = defaultSlots
@@ -221,7 +221,7 @@
 
 // replicasOf lists what the balancer chooses among: chains of a model, or single
 // endpoints of a plain service.
-func replicasOf(d *directory.Directory, spec *document.Service, slots int) []balance.Replica {
+func replicasOf(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
 	var replicas []balance.Replica
 	add := func(name, first string) {
 		e, _ := d.Endpoint(first)
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // answer is one answer underway.
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
--- a/route/stream/cancel.go
+++ b/route/stream/cancel.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
 )
 
 const (
@@ -22,7 +22,7 @@
 // dead tells nobody: the later stages would hold their slots for a stream
 // without a caller. Workers live only while there is something to cancel.
 type canceller struct {
-	client *engine.Client
+	client *engineclient.Client
 
 	mu      sync.Mutex
 	idle    *sync.Cond
@@ -36,7 +36,7 @@
 	epoch           uint32
 }
 
-func newCanceller(client *engine.Client) *canceller {
+func newCanceller(client *engineclient.Client) *canceller {
 	c := &canceller{client: client}
 	c.idle = sync.NewCond(&c.mu)
 	return c
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -1,6 +1,6 @@
 package stream
 
-import "github.com/cicadatack/cicadatack/keep/engineapi"
+import "github.com/cicadatack/cicadatack/state/engineapi"
 
 // Reason says why Check let a token through or not.
 type Reason uint8
--- a/route/stream/check_test.go
+++ b/route/stream/check_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 	"pgregory.net/rapid"
 )
--- a/route/stream/doc.go
+++ b/route/stream/doc.go
@@ -1,6 +1,6 @@
 // Package stream carries one answer from chains of model engines to a caller.
 //
-//	runner := stream.New(engine.New(nil), chooser, stream.Options{})
+//	runner := stream.New(engineclient.New(nil), chooser, stream.Options{})
 //	defer runner.Close(ctx)
 //	summary, err := runner.Run(ctx, stream.Request{
 //		Stream: "s-17", Layers: 8, Chat: chat,
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // epoch is one try of one chain.
@@ -90,8 +90,8 @@
 }
 
 func (e *epoch) openFailed(ctx context.Context, err error) {
-	e.result.Status = engine.Status(err)
-	e.result.NotRun = engine.NotRun(err)
+	e.result.Status = engineclient.Status(err)
+	e.result.NotRun = engineclient.NotRun(err)
 	switch {
 	case e.result.NotRun && e.result.Status != 0:
 		e.end(EndRefused, err)
@@ -105,7 +105,7 @@
 }
 
 // next handles one event of the stream and reports whether the epoch is over.
-func (e *epoch) next(ctx context.Context, stream *engine.Stream) bool {
+func (e *epoch) next(ctx context.Context, stream *engineclient.Stream) bool {
 	waited := time.Now()
 	event, err := stream.Next()
 	if err != nil {
@@ -138,7 +138,7 @@
 }
 
 // closing handles the event that says that the answer is whole.
-func (e *epoch) closing(event engine.Event, stream *engine.Stream) bool {
+func (e *epoch) closing(event engineclient.Event, stream *engineclient.Stream) bool {
 	reason := e.a.check.End(&event.Trace)
 	if reason.Stray() {
 		return e.drop(reason)
@@ -186,7 +186,7 @@
 	case errors.Is(err, io.EOF):
 		// The marker without the closing event: nothing says that the
 		// tokens that came are all.
-		e.end(EndCut, engine.ErrCutShort)
+		e.end(EndCut, engineclient.ErrCutShort)
 	default:
 		e.end(EndCut, err)
 	}
--- a/route/stream/fleet_test.go
+++ b/route/stream/fleet_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
 	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
@@ -24,7 +24,7 @@
 // fleet is some two-stage chains of stand-in engines and the chooser over them.
 type fleet struct {
 	t      testing.TB
-	client *engine.Client
+	client *engineclient.Client
 	runner *Runner
 
 	mu     sync.Mutex
@@ -45,7 +45,7 @@
 		options.StallFloor = orDefault(options.StallFloor, patience.StallFloor)
 		options.HoldingTimeout = orDefault(options.HoldingTimeout, patience.HoldingTimeout)
 	}
-	f := &fleet{t: t, client: engine.New(nil)}
+	f := &fleet{t: t, client: engineclient.New(nil)}
 	for range n {
 		f.chains = append(f.chains, [2]*standin.Server{
 			f.start(cfg, 0, testLayers/2-1),
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -5,7 +5,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/route/stream/holding.go
+++ b/route/stream/holding.go
@@ -7,8 +7,8 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 var (
@@ -42,7 +42,7 @@
 // stages. What streams show of their engines renews the reports, so that only
 // engines that were quiet are asked (see renew).
 type holdingCheck struct {
-	client  *engine.Client
+	client  *engineclient.Client
 	ttl     time.Duration
 	timeout time.Duration
 	lost    func(model, replica string)
@@ -65,7 +65,7 @@
 	at, told time.Time
 }
 
-func newHoldingCheck(client *engine.Client, o Options) *holdingCheck {
+func newHoldingCheck(client *engineclient.Client, o Options) *holdingCheck {
 	return &holdingCheck{
 		client:  client,
 		ttl:     o.HoldingTTL,
--- a/route/stream/holding_test.go
+++ b/route/stream/holding_test.go
@@ -12,9 +12,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
 	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // holdingCalls counts the questions for what engines hold and for the way along a
@@ -46,7 +46,7 @@
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	calls = &holdingCalls{next: transport}
-	f.runner.holdings.client = engine.New(calls)
+	f.runner.holdings.client = engineclient.New(calls)
 	f.runner.client = f.runner.holdings.client
 	var passed atomic.Int64
 	began := time.Now()
@@ -216,7 +216,7 @@
 	transport := &http.Transport{MaxIdleConnsPerHost: rate}
 	defer transport.CloseIdleConnections()
 	calls := &holdingCalls{next: transport}
-	f.runner.holdings.client = engine.New(calls)
+	f.runner.holdings.client = engineclient.New(calls)
 	f.runner.ways.client = f.runner.holdings.client
 	var running sync.WaitGroup
 	asked, ways := int64(0), int64(0)
--- a/route/stream/hops.go
+++ b/route/stream/hops.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // hopTimes sums the times of the stages over an epoch.
--- a/route/stream/reuse_test.go
+++ b/route/stream/reuse_test.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // Callers ask one after the other for whole answers of one engine. The streams
@@ -38,7 +38,7 @@
 	}
 	server.Start()
 	defer server.Close()
-	client := engine.New(nil)
+	client := engineclient.New(nil)
 	defer client.CloseIdle()
 	stage := engineapi.Stage{Endpoint: "e", Address: server.Listener.Addr().String()}
 	runner := New(client, oneChain{Chain{Replica: "r", Stages: []engineapi.Stage{stage}}}, Options{})
--- a/route/stream/runner.go
+++ b/route/stream/runner.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // Deliver hands a token to the caller. An error means that the caller has
@@ -16,7 +16,7 @@
 // Runner runs streams over the replicas of one model. It is safe for
 // concurrent use.
 type Runner struct {
-	client   *engine.Client
+	client   *engineclient.Client
 	chooser  Chooser
 	options  Options
 	holdings *holdingCheck
@@ -28,7 +28,7 @@
 }
 
 // New returns a runner.
-func New(client *engine.Client, chooser Chooser, options Options) *Runner {
+func New(client *engineclient.Client, chooser Chooser, options Options) *Runner {
 	options = options.withDefaults()
 	holdings := newHoldingCheck(client, options)
 	return &Runner{
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
 	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
--- a/route/stream/token_bench_test.go
+++ b/route/stream/token_bench_test.go
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // BenchmarkRunnerToken measures what a token costs the node, without network
@@ -27,7 +27,7 @@
 	stages := []engineapi.Stage{{Endpoint: "a", Address: "a:1", Last: 3}, {Endpoint: "b", Address: "b:1", First: 4, Last: 7}}
 	canned := &cannedEngine{stages: stages, tokens: b.N, artifact: artifact}
 	f := oneChain{Chain{Replica: "r", Stages: stages, PlacementVersion: 1, Artifact: artifact}}
-	runner := New(engine.New(canned), f, Options{MaxTokens: b.N + 1})
+	runner := New(engineclient.New(canned), f, Options{MaxTokens: b.N + 1})
 	b.ReportAllocs()
 	b.ResetTimer()
 	summary, err := runner.Run(context.Background(), request("canned"), func(string, engineapi.TokenTrace) error { return nil })
--- a/route/stream/way.go
+++ b/route/stream/way.go
@@ -6,8 +6,8 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
@@ -48,7 +48,7 @@
 // any of them come: these took the same way. With first tokens of a second, 50
 // streams a second over 35 chains had 330 questions a second asked, some 200 KB.
 type wayCheck struct {
-	client   *engine.Client
+	client   *engineclient.Client
 	holdings *holdingCheck
 	floor    time.Duration
 
@@ -75,7 +75,7 @@
 	direct time.Time
 }
 
-func newWayCheck(client *engine.Client, holdings *holdingCheck, floor time.Duration) *wayCheck {
+func newWayCheck(client *engineclient.Client, holdings *holdingCheck, floor time.Duration) *wayCheck {
 	return &wayCheck{client: client, holdings: holdings, floor: floor, ways: map[wayKey]*way{}}
 }
 
@@ -177,7 +177,7 @@
 func (c *wayCheck) along(ctx context.Context, chain Chain) (reports []engineapi.Report, known bool) {
 	reports, err := c.client.Way(ctx, chain.Stages)
 	if err != nil {
-		status := engine.Status(err)
+		status := engineclient.Status(err)
 		return nil, status != http.StatusNotFound && status != http.StatusMethodNotAllowed
 	}
 	return reports, true
--- a/route/stream/way_test.go
+++ b/route/stream/way_test.go
@@ -9,9 +9,9 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
-	"github.com/cicadatack/cicadatack/route/engine"
+	"github.com/cicadatack/cicadatack/route/engineclient"
 	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
@@ -128,9 +128,9 @@
 // answers is a transport that answers questions along the way, or loses them.
 type answers func(question int) bool
 
-func (a answers) client() *engine.Client {
+func (a answers) client() *engineclient.Client {
 	asked := 0
-	return engine.New(roundTrip(func(r *http.Request) (*http.Response, error) {
+	return engineclient.New(roundTrip(func(r *http.Request) (*http.Response, error) {
 		asked++
 		if !a(asked) {
 			<-r.Context().Done()
--- a/route/targets/flight.go
+++ b/route/targets/flight.go
@@ -4,9 +4,9 @@
 	"slices"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/detour"
 	"github.com/cicadatack/cicadatack/decide/layers"
 	"github.com/cicadatack/cicadatack/decide/paths"
+	"github.com/cicadatack/cicadatack/decide/reroute"
 )
 
 // notice is a request that must be told that a replica of its path is lost.
@@ -138,7 +138,7 @@
 // along the path, or at another first replica, for which the target is booked and needs
 // one Ended. elsewhere says whether another may go on with it, free up to which wait it
 // is on time.
-func (f *Flight) GoOn(elsewhere bool, free time.Duration, o Others) (detour.Way, paths.Path, Target) {
+func (f *Flight) GoOn(elsewhere bool, free time.Duration, o Others) (reroute.Way, paths.Path, Target) {
 	m := f.model
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -155,10 +155,10 @@
 	// Noted now and not once the order is taken: those that lose their part together decide
 	// together.
 	switch way {
-	case detour.Elsewhere:
+	case reroute.Elsewhere:
 		m.book.Reads(now, other, nil, f.tokens, m.part.Near)
 		return way, nil, m.begin(other, f.tokens)
-	case detour.Around:
+	case reroute.Around:
 		m.book.Reads(now, around, f.path, f.tokens, m.part.Near)
 		if load.Bytes > 0 {
 			m.links.Crossed(now, load)
@@ -169,10 +169,10 @@
 
 // load is what a way around sends over the links between failure domains. The caller
 // holds the lock.
-func (f *Flight) load(around paths.Path) detour.Load {
+func (f *Flight) load(around paths.Path) reroute.Load {
 	m := f.model
 	added := max(0, around.Crossings()-f.path.Crossings())
-	return detour.Load{
+	return reroute.Load{
 		Bytes: float64(added) * f.tokens * m.crossBytes, PerSecond: m.crossPerSecond, Nodes: m.part.Near,
 	}
 }
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/bookings"
-	"github.com/cicadatack/cicadatack/decide/detour"
 	"github.com/cicadatack/cicadatack/decide/layers"
 	"github.com/cicadatack/cicadatack/decide/paths"
-	"github.com/cicadatack/cicadatack/decide/waiting"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/decide/reroute"
+	"github.com/cicadatack/cicadatack/decide/reservations"
+	"github.com/cicadatack/cicadatack/decide/waitqueue"
+	"github.com/cicadatack/cicadatack/route/replicalist"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
@@ -32,13 +32,13 @@
 	book   *paths.Book
 	// links is what this node's detours have sent between failure domains; a token
 	// sends crossBytes each time, of crossPerSecond that all share.
-	links                      detour.Links
+	links                      reroute.Links
 	crossBytes, crossPerSecond float64
 
 	knowledge knowledge
 
 	flights map[*Flight]struct{}
-	waiting waiting.Queue
+	waiting waitqueue.Queue
 	// wakes are the channels of those who wait, by the number of their request.
 	wakes  map[uint64]chan struct{}
 	number uint64
@@ -80,7 +80,7 @@
 }
 
 // Update puts a new list in force.
-func (m *Model) Update(model *ruleset.Model, list []*roster.Replica, part Part) {
+func (m *Model) Update(model *ruleset.Model, list []*replicalist.Replica, part Part) {
 	replicas := make([]paths.Replica, 0, len(list))
 	for _, r := range list {
 		replicas = append(replicas, pathReplica(model, r))
@@ -98,7 +98,7 @@
 	tellSlowly(leaving)
 }
 
-func pathReplica(model *ruleset.Model, r *roster.Replica) paths.Replica {
+func pathReplica(model *ruleset.Model, r *replicalist.Replica) paths.Replica {
 	card := model.Cards[r.Kind]
 	room := max(0, card.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.TokenLayerMB()
 	return paths.Replica{
@@ -130,13 +130,13 @@
 	}
 }
 
-func (m *Model) newcomer(q Query) (waiting.Request, <-chan struct{}) {
+func (m *Model) newcomer(q Query) (waitqueue.Request, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.number++
 	wake := make(chan struct{}, 1)
 	m.wakes[m.number] = wake
-	return waiting.Request{ID: m.number, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
+	return waitqueue.Request{ID: m.number, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
 }
 
 func errorOf(reason paths.Reason) error {
@@ -159,7 +159,7 @@
 }
 
 // try books a path, unless others wait who come first. One who finds none waits.
-func (m *Model) try(q Query, w waiting.Request, first bool) (Target, paths.Reason, bool) {
+func (m *Model) try(q Query, w waitqueue.Request, first bool) (Target, paths.Reason, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
@@ -193,12 +193,12 @@
 }
 
 // forget takes out one who waits no longer. The caller holds the lock.
-func (m *Model) forget(w waiting.Request) {
+func (m *Model) forget(w waitqueue.Request) {
 	m.waiting.Remove(w.ID)
 	delete(m.wakes, w.ID)
 }
 
-func (m *Model) leave(w waiting.Request) {
+func (m *Model) leave(w waitqueue.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.forget(w)
@@ -376,7 +376,7 @@
 
 // SetOthers notes what the other nodes of this one's failure domain have booked, as far
 // as it is known.
-func (m *Model) SetOthers(held bookings.Held) {
+func (m *Model) SetOthers(held reservations.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.book.SetOthers(m.domain, held.Nodes, held.Amounts)
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -6,14 +6,14 @@
 
 	"github.com/cicadatack/cicadatack/decide/balance"
 	"github.com/cicadatack/cicadatack/decide/health"
-	"github.com/cicadatack/cicadatack/route/picker"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/route/replicapicker"
 )
 
 // Plain chooses among the replicas of a service that each serve a request alone.
 // Safe for concurrent use.
 type Plain struct {
-	picker *picker.Picker
+	picker *replicapicker.Picker
 	// addresses and conns change with the list only.
 	state *plainState
 }
@@ -36,14 +36,14 @@
 		SlowStart: time.Second,
 	})
 	return &Plain{
-		picker: picker.New(balancer, now, func() {}),
+		picker: replicapicker.New(balancer, now, func() {}),
 		state:  newPlainState(),
 	}
 }
 
 // Update puts a new list in force. conns bounds this node's connections to each
 // replica; nodes are all that send here.
-func (p *Plain) Update(list []*roster.Replica, conns int, near []string, nodes int) {
+func (p *Plain) Update(list []*replicalist.Replica, conns int, near []string, nodes int) {
 	p.state.set(list, conns)
 	p.picker.SetPeers(near, nodes)
 	replicas := make([]balance.Replica, 0, len(list))
--- a/route/targets/seen.go
+++ b/route/targets/seen.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/evidence"
+	"github.com/cicadatack/cicadatack/decide/peerreports"
 )
 
 // lookAgain is between two looks at a replica on the word of other nodes.
@@ -35,13 +35,13 @@
 // forget drops what is too old to matter.
 func (k *knowledge) forget(now time.Time) {
 	for id, s := range k.seen {
-		if now.Sub(s.at) >= evidence.ValidFor {
+		if now.Sub(s.at) >= peerreports.ValidFor {
 			delete(k.seen, id)
 		}
 	}
 	for _, times := range []map[string]time.Time{k.believed, k.looked} {
 		for id, at := range times {
-			if now.Sub(at) >= evidence.ValidFor {
+			if now.Sub(at) >= peerreports.ValidFor {
 				delete(times, id)
 			}
 		}
@@ -49,17 +49,17 @@
 }
 
 // Seen is what this node has seen of replicas itself, of late.
-func (m *Model) Seen() []evidence.Claim {
+func (m *Model) Seen() []peerreports.Claim {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.knowledge.forget(now)
-	var claims []evidence.Claim
+	var claims []peerreports.Claim
 	for id, s := range m.knowledge.seen {
 		if !s.lost && !s.away && s.pace == 0 {
 			continue
 		}
-		claims = append(claims, evidence.Claim{Replica: id, Lost: s.lost, TurnsAway: s.away, Pace: s.pace, Age: now.Sub(s.at), Nodes: 1})
+		claims = append(claims, peerreports.Claim{Replica: id, Lost: s.lost, TurnsAway: s.away, Pace: s.pace, Age: now.Sub(s.at), Nodes: 1})
 	}
 	return claims
 }
@@ -73,12 +73,12 @@
 
 // Judge decides on what other nodes have seen. It takes what it may believe, and returns
 // that and the replicas that this node is to look at.
-func (m *Model) Judge(node string, near []string, claims []evidence.Claim) evidence.Verdict {
+func (m *Model) Judge(node string, near []string, claims []peerreports.Claim) peerreports.Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.knowledge.forget(now)
-	verdict := evidence.Judge(claims, evidence.View{
+	verdict := peerreports.Judge(claims, peerreports.View{
 		Node: node, Near: near, Known: m.book.Known, Lost: m.book.Suspected,
 		Replicas: m.book.Len(), Taken: len(m.book.Suspects()),
 	})
@@ -100,7 +100,7 @@
 // believe takes a claim. A replica that others have lost gets no new requests; those that
 // run through it are led away once they go silent, as it may only be leaving, and go on
 // with what it has. The caller holds the lock.
-func (m *Model) believe(now time.Time, c evidence.Claim) {
+func (m *Model) believe(now time.Time, c peerreports.Claim) {
 	if s, ok := m.knowledge.seen[c.Replica]; ok && now.Sub(s.at) <= c.Age {
 		return // this node has seen it later
 	}
@@ -122,5 +122,5 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, ok := m.knowledge.believed[replica]
-	return ok && m.now().Sub(at) < evidence.ValidFor
+	return ok && m.now().Sub(at) < peerreports.ValidFor
 }
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/decide/detour"
-	"github.com/cicadatack/cicadatack/decide/evidence"
 	"github.com/cicadatack/cicadatack/decide/health"
 	"github.com/cicadatack/cicadatack/decide/layers"
-	"github.com/cicadatack/cicadatack/route/roster"
+	"github.com/cicadatack/cicadatack/decide/peerreports"
+	"github.com/cicadatack/cicadatack/decide/reroute"
+	"github.com/cicadatack/cicadatack/route/replicalist"
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
@@ -21,8 +21,8 @@
 	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, Pace: 1}},
 }
 
-func part(id string, from, to int) *roster.Replica {
-	return &roster.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
+func part(id string, from, to int) *replicalist.Replica {
+	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
 // all is the part of a node that is alone.
@@ -34,7 +34,7 @@
 // tokens: 100 MB beside four layers, at 4,000 bytes a token.
 func halves() *Model {
 	m := NewModel("d", 1, time.Now)
-	m.Update(llm, []*roster.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)},
+	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)},
 		all(10))
 	return m
 }
@@ -190,7 +190,7 @@
 	told := make(chan string, 4)
 	target.Flight.Watch(func(string) {}, func(replica string) { told <- replica })
 	leaving := target.Path[1].Replica
-	list := []*roster.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)}
+	list := []*replicalist.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)}
 	for _, r := range list {
 		r.Draining = r.ID == leaving
 	}
@@ -219,8 +219,8 @@
 	told := make(chan string, 4)
 	target.Flight.Watch(func(replica string) { t.Errorf("%s counts as lost", replica) }, func(replica string) { told <- replica })
 	left := target.Path[1].Replica
-	var list []*roster.Replica
-	for _, r := range []*roster.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)} {
+	var list []*replicalist.Replica
+	for _, r := range []*replicalist.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)} {
 		if r.ID != left {
 			list = append(list, r)
 		}
@@ -235,7 +235,7 @@
 // through the other domain, each would send its prompt over the links, one behind the
 // other: the first two may, the others go on whole in the other domain.
 func TestStreamsGoOnElsewhereWhenLinksAreBusy(t *testing.T) {
-	far := func(id string, from, to int) *roster.Replica {
+	far := func(id string, from, to int) *replicalist.Replica {
 		r := part(id, from, to)
 		r.Domain = "far"
 		return r
@@ -244,18 +244,18 @@
 	// A stream of 1,000 tokens takes 50 ms to cross.
 	crossing.CrossBytes, crossing.LinkBytesPerSecond = 1000, 2e7
 	m := NewModel("d", 1, time.Now)
-	list := []*roster.Replica{part("a", 0, 4), part("b", 4, 8), far("x", 0, 4), far("y", 4, 8)}
+	list := []*replicalist.Replica{part("a", 0, 4), part("b", 4, 8), far("x", 0, 4), far("y", 4, 8)}
 	m.Update(&crossing, list, all(10))
 	var flights []Target
 	for range 6 {
 		flights = append(flights, take(t, m, 1000))
 	}
 	m.Suspect("b", false)
-	var ways []detour.Way
+	var ways []reroute.Way
 	for _, target := range flights {
 		way, path, next := target.Flight.GoOn(true, 120*time.Millisecond, Others{})
 		ways = append(ways, way)
-		if way == detour.Around {
+		if way == reroute.Around {
 			if path == nil {
 				t.Error("no path")
 			}
@@ -265,11 +265,11 @@
 			t.Errorf("it goes on at %+v", next)
 		}
 	}
-	want := []detour.Way{detour.Around, detour.Around, detour.Elsewhere, detour.Elsewhere, detour.Elsewhere, detour.Elsewhere}
+	want := []reroute.Way{reroute.Around, reroute.Around, reroute.Elsewhere, reroute.Elsewhere, reroute.Elsewhere, reroute.Elsewhere}
 	if !slices.Equal(ways, want) {
 		t.Errorf("%v, want %v", ways, want)
 	}
-	if way, path, _ := flights[1].Flight.GoOn(false, 120*time.Millisecond, Others{}); way != detour.Around || path == nil {
+	if way, path, _ := flights[1].Flight.GoOn(false, 120*time.Millisecond, Others{}); way != reroute.Around || path == nil {
 		t.Errorf("one that may not be moved: %v %v", way, path)
 	}
 }
@@ -280,7 +280,7 @@
 func TestPartsThatOthersHear(t *testing.T) {
 	now := time.Now()
 	m := NewModel("d", 1, func() time.Time { return now })
-	m.Update(llm, []*roster.Replica{part("a1", 0, 4), part("b1", 4, 8), part("b2", 4, 8)}, all(10))
+	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8), part("b2", 4, 8)}, all(10))
 	silent, other := take(t, m, 10), take(t, m, 10)
 	ids := func(within time.Duration) string {
 		text := ""
@@ -318,7 +318,7 @@
 // passed on would keep itself alive.
 func TestWordOfOthersIsNotPassedOn(t *testing.T) {
 	m := halves()
-	claims := []evidence.Claim{{Replica: "a1", Lost: true, Nodes: evidence.Enough}, {Replica: "b1", Pace: 5, Nodes: evidence.Enough}}
+	claims := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
 	near := []string{"n1", "n2", "n3", "n4", "n5"}
 	verdict := m.Judge("n4", near, claims)
 	if len(verdict.Believe) != 2 || len(m.Suspects()) != 1 || !m.Followed("b1") || len(m.Slow()) != 1 {
@@ -349,10 +349,10 @@
 func TestLooksOnTheWordOfOthersAreBounded(t *testing.T) {
 	now := time.Now()
 	m := NewModel("d", 1, func() time.Time { return now })
-	m.Update(llm, []*roster.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
+	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
 	looks := 0
 	for range 20 {
-		looks += len(m.Judge("n1", []string{"n1"}, []evidence.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
+		looks += len(m.Judge("n1", []string{"n1"}, []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
 		now = now.Add(lookAgain / 10)
 	}
 	if looks != 2 {
@@ -368,7 +368,7 @@
 	nodes := []*Model{NewModel("d", 1, clock), NewModel("d", 2, clock)}
 	names := []string{"n1", "n2"}
 	for _, m := range nodes {
-		m.Update(llm, []*roster.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
+		m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
 	}
 	nodes[0].SetPace("a1", 1)
 	looks := 0
@@ -419,7 +419,7 @@
 func TestRefusalsOfOthersAreHeeded(t *testing.T) {
 	m := halves()
 	near := []string{"n1", "n2", "n3", "n4"}
-	claims := []evidence.Claim{{Replica: "a1", TurnsAway: true, Nodes: evidence.Enough}, {Replica: "b1", TurnsAway: true, Nodes: 1}}
+	claims := []peerreports.Claim{{Replica: "a1", TurnsAway: true, Nodes: peerreports.Enough}, {Replica: "b1", TurnsAway: true, Nodes: 1}}
 	verdict := m.Judge("n4", near, claims)
 	if len(verdict.Believe) != 1 || len(verdict.Look) != 0 || len(m.Suspects()) != 0 {
 		t.Fatalf("%+v", verdict)
--- a/route/limiter/limiter.go
+++ b/route/teamlimiter/teamlimiter.go
@@ -1,6 +1,6 @@
-// Package limiter shares the node's splitter of team limits among the node's
+// Package teamlimiter shares the node's splitter of team limits among the node's
 // goroutines.
-package limiter
+package teamlimiter
 
 import (
 	"net/http"
--- a/route/limiter/limiter_test.go
+++ b/route/teamlimiter/teamlimiter_test.go
@@ -1,4 +1,4 @@
-package limiter
+package teamlimiter
 
 import (
 	"slices"
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -4,5 +4,5 @@
 # to standard output and to bench-out/bench.md.
 set -eu
 cd "$(dirname "$0")/.."
-go build -o bin/ ./proof/cmd/bench
+go build -o bin/ ./e2e/cmd/bench
 exec bin/bench --bin bin --out bench-out "$@"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -3,7 +3,7 @@
 # detector, model checks. The verdict is that of the last failing step.
 set -u
 cd "$(dirname "$0")/.."
-modules="decide keep platform fleet route node standin proof"
+modules="decide state platform fleet route node standin e2e"
 rapid_seed=20261203
 failed=0
 
@@ -50,7 +50,7 @@
   bad=$(git grep -nE "$names" -- '*.go' ':!platform/' ':!standin/' ':!*_test.go' || true)
   [ -z "$bad" ] || { echo "names of the platform outside platform/:"; echo "$bad"; return 1; }
   bad=$(go list -f '{{$p := .ImportPath}}{{range .Imports}}{{$p}} {{.}}{{"\n"}}{{end}}' ./platform/... |
-    awk '$2 ~ /cicadatack\/(fleet|node|proof|standin)(\/|$)/')
+    awk '$2 ~ /cicadatack\/(fleet|node|e2e|standin)(\/|$)/')
   [ -z "$bad" ] || { echo "platform/ must not import:"; echo "$bad"; return 1; }
 }
 
@@ -71,7 +71,7 @@
   others=$(go list $(packages) | grep -vxF "$drawn")
   go test -race -count=1 -timeout 20m -json $others >"$out" 2>bin/test-stderr.txt || code=$?
   go test -race -count=1 -timeout 20m -json $drawn -rapid.seed="$rapid_seed" >>"$out" 2>>bin/test-stderr.txt || code=$?
-  go run ./proof/cmd/verdict -known KNOWN-RED.txt -exit "$code" <"$out" || { cat bin/test-stderr.txt; return 1; }
+  go run ./e2e/cmd/verdict -known KNOWN-RED.txt -exit "$code" <"$out" || { cat bin/test-stderr.txt; return 1; }
 }
 
 step setup scripts/setup.sh
--- a/scripts/tidy.sh
+++ b/scripts/tidy.sh
@@ -4,7 +4,7 @@
 set -eu
 cd "$(dirname "$0")/.."
 project=github.com/cicadatack/cicadatack
-modules="decide platform fleet route standin node proof"
+modules="decide platform fleet route standin node e2e"
 for m in $modules; do
   (
     cd "$m"
--- a/spec/archives.pml
+++ b/spec/archives.pml
@@ -15,7 +15,7 @@
  * them), more than one archive to a shard (a claim reads each), losses of
  * claims' replies (claims.pml).
  *
- * Safeguards, and where the code has them (keep/ledger):
+ * Safeguards, and where the code has them (state/ledger):
  *   NO_LOOK       a claim looks into the archive that the shard names
  *                 (machine.archiveStep, archived); without it an order that was
  *                 moved is placed again.
--- a/spec/claims.pml
+++ b/spec/claims.pml
@@ -17,7 +17,7 @@
  *
  * With ASKING, as in owners.pml, the first request's node asks another node.
  *
- * Safeguards, and where the code has them (keep/ledger, route):
+ * Safeguards, and where the code has them (state/ledger, route):
  *   NO_CAS         the claim is a compare-and-swap on the shard's version;
  *                  without it an owner that paused claims a second time.
  *   NO_READBACK    a claim whose reply was lost is read back before the send;
--- a/spec/documents.pml
+++ b/spec/documents.pml
@@ -17,21 +17,21 @@
  *
  * Safeguards, and where the code has them:
  *   NO_CAS        the write is a compare-and-swap on the base revision
- *                 (keep/promotion); without it the second operator
+ *                 (state/promotion); without it the second operator
  *                 overwrites the first one's accepted document.
  *   NO_READBACK   after a lost reply the promotion id is looked up in the
- *                 history (keep/promotion); without it the promotion is
+ *                 history (state/promotion); without it the promotion is
  *                 applied twice.
  *   NEW_BASE      a promotion is tried again on its own base only; without it
  *                 it goes over a document that its operator never saw.
  *   INDEX_FIRST   a text's parts are in the store before the index that names
- *                 them is swapped (keep/promotion promote, keep/parts);
+ *                 them is swapped (state/promotion promote, state/documentparts);
  *                 without it a node that reads the index finds no text, and a
  *                 starting one has nothing to serve.
- *   TAKE_LOWER    a node takes higher revisions only (fleet/spread learned);
+ *   TAKE_LOWER    a node takes higher revisions only (fleet/docsync learned);
  *                 without it a late push reverts it.
  *   FIRST_ANSWER  a starting node without the store takes the highest of
- *                 several peers (fleet/spread enoughAnswers); without it a
+ *                 several peers (fleet/docsync enoughAnswers); without it a
  *                 lagging peer reverts it to an older record than
  *                 the one that two nodes held.
  * Reachable, or the model would prove nothing: REACH_BOTH (one accepted, one
--- a/spec/keys.pml
+++ b/spec/keys.pml
@@ -1,7 +1,7 @@
 /*
  * Keys that are taken away, on nodes that read the store late, stand still, are
  * suspended, or only hear from another node what it has read: the model of
- * decide/freshness, fleet/reads and the checks before a send (route/door,
+ * decide/freshness, fleet/reads and the checks before a send (route/ingress,
  * route/relay). Node 0 reads the store; node 1 reads it or asks node 0. Any step
  * may come at any later time. A node serves the key while it knows of nothing
  * else and its proof is younger than LIMIT; REVOKE after the operator took it
--- a/spec/owners.pml
+++ b/spec/owners.pml
@@ -8,10 +8,10 @@
  *
  * Not modelled: a third request (with it the search does not end in 1 GB), and
  * that a claim whose request has ended is not written any more or is voided
- * (operation.until and astray, keep/ledger): these keep an order from being
+ * (operation.until and astray, state/ledger): these keep an order from being
  * in doubt though nobody sent it, not from being placed twice.
  *
- * Safeguards, in keep/ledger; those of claims.pml hold here too:
+ * Safeguards, in state/ledger; those of claims.pml hold here too:
  *   OWNER_RELEASES  the owner never gives back a claim that it made for another
  *                  node (machine.orphan, machine.settle); without it a request
  *                  sends on a claim that the owner then frees for the second.
--- a/spec/prune.pml
+++ b/spec/prune.pml
@@ -13,12 +13,12 @@
  * is replaced, and read there last), several parts to a plan, pins that are a
  * day old.
  *
- * Safeguards, and where the code has them (keep/promotion, pin.go and
+ * Safeguards, and where the code has them (state/promotion, pin.go and
  * prune.go):
  *   NO_PIN      the operator pins the part before looking (Promoter.pin);
  *               without it the prune looks before the index is in place.
  *   NO_LOOK     the operator reads the plan and writes a planned part again
- *               (Promoter.condemned, parts.Write); without it a prune that looked
+ *               (Promoter.condemned, documentparts.Write); without it a prune that looked
  *               before the pin removes the part.
  *   LOOK_FIRST  the prune looks at pins and indexes after its plan is written
  *               (prune.carryOut); without it neither sees the other.
--- a/standin/engine/artifact.go
+++ b/standin/engine/artifact.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // artifacts is what an engine holds beside its place in the chain. Engine.mu guards
--- a/standin/engine/cache.go
+++ b/standin/engine/cache.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/standin/engine/chat.go
+++ b/standin/engine/chat.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"sync/atomic"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 const (
--- a/standin/engine/engine.go
+++ b/standin/engine/engine.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	"github.com/go-chi/chi/v5"
 	"github.com/zeebo/errs"
 )
--- a/standin/engine/engine_test.go
+++ b/standin/engine/engine_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	. "github.com/smartystreets/goconvey/convey"
 )
 
--- a/standin/engine/kv.go
+++ b/standin/engine/kv.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"strings"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 	"github.com/go-chi/chi/v5"
 )
 
--- a/standin/engine/link.go
+++ b/standin/engine/link.go
@@ -8,7 +8,7 @@
 	"io"
 	"net/http"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // openRequest reserves a slot on a stage and on those behind it. Covered is
--- a/standin/engine/load.go
+++ b/standin/engine/load.go
@@ -4,7 +4,7 @@
 	"net/http"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // loadReport is the last snapshot of the load. It is renewed only when it is
--- a/standin/engine/model.go
+++ b/standin/engine/model.go
@@ -7,7 +7,7 @@
 	"math/bits"
 	"strings"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // DefaultMaxTokens is the length of an answer when a request names none.
--- a/standin/engine/server.go
+++ b/standin/engine/server.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // readHeaderTimeout bounds the wait for a request's headers.
--- a/standin/engine/session.go
+++ b/standin/engine/session.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // maxCancelled bounds the cancelled streams that an engine remembers.
--- a/standin/engine/stage.go
+++ b/standin/engine/stage.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/engineapi"
+	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
 // errRefusedNext wraps a refusal of a later stage before any work.
--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -8,9 +8,9 @@
 	"net/http/httptest"
 	"sync"
 
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
 	"github.com/cicadatack/cicadatack/standin/replica"
 	"github.com/cicadatack/cicadatack/standin/storefake"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // What the configuration names.
--- a/standin/storefake/calls.go
+++ b/standin/storefake/calls.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // Paths of the store's calls.
--- a/standin/storefake/changed_test.go
+++ b/standin/storefake/changed_test.go
@@ -6,7 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // A node keeps a list of VMs by what has changed. It sees each line once when it
--- a/standin/storefake/client_test.go
+++ b/standin/storefake/client_test.go
@@ -12,7 +12,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // served is a stand-in store behind a real listener.
--- a/standin/storefake/ledger_bench_test.go
+++ b/standin/storefake/ledger_bench_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/ledger"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/platform/kv"
+	"github.com/cicadatack/cicadatack/state/ledger"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // storeMillis is how long the stand-in takes for a call; the platform's
--- a/standin/storefake/promotion_bench_test.go
+++ b/standin/storefake/promotion_bench_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/promotion"
-	"github.com/cicadatack/cicadatack/keep/store"
 	"github.com/cicadatack/cicadatack/platform/kv"
+	"github.com/cicadatack/cicadatack/state/promotion"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // BenchmarkPromotion puts changes of a long text on trial and in force, as the
--- a/standin/storefake/server.go
+++ b/standin/storefake/server.go
@@ -19,8 +19,8 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // PathControl sets and shows faults and counts.
--- a/standin/storefake/watch_test.go
+++ b/standin/storefake/watch_test.go
@@ -11,8 +11,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // patience bounds a wait for an event that has to come.
--- a/keep/parts/parts.go
+++ b/state/documentparts/documentparts.go
@@ -1,7 +1,7 @@
-// Package parts reads and writes the parts of documents' texts in the store.
+// Package documentparts reads and writes the parts of documents' texts in the store.
 //
-//	err := parts.Write(ctx, store, "dawn", document.Parts(text))
-//	text, err := parts.Read(ctx, store, "dawn", index, cache)
+//	err := documentparts.Write(ctx, store, "dawn", document.Parts(text))
+//	text, err := documentparts.Read(ctx, store, "dawn", index, cache)
 //
 // A part stands at a key named by its digest and never changes, so that texts
 // share what they have in common and a reader can check what it got.
@@ -9,7 +9,7 @@
 // Failure answered: an index in force whose parts are not all there. Nodes
 // could not take it and a starting node would have nothing, so whoever writes
 // an index first writes, or has read, every part that it names.
-package parts
+package documentparts
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Error is the class of every error of this layer.
--- a/keep/internal/historytest/historytest.go
+++ b/state/internal/historytest/historytest.go
@@ -9,7 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // checkTimeout bounds the search of one history; an unfinished one is Unknown.
--- a/keep/ledger/archive.go
+++ b/state/ledger/archive.go
@@ -6,7 +6,7 @@
 	"slices"
 	"sort"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Orders that are done leave a shard for its archives.
--- a/keep/ledger/archive_test.go
+++ b/state/ledger/archive_test.go
@@ -10,8 +10,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // archiving is a node that archives an order as soon as it is done.
--- a/keep/ledger/codec.go
+++ b/state/ledger/codec.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // shardFormat is the version of the stored shard that this program reads.
--- a/keep/ledger/forward_test.go
+++ b/state/ledger/forward_test.go
@@ -11,7 +11,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // link is how one node reaches the others. owner is its view of who writes the
--- a/keep/ledger/history_test.go
+++ b/state/ledger/history_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"github.com/cicadatack/cicadatack/keep/internal/historytest"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/internal/historytest"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // request is a call of the ledger as the history records it.
--- a/keep/ledger/lane.go
+++ b/state/ledger/lane.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Pauses between the attempts of one batch.
--- a/keep/ledger/ledger.go
+++ b/state/ledger/ledger.go
@@ -39,8 +39,8 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // Defaults of Config.
--- a/keep/ledger/ledger_test.go
+++ b/state/ledger/ledger_test.go
@@ -11,8 +11,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"go.uber.org/goleak"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // simulatedRuns is how many interleavings each simulation tries; rapid's own
--- a/keep/ledger/machine.go
+++ b/state/ledger/machine.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // flightAttempts bounds how often one batch is tried before its callers are
--- a/keep/ledger/machine_test.go
+++ b/state/ledger/machine_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // world runs the machines of several nodes against one value, one event at a
--- a/keep/ledger/outage.go
+++ b/state/ledger/outage.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Pauses between two probes of a store that is down; they double. The first
--- a/keep/ledger/outage_test.go
+++ b/state/ledger/outage_test.go
@@ -7,7 +7,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // The caller is told "not run" at once while the store is down. The first order
--- a/keep/ledger/shard.go
+++ b/state/ledger/shard.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // claimLimit is the size from which a shard takes no more claims. The rest is
--- a/keep/ledger/shard_test.go
+++ b/state/ledger/shard_test.go
@@ -9,7 +9,7 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // runAlone drives one machine against a value that nobody else writes.
--- a/keep/ledger/types.go
+++ b/state/ledger/types.go
@@ -44,7 +44,7 @@
 // Shards is over how many values of the store an environment's claims are
 // spread. All claims of a team and service stand in one.
 //
-// A shard has one owner (decide/owner), which paces its writes. With several
+// A shard has one owner (decide/shardowner), which paces its writes. With several
 // shards to an owner each waits its turn behind the others, and the orders that
 // come meanwhile are spread over as many batches. 16 owners at 40 writes a second each
 // are what the store takes.
--- a/keep/plan/pace.go
+++ b/state/plan/pace.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/cicadatack/cicadatack/decide/placement"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // paceRecord is the weight store's time as it stands in the platform's store.
--- a/keep/plan/pace_test.go
+++ b/state/plan/pace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // Nodes of several failure domains order loads in the same moment. No two of the
--- a/keep/plan/plan_test.go
+++ b/state/plan/plan_test.go
@@ -6,8 +6,8 @@
 	"sync"
 	"testing"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 var key = Key("java", "pastry-llm", "bandung")
--- a/keep/promotion/check.go
+++ b/state/promotion/check.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"github.com/cicadatack/cicadatack/keep/document"
+	"github.com/cicadatack/cicadatack/state/document"
 )
 
 func checkText(env string, text []byte, operator string) error {
--- a/keep/promotion/errors.go
+++ b/state/promotion/errors.go
@@ -7,9 +7,9 @@
 
 	"github.com/zeebo/errs"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Error is the class of every error of this layer.
@@ -62,7 +62,7 @@
 // asPart turns an error of reading or writing parts. Whatever became of a part,
 // no index was touched.
 func asPart(err error) error {
-	if errors.Is(err, parts.ErrMissing) || errors.Is(err, document.ErrPart) {
+	if errors.Is(err, documentparts.ErrMissing) || errors.Is(err, document.ErrPart) {
 		return Error.Wrap(fmt.Errorf("%w: %w; a trial of the same text puts it right", ErrBadRecord, err))
 	}
 	return Error.Wrap(fmt.Errorf("%w: %w", ErrNotDone, err))
--- a/keep/promotion/history_test.go
+++ b/state/promotion/history_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/internal/historytest"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/internal/historytest"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // inForce is what stands in production, and the state of the specification.
--- a/keep/promotion/parts_test.go
+++ b/state/promotion/parts_test.go
@@ -9,9 +9,9 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // longText is a sound document of several parts; addresses end in version.
@@ -98,7 +98,7 @@
 			"damaged": {Value: []byte("x")},
 		} {
 			Convey("a part of which is "+name, func() {
-				write.Key = parts.Key("dawn", part.Ref.Digest)
+				write.Key = documentparts.Key("dawn", part.Ref.Digest)
 				_, _, err := s.memory.Txn(nil, []storetest.Write{write})
 				So(err, ShouldBeNil)
 				_, err = p.Promote(ctx, "dawn", digest, 0, NewID(), "siti")
--- a/keep/promotion/pin.go
+++ b/state/promotion/pin.go
@@ -8,9 +8,9 @@
 	"fmt"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // A trial or promotion finds parts in the store and then names them; a prune
@@ -93,12 +93,12 @@
 
 // condemned are the parts that a prune may be removing. It is read after a pin
 // was written.
-func (p *Promoter) condemned(ctx context.Context, env string, refs []document.PartRef) (parts.Condemned, error) {
+func (p *Promoter) condemned(ctx context.Context, env string, refs []document.PartRef) (documentparts.Condemned, error) {
 	found, _, err := loadPlan(ctx, p.store, env)
 	if err != nil {
 		return nil, err
 	}
-	condemned := parts.Condemned{}
+	condemned := documentparts.Condemned{}
 	for _, ref := range refs {
 		if revision, planned := found.Parts[ref.Digest.String()]; planned {
 			condemned[ref.Digest] = revision
@@ -118,7 +118,7 @@
 	if err != nil || len(condemned) == 0 {
 		return record, err
 	}
-	if err := parts.Write(ctx, p.store, env, index.Cut(record.Text), condemned); err != nil {
+	if err := documentparts.Write(ctx, p.store, env, index.Cut(record.Text), condemned); err != nil {
 		return document.Record{}, asPart(err)
 	}
 	return record, nil
--- a/keep/promotion/promotion.go
+++ b/state/promotion/promotion.go
@@ -13,7 +13,7 @@
 // it is in force), and a text that was changed between trial and promotion
 // (the digest has to fit the bytes on trial).
 //
-// A text is stored in parts (package parts). Every part is in the store, and was
+// A text is stored in parts (package documentparts). Every part is in the store, and was
 // seen there by this promotion, before the index that names them is swapped:
 // nodes that see an index find all of it, and a promotion that ends midway
 // leaves nothing but parts that nobody names.
@@ -30,9 +30,9 @@
 	"strconv"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // maxIDBytes bounds operators' names and promotion ids.
@@ -106,7 +106,7 @@
 	if err != nil {
 		return document.Index{}, err
 	}
-	if err := parts.Write(ctx, p.store, env, cut, condemned); err != nil {
+	if err := documentparts.Write(ctx, p.store, env, cut, condemned); err != nil {
 		return document.Index{}, asPart(err)
 	}
 	for range trialAttempts {
--- a/keep/promotion/promotion_test.go
+++ b/state/promotion/promotion_test.go
@@ -9,9 +9,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 	"go.uber.org/goleak"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/keep/promotion/prune.go
+++ b/state/promotion/prune.go
@@ -10,9 +10,9 @@
 	"strings"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // PruneStore is what a prune needs of the platform's store.
@@ -128,7 +128,7 @@
 
 // parts plans and removes the parts that nothing names, so many at a time.
 func (r *prune) parts(ctx context.Context) error {
-	prefix := parts.Prefix(r.env)
+	prefix := documentparts.Prefix(r.env)
 	keys, err := r.store.Keys(ctx, prefix)
 	if err != nil {
 		return fromStore(err)
@@ -191,7 +191,7 @@
 		if named[digest] {
 			clear = r.touch
 		}
-		if err := clear(ctx, parts.Prefix(r.env)+digest, revision); err != nil {
+		if err := clear(ctx, documentparts.Prefix(r.env)+digest, revision); err != nil {
 			return err
 		}
 	}
--- a/keep/promotion/prune_test.go
+++ b/state/promotion/prune_test.go
@@ -8,10 +8,10 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // newest keeps production, the trial and the last two of the history.
@@ -43,20 +43,20 @@
 	r := &prune{Promoter: p, store: client, env: "dawn"}
 	named, err := r.named(context.Background())
 	So(err, ShouldBeNil)
-	return s.complete() && s.keys(parts.Prefix("dawn")) == len(named)
+	return s.complete() && s.keys(documentparts.Prefix("dawn")) == len(named)
 }
 
 func TestPrune(t *testing.T) {
 	Convey("Given eight texts promoted one after the other", t, func() {
 		s := newSite(t)
 		p := promoted(s, 8)
-		all := s.keys(parts.Prefix("dawn"))
+		all := s.keys(documentparts.Prefix("dawn"))
 		Convey("a dry run says what would go, and removes nothing", func() {
 			rule := newest
 			rule.DryRun = true
 			would, err := s.prune(rule)
 			So(err, ShouldBeNil)
-			So(s.keys(parts.Prefix("dawn")), ShouldEqual, all)
+			So(s.keys(documentparts.Prefix("dawn")), ShouldEqual, all)
 			So(s.keys(HistoryPrefix("dawn")), ShouldEqual, 7)
 			did, err := s.prune(newest)
 			So(err, ShouldBeNil)
--- a/keep/promotion/read.go
+++ b/state/promotion/read.go
@@ -5,9 +5,9 @@
 	"errors"
 	"fmt"
 
-	"github.com/cicadatack/cicadatack/keep/document"
-	"github.com/cicadatack/cicadatack/keep/parts"
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/document"
+	"github.com/cicadatack/cicadatack/state/documentparts"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Current returns the record in force in production, or ErrNoRecord.
@@ -110,11 +110,11 @@
 
 // whole reads the text of an index.
 func (p *Promoter) whole(ctx context.Context, env string, index document.Index) (document.Record, error) {
-	cache := parts.Cache{}
-	if err := parts.Fetch(ctx, p.store, env, index, cache); err != nil {
+	cache := documentparts.Cache{}
+	if err := documentparts.Fetch(ctx, p.store, env, index, cache); err != nil {
 		return document.Record{}, asPart(err)
 	}
-	text, err := parts.Read(ctx, p.store, env, index, cache)
+	text, err := documentparts.Read(ctx, p.store, env, index, cache)
 	if err != nil {
 		return document.Record{}, asPart(err)
 	}
--- a/keep/store/client.go
+++ b/state/store/client.go
@@ -11,7 +11,7 @@
 
 	"golang.org/x/time/rate"
 
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // Defaults of Config.
--- a/keep/store/storetest/client.go
+++ b/state/store/storetest/client.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/store"
+	"github.com/cicadatack/cicadatack/state/store"
 )
 
 // Op names a call of the store.
--- a/keep/store/swap.go
+++ b/state/store/swap.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"github.com/cicadatack/cicadatack/keep/wait"
+	"github.com/cicadatack/cicadatack/state/wait"
 )
 
 // Pauses of Settle between attempts.
--- a/keep/store/swap_test.go
+++ b/state/store/swap_test.go
@@ -7,8 +7,8 @@
 
 	. "github.com/smartystreets/goconvey/convey"
 
-	"github.com/cicadatack/cicadatack/keep/store"
-	"github.com/cicadatack/cicadatack/keep/store/storetest"
+	"github.com/cicadatack/cicadatack/state/store"
+	"github.com/cicadatack/cicadatack/state/store/storetest"
 )
 
 // The writer is told what became of its write although the write was still on
