--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -15,8 +15,8 @@
 // unevenly, before 96 slots. Callers wait 4 s for an answer that takes 0.5 s.
 func fleetOf(offered float64, seed uint64) sim.Fleet {
 	return sim.Fleet{
-		Nodes: []float64{0.4, 0.35, 0.25}, Replicas: 6, Slots: 16, Step: 20 * time.Millisecond, Tokens: 25,
-		Teams: 10, Offered: offered, Patience: 4 * time.Second, Length: 23 * time.Second, Warm: 3 * time.Second,
+		Nodes: []float64{0.4, 0.35, 0.25}, Replicas: 6, Slots: 16, TokenTime: 20 * time.Millisecond, Tokens: 25,
+		Teams: 10, OfferedLoad: offered, CallerTimeout: 4 * time.Second, Length: 23 * time.Second, Warmup: 3 * time.Second,
 		Seed: seed,
 	}
 }
@@ -40,7 +40,7 @@
 	whole := 0
 	for _, a := range sim.RunFleet(f) {
 		switch {
-		case a.Whole:
+		case a.Completed:
 			whole++
 			r.first = append(r.first, a.FirstToken)
 		case a.Refused:
@@ -50,7 +50,7 @@
 			r.vain++
 		}
 	}
-	goodput := float64(whole) / (f.Length - f.Warm).Seconds() / f.Bound()
+	goodput := float64(whole) / (f.Length - f.Warmup).Seconds() / f.Capacity()
 	r.goodput += goodput / float64(runs)
 	r.least = min(r.least, goodput)
 }
@@ -78,8 +78,8 @@
 	// without nodes, nobody is refused, and in overload nobody is answered.
 	Convey("Given three nodes before common replicas", t, func() {
 		nodes := func(*sim.Fleet) {}
-		strangers := func(f *sim.Fleet) { f.Strangers = true }
-		inTurn := func(f *sim.Fleet) { f.InTurn = true }
+		strangers := func(f *sim.Fleet) { f.HideNodeCount = true }
+		inTurn := func(f *sim.Fleet) { f.RoundRobin = true }
 		Convey("at the bound nearly nobody is refused", func() {
 			good, free, turns := play(t, "nodes", 1, nodes), play(t, "free slots only", 1, strangers), play(t, "in turn", 1, inTurn)
 			So(good.goodput, ShouldBeGreaterThan, turns.goodput-0.01)
@@ -110,7 +110,7 @@
 			for _, x := range []float64{1, 2, 4} {
 				Convey(fmt.Sprintf("with %d failure domains at %gx the bound is served", domains, x), func() {
 					good := play(t, fmt.Sprintf("%d domains", domains), x, func(f *sim.Fleet) {
-						f.OnePrompt, f.Domains = true, domains
+						f.SharedPrompt, f.Domains = true, domains
 					})
 					So(good.least, ShouldBeGreaterThanOrEqualTo, 0.95)
 					So(good.vain, ShouldBeLessThan, (len(good.first)+good.refused)/200)
@@ -127,17 +127,17 @@
 	// second it has a third of that, and gives them up. Nodes that have served before
 	// moreover know each team's demand by the last ten seconds only.
 	Convey("Given nodes without load to which a rush comes", t, func() {
-		for name, before := range map[string]sim.Prelude{
+		for name, before := range map[string]sim.Preload{
 			"just started": {},
-			"after a calm": {Offered: 0.3, For: 8 * time.Second, Pause: 8 * time.Second},
-			"after a rush": {Offered: 1, For: 8 * time.Second, Pause: 8 * time.Second},
+			"after a calm": {OfferedLoad: 0.3, Duration: 8 * time.Second, Pause: 8 * time.Second},
+			"after a rush": {OfferedLoad: 1, Duration: 8 * time.Second, Pause: 8 * time.Second},
 		} {
 			for _, x := range []float64{2, 4} {
 				Convey(fmt.Sprintf("%s, at %gx nearly all refusals are told at once from the first second on", name, x), func() {
 					good := play(t, name, x, func(f *sim.Fleet) {
-						f.OnePrompt, f.Domains, f.Prelude = true, 3, before
-						f.Warm = before.For + before.Pause
-						f.Length = f.Warm + 12*time.Second
+						f.SharedPrompt, f.Domains, f.Preload = true, 3, before
+						f.Warmup = before.Duration + before.Pause
+						f.Length = f.Warmup + 12*time.Second
 					})
 					late := len(good.told) - countBelow(good.told, atOnce)
 					t.Logf("refused later than after %v: %d of %d", atOnce, late, len(good.told))
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -28,7 +28,7 @@
 
 // calls returns a load that asks for the given part of the bound.
 func calls(team string, part, cost float64) sim.Load {
-	return sim.Load{Team: team, Class: admission.Interactive, Rate: part * bound / cost, Cost: cost, Patience: patience}
+	return sim.Load{Team: team, Class: admission.Interactive, Rate: part * bound / cost, Cost: cost, StartTimeout: patience}
 }
 
 func during(l sim.Load, from, to float64) sim.Load {
@@ -37,7 +37,7 @@
 }
 
 func patient(l sim.Load, p time.Duration) sim.Load {
-	l.Patience = p
+	l.StartTimeout = p
 	return l
 }
 
@@ -70,7 +70,7 @@
 	for _, c := range r.Calls {
 		if c.Verdict.Kind == admission.Refuse {
 			n++
-			mean += c.Answered - c.Offered
+			mean += c.RefusedAt - c.Offered
 		}
 	}
 	return n, mean / time.Duration(max(n, 1))
@@ -109,7 +109,7 @@
 		for _, x := range []float64{1, 1.2, 2, 4} {
 			for name, s := range map[string]sim.Scenario{"five alike": rush(x), "one large": uneven(x)} {
 				good, base := sim.Run(s, queue()), sim.Run(s, fifo())
-				drop := sim.Run(s, &sim.FIFO{Slots: slots, DropLate: true})
+				drop := sim.Run(s, &sim.FIFO{Slots: slots, DropExpired: true})
 				n, wait := refusals(good)
 				_, dropWait := refusals(drop)
 				g, b := good.Goodput(slotRate, from, to)/bound, base.Goodput(slotRate, from, to)/bound
@@ -136,12 +136,12 @@
 		s := scenario(calls("a", 0.5, 300), during(calls("b", 6, 300), 30, 40))
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		from, to := seconds(47), seconds(100)
-		g, b := good.Served(0, from, to), base.Served(0, from, to)
+		g, b := good.StartedShare(0, from, to), base.StartedShare(0, from, to)
 		t.Logf("served after the burst: queue %.3f, FIFO %.3f; during it, of the other team: %.3f, %.3f",
-			g, b, good.Served(0, seconds(30), seconds(40)), base.Served(0, seconds(30), seconds(40)))
+			g, b, good.StartedShare(0, seconds(30), seconds(40)), base.StartedShare(0, seconds(30), seconds(40)))
 		So(g, ShouldEqual, 1)
 		So(b, ShouldBeLessThan, 0.5)
-		So(good.Served(0, seconds(30), seconds(40)), ShouldEqual, 1)
+		So(good.StartedShare(0, seconds(30), seconds(40)), ShouldEqual, 1)
 	})
 }
 
@@ -185,11 +185,11 @@
 		s.Seed = seed
 		return sim.Run(s, p)
 	}
-	first := func(r *sim.Result) float64 { return (prefill + sim.P95(r.Waits(0, from, to))).Seconds() }
+	first := func(r *sim.Result) float64 { return (prefill + sim.P95(r.StartDelays(0, from, to))).Seconds() }
 	good, hot := calls("good", c.part, 300), calls("hot", c.hot, c.cost)
 	alone, beside := run(queue(), good), run(policy(), good, hot)
 	if _, isQueue := policy().(*admission.Queue); isQueue {
-		So(beside.Served(0, from, to), ShouldEqual, 1)
+		So(beside.StartedShare(0, from, to), ShouldEqual, 1)
 	}
 	return first(beside) / first(alone), beside.Goodput(slotRate, from, to) / bound
 }
@@ -207,8 +207,8 @@
 					s := scenario(calls("good", c.part, 300), calls("hot", c.hot, c.cost))
 					s.Seed, s.Length = *seed+i, seconds(30)
 					r := sim.Run(s, admission.New(admission.Config{Slots: slots, SlotRate: assumed}))
-					sum += sim.P95(r.Waits(0, 0, seconds(10)))
-					served = min(served, r.Served(0, 0, seconds(10)))
+					sum += sim.P95(r.StartDelays(0, 0, seconds(10)))
+					served = min(served, r.StartedShare(0, 0, seconds(10)))
 					least = min(least, r.Goodput(slotRate, seconds(2), seconds(12))/bound)
 				}
 				t.Logf("team of %g beside one of %g, assumed rate %g: p95 wait %v on average, served %.3f at least; goodput/bound %.3f at least",
@@ -227,14 +227,14 @@
 	// who asks most gets most.
 	Convey("Work served follows the weights", t, func() {
 		second := calls("b", 1, 600)
-		second.Declared = 0.5
+		second.DeclaredRatio = 0.5
 		s := scenario(calls("a", 2, 300), second, calls("c", 1, 1500))
 		s.Length = 300 * time.Second
 		q := queue()
 		for team, weight := range map[string]float64{"a": 1, "b": 2, "c": 4} {
 			q.SetTeam(team, weight)
 		}
-		good, base := sim.Run(s, q), sim.Run(s, &sim.FIFO{Slots: slots, DropLate: true})
+		good, base := sim.Run(s, q), sim.Run(s, &sim.FIFO{Slots: slots, DropExpired: true})
 		for i, weight := range []float64{1, 2, 4} {
 			share := func(r *sim.Result) float64 {
 				return r.Goodput(slotRate, seconds(20), seconds(280), i) / bound * 7 / weight
@@ -255,13 +255,13 @@
 		s.Length = 300 * time.Second
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		from, to := seconds(100), seconds(290)
-		g, b := sim.P95(good.Waits(0, from, to)), sim.P95(base.Waits(0, from, to))
+		g, b := sim.P95(good.StartDelays(0, from, to)), sim.P95(base.StartDelays(0, from, to))
 		long := good.Goodput(slotRate, from, to, 1) / bound
 		t.Logf("p95 wait of short ones: queue %v, FIFO %v; served %.3f, %.3f; long work/bound %.3f, all %.3f",
-			g, b, good.Served(0, from, to), base.Served(0, from, to), long, good.Goodput(slotRate, from, to)/bound)
+			g, b, good.StartedShare(0, from, to), base.StartedShare(0, from, to), long, good.Goodput(slotRate, from, to)/bound)
 		So(g, ShouldBeLessThan, 500*time.Millisecond)
-		So(good.Served(0, from, to), ShouldBeGreaterThan, 0.99)
-		So(base.Served(0, from, to), ShouldBeLessThan, 0.5)
+		So(good.StartedShare(0, from, to), ShouldBeGreaterThan, 0.99)
+		So(base.StartedShare(0, from, to), ShouldBeLessThan, 0.5)
 		So(long, ShouldBeGreaterThan, 0.7)
 	})
 }
@@ -292,11 +292,11 @@
 	// admitted by it, callers would wait until their deadlines for a refusal.
 	Convey("A service that finishes nothing admits nobody", t, func() {
 		s := scenario(calls("a", 0.9, 300))
-		s.Stalled = seconds(40)
+		s.StallAt = seconds(40)
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		n, wait := refusals(good)
 		m, _ := refusals(base)
-		late := count(good, func(c *sim.Call) bool { return c.Offered > seconds(50) && c.Answered > c.Offered })
+		late := count(good, func(c *sim.Call) bool { return c.Offered > seconds(50) && c.RefusedAt > c.Offered })
 		t.Logf("refused %d after %v, FIFO %d; offered ten seconds later and kept waiting: %d", n, wait, m, late)
 		So(count(good, atDeadline), ShouldEqual, 0)
 		So(late, ShouldEqual, 0)
@@ -310,12 +310,12 @@
 	// same rush and are refused again.
 	Convey("Those who come back when told are served", t, func() {
 		hot := during(calls("a", 3, 300), 20, 30)
-		hot.Returns = true
+		hot.RetryOnce = true
 		s := scenario(calls("a", 0.5, 300), hot)
 		again := func(p sim.Policy) float64 {
 			r := sim.Run(s, p)
-			all := count(r, func(c *sim.Call) bool { return c.Again })
-			served := count(r, func(c *sim.Call) bool { return c.Again && c.InTime() })
+			all := count(r, func(c *sim.Call) bool { return c.Retry })
+			served := count(r, func(c *sim.Call) bool { return c.Retry && c.InTime() })
 			return float64(served) / float64(all)
 		}
 		told, second := again(queue()), again(inASecond{queue()})
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -17,7 +17,7 @@
 
 func seconds(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
 
-func fleet(replicas, domains int) []Replica {
+func makeReplicas(replicas, domains int) []Replica {
 	all := make([]Replica, replicas)
 	for i := range all {
 		all[i] = Replica{ID: fmt.Sprint("replica-", i), FailureDomain: fmt.Sprint("fd-", i%domains), Slots: 64}
@@ -27,11 +27,11 @@
 
 func newBalancer(replicas, domains int) *Balancer {
 	b := New(Config{Node: "vm-1", FailureDomain: "fd-0", Seed: 1})
-	b.SetReplicas(epoch, fleet(replicas, domains))
+	b.SetReplicas(epoch, makeReplicas(replicas, domains))
 	return b
 }
 
-func picked(b *Balancer, now time.Time, times int, q Query) map[string]int {
+func pickCounts(b *Balancer, now time.Time, times int, q Query) map[string]int {
 	got := map[string]int{}
 	for range times {
 		if c, ok := b.Pick(now, q); ok {
@@ -44,57 +44,57 @@
 // Callers would meet a refusal on an endpoint that leaves. Any one source is
 // believed, and only the same source can take it back: the platform's list lags
 // and still says live when the endpoint itself has said that it leaves.
-func TestLeavingSources(t *testing.T) {
+func TestLeavingEndsOnlyBySameSource(t *testing.T) {
 	const id = "replica-0"
 	refusal := func(b *Balancer) {
 		b.Sent(epoch, id, 1)
 		b.Finished(epoch, id, Result{Cost: 1, Failure: health.Leaving})
 	}
 	for _, c := range []struct {
-		name        string
-		say, unsay  func(b *Balancer)
-		comesBack   bool
-		afterSecond float64
+		name         string
+		mark, unmark func(b *Balancer)
+		usableAgain  bool
+		atSecond     float64
 	}{
 		{"platform", func(b *Balancer) { b.SetLeaving(epoch, id, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, true, 0},
-		{"peer, list lags", func(b *Balancer) { b.Leaving(epoch, id, SourcePeer, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, false, 0},
+		{"peer, list lags", func(b *Balancer) { b.MarkLeaving(epoch, id, SourcePeer, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, false, 0},
 		{"report, newer report", func(b *Balancer) { b.Report(epoch, id, Load{Leaving: true}) }, func(b *Balancer) { b.Report(seconds(1), id, Load{}) }, true, 1},
 		{"report, older report", func(b *Balancer) { b.Report(epoch, id, Load{Leaving: true}) }, func(b *Balancer) { b.Report(seconds(1), id, Load{Age: 2 * time.Second}) }, false, 1},
 		{"refusal, report", refusal, func(b *Balancer) { b.Report(seconds(1), id, Load{}) }, false, 1},
 		{"refusal, held long enough", refusal, func(*Balancer) {}, true, 61},
 		{"list forgets and names it anew", refusal, func(b *Balancer) {
-			b.SetReplicas(epoch, fleet(4, 1)[1:])
-			b.SetReplicas(epoch, fleet(4, 1))
+			b.SetReplicas(epoch, makeReplicas(4, 1)[1:])
+			b.SetReplicas(epoch, makeReplicas(4, 1))
 		}, true, 16}, // after its slow start
 	} {
 		Convey("Given an endpoint called leaving by "+c.name, t, func() {
 			b := newBalancer(4, 1)
-			c.say(b)
-			So(picked(b, epoch, 1000, Query{})[id], ShouldEqual, 0)
-			So(picked(b, epoch, 1000, Query{Prefix: 7})[id], ShouldEqual, 0)
-			c.unsay(b)
-			So(picked(b, seconds(c.afterSecond), 1000, Query{})[id] > 0, ShouldEqual, c.comesBack)
+			c.mark(b)
+			So(pickCounts(b, epoch, 1000, Query{})[id], ShouldEqual, 0)
+			So(pickCounts(b, epoch, 1000, Query{Prefix: 7})[id], ShouldEqual, 0)
+			c.unmark(b)
+			So(pickCounts(b, seconds(c.atSecond), 1000, Query{})[id] > 0, ShouldEqual, c.usableAgain)
 		})
 	}
 	Convey("Given that all endpoints leave", t, func() {
 		b := newBalancer(4, 1)
-		for _, r := range fleet(4, 1) {
+		for _, r := range makeReplicas(4, 1) {
 			b.SetLeaving(epoch, r.ID, true)
 		}
 		_, ok := b.Pick(epoch, Query{})
 		So(ok, ShouldBeFalse)
-		So(b.Room(epoch), ShouldEqual, 0)
+		So(b.Headroom(epoch), ShouldEqual, 0)
 	})
 }
 
-func TestChoices(t *testing.T) {
+func TestPickFollowsReplicaState(t *testing.T) {
 	Convey("Given a replica that refused for want of room", t, func() {
 		b := newBalancer(2, 1)
 		b.Sent(epoch, "replica-0", 0)
 		b.Finished(epoch, "replica-0", Result{Failure: health.Overloaded})
-		So(picked(b, epoch, 100, Query{}), ShouldResemble, map[string]int{"replica-1": 100})
-		So(picked(b, epoch, 100, Query{Exclude: []string{"replica-1"}}), ShouldResemble, map[string]int{"replica-0": 100})
-		So(len(picked(b, seconds(0.3), 100, Query{})), ShouldEqual, 2)
+		So(pickCounts(b, epoch, 100, Query{}), ShouldResemble, map[string]int{"replica-1": 100})
+		So(pickCounts(b, epoch, 100, Query{Exclude: []string{"replica-1"}}), ShouldResemble, map[string]int{"replica-0": 100})
+		So(len(pickCounts(b, seconds(0.3), 100, Query{})), ShouldEqual, 2)
 	})
 	Convey("Given that every endpoint refuses connections", t, func() {
 		b := newBalancer(2, 1)
@@ -116,25 +116,25 @@
 	Convey("Given a list that changes, the replicas that stay keep their state", t, func() {
 		b := newBalancer(4, 1)
 		b.Sent(epoch, "replica-1", 10)
-		b.SetReplicas(seconds(1), fleet(6, 1)[1:])
+		b.SetReplicas(seconds(1), makeReplicas(6, 1)[1:])
 		So(b.members["replica-1"].inflight, ShouldEqual, 1)
-		So(b.members["replica-1"].joined.IsZero(), ShouldBeTrue)
-		So(b.members["replica-5"].joined, ShouldEqual, seconds(1))
+		So(b.members["replica-1"].rampStart.IsZero(), ShouldBeTrue)
+		So(b.members["replica-5"].rampStart, ShouldEqual, seconds(1))
 		So(b.members["replica-0"], ShouldBeNil)
 	})
 	Convey("Given a service that grows tenfold, its newcomers are not held back", t, func() {
 		b := newBalancer(2, 1)
-		b.SetReplicas(epoch, fleet(20, 1))
+		b.SetReplicas(epoch, makeReplicas(20, 1))
 		So(b.Capacity(epoch), ShouldBeBetween, 16*64, 20*64)
 		few := newBalancer(18, 1)
-		few.SetReplicas(epoch, fleet(20, 1))
+		few.SetReplicas(epoch, makeReplicas(20, 1))
 		So(few.Capacity(epoch), ShouldBeBetween, 18*64, 18.5*64)
 		So(few.Capacity(seconds(15)), ShouldEqual, 20*64)
 	})
 	Convey("Given a replica that gets long answers only, it is not taken for slow", t, func() {
 		b := newBalancer(4, 1)
 		for i := range 100 {
-			for _, r := range fleet(4, 1) {
+			for _, r := range makeReplicas(4, 1) {
 				tokens := 10.0
 				if r.ID == "replica-0" {
 					tokens = 1000
@@ -147,7 +147,7 @@
 		So(b.Changes(), ShouldBeEmpty)
 	})
 	Convey("Given the same calls, two balancers choose the same", t, func() {
-		So(picked(newBalancer(40, 3), epoch, 500, Query{}), ShouldResemble, picked(newBalancer(40, 3), epoch, 500, Query{}))
+		So(pickCounts(newBalancer(40, 3), epoch, 500, Query{}), ShouldResemble, pickCounts(newBalancer(40, 3), epoch, 500, Query{}))
 	})
 }
 
@@ -155,7 +155,7 @@
 // ejected, then the other one leaves. The node must keep room for the ejected
 // one: judgements come with requests, so without a request its ejection would
 // never end, and every caller would be refused until the document changes.
-func TestLastReplicaIsEjected(t *testing.T) {
+func TestEjectedReplicaKeepsCapacityWhenOthersLeave(t *testing.T) {
 	Convey("Given two replicas, one ejected and one that leaves", t, func() {
 		b := newBalancer(2, 1)
 		for range 3 {
@@ -166,8 +166,8 @@
 		So(b.Capacity(epoch), ShouldEqual, 64)
 		b.SetLeaving(epoch, "replica-1", true)
 		So(b.Capacity(epoch), ShouldEqual, 64)
-		So(b.Room(epoch), ShouldEqual, 64)
-		So(picked(b, epoch, 10, Query{NoProbe: true}), ShouldResemble, map[string]int{"replica-0": 10})
+		So(b.Headroom(epoch), ShouldEqual, 64)
+		So(pickCounts(b, epoch, 10, Query{NoProbe: true}), ShouldResemble, map[string]int{"replica-0": 10})
 		b.SetLeaving(epoch, "replica-0", true)
 		So(b.Capacity(epoch), ShouldEqual, 0)
 	})
@@ -175,7 +175,7 @@
 
 // A report of 10 running that was made when 4 of this node's were there tells
 // of 6 from other nodes, whatever this node has sent or ended since.
-func TestReportLag(t *testing.T) {
+func TestReportSubtractsOwnRequestsAtItsTime(t *testing.T) {
 	Convey("Given a report that is a second old", t, func() {
 		var l load
 		for range 4 {
@@ -184,17 +184,17 @@
 		l.sent(seconds(1.5), 0)
 		l.finished(seconds(1.7), 0)
 		l.finished(seconds(1.8), 0)
-		So(l.report(seconds(2), Load{Running: 8, Waiting: 2, Age: time.Second}), ShouldBeTrue)
-		So(l.others, ShouldEqual, 6)
-		So(l.report(seconds(2.1), Load{Running: 9, Age: 2 * time.Second}), ShouldBeFalse)
-		So(l.trust(seconds(1), 7), ShouldEqual, 1)
-		So(l.trust(seconds(8), 7), ShouldAlmostEqual, math.Exp(-1))
+		So(l.applyReport(seconds(2), Load{Running: 8, Waiting: 2, Age: time.Second}), ShouldBeTrue)
+		So(l.otherRequests, ShouldEqual, 6)
+		So(l.applyReport(seconds(2.1), Load{Running: 9, Age: 2 * time.Second}), ShouldBeFalse)
+		So(l.reportWeight(seconds(1), 7), ShouldEqual, 1)
+		So(l.reportWeight(seconds(8), 7), ShouldAlmostEqual, math.Exp(-1))
 	})
 }
 
 // Whatever happens in whatever order, a leaving or excluded replica is never
 // picked, and the counts neither go below zero nor stay above it.
-func TestInvariants(t *testing.T) {
+func TestBalancerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBalancer(10, 2)
 		now, leaving, sent := epoch, map[string]bool{}, []string{}
@@ -244,28 +244,28 @@
 
 // subsets returns the replicas that each node uses. Nodes are spread over the
 // failure domains in turn.
-func subsets(nodes, domains int, all []known, tellPeers bool) [][]known {
-	near, peers, chosen := make([][][]known, domains), make([][]uint64, domains), make([][]known, nodes)
+func subsets(nodes, domains int, all []hashedReplica, knowPeers bool) [][]hashedReplica {
+	near, peers, chosen := make([][][]hashedReplica, domains), make([][]uint64, domains), make([][]hashedReplica, nodes)
 	for n := range nodes {
 		peers[n%domains] = append(peers[n%domains], rendezvous.Hash(fmt.Sprint("vm-", n)))
 	}
 	for n := range nodes {
 		d := n % domains
-		s := subset{cfg: withDefaults(Config{FailureDomain: fmt.Sprint("fd-", d)}), self: rendezvous.Hash(fmt.Sprint("vm-", n))}
-		if tellPeers {
-			s.peers = slices.DeleteFunc(slices.Clone(peers[d]), func(p uint64) bool { return p == s.self })
+		s := subset{cfg: withDefaults(Config{FailureDomain: fmt.Sprint("fd-", d)}), nodeHash: rendezvous.Hash(fmt.Sprint("vm-", n))}
+		if knowPeers {
+			s.peerHashes = slices.DeleteFunc(slices.Clone(peers[d]), func(p uint64) bool { return p == s.nodeHash })
 		}
 		if near[d] == nil { // the same for all nodes of a domain
 			near[d] = s.byNearness(all)
 		}
-		chosen[n] = slices.Concat(s.chooseFrom(near[d]))
+		chosen[n] = slices.Concat(s.chooseFromDomains(near[d]))
 	}
 	return chosen
 }
 
-// spread returns how many nodes use the replica with the fewest, with the most
+// coverStats returns how many nodes use the replica with the fewest, with the most
 // and on average.
-func spread(all []known, chosen [][]known) (least, most int, mean float64) {
+func coverStats(all []hashedReplica, chosen [][]hashedReplica) (least, most int, mean float64) {
 	nodes, sum := map[string]int{}, 0
 	for _, k := range slices.Concat(chosen...) {
 		nodes[k.ID]++
@@ -280,22 +280,22 @@
 
 // Callers wait where a replica has many nodes, and one without any is bought
 // for nothing. When nodes choose alone, the cover is Poisson spread.
-func TestCover(t *testing.T) {
+func TestSubsetsCoverReplicasEvenly(t *testing.T) {
 	for _, c := range []struct {
 		nodes, replicas, domains int
-		uneven                   float64
+		maxOverMean              float64
 	}{{9, 40, 3, 1}, {275, 1250, 23, 1.15}, {2200, 10000, 23, 1.15}} {
 		Convey(fmt.Sprintf("Given %d nodes before %d replicas", c.nodes, c.replicas), t, func() {
-			all := knownFrom(fleet(c.replicas, c.domains))
-			least0, most0, mean0 := spread(all, subsets(c.nodes, c.domains, all, false))
-			told := subsets(c.nodes, c.domains, all, true)
-			least, most, mean := spread(all, told)
-			bySize := func(a, b []known) int { return len(a) - len(b) }
+			all := hashReplicas(makeReplicas(c.replicas, c.domains))
+			leastAlone, mostAlone, meanAlone := coverStats(all, subsets(c.nodes, c.domains, all, false))
+			withPeers := subsets(c.nodes, c.domains, all, true)
+			least, most, mean := coverStats(all, withPeers)
+			bySize := func(a, b []hashedReplica) int { return len(a) - len(b) }
 			t.Logf("nodes per replica: alone %d to %d, mean %.1f, max/mean %.2f; with peers %d to %d, mean %.1f, max/mean %.2f; subsets %d to %d",
-				least0, most0, mean0, float64(most0)/mean0, least, most, mean, float64(most)/mean,
-				len(slices.MinFunc(told, bySize)), len(slices.MaxFunc(told, bySize)))
+				leastAlone, mostAlone, meanAlone, float64(mostAlone)/meanAlone, least, most, mean, float64(most)/mean,
+				len(slices.MinFunc(withPeers, bySize)), len(slices.MaxFunc(withPeers, bySize)))
 			So(least, ShouldBeGreaterThan, 0)
-			So(float64(most)/mean, ShouldBeLessThanOrEqualTo, min(c.uneven, float64(most0)/mean0))
+			So(float64(most)/mean, ShouldBeLessThanOrEqualTo, min(c.maxOverMean, float64(mostAlone)/meanAlone))
 		})
 	}
 }
@@ -303,9 +303,9 @@
 // Connections and warm caches are lost where a subset changes. A node or replica
 // that goes may take its own edges with it and no others; those of a node go to
 // its peers.
-func TestChurn(t *testing.T) {
+func TestSubsetChangesOnlyAffectedEdges(t *testing.T) {
 	const nodes, replicas = 96, 435
-	edges := func(nodes int, all []known) map[string]bool {
+	edges := func(nodes int, all []hashedReplica) map[string]bool {
 		found := map[string]bool{}
 		for n, chosen := range subsets(nodes, 1, all, true) {
 			for _, k := range chosen {
@@ -323,7 +323,7 @@
 		return n
 	}
 	Convey("Given 96 nodes before 435 replicas of a domain", t, func() {
-		all := knownFrom(fleet(replicas, 1))
+		all := hashReplicas(makeReplicas(replicas, 1))
 		before, noReplica, noNode := edges(nodes, all), edges(nodes, all[1:]), edges(nodes-1, all)
 		t.Logf("%d edges; without a replica %d go and %d come; without a node %d go and %d come", len(before),
 			missing(before, noReplica), missing(noReplica, before), missing(before, noNode), missing(noNode, before))
@@ -375,26 +375,26 @@
 	}
 }
 
-var keep *Balancer
+var sink *Balancer
 
 func BenchmarkSetReplicas(b *testing.B) {
-	replicas := fleet(10000, 23)
+	replicas := makeReplicas(10000, 23)
 	peers := make([]string, 96)
 	for i := range peers {
 		peers[i] = fmt.Sprint("vm-", i)
 	}
 	var before, after runtime.MemStats
-	keep = nil
+	sink = nil
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	keep = New(Config{Node: "vm-1", FailureDomain: "fd-0"})
-	keep.SetPeers(epoch, peers)
-	keep.SetReplicas(epoch, replicas)
+	sink = New(Config{Node: "vm-1", FailureDomain: "fd-0"})
+	sink.SetPeers(epoch, peers)
+	sink.SetReplicas(epoch, replicas)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
-		keep.SetReplicas(epoch, replicas)
+		sink.SetReplicas(epoch, replicas)
 	}
 	b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/10000, "B/known")
-	b.ReportMetric(float64(len(keep.members)), "members")
+	b.ReportMetric(float64(len(sink.members)), "members")
 }
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -9,40 +9,40 @@
 
 // Defaults of Config; doc.go gives their grounds.
 const (
-	DefaultSubsetSize    = 32
-	DefaultSpillDomains  = 2
-	DefaultSpillAt       = 0.9
-	DefaultSpillMargin   = 0.1
-	DefaultAffinityBound = 1.25
-	DefaultAffinityFree  = 0.5
-	DefaultSlowStart     = 15 * time.Second
-	DefaultBackoff       = 250 * time.Millisecond
+	DefaultSubsetSize         = 32
+	DefaultSpillDomains       = 2
+	DefaultSpillThreshold     = 0.9
+	DefaultSpillMargin        = 0.1
+	DefaultAffinityLoadFactor = 1.25
+	DefaultAffinityFloor      = 0.5
+	DefaultSlowStart          = 15 * time.Second
+	DefaultBackoff            = 250 * time.Millisecond
 )
 
 const (
 	// nearShare is the part of the subset in the nearest failure domain.
 	nearShare = 0.75
-	// wholeFactor times the subset size is up to where a node uses all replicas:
+	// useAllFactor times the subset size is up to where a node uses all replicas:
 	// to leave out a few of them saves little and makes the cover uneven.
-	wholeFactor = 2
+	useAllFactor = 2
 	// minRamp is the part of its capacity with which a newcomer among many old
 	// replicas starts.
 	minRamp = 0.1
 	// maxDraws bounds the draws for one candidate, so that Pick costs the same
 	// however many replicas are excluded or busy; then they are searched.
 	maxDraws = 4
-	// maxWalk bounds the replicas tried for a prefix.
-	maxWalk = 4
-	// refusalHold is how long an endpoint that refused a request as it leaves is
+	// maxRingReplicas bounds the replicas tried for a prefix.
+	maxRingReplicas = 4
+	// leavingRefusalTTL is how long an endpoint that refused a request as it leaves is
 	// left alone; a shutdown that takes longer costs a refused request a minute.
-	refusalHold = time.Minute
-	// ringPoints per replica make its arcs of the prefix ring about even.
-	ringPoints = 32
+	leavingRefusalTTL = time.Minute
+	// ringPointsPerReplica per replica make its arcs of the prefix ring about even.
+	ringPointsPerReplica = 32
 	// switchMargin is by how many requests the second choice must be emptier.
 	// Counts that differ by less are noise, and turns spread evener than noise.
 	switchMargin = 1.0
-	// costGain is that of the moving averages of costs and times.
-	costGain = 0.02
+	// averageGain is that of the moving averages of costs and times.
+	averageGain = 0.02
 )
 
 // Config sets a Balancer. Zero values take the defaults.
@@ -61,14 +61,14 @@
 	SubsetSize int
 	// SpillDomains is how many other failure domains the subset reaches.
 	SpillDomains int
-	// SpillAt is the load per slot from which a request may leave the nearest
+	// SpillThreshold is the load per slot from which a request may leave the nearest
 	// failure domain, and SpillMargin by how much the other must be emptier.
-	SpillAt     float64
-	SpillMargin float64
-	// AffinityBound over the mean load, or AffinityFree of its slots, is up to
+	SpillThreshold float64
+	SpillMargin    float64
+	// AffinityLoadFactor over the mean load, or AffinityFree of its slots, is up to
 	// where a replica takes its own prefixes.
-	AffinityBound float64
-	AffinityFree  float64
+	AffinityLoadFactor float64
+	AffinityFloor      float64
 	// SlowStart is how long a newcomer takes to get its whole share.
 	SlowStart time.Duration
 	// Backoff is how long a replica that refused for want of room is avoided.
@@ -80,10 +80,10 @@
 func withDefaults(c Config) Config {
 	c.SubsetSize = cmp.Or(c.SubsetSize, DefaultSubsetSize)
 	c.SpillDomains = cmp.Or(c.SpillDomains, DefaultSpillDomains)
-	c.SpillAt = cmp.Or(c.SpillAt, DefaultSpillAt)
+	c.SpillThreshold = cmp.Or(c.SpillThreshold, DefaultSpillThreshold)
 	c.SpillMargin = cmp.Or(c.SpillMargin, DefaultSpillMargin)
-	c.AffinityBound = cmp.Or(c.AffinityBound, DefaultAffinityBound)
-	c.AffinityFree = cmp.Or(c.AffinityFree, DefaultAffinityFree)
+	c.AffinityLoadFactor = cmp.Or(c.AffinityLoadFactor, DefaultAffinityLoadFactor)
+	c.AffinityFloor = cmp.Or(c.AffinityFloor, DefaultAffinityFloor)
 	c.SlowStart = cmp.Or(c.SlowStart, DefaultSlowStart)
 	c.Backoff = cmp.Or(c.Backoff, DefaultBackoff)
 	c.Health.Seed = cmp.Or(c.Health.Seed, c.Seed)
--- a/decide/balance/full_test.go
+++ b/decide/balance/full_test.go
@@ -12,7 +12,7 @@
 // each with four requests of the node's own.
 func fullBalancer() *Balancer {
 	b := New(Config{Node: "vm-1", FailureDomain: "fd-0", Seed: 1})
-	replicas := fleet(4, 2)
+	replicas := makeReplicas(4, 2)
 	for i := range replicas {
 		replicas[i].Slots = 16
 	}
@@ -53,10 +53,10 @@
 		Convey("the load of other nodes counts beyond noise, and a refusal for want of room at once", func() {
 			b.Report(seconds(1.2), "replica-0", Load{Running: 16, Waiting: 30})
 			b.Finished(seconds(1.2), "replica-0", Result{Cost: 1, Started: true})
-			So(picked(b, seconds(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
+			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
 			b.Finished(seconds(1.2), "replica-1", Result{Cost: 1, Failure: health.Overloaded})
-			So(picked(b, seconds(1.2), 100, Query{Cost: 1})["replica-1"], ShouldEqual, 0)
-			So(picked(b, seconds(1.2), 1, Query{Cost: 1, Exclude: []string{"replica-0", "replica-2", "replica-3"}})["replica-1"], ShouldEqual, 1)
+			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-1"], ShouldEqual, 0)
+			So(pickCounts(b, seconds(1.2), 1, Query{Cost: 1, Exclude: []string{"replica-0", "replica-2", "replica-3"}})["replica-1"], ShouldEqual, 1)
 		})
 	})
 }
--- a/decide/balance/room.go
+++ b/decide/balance/headroom.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// beyondSlots is the part of the slots that nodes which share replicas may send
+// overcommitFraction is the part of the slots that nodes which share replicas may send
 // beyond them, to wait there. What has ended since the last report stands idle
 // otherwise: without it a run over three nodes at exactly the bound had p95 of
 // the first token at 1.8 s, with a twentieth 1.25 s and with a tenth 0.87 s.
-const beyondSlots = 0.1
+const overcommitFraction = 0.1
 
-// SetNodes tells how many nodes, of all failure domains, share the service's
+// SetNodeCount tells how many nodes, of all failure domains, share the service's
 // replicas. Until it is called the node counts on no part of its own.
-func (b *Balancer) SetNodes(nodes int) { b.nodes = nodes }
+func (b *Balancer) SetNodeCount(nodes int) { b.nodeCount = nodes }
 
-// Room returns how many more requests the node may send to the open part of
+// Headroom returns how many more requests the node may send to the open part of
 // the subset: the slots that are free there or, if that is more, what is left of
 // its own part of all slots. It is negative if the node has more than it should:
 // in the first moments of a rush each node takes the slots that all see free, and
@@ -29,30 +29,30 @@
 // are then sent to another by prefix or in turn, and the room remains: on a slow
 // machine three nodes had up to 485 requests underway for 96 slots. A replica that
 // is stuck takes no more than its own slots from the others.
-func (b *Balancer) Room(now time.Time) int {
-	free, own, slots := 0.0, 0.0, 0.0
-	for _, m := range b.open {
-		may := float64(m.Slots) * b.ramp(now, m)
-		free += max(may-float64(m.inflight)-b.others(now, m), -may)
-		own += float64(m.inflight)
-		slots += may
+func (b *Balancer) Headroom(now time.Time) int {
+	free, inflight, slots := 0.0, 0.0, 0.0
+	for _, m := range b.eligible {
+		usableSlots := float64(m.Slots) * b.ramp(now, m)
+		free += max(usableSlots-float64(m.inflight)-b.estimatedOtherRequests(now, m), -usableSlots)
+		inflight += float64(m.inflight)
+		slots += usableSlots
 	}
-	if b.nodes > 1 {
-		free += beyondSlots * slots
+	if b.nodeCount > 1 {
+		free += overcommitFraction * slots
 	}
-	return int(max(free, b.part()*slots-own))
+	return int(max(free, b.fairShare()*slots-inflight))
 }
 
-// part is the node's own part of the slots: an even one, as the nodes do not know
+// fairShare is the node's own fairShare of the slots: an even one, as the nodes do not know
 // each other's load. All parts together are no more than the slots: whatever the
 // nodes believe of each other, they keep to these when the replicas are full. A
-// part by the work that each has had of late would be fairer to callers of a busy
+// fairShare by the work that each has had of late would be fairer to callers of a busy
 // node, but where reports miss requests that are on their way, each node sees
 // nearly all work as its own, and all take nearly all slots.
-func (b *Balancer) part() float64 {
-	if b.nodes == 0 || len(b.all) == 0 {
+func (b *Balancer) fairShare() float64 {
+	if b.nodeCount == 0 || len(b.replicas) == 0 {
 		return 0
 	}
-	sharers := float64(b.nodes) * float64(len(b.members)) / float64(len(b.all))
+	sharers := float64(b.nodeCount) * float64(len(b.members)) / float64(len(b.replicas))
 	return 1 / max(1, sharers)
 }
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -12,11 +12,11 @@
 // Pick chooses a replica for a request. It returns false if none may be used:
 // there is none, or all are leaving or excluded. It allocates nothing.
 func (b *Balancer) Pick(now time.Time, q Query) (Choice, bool) {
-	b.judge(now)
-	if m := b.toProbe(q); m != nil {
-		return b.choice(now, m, ReasonProbe), true
+	b.evaluateHealth(now)
+	if m := b.probeTarget(q); m != nil {
+		return b.newChoice(now, m, ReasonProbe), true
 	}
-	if c, ok := b.pickByHeld(now, q); ok {
+	if c, ok := b.pickFromHolders(now, q); ok {
 		return c, true
 	}
 	if q.Prefix != 0 {
@@ -27,14 +27,14 @@
 	if c, ok := b.pickByLoad(now, q); ok {
 		return c, true
 	}
-	return b.lastResort(now, q)
+	return b.pickLastResort(now, q)
 }
 
-func (b *Balancer) choice(now time.Time, m *member, reason Reason) Choice {
+func (b *Balancer) newChoice(now time.Time, m *member, reason Reason) Choice {
 	return Choice{Replica: m.ID, Reason: reason, Score: b.score(now, m)}
 }
 
-func (b *Balancer) toProbe(q Query) *member {
+func (b *Balancer) probeTarget(q Query) *member {
 	if q.NoProbe {
 		return nil
 	}
@@ -50,47 +50,47 @@
 	return len(q.Exclude) > 0 && slices.Contains(q.Exclude, m.ID)
 }
 
-// others is the load by other nodes. An old report fades into the mean: what it
+// estimatedOtherRequests is the load by other nodes. An old report fades into the mean: what it
 // says of the difference between replicas no longer holds, and if all nodes
 // acted on it they would herd to the one that was emptiest.
-func (b *Balancer) others(now time.Time, m *member) float64 {
-	trust := m.trust(now, b.meanTime)
-	return trust*m.load.others + (1-trust)*m.tier.meanOthers()*m.capacity
+func (b *Balancer) estimatedOtherRequests(now time.Time, m *member) float64 {
+	weight := m.reportWeight(now, b.meanTime)
+	return weight*m.load.otherRequests + (1-weight)*m.tier.meanOtherLoad()*m.capacity
 }
 
-// work is the replica's load in requests. While it has free slots they are
+// estimatedLoad is the replica's load in requests. While it has free slots they are
 // counted, as a request that has a slot does not wait for another; once it is
 // full, what waits is counted by cost.
-func (b *Balancer) work(now time.Time, m *member) float64 {
-	others := b.others(now, m)
-	count := float64(m.inflight) + others
+func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
+	other := b.estimatedOtherRequests(now, m)
+	count := float64(m.inflight) + other
 	if count < float64(m.Slots) {
 		return count
 	}
-	return max(count, m.priced(b.meanCost)+others)
+	return max(count, m.costWeighted(b.meanCost)+other)
 }
 
-// room is the capacity that the replica may use now.
-func (b *Balancer) room(now time.Time, m *member) float64 {
+// effectiveCapacity is the capacity that the replica may use now.
+func (b *Balancer) effectiveCapacity(now time.Time, m *member) float64 {
 	return m.capacity * b.ramp(now, m)
 }
 
 // score estimates how long one more request would take at the replica, relative
 // to the others.
 func (b *Balancer) score(now time.Time, m *member) float64 {
-	return (b.work(now, m) + 1) / b.room(now, m) * m.health.Slowness()
+	return (b.estimatedLoad(now, m) + 1) / b.effectiveCapacity(now, m) * m.health.Slowness()
 }
 
 func (b *Balancer) utilization(now time.Time, m *member) float64 {
-	return b.work(now, m) / b.room(now, m)
+	return b.estimatedLoad(now, m) / b.effectiveCapacity(now, m)
 }
 
-// pickByHeld takes, of the replicas that are thought to hold the most of the
+// pickFromHolders takes, of the replicas that are thought to hold the most of the
 // prompt, its home or else the least loaded one, if they may take it for its
 // prefix. If all of them are beyond that bound, those that hold less are looked at.
-func (b *Balancer) pickByHeld(now time.Time, q Query) (Choice, bool) {
+func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
-	var best, passed held
+	var best, runnerUp holder
 	for _, h := range q.Holders {
 		if best.member != nil && h.Blocks < best.blocks {
 			break
@@ -99,35 +99,35 @@
 		if m == nil || m.tier != t {
 			continue
 		}
-		next := held{m, h.Blocks, b.order(now, t, m, q.Prefix)}
+		next := holder{m, h.Blocks, b.holderRank(now, t, m, q.Prefix)}
 		switch {
-		case !b.takesPrefix(now, q, t, m) || best.member != nil && next.order < best.order:
-			passed = next
+		case !b.acceptsPrefix(now, q, t, m) || best.member != nil && next.rank < best.rank:
+			runnerUp = next
 		default:
-			passed, best = cmp.Or(best, passed), next
+			runnerUp, best = cmp.Or(best, runnerUp), next
 		}
 	}
 	if best.member == nil {
 		return Choice{}, false
 	}
-	c := b.choice(now, best.member, ReasonHeld)
-	c.Held = best.blocks
-	c.Alternatives[0] = b.candidate(now, passed.member)
-	c.Alternatives[0].Held = passed.blocks
+	c := b.newChoice(now, best.member, ReasonHeld)
+	c.HeldBlocks = best.blocks
+	c.Alternatives[0] = b.newCandidate(now, runnerUp.member)
+	c.Alternatives[0].HeldBlocks = runnerUp.blocks
 	return c, true
 }
 
-// held is a replica that is thought to hold blocks of a prompt, and its rank: the
+// holder is a replica that is thought to hold blocks of a prompt, and its rank: the
 // highest comes first.
-type held struct {
+type holder struct {
 	member *member
 	blocks int
-	order  float64
+	rank   float64
 }
 
-// order ranks a member that holds a prefix: its home comes first, so that the
+// holderRank ranks a member that holds a prefix: its home comes first, so that the
 // copies elsewhere fall out of use, and then the least loaded one.
-func (b *Balancer) order(now time.Time, t *tier, m *member, prefix uint64) float64 {
+func (b *Balancer) holderRank(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.home(prefix) == m {
 		return math.Inf(1)
 	}
@@ -136,7 +136,7 @@
 
 // home is where the walk for a prefix begins.
 func (t *tier) home(prefix uint64) *member {
-	return t.ring[t.find(rendezvous.Score(prefix, 0))%len(t.ring)].member
+	return t.ring[t.ringIndex(rendezvous.Score(prefix, 0))%len(t.ring)].member
 }
 
 // prefixTier is where prefixes have their homes: the nearest replicas, unless
@@ -155,38 +155,38 @@
 	if len(t.usable) == 0 {
 		return Choice{}, false
 	}
-	var walked [maxWalk]*member
-	reached := 0
-	start := t.find(rendezvous.Score(q.Prefix, 0))
-	for i := 0; i < len(t.ring) && i < maxWalk*ringPoints; i++ {
+	var rejected [maxRingReplicas]*member
+	rejectedCount := 0
+	start := t.ringIndex(rendezvous.Score(q.Prefix, 0))
+	for i := 0; i < len(t.ring) && i < maxRingReplicas*ringPointsPerReplica; i++ {
 		m := t.ring[(start+i)%len(t.ring)].member
-		if slices.Contains(walked[:reached], m) {
+		if slices.Contains(rejected[:rejectedCount], m) {
 			continue
 		}
-		if b.takesPrefix(now, q, t, m) {
-			return b.prefixChoice(now, m, walked[:reached]), true
+		if b.acceptsPrefix(now, q, t, m) {
+			return b.prefixChoice(now, m, rejected[:rejectedCount]), true
 		}
-		walked[reached] = m
-		reached++
-		if reached == maxWalk {
+		rejected[rejectedCount] = m
+		rejectedCount++
+		if rejectedCount == maxRingReplicas {
 			break
 		}
 	}
 	return Choice{}, false
 }
 
-func (b *Balancer) prefixChoice(now time.Time, m *member, passed []*member) Choice {
-	c := b.choice(now, m, ReasonPrefix)
-	for i, p := range passed {
+func (b *Balancer) prefixChoice(now time.Time, m *member, rejected []*member) Choice {
+	c := b.newChoice(now, m, ReasonPrefix)
+	for i, p := range rejected {
 		c.Reason = ReasonPrefixMoved
-		c.Alternatives[i] = b.candidate(now, p)
+		c.Alternatives[i] = b.newCandidate(now, p)
 	}
 	return c
 }
 
-// find returns the index of the first point at or after the hash.
-func (t *tier) find(hash uint64) int {
-	i, _ := slices.BinarySearchFunc(t.ring, hash, func(p point, h uint64) int {
+// ringIndex returns the index of the first point at or after the hash.
+func (t *tier) ringIndex(hash uint64) int {
+	i, _ := slices.BinarySearchFunc(t.ring, hash, func(p ringPoint, h uint64) int {
 		switch {
 		case p.hash < h:
 			return -1
@@ -198,68 +198,68 @@
 	return i
 }
 
-// takesPrefix reports whether a replica may take a request for its prefix: its
+// acceptsPrefix reports whether a replica may take a request for its prefix: its
 // load stays near the mean or below a part of its slots, and it is not full
 // while another failure domain has room.
-func (b *Balancer) takesPrefix(now time.Time, q Query, t *tier, m *member) bool {
-	if !m.usable || excluded(q, m) || now.Before(m.busy) {
+func (b *Balancer) acceptsPrefix(now time.Time, q Query, t *tier, m *member) bool {
+	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
 	}
 	if b.meanLoad() >= 1 {
-		return b.takesWhenFull(now, m)
+		return b.acceptsPrefixWhenFull(now, m)
 	}
-	bound := max(t.meanLoad()*b.cfg.AffinityBound, b.cfg.AffinityFree)
-	if (b.work(now, m)+1)*m.health.Slowness() > math.Ceil(bound*b.room(now, m)) {
+	bound := max(t.meanLoad()*b.cfg.AffinityLoadFactor, b.cfg.AffinityFloor)
+	if (b.estimatedLoad(now, m)+1)*m.health.Slowness() > math.Ceil(bound*b.effectiveCapacity(now, m)) {
 		return false
 	}
 	if t == &b.spill || len(b.spill.usable) == 0 {
 		return true
 	}
-	used := b.utilization(now, m)
-	return used < b.cfg.SpillAt || b.spill.meanLoad()+b.cfg.SpillMargin >= used
+	utilization := b.utilization(now, m)
+	return utilization < b.cfg.SpillThreshold || b.spill.meanLoad()+b.cfg.SpillMargin >= utilization
 }
 
 // pickByLoad takes the better of two near replicas drawn at random, or the
 // better of two others if the near one is full by measure and they are not.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
-	if b.meanLoad() >= b.cfg.SpillAt {
+	if b.meanLoad() >= b.cfg.SpillThreshold {
 		return b.pickWhenFull(now, q)
 	}
-	near, loser := b.twoChoices(now, q, &b.near)
-	if near != nil && b.utilization(now, near) < b.cfg.SpillAt {
-		return b.loadChoice(now, near, loser), true
+	near, nearOther := b.twoChoices(now, q, &b.near)
+	if near != nil && b.utilization(now, near) < b.cfg.SpillThreshold {
+		return b.loadChoice(now, near, nearOther), true
 	}
-	far, farLoser := b.twoChoices(now, q, &b.spill)
+	spill, spillOther := b.twoChoices(now, q, &b.spill)
 	switch {
-	case near == nil && far == nil:
+	case near == nil && spill == nil:
 		return Choice{}, false
-	case far == nil || near != nil && !b.emptier(now, far, near):
-		c := b.loadChoice(now, near, loser)
-		c.Alternatives[1] = b.candidate(now, far)
+	case spill == nil || near != nil && !b.worthSpilling(now, spill, near):
+		c := b.loadChoice(now, near, nearOther)
+		c.Alternatives[1] = b.newCandidate(now, spill)
 		return c, true
 	}
-	c := b.loadChoice(now, far, farLoser)
+	c := b.loadChoice(now, spill, spillOther)
 	c.Reason = ReasonSpill
-	c.Alternatives[1] = b.candidate(now, near)
-	c.Alternatives[2] = b.candidate(now, loser)
+	c.Alternatives[1] = b.newCandidate(now, near)
+	c.Alternatives[2] = b.newCandidate(now, nearOther)
 	return c, true
 }
 
-// emptier reports whether the far replica is enough better to leave the domain.
-func (b *Balancer) emptier(now time.Time, far, near *member) bool {
-	return b.score(now, far)+b.cfg.SpillMargin < b.score(now, near)
+// worthSpilling reports whether the far replica is enough better to leave the domain.
+func (b *Balancer) worthSpilling(now time.Time, spill, near *member) bool {
+	return b.score(now, spill)+b.cfg.SpillMargin < b.score(now, near)
 }
 
-func (b *Balancer) loadChoice(now time.Time, m, loser *member) Choice {
-	if loser == nil {
-		return b.choice(now, m, ReasonOnly)
+func (b *Balancer) loadChoice(now time.Time, m, other *member) Choice {
+	if other == nil {
+		return b.newChoice(now, m, ReasonOnly)
 	}
-	c := b.choice(now, m, ReasonTwoChoices)
-	c.Alternatives[0] = b.candidate(now, loser)
+	c := b.newChoice(now, m, ReasonTwoChoices)
+	c.Alternatives[0] = b.newCandidate(now, other)
 	return c
 }
 
-func (b *Balancer) candidate(now time.Time, m *member) Candidate {
+func (b *Balancer) newCandidate(now time.Time, m *member) Candidate {
 	if m == nil {
 		return Candidate{}
 	}
@@ -270,75 +270,75 @@
 // only one; both are nil if there is none. The first comes in turn and the
 // second at random, and takes its place only if it is emptier by a request.
 func (b *Balancer) twoChoices(now time.Time, q Query, t *tier) (better, worse *member) {
-	first := b.drawOne(now, q, t, nil)
+	first := b.drawCandidate(now, q, t, nil)
 	if first == nil {
 		return nil, nil
 	}
-	second := b.drawOne(now, q, t, first)
+	second := b.drawCandidate(now, q, t, first)
 	if second == nil {
 		return first, nil
 	}
-	if b.score(now, second)+b.doubt(now, second)/b.room(now, second) < b.score(now, first) {
+	if b.score(now, second)+b.switchThreshold(now, second)/b.effectiveCapacity(now, second) < b.score(now, first) {
 		return second, first
 	}
 	return first, second
 }
 
-// doubt is by how many requests the second choice must be emptier: one, and the
+// switchThreshold is by how many requests the second choice must be emptier: one, and the
 // standard deviation of what is not known of it. The requests of many nodes are
 // Poisson spread, and the part of that spread which a report has not caught
 // shows as differences that are not there.
-func (b *Balancer) doubt(now time.Time, m *member) float64 {
-	trust := m.trust(now, b.meanTime)
-	return switchMargin + math.Sqrt((1-trust*trust)*m.tier.meanOthers()*m.capacity)
+func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
+	weight := m.reportWeight(now, b.meanTime)
+	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherLoad()*m.capacity)
 }
 
-// drawOne draws a replica, in turn, or at random one other than the given.
+// drawCandidate draws a replica, in turn, or at random one other than the given.
 // Replicas that have just refused for want of room are drawn only if there is
 // no other.
-func (b *Balancer) drawOne(now time.Time, q Query, t *tier, not *member) *member {
-	if len(t.usable) == 0 || len(t.usable) == 1 && t.usable[0] == not {
+func (b *Balancer) drawCandidate(now time.Time, q Query, t *tier, exclude *member) *member {
+	if len(t.usable) == 0 || len(t.usable) == 1 && t.usable[0] == exclude {
 		return nil
 	}
 	for range maxDraws {
-		m := b.drawFrom(t, not == nil)
-		if m != not && !excluded(q, m) && !now.Before(m.busy) {
+		m := b.draw(t, exclude == nil)
+		if m != exclude && !excluded(q, m) && !now.Before(m.backoffUntil) {
 			return m
 		}
 	}
-	return b.search(now, q, t, not)
+	return b.scanUsable(now, q, t, exclude)
 }
 
-func (b *Balancer) drawFrom(t *tier, inTurn bool) *member {
-	if inTurn {
-		return t.nextInTurn()
+func (b *Balancer) draw(t *tier, roundRobin bool) *member {
+	if roundRobin {
+		return t.nextRoundRobin()
 	}
-	return t.at(b.random.Float64())
+	return t.memberAt(b.rng.Float64())
 }
 
-// search goes through the usable replicas from a random one on.
-func (b *Balancer) search(now time.Time, q Query, t *tier, not *member) *member {
-	var busy *member
-	start := b.random.IntN(len(t.usable))
+// scanUsable goes through the usable replicas from a random one on.
+func (b *Balancer) scanUsable(now time.Time, q Query, t *tier, exclude *member) *member {
+	var inBackoff *member
+	start := b.rng.IntN(len(t.usable))
 	for i := range t.usable {
 		m := t.usable[(start+i)%len(t.usable)]
 		switch {
-		case m == not || excluded(q, m):
-		case now.Before(m.busy):
-			busy = m
+		case m == exclude || excluded(q, m):
+		case now.Before(m.backoffUntil):
+			inBackoff = m
 		default:
 			return m
 		}
 	}
-	if not != nil {
+	if exclude != nil {
 		return nil // a busy one is no alternative to one that is not
 	}
-	return busy
+	return inBackoff
 }
 
-// lastResort takes the best of the ejected: a replica in doubt is better than a
+// pickLastResort takes the best of the ejected: a replica in doubt is better than a
 // refusal for certain. Leaving ones are never taken.
-func (b *Balancer) lastResort(now time.Time, q Query) (Choice, bool) {
+func (b *Balancer) pickLastResort(now time.Time, q Query) (Choice, bool) {
 	var best *member
 	for _, t := range [...]*tier{&b.near, &b.spill} {
 		for _, m := range t.members {
@@ -353,5 +353,5 @@
 	if best == nil {
 		return Choice{}, false
 	}
-	return b.choice(now, best, ReasonLastResort), true
+	return b.newChoice(now, best, ReasonLastResort), true
 }
--- a/decide/balance/quiet_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -10,26 +10,26 @@
 
 // The quietest endpoint is asked for its load. One that does not answer must not
 // be asked over and over, a new one is asked first, and one that has gone never.
-func TestQuietest(t *testing.T) {
+func TestOldestEndpointIsPolledFirst(t *testing.T) {
 	Convey("The endpoint heard of longest ago comes first", t, func() {
-		var q Quiet
+		var s PollSchedule
 		first := func() string {
-			e, _, _ := q.First()
+			e, _, _ := s.Oldest()
 			return e
 		}
 		So(first(), ShouldEqual, "")
-		q.Set([]string{"a", "b", "a"})
-		q.Heard("a", seconds(1))
+		s.Set([]string{"a", "b", "a"})
+		s.Touch("a", seconds(1))
 		So(first(), ShouldEqual, "b")
-		q.Heard("b", seconds(2))
+		s.Touch("b", seconds(2))
 		So(first(), ShouldEqual, "a")
-		q.Heard("a", seconds(3))
-		q.Heard("a", seconds(1)) // an answer that was overtaken
-		q.Heard("stranger", seconds(0))
+		s.Touch("a", seconds(3))
+		s.Touch("a", seconds(1)) // an answer that was overtaken
+		s.Touch("stranger", seconds(0))
 		So(first(), ShouldEqual, "b")
-		q.Set([]string{"a", "c"})
+		s.Set([]string{"a", "c"})
 		So(first(), ShouldEqual, "c")
-		q.Heard("c", seconds(4))
+		s.Touch("c", seconds(4))
 		So(first(), ShouldEqual, "a")
 	})
 }
@@ -39,12 +39,12 @@
 // one each turn; answers make some of them needless; and after a burst of answers
 // from all at once, the last endpoint must not have to wait for twice the time.
 func TestDue(t *testing.T) {
-	const pause = time.Second
+	const interval = time.Second
 	names := []string{"a", "b", "c", "d"}
 	for _, c := range []struct {
 		name    string
 		answers func(turn int) []string
-		asked   int
+		polls   int
 	}{
 		{"nothing else is heard", func(int) []string { return nil }, 40},
 		{"half of what must be heard is brought by answers", func(turn int) []string { return names[turn%4 : turn%4+1-turn%2] }, 20},
@@ -57,61 +57,61 @@
 		{"answers of all each turn", func(int) []string { return names }, 0},
 	} {
 		Convey(c.name, t, func() {
-			var q Quiet
-			q.Set(names)
+			var s PollSchedule
+			s.Set(names)
 			now := epoch
-			So(q.Due(now, pause), ShouldBeTrue) // of those never heard of
+			So(s.Due(now, interval), ShouldBeTrue) // of those never heard of
 			for _, name := range names {
-				now = now.Add(pause)
-				q.Heard(name, now)
+				now = now.Add(interval)
+				s.Touch(name, now)
 			}
-			asked := 0
+			polls := 0
 			for turn := range 40 {
-				now = now.Add(pause)
+				now = now.Add(interval)
 				for _, name := range c.answers(turn) {
-					q.Heard(name, now)
+					s.Touch(name, now)
 				}
-				first, heard, _ := q.First()
-				So(now.Sub(heard), ShouldBeLessThanOrEqualTo, time.Duration(len(names))*pause)
-				if !q.Due(now, pause) {
+				first, lastContact, _ := s.Oldest()
+				So(now.Sub(lastContact), ShouldBeLessThanOrEqualTo, time.Duration(len(names))*interval)
+				if !s.Due(now, interval) {
 					continue
 				}
-				q.Heard(first, now)
-				asked++
+				s.Touch(first, now)
+				polls++
 			}
-			So(asked, ShouldEqual, c.asked)
+			So(polls, ShouldEqual, c.polls)
 		})
 	}
 }
 
-func BenchmarkQuiet(b *testing.B) {
+func BenchmarkPollSchedule(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10000} {
 		endpoints := make([]string, n)
 		for i := range endpoints {
 			endpoints[i] = fmt.Sprint("endpoint-", i)
 		}
 		b.Run(fmt.Sprint("list ", n), func(b *testing.B) {
-			var q Quiet
-			q.Set(endpoints)
+			var s PollSchedule
+			s.Set(endpoints)
 			now := epoch
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				e, _, _ := q.First()
-				q.Heard(e, now)
+				e, _, _ := s.Oldest()
+				s.Touch(e, now)
 			}
 		})
 		b.Run(fmt.Sprint("scan ", n), func(b *testing.B) {
-			heard := map[string]time.Time{}
+			lastContact := map[string]time.Time{}
 			now := epoch
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
-				quietest := endpoints[0]
+				oldest := endpoints[0]
 				for _, e := range endpoints {
-					if heard[e].Before(heard[quietest]) {
-						quietest = e
+					if lastContact[e].Before(lastContact[oldest]) {
+						oldest = e
 					}
 				}
-				heard[quietest] = now
+				lastContact[oldest] = now
 			}
 		})
 	}
--- a/decide/balance/status.go
+++ b/decide/balance/status.go
@@ -27,7 +27,7 @@
 	return changes
 }
 
-func (b *Balancer) noteChange(now time.Time, m *member, to health.State) {
+func (b *Balancer) recordChange(now time.Time, m *member, to health.State) {
 	if len(b.changes) == maxChanges {
 		b.changes = b.changes[1:]
 	}
@@ -44,8 +44,8 @@
 	Cause   health.Cause
 	// InFlight are the node's own requests, Others those of other nodes by the
 	// last report, as far as it still counts.
-	InFlight int
-	Others   float64
+	InFlight      int
+	OtherRequests float64
 	// ReportAge is the age of that report; negative if there is none.
 	ReportAge time.Duration
 	// Utilization is the load per unit of capacity, Slowness the delay over the
@@ -68,20 +68,20 @@
 
 func (b *Balancer) statusOf(now time.Time, m *member) Status {
 	s := Status{
-		Replica:     m.Replica,
-		Near:        m.tier == &b.near,
-		Leaving:     m.leaving,
-		State:       m.health.State(),
-		Cause:       m.health.Cause(),
-		InFlight:    int(m.inflight),
-		Others:      b.others(now, m),
-		ReportAge:   -1,
-		Utilization: b.utilization(now, m),
-		Slowness:    m.health.Slowness(),
-		Ramp:        b.ramp(now, m),
+		Replica:       m.Replica,
+		Near:          m.tier == &b.near,
+		Leaving:       m.leaving,
+		State:         m.health.State(),
+		Cause:         m.health.Cause(),
+		InFlight:      int(m.inflight),
+		OtherRequests: b.estimatedOtherRequests(now, m),
+		ReportAge:     -1,
+		Utilization:   b.utilization(now, m),
+		Slowness:      m.health.Slowness(),
+		Ramp:          b.ramp(now, m),
 	}
-	if !m.measured.IsZero() {
-		s.ReportAge = now.Sub(m.measured)
+	if !m.measuredAt.IsZero() {
+		s.ReportAge = now.Sub(m.measuredAt)
 	}
 	return s
 }
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -40,8 +40,8 @@
 type Candidate struct {
 	ID    string
 	Score float64
-	// Held is how many blocks of the prompt it is thought to have cached.
-	Held int
+	// HeldBlocks is how many blocks of the prompt it is thought to have cached.
+	HeldBlocks int
 }
 
 // Choice is the endpoint picked and why.
@@ -50,8 +50,8 @@
 	Reason  Reason
 	// Score is that of the chosen: the expected load per unit of capacity.
 	Score float64
-	// Held is how many blocks of the prompt the chosen one is thought to have.
-	Held int
+	// HeldBlocks is how many blocks of the prompt the chosen one is thought to have.
+	HeldBlocks int
 	// Alternatives are the endpoints that lost, with their scores; empty IDs
 	// stand for none.
 	Alternatives [maxAlternatives]Candidate
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -10,22 +10,22 @@
 // or refusals.
 type FIFO struct {
 	Slots int
-	// DropLate refuses a request whose deadline has passed when its turn
+	// DropExpired refuses a request whose deadline has passed when its turn
 	// comes: a stronger baseline.
-	DropLate bool
+	DropExpired bool
 
 	running int
-	waiting []queued
+	waiting []queuedRequest
 }
 
-type queued struct {
+type queuedRequest struct {
 	admission.Request
-	at time.Time
+	arrived time.Time
 }
 
 // Offer appends the request.
 func (f *FIFO) Offer(now time.Time, r admission.Request) []admission.Verdict {
-	f.waiting = append(f.waiting, queued{r, now})
+	f.waiting = append(f.waiting, queuedRequest{r, now})
 	return f.dispatch(now)
 }
 
@@ -51,8 +51,8 @@
 	for len(f.waiting) > 0 && f.running < f.Slots {
 		r := f.waiting[0]
 		f.waiting = f.waiting[1:]
-		v := admission.Verdict{ID: r.ID, Kind: admission.Run, Waited: now.Sub(r.at)}
-		if f.DropLate && now.After(r.Deadline) {
+		v := admission.Verdict{ID: r.ID, Kind: admission.Run, Waited: now.Sub(r.arrived)}
+		if f.DropExpired && now.After(r.Deadline) {
 			v.Kind = admission.Refuse
 		} else {
 			f.running++
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -22,54 +22,54 @@
 	Replicas int
 	// Slots are those of a replica; it queues what comes beyond them.
 	Slots int
-	// Step is the time of a token, the same in every slot.
-	Step time.Duration
+	// TokenTime is the time of a token, the same in every slot.
+	TokenTime time.Duration
 	// Tokens of an answer.
 	Tokens int
 	Teams  int
-	// Offered is the load over the bound.
-	Offered float64
-	// Prelude is served before.
-	Prelude Prelude
-	// Patience is how long a caller waits for its whole answer.
-	Patience time.Duration
-	// Length of the run; calls from Warm on are judged.
-	Length, Warm time.Duration
-	Seed         uint64
-	// InTurn sends the calls to the replicas in turn, without nodes.
-	InTurn bool
+	// OfferedLoad is the load over the bound.
+	OfferedLoad float64
+	// Preload is served before.
+	Preload Preload
+	// CallerTimeout is how long a caller waits for its whole answer.
+	CallerTimeout time.Duration
+	// Length of the run; calls from Warmup on are judged.
+	Length, Warmup time.Duration
+	Seed           uint64
+	// RoundRobin sends the calls to the replicas in turn, without nodes.
+	RoundRobin bool
 	// Domains is the number of failure domains, among which nodes and replicas
 	// are dealt in turn; zero: one.
 	Domains int
-	// OnePrompt has all callers ask with the same prompt, which each replica
+	// SharedPrompt has all callers ask with the same prompt, which each replica
 	// keeps cached.
-	OnePrompt bool
-	// Strangers keeps from the nodes how many they are, so that none counts on a
+	SharedPrompt bool
+	// HideNodeCount keeps from the nodes how many they are, so that none counts on a
 	// part of the slots of its own.
-	Strangers bool
+	HideNodeCount bool
 }
 
-// Prelude is a load before that of the run, and a pause after it.
-type Prelude struct {
-	// Offered is the load over the bound.
-	Offered    float64
-	For, Pause time.Duration
+// Preload is a load before that of the run, and a pause after it.
+type Preload struct {
+	// OfferedLoad is the load over the bound.
+	OfferedLoad     float64
+	Duration, Pause time.Duration
 }
 
 const (
-	// reportLag is how old a replica's report may be: it is renewed no sooner.
-	reportLag = 100 * time.Millisecond
-	// reportEvery is the number of tokens between two reports on an answer.
-	reportEvery = 8
-	// refreshEvery is how often a node looks again at its slots.
-	refreshEvery = time.Second
-	// onePrompt names the prefix of the prompt that all callers share.
-	onePrompt = 12345
+	// reportInterval is how old a replica's report may be: it is renewed no sooner.
+	reportInterval = 100 * time.Millisecond
+	// tokensPerReport is the number of tokens between two reports on an answer.
+	tokensPerReport = 8
+	// refreshInterval is how often a node looks again at its slots.
+	refreshInterval = time.Second
+	// sharedPrefix names the prefix of the prompt that all callers share.
+	sharedPrefix = 12345
 )
 
-// Bound is what the replicas can answer, in calls a second.
-func (f Fleet) Bound() float64 {
-	return float64(f.Replicas*f.Slots) / (float64(f.Tokens) * f.Step.Seconds())
+// Capacity is what the replicas can answer, in calls a second.
+func (f Fleet) Capacity() float64 {
+	return float64(f.Replicas*f.Slots) / (float64(f.Tokens) * f.TokenTime.Seconds())
 }
 
 // domain of the i-th node or replica.
@@ -82,59 +82,59 @@
 	Sent time.Duration // since Start
 	// FirstToken and Total are since the call; FirstToken is zero if none came.
 	FirstToken, Total time.Duration
-	// Whole is set if the answer was whole while the caller waited, Refused if
+	// Completed is set if the answer was whole while the caller waited, Refused if
 	// the caller was told that it will not run. Neither: it waited in vain.
-	Whole, Refused bool
-	RetryAfter     time.Duration
-	Node           int
+	Completed, Refused bool
+	RetryAfter         time.Duration
+	Node               int
 }
 
 type fleet struct {
 	Fleet
 	*Loop
-	rng      *rand.Rand // of the arrivals, the same however they are served
-	draws    *rand.Rand // of nodes and teams
-	nodes    []*fleetNode
-	replicas []*fleetReplica
-	turn     int
-	answers  []*Answer
+	arrivalRNG    *rand.Rand // of the arrivals, the same however they are served
+	assignmentRNG *rand.Rand // of nodes and teams
+	nodes         []*fleetNode
+	replicas      []*fleetReplica
+	nextReplica   int
+	answers       []*Answer
 }
 
 type fleetReplica struct {
-	id      string
-	running int
-	waiting []*fleetCall
-	report  balance.Load
-	taken   time.Time
+	id         string
+	running    int
+	waiting    []*fleetCall
+	report     balance.Load
+	reportedAt time.Time
 }
 
 type fleetNode struct {
-	index    int
-	queue    *admission.Queue
-	balancer *balance.Balancer
-	waiting  map[uint64]*fleetCall
-	nextID   uint64
-	nextTick time.Time
-	slots    int
-	running  int
-	took     time.Duration // mean time of an answer
+	index          int
+	queue          *admission.Queue
+	balancer       *balance.Balancer
+	waiting        map[uint64]*fleetCall
+	nextID         uint64
+	nextTick       time.Time
+	slots          int
+	running        int
+	meanAnswerTime time.Duration // mean time of an answer
 }
 
 type fleetCall struct {
 	*Answer
-	id      uint64
-	node    *fleetNode
-	replica *fleetReplica
-	cost    float64
-	tokens  float64 // come so far
-	sent    time.Time
-	first   time.Duration
-	gone    bool
+	id         uint64
+	node       *fleetNode
+	replica    *fleetReplica
+	cost       float64
+	received   float64 // come so far
+	sent       time.Time
+	firstToken time.Duration
+	ended      bool
 }
 
 // RunFleet plays the run and returns the judged calls in order of arrival.
 func RunFleet(f Fleet) []*Answer {
-	r := &fleet{Fleet: f, Loop: NewLoop(), rng: rand.New(rand.NewPCG(f.Seed, 3)), draws: rand.New(rand.NewPCG(f.Seed, 4))}
+	r := &fleet{Fleet: f, Loop: NewLoop(), arrivalRNG: rand.New(rand.NewPCG(f.Seed, 3)), assignmentRNG: rand.New(rand.NewPCG(f.Seed, 4))}
 	var replicas []balance.Replica
 	for i := range f.Replicas {
 		id := fmt.Sprint("replica-", i)
@@ -144,113 +144,113 @@
 	for i := range f.Nodes {
 		r.addNode(i, replicas)
 	}
-	r.arrive()
-	r.Run(Start.Add(f.Length + f.Patience))
-	return slices.DeleteFunc(r.answers, func(a *Answer) bool { return a.Sent < f.Warm })
+	r.scheduleArrival()
+	r.Run(Start.Add(f.Length + f.CallerTimeout))
+	return slices.DeleteFunc(r.answers, func(a *Answer) bool { return a.Sent < f.Warmup })
 }
 
 func (r *fleet) addNode(i int, replicas []balance.Replica) {
 	n := &fleetNode{
 		index:    i,
-		queue:    admission.New(admission.Config{SlotRate: 1 / r.Step.Seconds()}),
+		queue:    admission.New(admission.Config{SlotRate: 1 / r.TokenTime.Seconds()}),
 		balancer: balance.New(balance.Config{Node: fmt.Sprint("vm-", i), FailureDomain: r.domain(i), Seed: uint64(i) + r.Seed*64}),
 		waiting:  map[uint64]*fleetCall{},
 	}
 	n.balancer.SetReplicas(r.Now, replicas)
-	if !r.Strangers {
-		n.balancer.SetNodes(len(r.Fleet.Nodes))
+	if !r.HideNodeCount {
+		n.balancer.SetNodeCount(len(r.Fleet.Nodes))
 	}
 	r.nodes = append(r.nodes, n)
 	r.refresh(n)
 }
 
 func (r *fleet) refresh(n *fleetNode) {
-	r.follow(n)
-	r.At(r.Now.Add(refreshEvery), func() { r.refresh(n) })
+	r.updateShare(n)
+	r.Schedule(r.Now.Add(refreshInterval), func() { r.refresh(n) })
 }
 
-// follow tells the queue the slots that the balancer sees.
-func (r *fleet) follow(n *fleetNode) {
-	slots := max(1, n.running+n.balancer.Room(r.Now))
+// updateShare tells the queue the slots that the balancer sees.
+func (r *fleet) updateShare(n *fleetNode) {
+	slots := max(1, n.running+n.balancer.Headroom(r.Now))
 	if slots == n.slots {
 		return
 	}
 	n.slots = slots
-	r.act(n, n.queue.SetShare(r.Now, slots, n.balancer.Capacity(r.Now)))
+	r.applyVerdicts(n, n.queue.SetShare(r.Now, slots, n.balancer.Capacity(r.Now)))
 }
 
-func (r *fleet) arrive() {
-	next := r.next()
+func (r *fleet) scheduleArrival() {
+	next := r.nextArrival()
 	if next.Sub(Start) > r.Length {
 		return
 	}
-	r.At(next, func() {
-		r.call()
-		r.arrive()
+	r.Schedule(next, func() {
+		r.startCall()
+		r.scheduleArrival()
 	})
 }
 
-// next draws the time of the next call.
-func (r *fleet) next() time.Time {
-	begin, end := Start.Add(r.Prelude.For), Start.Add(r.Prelude.For+r.Prelude.Pause)
-	if r.Now.Before(begin) {
-		if at := r.Now.Add(r.gap(r.Prelude.Offered)); at.Before(begin) {
+// nextArrival draws the time of the nextArrival call.
+func (r *fleet) nextArrival() time.Time {
+	preloadEnd, pauseEnd := Start.Add(r.Preload.Duration), Start.Add(r.Preload.Duration+r.Preload.Pause)
+	if r.Now.Before(preloadEnd) {
+		if at := r.Now.Add(r.interarrival(r.Preload.OfferedLoad)); at.Before(preloadEnd) {
 			return at
 		}
-		return end
+		return pauseEnd
 	}
-	return r.Now.Add(r.gap(r.Offered))
+	return r.Now.Add(r.interarrival(r.OfferedLoad))
 }
 
-func (r *fleet) gap(offered float64) time.Duration {
-	return time.Duration(r.rng.ExpFloat64() / (offered * r.Bound()) * float64(time.Second))
+func (r *fleet) interarrival(offered float64) time.Duration {
+	return time.Duration(r.arrivalRNG.ExpFloat64() / (offered * r.Capacity()) * float64(time.Second))
 }
 
-func (r *fleet) call() {
+func (r *fleet) startCall() {
 	a := &Answer{Sent: r.Now.Sub(Start)}
 	r.answers = append(r.answers, a)
 	c := &fleetCall{Answer: a, cost: float64(r.Tokens)}
-	if r.InTurn {
-		r.turn++
-		c.replica = r.replicas[r.turn%len(r.replicas)]
+	if r.RoundRobin {
+		r.nextReplica++
+		c.replica = r.replicas[r.nextReplica%len(r.replicas)]
 		r.serve(c)
 	} else {
 		r.offer(c)
 	}
-	r.At(r.Now.Add(r.Patience), func() { r.leave(c) })
+	r.Schedule(r.Now.Add(r.CallerTimeout), func() { r.expire(c) })
 }
 
 func (r *fleet) offer(c *fleetCall) {
-	n := r.draw()
+	n := r.drawNode()
 	c.node, c.Node = n, n.index
 	n.nextID++
 	c.id = n.nextID
 	n.waiting[c.id] = c
-	answer := max(n.took, time.Duration(r.Tokens)*r.Step)
-	r.act(n, n.queue.Offer(r.Now, admission.Request{
-		ID: c.id, Team: fmt.Sprint("team-", r.draws.IntN(r.Teams)), Class: admission.Interactive,
-		Cost: c.cost, Deadline: r.Now.Add(r.Patience - answer),
+	answerTime := max(n.meanAnswerTime, time.Duration(r.Tokens)*r.TokenTime)
+	r.applyVerdicts(n, n.queue.Offer(r.Now, admission.Request{
+		ID: c.id, Team: fmt.Sprint("team-", r.assignmentRNG.IntN(r.Teams)), Class: admission.Interactive,
+		Cost: c.cost, Deadline: r.Now.Add(r.CallerTimeout - answerTime),
 	}))
 }
 
-func (r *fleet) draw() *fleetNode {
-	at := r.draws.Float64()
-	for i, part := range r.Nodes {
-		if at -= part; at <= 0 {
+func (r *fleet) drawNode() *fleetNode {
+	at := r.assignmentRNG.Float64()
+	for i, share := range r.Nodes {
+		if at -= share; at <= 0 {
 			return r.nodes[i]
 		}
 	}
 	return r.nodes[len(r.nodes)-1]
 }
 
-// act does what the queue says and plans its next own event.
-func (r *fleet) act(n *fleetNode, verdicts []admission.Verdict) {
+// applyVerdicts does what the queue says and plans its next own event.
+func (r *fleet) applyVerdicts(n *fleetNode, verdicts []admission.Verdict) {
 	r.deliver(n, verdicts)
 	more, next := n.queue.Tick(r.Now)
 	r.deliver(n, more)
 	if next.After(r.Now) && !(n.nextTick.After(r.Now) && !next.Before(n.nextTick)) {
 		n.nextTick = next
-		r.At(next, func() { r.act(n, nil) })
+		r.Schedule(next, func() { r.applyVerdicts(n, nil) })
 	}
 }
 
@@ -259,7 +259,7 @@
 		c := n.waiting[v.ID]
 		delete(n.waiting, v.ID)
 		if v.Kind == admission.Refuse {
-			c.Refused, c.gone = true, true
+			c.Refused, c.ended = true, true
 			c.RetryAfter = v.RetryAfter
 			c.Total = r.Now.Sub(Start) - c.Sent
 			continue
@@ -271,8 +271,8 @@
 func (r *fleet) send(c *fleetCall) {
 	n := c.node
 	query := balance.Query{Cost: c.cost}
-	if r.OnePrompt {
-		query.Prefix = onePrompt
+	if r.SharedPrompt {
+		query.Prefix = sharedPrefix
 	}
 	choice, _ := n.balancer.Pick(r.Now, query)
 	n.balancer.Sent(r.Now, choice.Replica, c.cost)
@@ -289,37 +289,37 @@
 		return
 	}
 	e.running++
-	r.At(r.Now.Add(r.Step), func() { r.token(c, 0) })
+	r.Schedule(r.Now.Add(r.TokenTime), func() { r.emitToken(c, 0) })
 }
 
-// token is the number-th of the answer. A caller who has gone ends it.
-func (r *fleet) token(c *fleetCall, number int) {
-	if c.gone {
-		r.free(c)
+// emitToken is the number-th of the answer. A caller who has gone ends it.
+func (r *fleet) emitToken(c *fleetCall, number int) {
+	if c.ended {
+		r.releaseSlot(c)
 		return
 	}
-	c.tokens++
+	c.received++
 	if number == 0 {
 		c.FirstToken = r.Now.Sub(Start) - c.Sent
 		if c.node != nil {
-			c.first = r.Now.Sub(c.sent)
-			c.node.balancer.Started(r.Now, c.replica.id, c.first)
+			c.firstToken = r.Now.Sub(c.sent)
+			c.node.balancer.Started(r.Now, c.replica.id, c.firstToken)
 		}
 	}
-	if number%reportEvery == 0 {
-		r.told(c)
+	if number%tokensPerReport == 0 {
+		r.deliverReport(c)
 	}
 	if number+1 < r.Tokens {
-		r.At(r.Now.Add(r.Step), func() { r.token(c, number+1) })
+		r.Schedule(r.Now.Add(r.TokenTime), func() { r.emitToken(c, number+1) })
 		return
 	}
-	c.Whole, c.gone = true, true
+	c.Completed, c.ended = true, true
 	c.Total = r.Now.Sub(Start) - c.Sent
-	r.free(c)
+	r.releaseSlot(c)
 }
 
-// free ends the call's slot and tells its node.
-func (r *fleet) free(c *fleetCall) {
+// releaseSlot ends the call's slot and tells its node.
+func (r *fleet) releaseSlot(c *fleetCall) {
 	e := c.replica
 	e.running--
 	if len(e.waiting) > 0 {
@@ -330,54 +330,54 @@
 	if c.node == nil {
 		return
 	}
-	result := balance.Result{Cost: c.cost, FirstToken: c.first, Total: r.Now.Sub(c.sent), Started: c.first > 0}
-	if !c.Whole {
+	result := balance.Result{Cost: c.cost, FirstToken: c.firstToken, Total: r.Now.Sub(c.sent), Started: c.firstToken > 0}
+	if !c.Completed {
 		result.Failure = health.Canceled
 	}
 	c.node.running--
 	c.node.balancer.Finished(r.Now, e.id, result)
-	r.told(c)
-	r.follow(c.node)
-	if !c.Whole {
-		r.act(c.node, c.node.queue.Cut(r.Now, c.id, c.tokens))
+	r.deliverReport(c)
+	r.updateShare(c.node)
+	if !c.Completed {
+		r.applyVerdicts(c.node, c.node.queue.Cut(r.Now, c.id, c.received))
 		return
 	}
-	c.node.took += (result.Total - c.node.took) / 20
-	r.act(c.node, c.node.queue.Finish(r.Now, c.id, c.tokens))
+	c.node.meanAnswerTime += (result.Total - c.node.meanAnswerTime) / 20
+	r.applyVerdicts(c.node, c.node.queue.Finish(r.Now, c.id, c.received))
 }
 
-// told passes the replica's report to the call's node.
-func (r *fleet) told(c *fleetCall) {
+// deliverReport passes the replica's report to the call's node.
+func (r *fleet) deliverReport(c *fleetCall) {
 	if c.node == nil {
 		return
 	}
 	e := c.replica
-	if e.taken.IsZero() || r.Now.Sub(e.taken) >= reportLag {
+	if e.reportedAt.IsZero() || r.Now.Sub(e.reportedAt) >= reportInterval {
 		e.report = balance.Load{Running: e.running, Waiting: len(e.waiting)}
-		e.taken = r.Now
+		e.reportedAt = r.Now
 	}
 	l := e.report
-	l.Age = r.Now.Sub(e.taken)
+	l.Age = r.Now.Sub(e.reportedAt)
 	c.node.balancer.Report(r.Now, e.id, l)
-	r.follow(c.node)
+	r.updateShare(c.node)
 }
 
-// leave ends the patience of a caller.
-func (r *fleet) leave(c *fleetCall) {
-	if c.gone {
+// expire ends the patience of a caller.
+func (r *fleet) expire(c *fleetCall) {
+	if c.ended {
 		return
 	}
-	c.gone = true
-	c.Total = r.Patience
+	c.ended = true
+	c.Total = r.CallerTimeout
 	if n := c.node; n != nil && n.waiting[c.id] != nil {
 		delete(n.waiting, c.id)
-		r.act(n, n.queue.Abandon(r.Now, c.id))
+		r.applyVerdicts(n, n.queue.Abandon(r.Now, c.id))
 		return
 	}
 	e := c.replica
 	if i := slices.Index(e.waiting, c); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
 		e.running++ // free takes it off again
-		r.free(c)
+		r.releaseSlot(c)
 	}
 }
--- a/decide/internal/sim/loop.go
+++ b/decide/internal/sim/loop.go
@@ -44,8 +44,8 @@
 // NewLoop returns a loop at Start.
 func NewLoop() *Loop { return &Loop{Now: Start} }
 
-// At plans a function; functions of the same time run in the order of planning.
-func (l *Loop) At(t time.Time, run func()) {
+// Schedule plans a function; functions of the same time run in the order of planning.
+func (l *Loop) Schedule(t time.Time, run func()) {
 	l.seq++
 	heap.Push(&l.events, event{at: t, seq: l.seq, run: run})
 }
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -19,14 +19,14 @@
 
 // Load is one stream of calls with random (Poisson) arrivals.
 type Load struct {
-	Team     string
-	Class    admission.Class
-	Rate     float64       // calls per second
-	Cost     float64       // mean actual cost in tokens; each call 0.5 to 1.5 times that
-	Declared float64       // expected over actual cost; zero means 0.7 to 1.3 at random
-	Patience time.Duration // from a call to its latest useful start
-	From, To time.Duration // zero To means the whole run
-	Returns  bool          // a refused caller comes back once, when told to
+	Team          string
+	Class         admission.Class
+	Rate          float64       // calls per second
+	Cost          float64       // mean actual cost in tokens; each call 0.5 to 1.5 times that
+	DeclaredRatio float64       // expected over actual cost; zero means 0.7 to 1.3 at random
+	StartTimeout  time.Duration // from a call to its latest useful start
+	From, To      time.Duration // zero To means the whole run
+	RetryOnce     bool          // a refused caller comes back once, when told to
 }
 
 // Scenario is a run against one service.
@@ -35,22 +35,22 @@
 	Length   time.Duration
 	Loads    []Load
 	Capacity map[time.Duration]int // changes of the number of slots
-	Stalled  time.Duration         // from here on nothing finishes; zero means never
+	StallAt  time.Duration         // from here on nothing finishes; zero means never
 	Seed     uint64                // of the arrivals and costs
 }
 
 // Call is what one caller saw.
 type Call struct {
-	Load     int
-	Offered  time.Duration // since Start
-	Started  time.Duration // zero unless started
-	Finished time.Duration // zero unless finished
-	Answered time.Duration // refused at
-	Deadline time.Duration
-	Cost     float64 // actual
-	Verdict  admission.Verdict
-
-	Again bool // the caller has come back after a refusal
+	Load      int
+	Offered   time.Duration // since Start
+	Started   time.Duration // zero unless started
+	Finished  time.Duration // zero unless finished
+	RefusedAt time.Duration // refused at
+	Deadline  time.Duration
+	Cost      float64 // actual
+	Verdict   admission.Verdict
+
+	Retry bool // the caller has come back after a refusal
 }
 
 // InTime tells whether the call started while the caller still wanted it.
@@ -72,66 +72,66 @@
 func Run(s Scenario, policy Policy) *Result {
 	r := &run{Scenario: s, Loop: NewLoop(), policy: policy, rng: rand.New(rand.NewPCG(s.Seed, 2))}
 	for i, l := range s.Loads {
-		r.plan(i, l)
+		r.scheduleArrivals(i, l)
 	}
 	for at, slots := range s.Capacity {
-		r.At(Start.Add(at), func() { r.act(policy.SetCapacity(r.Now, slots)) })
+		r.Schedule(Start.Add(at), func() { r.applyVerdicts(policy.SetCapacity(r.Now, slots)) })
 	}
 	r.Loop.Run(Start.Add(s.Length))
 	return &Result{Calls: r.calls}
 }
 
-func (r *run) plan(index int, l Load) {
+func (r *run) scheduleArrivals(index int, l Load) {
 	end := l.To
 	if end == 0 {
 		end = r.Length
 	}
-	gap := func() time.Duration { return time.Duration(r.rng.ExpFloat64() / l.Rate * float64(time.Second)) }
-	for at := l.From + gap(); at < end; at += gap() {
+	interarrival := func() time.Duration { return time.Duration(r.rng.ExpFloat64() / l.Rate * float64(time.Second)) }
+	for at := l.From + interarrival(); at < end; at += interarrival() {
 		cost := l.Cost * (0.5 + r.rng.Float64())
-		declared := l.Declared
+		declared := l.DeclaredRatio
 		if declared == 0 {
 			declared = 0.7 + 0.6*r.rng.Float64()
 		}
-		r.At(Start.Add(at), func() { r.offer(index, l, cost, cost*declared, false) })
+		r.Schedule(Start.Add(at), func() { r.offer(index, l, cost, cost*declared, false) })
 	}
 }
 
-func (r *run) offer(index int, l Load, cost, expected float64, again bool) {
+func (r *run) offer(index int, l Load, cost, expected float64, retry bool) {
 	id := uint64(len(r.calls))
-	deadline := r.Now.Add(l.Patience)
-	r.calls = append(r.calls, &Call{Load: index, Offered: r.Now.Sub(Start), Deadline: deadline.Sub(Start), Cost: cost, Again: again})
-	r.act(r.policy.Offer(r.Now, admission.Request{ID: id, Team: l.Team, Class: l.Class, Cost: expected, Deadline: deadline}))
+	deadline := r.Now.Add(l.StartTimeout)
+	r.calls = append(r.calls, &Call{Load: index, Offered: r.Now.Sub(Start), Deadline: deadline.Sub(Start), Cost: cost, Retry: retry})
+	r.applyVerdicts(r.policy.Offer(r.Now, admission.Request{ID: id, Team: l.Team, Class: l.Class, Cost: expected, Deadline: deadline}))
 	r.tick()
 }
 
-func (r *run) act(verdicts []admission.Verdict) {
+func (r *run) applyVerdicts(verdicts []admission.Verdict) {
 	for _, v := range verdicts {
 		c := r.calls[v.ID]
 		c.Verdict = v
 		if v.Kind == admission.Refuse {
-			c.Answered = r.Now.Sub(Start)
-			r.comeBack(c)
+			c.RefusedAt = r.Now.Sub(Start)
+			r.scheduleRetry(c)
 			continue
 		}
 		c.Started = r.Now.Sub(Start)
 		end := r.Now.Add(time.Duration(c.Cost / r.SlotRate * float64(time.Second)))
-		if r.Stalled > 0 && end.Sub(Start) > r.Stalled {
+		if r.StallAt > 0 && end.Sub(Start) > r.StallAt {
 			continue
 		}
-		r.At(end, func() {
+		r.Schedule(end, func() {
 			c.Finished = r.Now.Sub(Start)
-			r.act(r.policy.Finish(r.Now, v.ID, c.Cost))
+			r.applyVerdicts(r.policy.Finish(r.Now, v.ID, c.Cost))
 		})
 	}
 }
 
-func (r *run) comeBack(c *Call) {
+func (r *run) scheduleRetry(c *Call) {
 	l := r.Loads[c.Load]
-	if !l.Returns || c.Again || c.Verdict.RetryAfter == 0 {
+	if !l.RetryOnce || c.Retry || c.Verdict.RetryAfter == 0 {
 		return
 	}
-	r.At(r.Now.Add(c.Verdict.RetryAfter), func() { r.offer(c.Load, l, c.Cost, c.Cost, true) })
+	r.Schedule(r.Now.Add(c.Verdict.RetryAfter), func() { r.offer(c.Load, l, c.Cost, c.Cost, true) })
 }
 
 func (r *run) tick() {
@@ -139,10 +139,10 @@
 		return
 	}
 	verdicts, next := r.policy.Tick(r.Now)
-	r.act(verdicts)
+	r.applyVerdicts(verdicts)
 	if next.After(r.Now) {
 		r.nextTick = next
-		r.At(next, r.tick)
+		r.Schedule(next, r.tick)
 	}
 }
 
@@ -155,46 +155,46 @@
 			continue
 		}
 		end := c.Started + time.Duration(c.Cost/slotRate*float64(time.Second))
-		if used := min(end, to) - max(c.Started, from); used > 0 {
-			sum += used.Seconds() * slotRate
+		if slotTime := min(end, to) - max(c.Started, from); slotTime > 0 {
+			sum += slotTime.Seconds() * slotRate
 		}
 	}
 	return sum / (to - from).Seconds()
 }
 
-// Waits returns the start delays of the load's calls offered between the two
+// StartDelays returns the start delays of the load's calls offered between the two
 // times, in order; a call that never started in time counts as its patience.
-func (r *Result) Waits(load int, from, to time.Duration) []time.Duration {
-	var waits []time.Duration
+func (r *Result) StartDelays(load int, from, to time.Duration) []time.Duration {
+	var delays []time.Duration
 	for _, c := range r.Calls {
 		if c.Load != load || c.Offered < from || c.Offered >= to {
 			continue
 		}
-		wait := c.Deadline - c.Offered
+		delay := c.Deadline - c.Offered
 		if c.InTime() {
-			wait = c.Started - c.Offered
+			delay = c.Started - c.Offered
 		}
-		waits = append(waits, wait)
+		delays = append(delays, delay)
 	}
-	slices.Sort(waits)
-	return waits
+	slices.Sort(delays)
+	return delays
 }
 
 // P95 returns the 95th percentile of sorted waits.
-func P95(waits []time.Duration) time.Duration { return waits[len(waits)*95/100] }
+func P95(sorted []time.Duration) time.Duration { return sorted[len(sorted)*95/100] }
 
-// Served returns the part of the load's calls offered between the two times
+// StartedShare returns the part of the load's calls offered between the two times
 // that started in time.
-func (r *Result) Served(load int, from, to time.Duration) float64 {
-	served, all := 0.0, 0.0
+func (r *Result) StartedShare(load int, from, to time.Duration) float64 {
+	started, all := 0.0, 0.0
 	for _, c := range r.Calls {
 		if c.Load != load || c.Offered < from || c.Offered >= to {
 			continue
 		}
 		all++
 		if c.InTime() {
-			served++
+			started++
 		}
 	}
-	return served / all
+	return started / all
 }
--- a/route/replicapicker/replicapicker.go
+++ b/route/replicapicker/replicapicker.go
@@ -77,7 +77,7 @@
 // Leaving passes on what one source says of a replica: it gets nothing new
 // while any source says that it leaves.
 func (p *Picker) Leaving(replica string, source balance.Source, leaving bool) {
-	p.change(func(now time.Time, b *balance.Balancer) { b.Leaving(now, replica, source, leaving) })
+	p.change(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replica, source, leaving) })
 }
 
 // SetReplicas puts a new list of replicas in force.
@@ -132,7 +132,7 @@
 	if whole == 0 {
 		return 0
 	}
-	return max(1, p.underway+p.balancer.Room(now))
+	return max(1, p.underway+p.balancer.Headroom(now))
 }
 
 // SubsetVersion changes whenever Subset does.
@@ -154,6 +154,6 @@
 func (p *Picker) SetPeers(near []string, all int) {
 	p.change(func(now time.Time, b *balance.Balancer) {
 		b.SetPeers(now, near)
-		b.SetNodes(all)
+		b.SetNodeCount(all)
 	})
 }
--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -63,7 +63,7 @@
 		s.quiet.Set(s.endpointsOf(s.Picker.Subset()))
 		s.quietOf = version
 	}
-	endpoint, heard, _ := s.quiet.First()
+	endpoint, heard, _ := s.quiet.Oldest()
 	return LoadDue{endpoint, heard}, s.quiet.Due(s.now(), pause)
 }
 
@@ -87,7 +87,7 @@
 func (s *Service) Asked(endpoint string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quiet.Heard(endpoint, at)
+	s.quiet.Touch(endpoint, at)
 }
 
 // mark keeps what a source says of an endpoint that a replica needs. A word that
--- a/route/service/prefixes.go
+++ b/route/service/prefixes.go
@@ -17,7 +17,7 @@
 	index *cacheindex.Index
 	// asked orders the replicas of the subset askedOf by when each was last asked
 	// for its events.
-	asked   balance.Quiet
+	asked   balance.PollSchedule
 	askedOf uint64
 }
 
@@ -74,7 +74,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s.followSubset()
-	replica, at, _ := p.asked.First()
+	replica, at, _ := p.asked.Oldest()
 	return s.eventsOf(replica, at), p.asked.Due(s.now(), pause)
 }
 
@@ -88,7 +88,7 @@
 	defer p.mu.Unlock()
 	s.followSubset()
 	for _, replica := range replicas {
-		if s.firstStage(replica) == endpoint && p.asked.HalfRound(replica, s.now(), pause) {
+		if s.firstStage(replica) == endpoint && p.asked.HalfRoundElapsed(replica, s.now(), pause) {
 			return s.eventsOf(replica, time.Time{}), true
 		}
 	}
@@ -120,7 +120,7 @@
 func (s *Service) EventsAsked(replica string) {
 	s.Prefixes.mu.Lock()
 	defer s.Prefixes.mu.Unlock()
-	s.Prefixes.asked.Heard(replica, s.now())
+	s.Prefixes.asked.Touch(replica, s.now())
 }
 
 func (s *Service) firstStage(replica string) string {
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -47,7 +47,7 @@
 	marks   map[leavingMark]bool
 	// quiet orders the endpoints of the subset quietOf by when each last told its
 	// load, or was last asked.
-	quiet   balance.Quiet
+	quiet   balance.PollSchedule
 	quietOf uint64
 	// steps is each endpoint's own report of its time for a token.
 	steps   map[string]time.Duration
