--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -10,7 +10,7 @@
 )
 
 // Balancer places the requests of one service on one node. It is not safe for
-// concurrent use; the caller locks.
+// concurrent use; the caller must lock.
 type Balancer struct {
 	cfg      Config
 	subset   subset
@@ -21,29 +21,29 @@
 	near     tier
 	spill    tier
 	probing  []*member
-	eligible []*member // that requests may go to
+	eligible []*member // may receive requests
 	changes  []Change
 
 	health        *health.Detector
-	nodeCount     int    // that share the replicas; zero if not known
-	subsetVersion uint64 // number of subsets chosen so far
-	healthVersion uint64 // of health when the tiers were last refreshed
+	nodeCount     int    // nodes that share the replicas; zero if unknown
+	subsetVersion uint64 // number of times the subset was computed
+	healthVersion uint64 // version of health at the last refresh of the tiers
 	rng           *rand.Rand
 	meanCost      float64 // moving average, tokens
-	meanTime      float64 // moving average of whole answers, seconds
-	rampFloor     float64 // the part of its capacity with which a newcomer starts
+	meanTime      float64 // moving average of the duration of whole answers, seconds
+	rampFloor     float64 // share of its capacity with which a new replica starts
 }
 
-// leavingState holds who says that an endpoint is leaving.
+// leavingState records which sources report that an endpoint is leaving.
 type leavingState struct {
 	sources    uint8
-	refusedAt  time.Time // when the endpoint refused a request as it leaves
-	reportedAt time.Time // when the report was made that says so
+	refusedAt  time.Time // when the endpoint last refused a request because it is shutting down
+	reportedAt time.Time // when the endpoint made the load report that says it is leaving
 }
 
 func (l leavingState) has(s Source) bool { return l.sources&(1<<s) != 0 }
 
-// member is a replica of the subset.
+// member is a replica in the subset of this node.
 type member struct {
 	hashedReplica
 	load
@@ -53,7 +53,7 @@
 	usable       bool
 	leaving      bool
 	state        health.State // at the last refresh
-	rampStart    time.Time    // begin of the slow start; zero for none
+	rampStart    time.Time    // start of the slow start; zero if there is none
 	backoffUntil time.Time    // end of the backoff after a refusal
 }
 
@@ -70,9 +70,10 @@
 	}
 }
 
-// SetReplicas replaces the list of the service's replicas. Those in it before
-// keep their state; newcomers get a slow start, unless the list was empty. The
-// cost is that of a sort, and a rank for each near replica and peer.
+// SetReplicas replaces the list of the service's replicas. Replicas that were in
+// the previous list keep their state. New ones get a slow start, unless the
+// previous list was empty. The cost is one sort plus one rendezvous score per pair
+// of near replica and peer.
 func (b *Balancer) SetReplicas(now time.Time, replicas []Replica) {
 	previous := b.replicas
 	b.replicas = hashReplicas(replicas)
@@ -86,9 +87,9 @@
 	})
 }
 
-// SetPeers tells the live nodes of the node's own failure domain, itself
-// included or not. Until it is called the node chooses its subset without
-// regard to its peers, and the cover is uneven.
+// SetPeers sets the live nodes of the node's own failure domain; the node itself
+// may be among them. Until SetPeers is called, the node chooses its subset without
+// knowing its peers, and the cover of the replicas is uneven.
 func (b *Balancer) SetPeers(now time.Time, nodes []string) {
 	peers := make([]uint64, 0, len(nodes))
 	for _, n := range nodes {
@@ -104,7 +105,7 @@
 	b.updateSubset(now, func(hashedReplica) bool { return false })
 }
 
-// updateSubset computes the subset anew.
+// updateSubset recomputes the subset.
 func (b *Balancer) updateSubset(now time.Time, isNew func(hashedReplica) bool) {
 	b.subsetVersion++
 	near, spill := b.subset.choose(b.replicas)
@@ -142,15 +143,17 @@
 	return t
 }
 
-// SetLeaving records what the platform's list says of an endpoint.
+// SetLeaving records whether the platform's list of VMs says that an endpoint is
+// leaving.
 func (b *Balancer) SetLeaving(now time.Time, id string, leaving bool) {
 	b.MarkLeaving(now, id, SourcePlatform, leaving)
 }
 
-// MarkLeaving records what one source says of an endpoint. An endpoint that any
-// source calls leaving gets nothing new. Each source can take back only its own
-// word: were the last to speak believed, a list that lags would send requests
-// back to an endpoint that has said itself that it shuts down.
+// MarkLeaving records whether one source says that an endpoint is leaving. An
+// endpoint gets no new requests while any source says so, and each source can
+// withdraw only its own statement. If the latest statement won regardless of its
+// source, a platform list that lags would send requests back to an endpoint that
+// has itself reported its shutdown.
 func (b *Balancer) MarkLeaving(now time.Time, id string, source Source, leaving bool) {
 	state := b.leaving[id]
 	state.sources &^= 1 << source
@@ -173,9 +176,10 @@
 	}
 }
 
-// recordLeavingRefusal takes an endpoint's refusal as its word that it leaves. No
-// report takes it back, as not all engines put it into their reports; it ends
-// with the entry in the replica list, or is tried again after refusalHold.
+// recordLeavingRefusal marks an endpoint as leaving because it refused a request
+// with that reason. A later load report does not withdraw the mark, because some
+// engines do not report their shutdown. The mark ends when the endpoint disappears
+// from the replica list, or after leavingRefusalTTL.
 func (b *Balancer) recordLeavingRefusal(now time.Time, id string) {
 	state := b.leaving[id]
 	state.sources |= 1 << sourceRefusal
@@ -191,8 +195,8 @@
 	}
 }
 
-// Sent records a request sent to the replica, of the given cost in tokens, 0 if
-// unknown.
+// Sent records a request that was sent to the replica. The cost is in tokens; 0
+// means unknown.
 func (b *Balancer) Sent(now time.Time, id string, cost float64) {
 	m := b.members[id]
 	if m == nil {
@@ -213,17 +217,18 @@
 	return old + (v-old)*averageGain
 }
 
-// Started records the first part of an answer, which came after the given time.
-// It is optional: it tells sooner than Finished that a replica is not frozen.
+// Started records that the first part of an answer arrived firstToken after the
+// request was sent. The call is optional. It shows earlier than Finished that a
+// replica is not frozen.
 func (b *Balancer) Started(now time.Time, id string, firstToken time.Duration) {
 	if m := b.members[id]; m != nil {
 		b.health.Heard(now, m.health, firstToken)
 	}
 }
 
-// Progress records the mean time between tokens of an answer underway. It is
-// optional, and meant to be called about once a second for each long answer: it
-// tells sooner than Finished that a replica is slow.
+// Progress records the mean time between tokens of an unfinished answer. The call
+// is optional and meant to be made about once a second for each long answer. It
+// shows earlier than Finished that a replica is slow.
 func (b *Balancer) Progress(now time.Time, id string, perToken time.Duration) {
 	m := b.members[id]
 	if m == nil || b.meanCost == 0 {
@@ -233,7 +238,7 @@
 	b.refreshIfChanged(now)
 }
 
-// Finished records the end of an attempt that Sent recorded.
+// Finished records the end of an attempt that was recorded by Sent.
 func (b *Balancer) Finished(now time.Time, id string, r Result) {
 	m := b.members[id]
 	if m == nil || m.inflight == 0 {
@@ -263,10 +268,11 @@
 	})
 }
 
-// normalizedDecodeTime is the time that the answer took from its first part on, in seconds for
-// an answer of mean cost. The first part itself is left out: it comes ten times
-// sooner where the prompt's prefix is cached, so that replicas with cold caches
-// would be ejected as slow, and their prefixes would make the next cache cold.
+// normalizedDecodeTime returns the time from the first part of the answer to its
+// end, in seconds, scaled to an answer of mean cost. The time to the first part is
+// excluded: it is ten times shorter if the prompt's prefix is cached. If it
+// counted, replicas with cold caches would be ejected as slow, and the replicas
+// that take over their prefixes would then have cold caches too.
 func (b *Balancer) normalizedDecodeTime(r Result) float64 {
 	decodeTime := (r.Total - r.FirstToken).Seconds()
 	if r.FirstToken > 0 && r.Cost > 0 {
@@ -275,13 +281,13 @@
 	return decodeTime
 }
 
-// weightAdjusted is the delay that a replica of weight 1 would have had, so that a
-// slower kind of accelerator is no outlier.
+// weightAdjusted converts a delay to the one that a replica of weight 1 would have
+// had, so that a slower type of accelerator is not an outlier.
 func (m *member) weightAdjusted(seconds float64) time.Duration {
 	return time.Duration(seconds * m.Weight * float64(time.Second))
 }
 
-// Report records a replica's load as it tells it itself.
+// Report records a load report made by a replica.
 func (b *Balancer) Report(now time.Time, id string, l Load) {
 	b.updateLeavingFromReport(now, id, l)
 	m := b.members[id]
@@ -294,8 +300,9 @@
 	}
 }
 
-// updateLeavingFromReport takes back a report's word only by a newer report, as polls and
-// answers overtake each other.
+// updateLeavingFromReport applies the leaving flag of a load report. Only a report
+// made later can withdraw the flag, because reports from polls and from answers can
+// arrive out of order.
 func (b *Balancer) updateLeavingFromReport(now time.Time, id string, l Load) {
 	state := b.leaving[id]
 	measuredAt := now.Add(-l.Age)
@@ -311,7 +318,8 @@
 	b.setLeavingState(now, id, state)
 }
 
-// Capacity returns the slots of the open part of the subset.
+// Capacity returns the number of slots of the replicas that may receive requests.
+// Replicas in slow start count with their current share.
 func (b *Balancer) Capacity(now time.Time) int {
 	slots := 0.0
 	for _, m := range b.eligible {
@@ -320,14 +328,15 @@
 	return int(slots)
 }
 
-// ReplicaCount returns how many replicas the service has, and Subset how many of them
-// this node uses.
+// ReplicaCount returns the number of replicas of the service. Subset returns those
+// that this node uses.
 func (b *Balancer) ReplicaCount() int { return len(b.replicas) }
 
-// SubsetVersion changes whenever Subset does.
+// SubsetVersion changes whenever the result of Subset does.
 func (b *Balancer) SubsetVersion() uint64 { return b.subsetVersion }
 
-// Subset returns the IDs of the replicas that this node uses, the near first.
+// Subset returns the IDs of the replicas that this node uses, nearest failure
+// domain first.
 func (b *Balancer) Subset() []string {
 	var ids []string
 	for _, m := range slices.Concat(b.near.members, b.spill.members) {
@@ -336,7 +345,8 @@
 	return ids
 }
 
-// evaluateHealth lets package health evaluateHealth when it is time to.
+// evaluateHealth runs the periodic outlier detection of package health if it is
+// due.
 func (b *Balancer) evaluateHealth(now time.Time) {
 	if b.health.Due(now) {
 		b.expireLeavingRefusals(now)
@@ -351,9 +361,8 @@
 	}
 }
 
-// refresh sorts the members by what may be done with them. It costs a pass over
-// the subset and is called when a state changes and at each judgement, never
-// for each request.
+// refresh groups the members by health state. It takes one pass over the subset and
+// runs when a state changes and at each health evaluation, never per request.
 func (b *Balancer) refresh(now time.Time) {
 	b.healthVersion = b.health.Version()
 	b.probing = b.probing[:0]
@@ -363,12 +372,12 @@
 	b.setRampFloor(now)
 }
 
-// refreshEligible finds the replicas that requests may go to: the usable ones, or if
-// there is none the ejected ones, which Pick takes as a last resort.
+// refreshEligible finds the replicas that may receive requests: the usable ones or,
+// if there are none, the ejected ones, which Pick uses as a last resort.
 //
-// If these had no slots, a service whose other replicas leave would be refused
-// at the door for good: an ejection ends with a judgement, judgements come with
-// requests, and no request would come.
+// If the ejected ones had no slots, a service whose other replicas are leaving
+// would refuse every request for good: an ejection ends only at a health
+// evaluation, and health is evaluated only when a request arrives.
 func (b *Balancer) refreshEligible() {
 	b.eligible = append(append(b.eligible[:0], b.near.usable...), b.spill.usable...)
 	if len(b.eligible) > 0 {
@@ -404,9 +413,10 @@
 	}
 }
 
-// setRampFloor lets newcomers start with more the more of them there are. Half
-// and more of the capacity cannot be spared: were it held back when a service
-// grows tenfold, the few old replicas would drown in the load of all.
+// setRampFloor raises the initial share of new replicas as their part of the total
+// capacity grows. If new replicas make up half or more of it, their capacity cannot
+// be withheld: when a service grows tenfold, the few old replicas would otherwise
+// be overloaded with all requests.
 func (b *Balancer) setRampFloor(now time.Time) {
 	ramping := 0.0
 	for _, t := range []*tier{&b.near, &b.spill} {
@@ -423,7 +433,8 @@
 	b.rampFloor = max(minRamp, 2*share-1)
 }
 
-// ramp is the part of its capacity that a newcomer may use so far.
+// ramp returns the share of its capacity that a replica may use during its slow
+// start.
 func (b *Balancer) ramp(now time.Time, m *member) float64 {
 	if m.rampStart.IsZero() {
 		return 1
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -41,9 +41,10 @@
 	return got
 }
 
-// Callers would meet a refusal on an endpoint that leaves. Any one source is
-// believed, and only the same source can take it back: the platform's list lags
-// and still says live when the endpoint itself has said that it leaves.
+// Requests sent to a leaving endpoint are refused. A single source is enough to
+// mark an endpoint as leaving, and only the same source may withdraw the mark: the
+// platform's list lags and still reports an endpoint as live that has reported its
+// own shutdown.
 func TestLeavingEndsOnlyBySameSource(t *testing.T) {
 	const id = "replica-0"
 	refusal := func(b *Balancer) {
@@ -57,17 +58,17 @@
 		atSecond     float64
 	}{
 		{"platform", func(b *Balancer) { b.SetLeaving(epoch, id, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, true, 0},
-		{"peer, list lags", func(b *Balancer) { b.MarkLeaving(epoch, id, SourcePeer, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, false, 0},
+		{"peer, platform list says live", func(b *Balancer) { b.MarkLeaving(epoch, id, SourcePeer, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, false, 0},
 		{"report, newer report", func(b *Balancer) { b.Report(epoch, id, Load{Leaving: true}) }, func(b *Balancer) { b.Report(seconds(1), id, Load{}) }, true, 1},
 		{"report, older report", func(b *Balancer) { b.Report(epoch, id, Load{Leaving: true}) }, func(b *Balancer) { b.Report(seconds(1), id, Load{Age: 2 * time.Second}) }, false, 1},
 		{"refusal, report", refusal, func(b *Balancer) { b.Report(seconds(1), id, Load{}) }, false, 1},
-		{"refusal, held long enough", refusal, func(*Balancer) {}, true, 61},
-		{"list forgets and names it anew", refusal, func(b *Balancer) {
+		{"refusal, leavingRefusalTTL elapsed", refusal, func(*Balancer) {}, true, 61},
+		{"removed from the list and added again", refusal, func(b *Balancer) {
 			b.SetReplicas(epoch, makeReplicas(4, 1)[1:])
 			b.SetReplicas(epoch, makeReplicas(4, 1))
-		}, true, 16}, // after its slow start
+		}, true, 16}, // after the slow start of 15 s
 	} {
-		Convey("Given an endpoint called leaving by "+c.name, t, func() {
+		Convey("Given an endpoint marked as leaving by "+c.name, t, func() {
 			b := newBalancer(4, 1)
 			c.mark(b)
 			So(pickCounts(b, epoch, 1000, Query{})[id], ShouldEqual, 0)
@@ -76,7 +77,7 @@
 			So(pickCounts(b, seconds(c.atSecond), 1000, Query{})[id] > 0, ShouldEqual, c.usableAgain)
 		})
 	}
-	Convey("Given that all endpoints leave", t, func() {
+	Convey("Given that all endpoints are leaving, none is picked and there is no headroom", t, func() {
 		b := newBalancer(4, 1)
 		for _, r := range makeReplicas(4, 1) {
 			b.SetLeaving(epoch, r.ID, true)
@@ -88,7 +89,7 @@
 }
 
 func TestPickFollowsReplicaState(t *testing.T) {
-	Convey("Given a replica that refused for want of room", t, func() {
+	Convey("Given a replica that refused a request because it was full, it is avoided during the backoff", t, func() {
 		b := newBalancer(2, 1)
 		b.Sent(epoch, "replica-0", 0)
 		b.Finished(epoch, "replica-0", Result{Failure: health.Overloaded})
@@ -96,7 +97,7 @@
 		So(pickCounts(b, epoch, 100, Query{Exclude: []string{"replica-1"}}), ShouldResemble, map[string]int{"replica-0": 100})
 		So(len(pickCounts(b, seconds(0.3), 100, Query{})), ShouldEqual, 2)
 	})
-	Convey("Given that every endpoint refuses connections", t, func() {
+	Convey("Given that every endpoint refuses connections, only one of two is ejected", t, func() {
 		b := newBalancer(2, 1)
 		for range 10 {
 			for _, id := range []string{"replica-0", "replica-1"} {
@@ -122,7 +123,7 @@
 		So(b.members["replica-5"].rampStart, ShouldEqual, seconds(1))
 		So(b.members["replica-0"], ShouldBeNil)
 	})
-	Convey("Given a service that grows tenfold, its newcomers are not held back", t, func() {
+	Convey("Given a service that grows tenfold, the capacity of new replicas is not withheld", t, func() {
 		b := newBalancer(2, 1)
 		b.SetReplicas(epoch, makeReplicas(20, 1))
 		So(b.Capacity(epoch), ShouldBeBetween, 16*64, 20*64)
@@ -131,7 +132,7 @@
 		So(few.Capacity(epoch), ShouldBeBetween, 18*64, 18.5*64)
 		So(few.Capacity(seconds(15)), ShouldEqual, 20*64)
 	})
-	Convey("Given a replica that gets long answers only, it is not taken for slow", t, func() {
+	Convey("Given a replica that serves only long answers, it is not ejected as slow", t, func() {
 		b := newBalancer(4, 1)
 		for i := range 100 {
 			for _, r := range makeReplicas(4, 1) {
@@ -146,17 +147,17 @@
 		}
 		So(b.Changes(), ShouldBeEmpty)
 	})
-	Convey("Given the same calls, two balancers choose the same", t, func() {
+	Convey("Given the same calls, two balancers with the same seed pick the same replicas", t, func() {
 		So(pickCounts(newBalancer(40, 3), epoch, 500, Query{}), ShouldResemble, pickCounts(newBalancer(40, 3), epoch, 500, Query{}))
 	})
 }
 
-// Callers are refused at the door by a node without slots. One of two replicas is
-// ejected, then the other one leaves. The node must keep room for the ejected
-// one: judgements come with requests, so without a request its ejection would
-// never end, and every caller would be refused until the document changes.
+// A node without slots refuses callers on admission. One of two replicas is
+// ejected, then the other one leaves. The node must keep slots for the ejected one:
+// health is evaluated only when a request arrives, so without requests the ejection
+// would never end, and every caller would be refused until the document changes.
 func TestEjectedReplicaKeepsCapacityWhenOthersLeave(t *testing.T) {
-	Convey("Given two replicas, one ejected and one that leaves", t, func() {
+	Convey("Given two replicas, one ejected and one leaving", t, func() {
 		b := newBalancer(2, 1)
 		for range 3 {
 			b.Sent(epoch, "replica-0", 1)
@@ -173,10 +174,10 @@
 	})
 }
 
-// A report of 10 running that was made when 4 of this node's were there tells
-// of 6 from other nodes, whatever this node has sent or ended since.
+// A report of 10 requests, made when 4 of them were this node's, means 6 requests
+// of other nodes, whatever this node has sent or finished since.
 func TestReportSubtractsOwnRequestsAtItsTime(t *testing.T) {
-	Convey("Given a report that is a second old", t, func() {
+	Convey("Given a report that was made a second ago", t, func() {
 		var l load
 		for range 4 {
 			l.sent(seconds(0), 0)
@@ -192,8 +193,8 @@
 	})
 }
 
-// Whatever happens in whatever order, a leaving or excluded replica is never
-// picked, and the counts neither go below zero nor stay above it.
+// For any order of events, a leaving or excluded replica is never picked, and the
+// in-flight counts never fall below zero and return to zero.
 func TestBalancerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBalancer(10, 2)
@@ -216,10 +217,10 @@
 					return
 				}
 				if b.Capacity(now) == 0 {
-					t.Fatalf("picked %+v of a service without slots", c)
+					t.Fatalf("picked %+v although the service has no slots", c)
 				}
 				if leaving[c.Replica] || slices.Contains(q.Exclude, c.Replica) || !(c.Score > 0) {
-					t.Fatalf("picked %+v", c)
+					t.Fatalf("picked %+v, which is leaving, excluded or without a positive score", c)
 				}
 				b.Sent(now, c.Replica, 5)
 				sent = append(sent, c.Replica)
@@ -236,14 +237,14 @@
 		}
 		for _, m := range b.members {
 			if m.inflight != 0 || m.cost != 0 || m.tier.inflight != 0 {
-				t.Fatalf("%s holds %d requests of cost %v, its tier %v", m.ID, m.inflight, m.cost, m.tier.inflight)
+				t.Fatalf("%s still has %d requests in flight with cost %v, its tier has %v", m.ID, m.inflight, m.cost, m.tier.inflight)
 			}
 		}
 	})
 }
 
-// subsets returns the replicas that each node uses. Nodes are spread over the
-// failure domains in turn.
+// subsets returns the replicas that each node uses. Nodes are assigned to the
+// failure domains by round robin.
 func subsets(nodes, domains int, all []hashedReplica, knowPeers bool) [][]hashedReplica {
 	near, peers, chosen := make([][][]hashedReplica, domains), make([][]uint64, domains), make([][]hashedReplica, nodes)
 	for n := range nodes {
@@ -263,8 +264,7 @@
 	return chosen
 }
 
-// coverStats returns how many nodes use the replica with the fewest, with the most
-// and on average.
+// coverStats returns the smallest, largest and mean number of nodes per replica.
 func coverStats(all []hashedReplica, chosen [][]hashedReplica) (least, most int, mean float64) {
 	nodes, sum := map[string]int{}, 0
 	for _, k := range slices.Concat(chosen...) {
@@ -278,14 +278,15 @@
 	return least, most, float64(sum) / float64(len(all))
 }
 
-// Callers wait where a replica has many nodes, and one without any is bought
-// for nothing. When nodes choose alone, the cover is Poisson spread.
+// A replica with many nodes gets too many requests and callers wait there; a
+// replica without any node is idle. If nodes choose without knowing their peers,
+// the number of nodes per replica is Poisson distributed.
 func TestSubsetsCoverReplicasEvenly(t *testing.T) {
 	for _, c := range []struct {
 		nodes, replicas, domains int
 		maxOverMean              float64
 	}{{9, 40, 3, 1}, {275, 1250, 23, 1.15}, {2200, 10000, 23, 1.15}} {
-		Convey(fmt.Sprintf("Given %d nodes before %d replicas", c.nodes, c.replicas), t, func() {
+		Convey(fmt.Sprintf("Given %d nodes and %d replicas", c.nodes, c.replicas), t, func() {
 			all := hashReplicas(makeReplicas(c.replicas, c.domains))
 			leastAlone, mostAlone, meanAlone := coverStats(all, subsets(c.nodes, c.domains, all, false))
 			withPeers := subsets(c.nodes, c.domains, all, true)
@@ -300,9 +301,8 @@
 	}
 }
 
-// Connections and warm caches are lost where a subset changes. A node or replica
-// that goes may take its own edges with it and no others; those of a node go to
-// its peers.
+// A changed subset loses connections and warm caches. Removing a node or replica
+// may change only its own edges; the edges of a removed node move to its peers.
 func TestSubsetChangesOnlyAffectedEdges(t *testing.T) {
 	const nodes, replicas = 96, 435
 	edges := func(nodes int, all []hashedReplica) map[string]bool {
@@ -322,10 +322,10 @@
 		}
 		return n
 	}
-	Convey("Given 96 nodes before 435 replicas of a domain", t, func() {
+	Convey("Given 96 nodes and 435 replicas of one domain", t, func() {
 		all := hashReplicas(makeReplicas(replicas, 1))
 		before, noReplica, noNode := edges(nodes, all), edges(nodes, all[1:]), edges(nodes-1, all)
-		t.Logf("%d edges; without a replica %d go and %d come; without a node %d go and %d come", len(before),
+		t.Logf("%d edges; without one replica %d removed and %d added; without one node %d removed and %d added", len(before),
 			missing(before, noReplica), missing(noReplica, before), missing(before, noNode), missing(noNode, before))
 		So(missing(before, noReplica), ShouldEqual, len(before)/replicas)
 		So(missing(noReplica, before), ShouldEqual, 0)
@@ -334,7 +334,8 @@
 	})
 }
 
-// busyBalancer has load of its own and of other nodes everywhere.
+// busyBalancer returns a balancer whose replicas have load from this node and from
+// others.
 func busyBalancer(replicas int) *Balancer {
 	b := newBalancer(replicas, 23)
 	b.SetPeers(epoch, []string{"vm-1", "vm-2", "vm-3"})
@@ -348,7 +349,7 @@
 }
 
 func TestPickAllocatesNothing(t *testing.T) {
-	Convey("Given 10,000 replicas known", t, func() {
+	Convey("Given 10,000 replicas, Pick does not allocate", t, func() {
 		b, i := busyBalancer(10000), 0
 		So(testing.AllocsPerRun(1000, func() {
 			i++
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -7,7 +7,7 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Defaults of Config; doc.go gives their grounds.
+// Defaults of Config; doc.go states the reasons for them.
 const (
 	DefaultSubsetSize         = 32
 	DefaultSpillDomains       = 2
@@ -20,60 +20,69 @@
 )
 
 const (
-	// nearShare is the part of the subset in the nearest failure domain.
+	// nearShare is the share of the subset taken from the nearest failure domain.
 	nearShare = 0.75
-	// useAllFactor times the subset size is up to where a node uses all replicas:
-	// to leave out a few of them saves little and makes the cover uneven.
+	// useAllFactor times the subset size is the number of replicas up to which a
+	// node uses all of them. Leaving out only a few saves little and makes the
+	// cover uneven.
 	useAllFactor = 2
-	// minRamp is the part of its capacity with which a newcomer among many old
-	// replicas starts.
+	// minRamp is the share of its capacity with which a new replica starts when
+	// most replicas are old.
 	minRamp = 0.1
-	// maxDraws bounds the draws for one candidate, so that Pick costs the same
-	// however many replicas are excluded or busy; then they are searched.
+	// maxDraws bounds the random draws for one candidate, so that the cost of Pick
+	// does not grow with the number of excluded replicas and replicas in backoff.
+	// After that many draws Pick scans the replicas.
 	maxDraws = 4
-	// maxRingReplicas bounds the replicas tried for a prefix.
+	// maxRingReplicas bounds the replicas that are tried for one prefix.
 	maxRingReplicas = 4
-	// leavingRefusalTTL is how long an endpoint that refused a request as it leaves is
-	// left alone; a shutdown that takes longer costs a refused request a minute.
+	// leavingRefusalTTL is how long an endpoint is avoided after it refused a
+	// request because it is shutting down. A shutdown that takes longer costs one
+	// refused request a minute.
 	leavingRefusalTTL = time.Minute
-	// ringPointsPerReplica per replica make its arcs of the prefix ring about even.
+	// ringPointsPerReplica gives each replica a nearly equal part of the prefix
+	// ring.
 	ringPointsPerReplica = 32
-	// switchMargin is by how many requests the second choice must be emptier.
-	// Counts that differ by less are noise, and turns spread evener than noise.
+	// switchMargin is the number of requests by which the second candidate must be
+	// less loaded than the first. Smaller differences are noise, and round robin
+	// spreads requests more evenly than choices made on noise.
 	switchMargin = 1.0
-	// averageGain is that of the moving averages of costs and times.
+	// averageGain is the gain of the moving averages of costs and times.
 	averageGain = 0.02
 )
 
-// Config sets a Balancer. Zero values take the defaults.
+// Config configures a Balancer. Zero values take the defaults.
 type Config struct {
-	// Node is the ID of the entry VM on which the Balancer runs.
+	// Node is the ID of the node on which the Balancer runs.
 	Node string
-	// FailureDomain of the node.
+	// FailureDomain is that of the node.
 	FailureDomain string
-	// NearDomains are the other failure domains, nearest first. Domains not
-	// named follow in an order of the node's domain.
+	// NearDomains lists other failure domains, nearest first. Domains that are not
+	// listed follow in an order that depends on the node's own domain.
 	NearDomains []string
-	// Seed of the random choices; nodes take different ones.
+	// Seed seeds the random choices. Each node needs a different one.
 	Seed uint64
-	// SubsetSize is about how many replicas the node uses. No replica is left
-	// without a node for the sake of it.
+	// SubsetSize is the approximate number of replicas that the node uses. The
+	// subset may be larger, so that every replica is used by at least one node.
 	SubsetSize int
-	// SpillDomains is how many other failure domains the subset reaches.
+	// SpillDomains is the number of other failure domains that the subset includes.
 	SpillDomains int
-	// SpillThreshold is the load per slot from which a request may leave the nearest
-	// failure domain, and SpillMargin by how much the other must be emptier.
+	// SpillThreshold is the load per slot from which a request may leave the
+	// nearest failure domain. SpillMargin is by how much the score elsewhere must
+	// be lower.
 	SpillThreshold float64
 	SpillMargin    float64
-	// AffinityLoadFactor over the mean load, or AffinityFree of its slots, is up to
-	// where a replica takes its own prefixes.
+	// AffinityLoadFactor and AffinityFloor bound the load up to which a replica
+	// accepts requests for its own prefixes: AffinityLoadFactor times the mean load
+	// or AffinityFloor of its slots, whichever is larger.
 	AffinityLoadFactor float64
 	AffinityFloor      float64
-	// SlowStart is how long a newcomer takes to get its whole share.
+	// SlowStart is how long the share of a new replica takes to grow to the full
+	// one.
 	SlowStart time.Duration
-	// Backoff is how long a replica that refused for want of room is avoided.
+	// Backoff is how long a replica is avoided after it refused a request because
+	// it was full.
 	Backoff time.Duration
-	// Health sets the ejection of outliers.
+	// Health configures the ejection of outliers.
 	Health health.Config
 }
 
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// noiseDeviations is how many standard deviations of a Poisson spread the load by
-// other nodes may be off the mean and still pass for noise.
+// noiseDeviations is the number of standard deviations of a Poisson distribution by
+// which the load from other nodes may differ from the mean and still count as
+// noise.
 const noiseDeviations = 2
 
-// maxFullScan is how many replicas of the near and of the other failure domains are
-// looked at, from the one in turn on, unless all of these may not be used. A look
-// takes some 25 ns, and a node may use more than a hundred replicas.
+// maxFullScan bounds how many replicas of the nearest and of the other failure
+// domains are examined, in round-robin order. More are examined only if none of
+// these is both allowed and outside backoff. Examining one takes about 25 ns, and a
+// node may use more than a hundred replicas.
 const maxFullScan = 16
 
-// meanLoad is the load per unit of capacity over all failure domains that the node
-// uses.
+// meanLoad returns the load per unit of capacity over all failure domains that the
+// node uses.
 func (b *Balancer) meanLoad() float64 {
 	near, spill := b.near.capacity(), b.spill.capacity()
 	if near+spill == 0 {
@@ -24,33 +26,36 @@
 	return (b.near.meanLoad()*near + b.spill.meanLoad()*spill) / (near + spill)
 }
 
-// acceptsPrefixWhenFull reports whether a replica may take a request for its prefix while
-// there are more requests than slots: it has no more of the node's own than the mean.
+// acceptsPrefixWhenFull reports whether a replica accepts a request for its prefix
+// while there are more requests than slots. It does if its rank is no worse than
+// the mean of the node's own requests per unit of capacity.
 //
-// With a prompt that all callers share, up to AffinityBound over the mean load its
-// homes keep a queue while the slots of others stand idle: three nodes with common
-// replicas served 0.69 of the bound at twice the bound. A cached prompt saves less
-// than that wait costs, and a home still gets its part of the requests.
+// With the normal bound of AffinityLoadFactor over the mean load, a prompt that all
+// callers share keeps a queue at its home replicas while slots of other replicas
+// are idle: three nodes with common replicas served 0.69 of the capacity when twice
+// the capacity was offered. A cached prompt saves less time than such a queue
+// costs, and with this bound a home replica still gets its share of the requests.
 func (b *Balancer) acceptsPrefixWhenFull(now time.Time, m *member) bool {
 	mean := (b.near.inflight + b.spill.inflight) / (b.near.capacity() + b.spill.capacity())
 	return b.rankWhenFull(now, m).load <= mean
 }
 
-// pickWhenFull takes the replica with the fewest of the node's own requests for
-// its room.
+// pickWhenFull picks the replica with the fewest of this node's requests relative
+// to its capacity.
 //
-// When all are full a node sends on what its own ended requests make free. Where
-// these ended it knows at once; in turn the next goes elsewhere, and the other
-// nodes' load is known too late to even it out: engines had idle slots beside
-// others with a queue. If each node keeps its own requests even, so is their sum.
-// What other nodes have too much somewhere still counts, beyond noise.
+// When all replicas are full, a node can send a request only when one of its own
+// ends, and it knows at once at which replica that was. With round robin the next
+// request would go to another replica, and the other nodes' load is known too late
+// to correct the imbalance: some engines had idle slots while others had a queue.
+// If each node spreads its own requests evenly, their sum is even too. An excess of
+// other nodes' requests at a replica still counts if it is larger than noise.
 func (b *Balancer) pickWhenFull(now time.Time, q Query) (Choice, bool) {
 	var best, runnerUp fullCandidate
 	for _, t := range [...]*tier{&b.near, &b.spill} {
 		if len(t.usable) == 0 {
 			continue
 		}
-		start := t.nextIndex() // equals come in turn
+		start := t.nextIndex() // ties are broken in round-robin order
 		for i := range t.usable {
 			if i >= maxFullScan && best.member != nil && !best.inBackoff {
 				break
@@ -79,11 +84,11 @@
 	return c, true
 }
 
-// fullCandidate is a replica with its rank while all are full.
+// fullCandidate is a replica with its rank for the time when all replicas are full.
 type fullCandidate struct {
 	member    *member
-	inBackoff bool    // has just refused for want of room
-	load      float64 // per unit of its room
+	inBackoff bool    // recently refused a request because it was full
+	load      float64 // per unit of effective capacity
 }
 
 func (c fullCandidate) betterThan(other fullCandidate) bool {
@@ -96,8 +101,8 @@
 	return c.load < other.load
 }
 
-// rankWhenFull ranks a replica by the node's own requests there, and by what other
-// nodes have there beyond noise.
+// rankWhenFull ranks a replica by this node's requests there and by the part of
+// other nodes' requests that is larger than noise.
 func (b *Balancer) rankWhenFull(now time.Time, m *member) fullCandidate {
 	expected := m.tier.meanOtherLoad() * m.capacity
 	noise := noiseDeviations * math.Sqrt(expected)
--- a/decide/balance/full_test.go
+++ b/decide/balance/full_test.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// fullBalancer has four replicas of 16 slots that are full by their reports,
-// each with four requests of the node's own.
+// fullBalancer returns a balancer with four replicas of 16 slots. Their reports say
+// that they are full, each with four requests of this node.
 func fullBalancer() *Balancer {
 	b := New(Config{Node: "vm-1", FailureDomain: "fd-0", Seed: 1})
 	replicas := makeReplicas(4, 2)
@@ -27,12 +27,12 @@
 }
 
 func TestFullReplicas(t *testing.T) {
-	// A caller whose request starts waits in an engine's queue, while the slot
-	// that an answer of its node has just left stands idle: in turn the request
-	// goes elsewhere, and reports tell of the slot only later.
+	// An admitted request waits in an engine's queue while a slot that another
+	// request of its node has just freed is idle: with round robin the request goes
+	// to a different replica, and load reports show the free slot only later.
 	Convey("Given replicas that are all full", t, func() {
 		b := fullBalancer()
-		Convey("the next request takes the place of the own one that ended, whatever its failure domain", func() {
+		Convey("the next request goes where one of this node's requests ended, in any failure domain", func() {
 			for _, id := range []string{"replica-2", "replica-3", "replica-1"} {
 				b.Finished(seconds(1.01), id, Result{Cost: 1, Started: true})
 				choice, ok := b.Pick(seconds(1.01), Query{Cost: 1})
@@ -41,7 +41,7 @@
 				b.Sent(seconds(1.01), id, 1)
 			}
 		})
-		Convey("a cached prompt does not make the fullest the first", func() {
+		Convey("a cached prompt is not a reason to pick the most loaded replica", func() {
 			choice, _ := b.Pick(seconds(1.01), Query{Prefix: 7, Cost: 1})
 			home := choice.Replica
 			for range 4 {
@@ -50,7 +50,7 @@
 			choice, _ = b.Pick(seconds(1.01), Query{Prefix: 7, Cost: 1})
 			So(choice.Replica, ShouldNotEqual, home)
 		})
-		Convey("the load of other nodes counts beyond noise, and a refusal for want of room at once", func() {
+		Convey("load of other nodes counts if it exceeds noise, and a refusal by a full replica counts at once", func() {
 			b.Report(seconds(1.2), "replica-0", Load{Running: 16, Waiting: 30})
 			b.Finished(seconds(1.2), "replica-0", Result{Cost: 1, Started: true})
 			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
--- a/decide/balance/headroom.go
+++ b/decide/balance/headroom.go
@@ -2,33 +2,36 @@
 
 import "time"
 
-// overcommitFraction is the part of the slots that nodes which share replicas may send
-// beyond them, to wait there. What has ended since the last report stands idle
-// otherwise: without it a run over three nodes at exactly the bound had p95 of
-// the first token at 1.8 s, with a twentieth 1.25 s and with a tenth 0.87 s.
+// overcommitFraction is the share of the slots that nodes with common replicas may
+// send in addition, to wait at the replicas. Otherwise slots freed since the last
+// report stay idle: with three nodes and calls offered at exactly the capacity, the
+// p95 of the time to first token was 1.8 s without it, 1.25 s with 0.05 and 0.87 s
+// with 0.1.
 const overcommitFraction = 0.1
 
-// SetNodeCount tells how many nodes, of all failure domains, share the service's
-// replicas. Until it is called the node counts on no part of its own.
+// SetNodeCount sets how many nodes, over all failure domains, share the service's
+// replicas. Until it is called, the node has no fair share of its own.
 func (b *Balancer) SetNodeCount(nodes int) { b.nodeCount = nodes }
 
-// Headroom returns how many more requests the node may send to the open part of
-// the subset: the slots that are free there or, if that is more, what is left of
-// its own part of all slots. It is negative if the node has more than it should:
-// in the first moments of a rush each node takes the slots that all see free, and
-// waits foretold by what it then has are a third of what they become.
+// Headroom returns how many more requests the node may send to the replicas that
+// may receive requests. It is the larger of two numbers: the free slots there, and
+// the node's fair share of all slots minus its own in-flight requests. It is
+// negative if the node has more requests in flight than it should: at the start of
+// a load peak every node takes the slots that all nodes see as free, and waits
+// predicted from that number of slots are a third of the actual ones.
 //
-// Other nodes see the same free slots and take them too. By these alone a node
-// that has had none for a moment finds none later, as the others refill theirs
-// first: the nodes' shares wander, and with them the waits that callers are
-// promised. With a part of its own each node comes back within an answer, as the
-// others see the replicas beyond their slots and let go what they had more.
+// Other nodes see the same free slots and take them too. If only free slots
+// counted, a node that had none for a moment would find none later either, because
+// the others refill theirs first; the nodes' shares, and with them the waits
+// promised to callers, would drift. With a fair share of its own each node recovers
+// within the time of one answer, as the others see more requests than slots at the
+// replicas and reduce theirs.
 //
-// Slots are counted over all replicas, and one that has too much is set against
-// one that has room. Counted singly, room at one replica lets in requests that
-// are then sent to another by prefix or in turn, and the room remains: on a slow
-// machine three nodes had up to 485 requests underway for 96 slots. A replica that
-// is stuck takes no more than its own slots from the others.
+// Free slots are summed over all replicas, so that an overloaded replica cancels
+// out a free one. If replicas were counted separately, free slots at one would
+// admit requests that are then sent to another by prefix or round robin, and the
+// free slots would remain: on a slow machine three nodes had up to 485 requests in
+// flight for 96 slots. A stuck replica offsets at most its own number of slots.
 func (b *Balancer) Headroom(now time.Time) int {
 	free, inflight, slots := 0.0, 0.0, 0.0
 	for _, m := range b.eligible {
@@ -43,12 +46,13 @@
 	return int(max(free, b.fairShare()*slots-inflight))
 }
 
-// fairShare is the node's own fairShare of the slots: an even one, as the nodes do not know
-// each other's load. All parts together are no more than the slots: whatever the
-// nodes believe of each other, they keep to these when the replicas are full. A
-// fairShare by the work that each has had of late would be fairer to callers of a busy
-// node, but where reports miss requests that are on their way, each node sees
-// nearly all work as its own, and all take nearly all slots.
+// fairShare returns the node's own share of the slots. It is an equal share,
+// because the nodes do not know each other's load. All shares together are at most
+// all slots, so that the nodes together send no more than that to full replicas,
+// whatever they assume of each other. A share in proportion to each node's recent
+// load would be fairer to callers of a busy node. But where reports miss requests
+// that are still on their way, each node attributes nearly all load to itself, and
+// every node would take nearly all slots.
 func (b *Balancer) fairShare() float64 {
 	if b.nodeCount == 0 || len(b.replicas) == 0 {
 		return 0
--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -12,13 +12,13 @@
 
 const (
 	eventLag        = 500 * time.Millisecond
-	eventLossPeriod = 20 // each so-manieth event is lost
-	// eventPollInterval is how often a node asks an endpoint for its events: 8 polls a
-	// second over 12 endpoints.
+	eventLossPeriod = 20 // one event in this many is lost
+	// eventPollInterval is how often a node polls an endpoint for its events: 8
+	// polls a second over 12 endpoints.
 	eventPollInterval = 1500 * time.Millisecond
 )
 
-// cacheEvents are what an endpoint publishes of its cache.
+// cacheEvents are the cache events that an endpoint publishes.
 type cacheEvents struct {
 	instance  int
 	sequence  uint64
@@ -48,13 +48,13 @@
 	return p
 }
 
-// restart empties an endpoint's cache and begins its events anew.
+// restart clears an endpoint's cache and starts a new sequence of events.
 func (e *engine) restart() {
 	e.cache = nil
 	e.events = cacheEvents{instance: e.events.instance + 1}
 }
 
-// policyWithHints nodes poll events.
+// policyWithHints returns nodes that poll cache events.
 func policyWithHints(cfg Config) func(int) *policy {
 	return func(node int) *policy {
 		p := balancerPolicy(cfg)(node)
@@ -77,11 +77,12 @@
 
 func (s *simulation) hitRate() float64 { return float64(s.cacheHits) / float64(s.cacheLookups) }
 
-// A third of the calls has one prompt prefix, the others one of sixty. The hot one
-// outgrows its home: by hash alone the surplus goes by load to endpoints that have
-// to compute it, though others have it cached. Events tell which, late and with
-// gaps; endpoints that lose their caches twice in the run make them wrong, and the
-// hints must not cost more than they win.
+// A third of the calls has one prompt prefix, the others have one of sixty. The
+// load of the hot prefix exceeds the capacity of its home. With hashing alone, the
+// surplus is placed by load on endpoints that must compute the prefix although
+// others have it cached. Cache events tell which ones do, late and with gaps.
+// Endpoints that lose their caches twice during the run make the hints wrong, and
+// wrong hints must not cost more than right ones save.
 func TestCacheHintsBeatHashing(t *testing.T) {
 	prefix := func(r *rand.Rand) uint64 {
 		if r.Float64() < 0.33 {
--- a/decide/balance/load.go
+++ b/decide/balance/load.go
@@ -6,18 +6,19 @@
 )
 
 const (
-	// historyStep and historyLen say how far back the requests outstanding are
-	// known: 3.2 s, more than three polls of a second.
+	// historyStep and historyLen set how far back the number of in-flight requests
+	// is known: 3.2 s, more than three polls at one-second intervals.
 	historyStep = 100 * time.Millisecond
 	historyLen  = 32
 )
 
-// inflightHistory remembers how many requests were outstanding in the recent past.
+// inflightHistory records how many requests were in flight in the recent past.
 //
-// A load report is old when it arrives. The node's own requests in it must be
-// taken off as they were at the report's time: if today's were, those sent
-// since would count as missing from the load of others, and the replica would
-// look emptier the more it is sent.
+// A load report is already old when it arrives. To get the load from other nodes,
+// the node's own requests must be subtracted as they were when the report was made.
+// If the current number were subtracted, the requests sent since then would reduce
+// the apparent load from other nodes, and a replica would look less loaded the more
+// requests it is sent.
 type inflightHistory struct {
 	counts   [historyLen]int32
 	lastStep int64 // step of the newest count
@@ -27,7 +28,7 @@
 	return t.UnixNano() / int64(historyStep)
 }
 
-// set records the count from now on.
+// set records the number of in-flight requests from now on.
 func (h *inflightHistory) set(now time.Time, count int32) {
 	step := stepOf(now)
 	if step-h.lastStep >= historyLen {
@@ -48,21 +49,21 @@
 	h.lastStep = step
 }
 
-// at returns the count at time t, or the oldest known.
+// at returns the number in flight at time t, or the oldest known number.
 func (h *inflightHistory) at(t time.Time) int32 {
 	step := min(stepOf(t), h.lastStep)
 	step = max(step, h.lastStep-historyLen+1, 0)
 	return h.counts[step%historyLen]
 }
 
-// load is what is known of the work at one replica.
+// load is what the node knows of the load on one replica.
 type load struct {
-	inflight      int32   // own requests outstanding
-	unknownCost   int32   // those of them without a known cost
-	cost          float64 // of the others, tokens
+	inflight      int32   // in-flight requests of this node
+	unknownCost   int32   // those without a known cost
+	cost          float64 // total known cost of the in-flight requests, tokens
 	history       inflightHistory
-	otherRequests float64 // requests of other nodes by the last report
-	measuredAt    time.Time
+	otherRequests float64   // requests of other nodes in the last report
+	measuredAt    time.Time // when the last report was made; zero if there is none
 }
 
 func (l *load) sent(now time.Time, cost float64) {
@@ -86,13 +87,13 @@
 	} else {
 		l.unknownCost = max(0, l.unknownCost-1)
 	}
-	if l.inflight == 0 { // sheds what rounding left
+	if l.inflight == 0 { // clears rounding errors
 		l.cost, l.unknownCost = 0, 0
 	}
 }
 
-// applyReport takes a applyReport unless a newer one is known, as polls and answers
-// overtake each other. It reports whether it did.
+// applyReport applies a report unless a newer one is known: reports from polls and
+// from answers can arrive out of order. It reports whether it applied the report.
 func (l *load) applyReport(now time.Time, r Load) bool {
 	measuredAt := now.Add(-r.Age)
 	if measuredAt.Before(l.measuredAt) {
@@ -103,7 +104,7 @@
 	return true
 }
 
-// costWeighted returns the node's own load in requests of mean cost.
+// costWeighted returns the node's own load on the replica in requests of mean cost.
 func (l *load) costWeighted(meanCost float64) float64 {
 	if meanCost <= 0 {
 		return float64(l.inflight)
@@ -111,9 +112,9 @@
 	return float64(l.unknownCost) + l.cost/meanCost
 }
 
-// reportWeight returns how far the report still counts, from 1 for a new one. The
-// requests that it counted end after meanTime seconds on average, so what it
-// says of a replica's difference to the others wears off at that rate.
+// reportWeight returns the weight of the last report, 1 for one made just now. The
+// requests that it counted end after meanTime seconds on average, so the weight of
+// its difference from other replicas decays at that rate.
 func (l *load) reportWeight(now time.Time, meanTime float64) float64 {
 	if l.measuredAt.IsZero() {
 		return 0
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -10,12 +10,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Each test runs the same calls through the Balancer and through baselines and
-// asserts the margin between them; the bound is one that the baseline misses.
+// Each test runs the same calls through the Balancer and through baselines, and
+// asserts a margin between them that the baseline itself would not meet.
 // `go test -v` prints the figures that docs/design/balance.md quotes.
 
 const (
-	faultTime = 20 * time.Second // when a pattern's trouble begins
+	faultTime = 20 * time.Second // start of the fault in a pattern
 	runTime   = time.Minute
 )
 
@@ -30,7 +30,8 @@
 	return func(float64) float64 { return rate }
 }
 
-// runPattern runs a pattern over 12 endpoints, which carry 96 requests a second.
+// runPattern runs a pattern with 12 endpoints, which together serve 96 requests per
+// second.
 func runPattern(t *testing.T, name string, newPolicy func(int) *policy, nodes int, pattern func(*simulation), domains ...string) *simulation {
 	if len(domains) == 0 {
 		domains = []string{"bandung"}
@@ -45,10 +46,10 @@
 	return s
 }
 
-// With nothing wrong, turns spread evenly and a balancer can only lose by
-// acting on noise, most of all where many nodes have few requests each.
+// Without a fault, round robin spreads requests evenly, and a balancer can only do
+// worse by acting on noise, most of all if many nodes have few requests each.
 func TestEqualEndpointsWithoutFault(t *testing.T) {
-	Convey("Given equal endpoints and nothing wrong", t, func() {
+	Convey("Given equal endpoints without a fault", t, func() {
 		for _, c := range []struct {
 			nodes int
 			rate  float64
@@ -62,28 +63,29 @@
 	})
 }
 
-// A twelfth of the callers waits tens of seconds. One endpoint turns six times
-// slower at 20 s; in turn it is sent more than it can carry, so its queue grows
-// for as long as it lasts.
+// A twelfth of the callers waits tens of seconds. One endpoint becomes six times
+// slower at 20 s. With round robin it is sent more than it can serve, so its queue
+// grows for as long as it is slow.
 func TestSlowEndpointGetsNoRequests(t *testing.T) {
 	pattern := func(s *simulation) {
 		s.measureFrom = faultTime
 		s.schedule(faultTime, func() { s.engines[3].slowdown = 6 })
 		s.run(constantRate(60), nil)
 	}
-	Convey("Given an endpoint that turns slow", t, func() {
+	Convey("Given an endpoint that becomes slow", t, func() {
 		base := runPattern(t, "round robin", roundRobin, 2, pattern)
 		s := runPattern(t, "balance", balancerPolicy(Config{}), 2, pattern)
-		t.Log("slow endpoint gets nothing new after", lastRequestAfter(faultTime, s.engines[3]))
+		t.Log("slow endpoint gets no new requests after", lastRequestAfter(faultTime, s.engines[3]))
 		So(s.percentile(.95), ShouldBeLessThan, base.percentile(.95)/10)
 		So(lastRequestAfter(faultTime, s.engines[3]), ShouldBeLessThan, 5*time.Second)
 		So(lastRequestAfter(faultTime, base.engines[3]), ShouldBeGreaterThan, 30*time.Second)
 	})
 }
 
-// A third of the calls has one prompt prefix, the others one of sixty, and a
-// cached one saves 540 of 600 ms. In turn each endpoint sees every prefix, more
-// than its cache holds; by hash alone one endpoint gets the hot one and drowns.
+// A third of the calls has one prompt prefix, the others have one of sixty, and a
+// cached prefix saves 540 of 600 ms. With round robin each endpoint sees every
+// prefix, more than its cache holds. With unbounded hashing one endpoint gets all
+// requests of the hot prefix and is overloaded.
 func TestHotPrefixIsSpread(t *testing.T) {
 	prefix := func(r *rand.Rand) uint64 {
 		if r.Float64() < 0.33 {
@@ -105,9 +107,10 @@
 	})
 }
 
-// Callers wait tens of seconds on endpoints that joined to help. Six join in
-// the rush, nine times slower at first and warm after 20 s. In turn they get a
-// whole share at once; without slow start, as much as the load shows too late.
+// Callers wait tens of seconds at endpoints that were added to help. Six join
+// during a load peak, nine times slower at first and warm after 20 s. With round
+// robin they get a full share at once; without slow start they get too much because
+// their load shows too late.
 func TestColdEndpointsJoinUnderLoad(t *testing.T) {
 	pattern := func(s *simulation) {
 		s.measureFrom, s.measureUntil, s.coldFactor = faultTime, 2*faultTime, 8
@@ -119,7 +122,7 @@
 		})
 		s.run(func(at float64) float64 { return 55 + min(30, at) }, nil)
 	}
-	Convey("Given cold endpoints that join in the rush", t, func() {
+	Convey("Given cold endpoints that join during a load peak", t, func() {
 		base := runPattern(t, "round robin", roundRobin, 2, pattern)
 		noRamp := runPattern(t, "no slow start", balancerPolicy(Config{SlowStart: 1}), 2, pattern)
 		s := runPattern(t, "balance", balancerPolicy(Config{}), 2, pattern)
@@ -128,9 +131,9 @@
 	})
 }
 
-// Callers get errors or wait for the timeout. Four of twelve endpoints are lost
-// at 20 s: two refuse connections, two freeze. In turn a third of the attempts
-// goes there for as long as the list lags, and a few calls meet three of them.
+// Callers get errors or wait for the timeout. Four of twelve endpoints are lost at
+// 20 s: two refuse connections, two freeze. With round robin a third of the
+// attempts goes there until the list is updated, and some calls meet three of them.
 func TestThirdOfEndpointsLost(t *testing.T) {
 	pattern := func(s *simulation) {
 		s.measureFrom = faultTime
@@ -144,7 +147,7 @@
 	Convey("Given a third of the endpoints lost", t, func() {
 		base := runPattern(t, "round robin", roundRobin, 2, pattern)
 		s := runPattern(t, "balance", balancerPolicy(Config{}), 2, pattern)
-		t.Log("lost endpoints get nothing new after", lastRequestAfter(faultTime, s.engines[:4]...), "and probes in all:",
+		t.Log("lost endpoints get no new requests after", lastRequestAfter(faultTime, s.engines[:4]...), "and probes in all:",
 			receivedBetween(faultTime+3*time.Second, runTime, s.engines[:4]...))
 		So(s.percentile(.95), ShouldBeLessThan, base.percentile(.95)/4)
 		So(s.failed, ShouldBeLessThanOrEqualTo, base.failed/20)
@@ -152,9 +155,9 @@
 	})
 }
 
-// Callers wait for seconds though half of the endpoints are idle. Eight nodes
-// learn the load two seconds late; sent to the least loaded by report, all of
-// them swamp the same endpoint until the next report.
+// Callers wait for seconds although half of the endpoints are idle. Eight nodes
+// learn the load two seconds late. If each sends to the replica with the lowest
+// reported load, all of them overload the same endpoint until the next report.
 func TestStaleReportsDoNotHerd(t *testing.T) {
 	pattern := func(s *simulation) {
 		s.reportLag = 2 * time.Second
@@ -169,9 +172,9 @@
 	})
 }
 
-// Callers lose an attempt on an endpoint that refuses as it shuts down, and in
-// turn it is sent a twelfth of all for as long as the list lags. Its first
-// refusal is word enough for the node that met it.
+// Callers lose an attempt at an endpoint that refuses requests because it is
+// shutting down. With round robin it is sent a twelfth of all requests until the
+// list is updated. The first refusal must be enough for the node that received it.
 func TestRefusalAsLeavingEndsRequests(t *testing.T) {
 	pattern := func(s *simulation) {
 		s.schedule(faultTime, func() { s.engines[5].leaving = true })
@@ -180,15 +183,16 @@
 	Convey("Given an endpoint that shuts down", t, func() {
 		base := runPattern(t, "round robin", roundRobin, 2, pattern)
 		s := runPattern(t, "balance", balancerPolicy(Config{}), 2, pattern)
-		t.Log("leaving endpoint gets nothing new after", lastRequestAfter(faultTime, s.engines[5]))
+		t.Log("leaving endpoint gets no new requests after", lastRequestAfter(faultTime, s.engines[5]))
 		So(receivedBetween(faultTime, runTime, s.engines[5]), ShouldBeLessThanOrEqualTo, 2)
 		So(receivedBetween(faultTime, runTime, base.engines[5]), ShouldBeGreaterThan, 100)
 	})
 }
 
-// Callers of one domain pay for the link of 80 ms. In turn half of the calls
-// cross it though the near endpoints have room. When the rush exceeds the near
-// ones, those alone drown, and only the surplus should cross.
+// Calls that cross to the other domain take 80 ms longer. With round robin half of
+// the calls cross although the near endpoints have free slots. If the load exceeds
+// the near endpoints, using only these overloads them; only the surplus should
+// cross.
 func TestOnlySurplusSpills(t *testing.T) {
 	domains := []string{"bandung", "bekasi"}
 	nearOnly := baseline(func(p *policy, _ Query) Replica { return p.nextOf(6) })
@@ -196,7 +200,7 @@
 		name        string
 		rate        float64
 		maxCrossing float64 // share that crosses
-	}{{"half the near capacity", 24, 0.01}, {"1.3 of the near capacity", 62, 0.4}} {
+	}{{"half the near capacity", 24, 0.01}, {"1.3 times the near capacity", 62, 0.4}} {
 		pattern := func(s *simulation) {
 			s.crossDomainDelay = 80 * time.Millisecond
 			s.run(constantRate(c.rate), nil)
@@ -214,9 +218,9 @@
 	}
 }
 
-// Callers get errors though another domain is whole. All near endpoints refuse
-// connections from 20 s on; each must be found dead once, and then the requests
-// must cross without trying the near ones first.
+// Callers get errors although another domain works. All near endpoints refuse
+// connections from 20 s on. Each must be found dead once; after that the requests
+// must cross without trying the near endpoints first.
 func TestNearDomainLost(t *testing.T) {
 	pattern := func(s *simulation) {
 		s.measureFrom, s.crossDomainDelay = faultTime, 80*time.Millisecond
@@ -230,16 +234,17 @@
 	Convey("Given all endpoints of the near domain lost", t, func() {
 		base := runPattern(t, "round robin", roundRobin, 2, pattern, "bandung", "bekasi")
 		s := runPattern(t, "balance", balancerPolicy(Config{}), 2, pattern, "bandung", "bekasi")
-		t.Log("lost endpoints get nothing new after", lastRequestAfter(faultTime, s.engines[:6]...))
+		t.Log("lost endpoints get no new requests after", lastRequestAfter(faultTime, s.engines[:6]...))
 		So(s.failed, ShouldBeLessThanOrEqualTo, base.failed/10)
 		So(lastRequestAfter(faultTime, s.engines[:6]...), ShouldBeLessThan, 2*time.Second)
 		So(receivedBetween(faultTime, runTime, s.engines[:6]...), ShouldBeLessThan, receivedBetween(faultTime, runTime, base.engines[:6]...)/8)
 	})
 }
 
-// Callers wait if subsets leave some replicas with more nodes than others: 12
-// nodes before 52 replicas, each node with its own 13 or so. Told of its peers
-// a node loses little against one that uses all; alone it overloads some.
+// Callers wait if the subsets leave some replicas with more nodes than others. Here
+// 12 nodes share 52 replicas, and each node uses about 13 of them. A node that
+// knows its peers loses little compared to one that uses all replicas; without that
+// knowledge some replicas are overloaded.
 func TestSubsetServesLikeAllReplicas(t *testing.T) {
 	Convey("Given subsets of a quarter of the replicas", t, func() {
 		var peers []string
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -9,8 +9,8 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// Pick chooses a replica for a request. It returns false if none may be used:
-// there is none, or all are leaving or excluded. It allocates nothing.
+// Pick chooses a replica for a request. It returns false if no replica may be used:
+// there is none, or all are leaving or excluded. It does not allocate.
 func (b *Balancer) Pick(now time.Time, q Query) (Choice, bool) {
 	b.evaluateHealth(now)
 	if m := b.probeTarget(q); m != nil {
@@ -50,17 +50,19 @@
 	return len(q.Exclude) > 0 && slices.Contains(q.Exclude, m.ID)
 }
 
-// estimatedOtherRequests is the load by other nodes. An old report fades into the mean: what it
-// says of the difference between replicas no longer holds, and if all nodes
-// acted on it they would herd to the one that was emptiest.
+// estimatedOtherRequests estimates the requests of other nodes at the replica. As a
+// report ages, the estimate moves to the mean: an old report no longer says how
+// replicas differ, and if all nodes acted on it they would all send to the replica
+// that was the least loaded then (herding).
 func (b *Balancer) estimatedOtherRequests(now time.Time, m *member) float64 {
 	weight := m.reportWeight(now, b.meanTime)
 	return weight*m.load.otherRequests + (1-weight)*m.tier.meanOtherLoad()*m.capacity
 }
 
-// estimatedLoad is the replica's load in requests. While it has free slots they are
-// counted, as a request that has a slot does not wait for another; once it is
-// full, what waits is counted by cost.
+// estimatedLoad returns the replica's load in requests. While the replica has free
+// slots, requests are only counted, because a request with a slot of its own does
+// not wait for the others. Once the replica is full, the node's own requests are
+// weighted by cost.
 func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
 	other := b.estimatedOtherRequests(now, m)
 	count := float64(m.inflight) + other
@@ -70,13 +72,14 @@
 	return max(count, m.costWeighted(b.meanCost)+other)
 }
 
-// effectiveCapacity is the capacity that the replica may use now.
+// effectiveCapacity returns the capacity that may be used now, reduced during slow
+// start.
 func (b *Balancer) effectiveCapacity(now time.Time, m *member) float64 {
 	return m.capacity * b.ramp(now, m)
 }
 
-// score estimates how long one more request would take at the replica, relative
-// to the others.
+// score estimates how long one more request would take at the replica, relative to
+// the other replicas. Lower is better.
 func (b *Balancer) score(now time.Time, m *member) float64 {
 	return (b.estimatedLoad(now, m) + 1) / b.effectiveCapacity(now, m) * m.health.Slowness()
 }
@@ -85,9 +88,10 @@
 	return b.estimatedLoad(now, m) / b.effectiveCapacity(now, m)
 }
 
-// pickFromHolders takes, of the replicas that are thought to hold the most of the
-// prompt, its home or else the least loaded one, if they may take it for its
-// prefix. If all of them are beyond that bound, those that hold less are looked at.
+// pickFromHolders picks among the replicas that probably have the longest part of
+// the prompt cached: the home of the prefix or else the one with the lowest score,
+// provided that it accepts requests for a prefix. If none of them does, replicas
+// with shorter cached parts are considered.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
 	var best, runnerUp holder
@@ -117,16 +121,17 @@
 	return c, true
 }
 
-// holder is a replica that is thought to hold blocks of a prompt, and its rank: the
-// highest comes first.
+// holder is a replica that probably has blocks of a prompt cached. The highest rank
+// is preferred.
 type holder struct {
 	member *member
 	blocks int
 	rank   float64
 }
 
-// holderRank ranks a member that holds a prefix: its home comes first, so that the
-// copies elsewhere fall out of use, and then the least loaded one.
+// holderRank ranks a replica that has a prefix cached. The home of the prefix ranks
+// first, so that copies on other replicas fall out of use; the others rank by
+// score.
 func (b *Balancer) holderRank(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.home(prefix) == m {
 		return math.Inf(1)
@@ -134,13 +139,14 @@
 	return -b.score(now, m)
 }
 
-// home is where the walk for a prefix begins.
+// home returns the replica that owns the prefix on the hash ring, where the search
+// for a replica begins.
 func (t *tier) home(prefix uint64) *member {
 	return t.ring[t.ringIndex(rendezvous.Score(prefix, 0))%len(t.ring)].member
 }
 
-// prefixTier is where prefixes have their homes: the nearest replicas, unless
-// none of them may be used.
+// prefixTier returns the tier on whose ring prefixes are placed: the nearest
+// replicas, unless none of them is usable.
 func (b *Balancer) prefixTier() *tier {
 	if len(b.near.usable) == 0 {
 		return &b.spill
@@ -148,8 +154,8 @@
 	return &b.near
 }
 
-// pickByPrefix walks the ring from the prefix to the first replica that may
-// take it (consistent hashing with bounded loads).
+// pickByPrefix follows the ring from the prefix to the first replica that accepts
+// the request (consistent hashing with bounded loads).
 func (b *Balancer) pickByPrefix(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
 	if len(t.usable) == 0 {
@@ -198,9 +204,9 @@
 	return i
 }
 
-// acceptsPrefix reports whether a replica may take a request for its prefix: its
-// load stays near the mean or below a part of its slots, and it is not full
-// while another failure domain has room.
+// acceptsPrefix reports whether a replica accepts a request for its prefix. Its
+// load must be near the mean or below AffinityFloor, and it must not be full while
+// another failure domain has free slots.
 func (b *Balancer) acceptsPrefix(now time.Time, q Query, t *tier, m *member) bool {
 	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
@@ -219,8 +225,10 @@
 	return utilization < b.cfg.SpillThreshold || b.spill.meanLoad()+b.cfg.SpillMargin >= utilization
 }
 
-// pickByLoad takes the better of two near replicas drawn at random, or the
-// better of two others if the near one is full by measure and they are not.
+// pickByLoad picks the better of two candidates from the nearest failure domain. If
+// that one has reached SpillThreshold and the better of two candidates from other
+// domains has a score lower by SpillMargin, it picks the latter. Once the mean load
+// of the subset reaches SpillThreshold, it calls pickWhenFull instead.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
 	if b.meanLoad() >= b.cfg.SpillThreshold {
 		return b.pickWhenFull(now, q)
@@ -245,7 +253,8 @@
 	return c, true
 }
 
-// worthSpilling reports whether the far replica is enough better to leave the domain.
+// worthSpilling reports whether the score of the replica in another domain is lower
+// by more than SpillMargin.
 func (b *Balancer) worthSpilling(now time.Time, spill, near *member) bool {
 	return b.score(now, spill)+b.cfg.SpillMargin < b.score(now, near)
 }
@@ -266,9 +275,10 @@
 	return Candidate{ID: m.ID, Score: b.score(now, m)}
 }
 
-// twoChoices returns the better of two and the other, which is nil if there is
-// only one; both are nil if there is none. The first comes in turn and the
-// second at random, and takes its place only if it is emptier by a request.
+// twoChoices draws two replicas and returns the better and the other one. The other
+// is nil if there is only one, both are nil if there is none. The first candidate
+// is drawn by round robin and the second at random; the second is preferred only if
+// it is less loaded by switchThreshold.
 func (b *Balancer) twoChoices(now time.Time, q Query, t *tier) (better, worse *member) {
 	first := b.drawCandidate(now, q, t, nil)
 	if first == nil {
@@ -284,18 +294,19 @@
 	return first, second
 }
 
-// switchThreshold is by how many requests the second choice must be emptier: one, and the
-// standard deviation of what is not known of it. The requests of many nodes are
-// Poisson spread, and the part of that spread which a report has not caught
-// shows as differences that are not there.
+// switchThreshold returns the number of requests by which the second candidate must
+// be less loaded: switchMargin plus the standard deviation of the load from other
+// nodes that its report does not show. Requests of many nodes are Poisson
+// distributed, and the part of that variance which no recent report has measured
+// shows up as differences that do not exist.
 func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
 	weight := m.reportWeight(now, b.meanTime)
 	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherLoad()*m.capacity)
 }
 
-// drawCandidate draws a replica, in turn, or at random one other than the given.
-// Replicas that have just refused for want of room are drawn only if there is
-// no other.
+// drawCandidate draws the next replica by round robin or, if exclude is set, one at
+// random other than exclude. Replicas in backoff are drawn only if there is no
+// other.
 func (b *Balancer) drawCandidate(now time.Time, q Query, t *tier, exclude *member) *member {
 	if len(t.usable) == 0 || len(t.usable) == 1 && t.usable[0] == exclude {
 		return nil
@@ -316,7 +327,7 @@
 	return t.memberAt(b.rng.Float64())
 }
 
-// scanUsable goes through the usable replicas from a random one on.
+// scanUsable scans the usable replicas, starting at a random one.
 func (b *Balancer) scanUsable(now time.Time, q Query, t *tier, exclude *member) *member {
 	var inBackoff *member
 	start := b.rng.IntN(len(t.usable))
@@ -331,13 +342,13 @@
 		}
 	}
 	if exclude != nil {
-		return nil // a busy one is no alternative to one that is not
+		return nil // a replica in backoff is no alternative to a candidate outside backoff
 	}
 	return inBackoff
 }
 
-// pickLastResort takes the best of the ejected: a replica in doubt is better than a
-// refusal for certain. Leaving ones are never taken.
+// pickLastResort picks the ejected replica with the best score: trying a doubtful
+// replica is better than refusing the request. Leaving replicas are never picked.
 func (b *Balancer) pickLastResort(now time.Time, q Query) (Choice, bool) {
 	var best *member
 	for _, t := range [...]*tier{&b.near, &b.spill} {
--- a/decide/balance/pollschedule.go
+++ b/decide/balance/pollschedule.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// PollSchedule orders endpoints by when they were last heard of, the longest ago first.
-// A node asks the first for its load, 16 times a second: with a scan of all the
-// processor time of an idle node grew with the replicas. Replicas that are asked
-// for their cache events are kept in the same way. The zero value holds no
+// PollSchedule orders endpoints by the time of their last contact, oldest first. A
+// node polls the oldest one for its load, 16 times a second; scanning all endpoints
+// for it made the processor time of an idle node grow with the number of replicas.
+// Polls for cache events are scheduled in the same way. The zero value holds no
 // endpoint.
 type PollSchedule struct {
-	byContact list.List // of *quietPlace
+	byContact list.List // of *pollEntry, oldest contact first
 	elements  map[string]*list.Element
 }
 
@@ -23,8 +23,8 @@
 
 func entryOf(e *list.Element) *pollEntry { return e.Value.(*pollEntry) }
 
-// Set replaces the endpoints. Those in it before keep their times; newcomers
-// have never been heard of.
+// Set replaces the endpoints. Endpoints of the previous set keep their times; new
+// ones count as never contacted.
 func (s *PollSchedule) Set(endpoints []string) {
 	old := s.elements
 	s.elements = make(map[string]*list.Element, len(endpoints))
@@ -47,8 +47,9 @@
 	}
 }
 
-// Touch notes that an endpoint told its load, or is being asked for it, so that
-// one which does not answer is not asked over and over before the others.
+// Touch records that an endpoint reported its load or is being polled for it. Polls
+// count as contacts, so that an endpoint that does not answer is not polled
+// repeatedly before the others.
 func (s *PollSchedule) Touch(endpoint string, at time.Time) {
 	e := s.elements[endpoint]
 	if e == nil || at.Before(entryOf(e).lastContact) {
@@ -56,18 +57,18 @@
 	}
 	entryOf(e).lastContact = at
 	s.byContact.MoveToBack(e)
-	// Times come nearly in order: few steps, mostly none.
+	// Times arrive nearly in order, so this loop takes few steps, mostly none.
 	for previous := e.Prev(); previous != nil && entryOf(previous).lastContact.After(at); previous = e.Prev() {
 		s.byContact.MoveBefore(e, previous)
 	}
 }
 
-// Has says whether an endpoint is among those of the last Set.
+// Has reports whether an endpoint is in the current set.
 func (s *PollSchedule) Has(endpoint string) bool { return s.elements[endpoint] != nil }
 
-// HalfRoundElapsed says whether an endpoint was heard of at least half a round ago, a
-// round being as many turns as there are endpoints. A question that can be put
-// along with another one at no cost is put then.
+// HalfRoundElapsed reports whether the last contact with an endpoint was at least
+// half a round ago, where a round is one poll interval per endpoint. It is used for
+// polls that can be combined with another request at no cost.
 func (s *PollSchedule) HalfRoundElapsed(endpoint string, now time.Time, interval time.Duration) bool {
 	e := s.elements[endpoint]
 	if e == nil {
@@ -77,8 +78,8 @@
 	return now.Sub(entryOf(e).lastContact) >= round/2
 }
 
-// Oldest returns the endpoint that was heard of longest ago, and when; never is
-// the zero time.
+// Oldest returns the endpoint whose last contact is the longest ago, and the time
+// of that contact; the zero time means never.
 func (s *PollSchedule) Oldest() (endpoint string, lastContact time.Time, ok bool) {
 	oldest := s.byContact.Front()
 	if oldest == nil {
@@ -87,21 +88,22 @@
 	return entryOf(oldest).endpoint, entryOf(oldest).lastContact, true
 }
 
-// Due says whether one must be asked now, of turns that come a pause apart, for
-// each to be heard of once in as many turns as there are endpoints.
+// Due reports whether the oldest endpoint must be polled now, so that each endpoint
+// is contacted at least once per round. A round is one interval per endpoint, with
+// one poll opportunity per interval.
 //
-// Load pattern answered: answers to requests, and to questions for cache events,
-// bring load as well. Questions that are asked all the same tell nothing new and
-// were the largest part of an idle node's processor time.
+// Load pattern answered: answers to requests and to polls for cache events carry
+// the load as well. Polling regardless of these brought no new information and took
+// the largest part of an idle node's processor time.
 //
-// To skip a turn whenever the first was heard of lately would not do: after a
-// burst of answers all endpoints were heard of at once, would all be due at once,
-// and the last would wait for twice the time. So each must still be in time if
-// the ones before it take the turns to come.
+// It would not be enough to skip a poll whenever the oldest contact is recent:
+// after a burst of answers from all endpoints all would become due at the same
+// time, and the last one would wait for two rounds. Therefore each endpoint must
+// still be in time if the ones before it take the next poll opportunities.
 func (s *PollSchedule) Due(now time.Time, interval time.Duration) bool {
 	maxAge := time.Duration(s.byContact.Len()) * interval
-	// An answer takes a while: with the question each turn, an endpoint is heard
-	// of a little less than all turns ago.
+	// An answer takes some time, so that with a poll in every interval the contacts
+	// are a little less than a round apart.
 	maxAge += interval / 2
 	for e := s.byContact.Front(); e != nil; e = e.Next() {
 		maxAge -= interval
--- a/decide/balance/pollschedule_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -8,10 +8,11 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The quietest endpoint is asked for its load. One that does not answer must not
-// be asked over and over, a new one is asked first, and one that has gone never.
+// The endpoint with the oldest contact is polled for its load. One that does not
+// answer must not be polled repeatedly before the others, a new one is polled
+// first, and a removed one is never polled.
 func TestOldestEndpointIsPolledFirst(t *testing.T) {
-	Convey("The endpoint heard of longest ago comes first", t, func() {
+	Convey("The endpoint with the oldest contact comes first", t, func() {
 		var s PollSchedule
 		first := func() string {
 			e, _, _ := s.Oldest()
@@ -24,8 +25,8 @@
 		s.Touch("b", seconds(2))
 		So(first(), ShouldEqual, "a")
 		s.Touch("a", seconds(3))
-		s.Touch("a", seconds(1)) // an answer that was overtaken
-		s.Touch("stranger", seconds(0))
+		s.Touch("a", seconds(1)) // an answer that arrives out of order
+		s.Touch("unknown", seconds(0))
 		So(first(), ShouldEqual, "b")
 		s.Set([]string{"a", "c"})
 		So(first(), ShouldEqual, "c")
@@ -34,41 +35,41 @@
 	})
 }
 
-// An endpoint that leaves must be noticed within as many turns as there are
-// endpoints, whatever else was heard. In a quiet hour questions alone tell of it,
-// one each turn; answers make some of them needless; and after a burst of answers
-// from all at once, the last endpoint must not have to wait for twice the time.
+// A leaving endpoint must be noticed within one round, which is one interval per
+// endpoint, whatever other contacts there were. Without other traffic only polls
+// show it, one per interval. Answers make some polls unnecessary. After a burst of
+// answers from all endpoints the last one must not wait for two rounds.
 func TestDue(t *testing.T) {
 	const interval = time.Second
 	names := []string{"a", "b", "c", "d"}
 	for _, c := range []struct {
 		name    string
-		answers func(turn int) []string
+		answers func(tick int) []string
 		polls   int
 	}{
-		{"nothing else is heard", func(int) []string { return nil }, 40},
-		{"half of what must be heard is brought by answers", func(turn int) []string { return names[turn%4 : turn%4+1-turn%2] }, 20},
-		{"a burst of all, then silence", func(turn int) []string {
-			if turn > 0 {
+		{"no answers", func(int) []string { return nil }, 40},
+		{"answers provide half of the necessary contacts", func(tick int) []string { return names[tick%4 : tick%4+1-tick%2] }, 20},
+		{"a burst of answers from all endpoints, then none", func(tick int) []string {
+			if tick > 0 {
 				return nil
 			}
 			return names
 		}, 39},
-		{"answers of all each turn", func(int) []string { return names }, 0},
+		{"answers from all endpoints in every interval", func(int) []string { return names }, 0},
 	} {
 		Convey(c.name, t, func() {
 			var s PollSchedule
 			s.Set(names)
 			now := epoch
-			So(s.Due(now, interval), ShouldBeTrue) // of those never heard of
+			So(s.Due(now, interval), ShouldBeTrue) // endpoints that were never contacted
 			for _, name := range names {
 				now = now.Add(interval)
 				s.Touch(name, now)
 			}
 			polls := 0
-			for turn := range 40 {
+			for tick := range 40 {
 				now = now.Add(interval)
-				for _, name := range c.answers(turn) {
+				for _, name := range c.answers(tick) {
 					s.Touch(name, now)
 				}
 				first, lastContact, _ := s.Oldest()
--- a/decide/balance/rendezvous/rendezvous.go
+++ b/decide/balance/rendezvous/rendezvous.go
@@ -1,9 +1,9 @@
-// Package rendezvous hashes names so that nodes which never talk to each other
-// make the same choice: of the candidates, the one with the highest Score
-// wins. When a candidate comes or goes, only the keys that it wins or won move;
-// with `hash mod n` nearly all would.
+// Package rendezvous implements rendezvous hashing, by which nodes make the same
+// choice without communicating: of the candidates, the one with the highest Score
+// wins. When a candidate is added or removed, only the keys that it wins or won
+// move; with `hash mod n` nearly all keys would move.
 //
-// Hash once and keep the result; Score is a few multiplications.
+// Hash each name once and keep the result; Score takes a few multiplications.
 package rendezvous
 
 import "math"
@@ -13,8 +13,8 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns a well-mixed 64-bit hash of s. It is the same in every process
-// and release, as nodes of different releases must agree.
+// Hash returns a well-mixed 64-bit hash of s. It must stay the same in every
+// process and release, as nodes of different releases have to agree.
 func Hash(s string) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(s); i++ {
@@ -24,14 +24,14 @@
 	return mix(h)
 }
 
-// Score returns the rank of candidate for key; both come from Hash. The
+// Score returns the rank of candidate for key; both are results of Hash. The
 // arguments are not interchangeable.
 func Score(key, candidate uint64) uint64 {
 	return mix(key + 0x9e3779b97f4a7c15*(candidate|1))
 }
 
-// Weighted returns a rank for which candidates win in proportion to their
-// weight (weighted rendezvous hashing). A weight of zero or less never wins.
+// Weighted returns a rank by which candidates win in proportion to their weight
+// (weighted rendezvous hashing). A weight of zero or less never wins.
 func Weighted(key, candidate uint64, weight float64) float64 {
 	if weight <= 0 {
 		return 0
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -11,9 +11,9 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// The simulator is an event loop over endpoints with slots, a queue and a cache
-// of prefixes. It judges a policy by what callers receive: the delay to the
-// first token, and the requests that failed after all attempts.
+// The simulator is an event loop over endpoints that have slots, a queue and a
+// prefix cache. It rates a policy by what callers see: the time to the first
+// token, and the requests that failed after all attempts.
 
 var epoch = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
@@ -27,15 +27,15 @@
 	maxAttempts    = 3
 )
 
-// policy is a Balancer, or a baseline that chooses among all replicas by one
-// rule, whatever becomes of them.
+// policy is a Balancer, or a baseline that picks among all replicas by a fixed rule
+// regardless of their state.
 type policy struct {
 	*Balancer
 	rule     func(p *policy, q Query) Replica
 	replicas []Replica
 	next     int
 	reported map[string]int
-	hints    *cacheindex.Index // nil: by hash alone
+	hints    *cacheindex.Index // nil: prefixes are placed by hash alone
 }
 
 func baseline(rule func(p *policy, q Query) Replica) func(int) *policy {
@@ -70,7 +70,7 @@
 }
 type engine struct {
 	Replica
-	slowdown              float64 // factor on all times
+	slowdown              float64 // factor on all service times
 	coldUntil             time.Time
 	dead, frozen, leaving bool
 	queue, serving        []*call
@@ -82,33 +82,33 @@
 type call struct {
 	policy     *policy
 	arrived    time.Time
-	sent       time.Time // of the attempt underway, and its time to the first token
-	firstToken time.Duration
-	started    bool // the attempt underway has given its first token
-	answered   bool // the caller has its first token
+	sent       time.Time     // of the current attempt
+	firstToken time.Duration // time to the first token of the current attempt
+	started    bool          // the current attempt has produced its first token
+	answered   bool          // the caller has received its first token
 	query      Query
 	attempts   int
 }
 
-// simulation is one run.
+// simulation is the state of one run.
 type simulation struct {
 	now      time.Time
 	rng      *rand.Rand
-	events   []event // by time
+	events   []event // ordered by time
 	engines  []*engine
 	policies []*policy
 
 	prefill, cachedPrefill      time.Duration
 	reportLag, crossDomainDelay time.Duration
 	coldFactor                  float64
-	measureFrom, measureUntil   time.Duration // calls judged, by arrival
+	measureFrom, measureUntil   time.Duration // calls that arrive in this interval are measured
 	delays                      []time.Duration
 	arrived, failed             int
-	cacheLookups, cacheHits     int // prompts with a prefix, and those found cached
+	cacheLookups, cacheHits     int // prompts with a prefix, and those whose prefix was cached
 }
 
-// newSimulation has endpoints that hold a mean request for 1 s: 8 requests a second
-// each.
+// newSimulation creates endpoints that serve a mean request in 1 s, so that each
+// serves 8 requests per second.
 func newSimulation(nodes int, newPolicy func(int) *policy, perDomain int, domains ...string) *simulation {
 	s := &simulation{
 		now: epoch, rng: rand.New(rand.NewPCG(7, 11)), measureUntil: time.Hour,
@@ -146,13 +146,13 @@
 func (s *simulation) schedule(d time.Duration, do func()) {
 	at := s.now.Add(d)
 	i, _ := slices.BinarySearchFunc(s.events, at, func(e event, at time.Time) int {
-		return cmp.Or(e.at.Compare(at), -1) // after those of the same time
+		return cmp.Or(e.at.Compare(at), -1) // after events of the same time
 	})
 	s.events = slices.Insert(s.events, i, event{at, do})
 }
 
-// run lets calls arrive at random for a minute, at a rate that may change, and
-// two minutes more for the answers.
+// run generates calls with random arrivals for a minute, at a rate that may change
+// over time, and leaves two more minutes for the answers.
 func (s *simulation) run(rate func(seconds float64) float64, prefix func(*rand.Rand) uint64) {
 	s.schedule(0, func() { s.arrive(rate, prefix) })
 	s.schedule(0, s.report)
@@ -242,8 +242,8 @@
 	c.policy.Finished(s.now, e.ID, r)
 }
 
-// failEngine ends an endpoint: its calls break at once, or, if it freezes, run into
-// their timeout.
+// failEngine makes an endpoint fail: its calls break at once or, if it freezes, run
+// into their timeout.
 func (s *simulation) failEngine(e *engine, freeze bool) {
 	e.dead, e.frozen = !freeze, freeze
 	for _, c := range slices.Concat(e.serving, e.queue) {
@@ -318,7 +318,8 @@
 	return s.prefill
 }
 
-// percentile is over all calls judged; those never answered count as an hour.
+// percentile is taken over all measured calls; calls without an answer count as an
+// hour.
 func (s *simulation) percentile(p float64) time.Duration {
 	if i := int(p * float64(s.arrived)); i < len(s.delays) {
 		return s.delays[i]
@@ -326,7 +327,7 @@
 	return time.Hour
 }
 
-// receivedBetween counts the requests that the endpoints got.
+// receivedBetween counts the requests that the endpoints received.
 func receivedBetween(from, to time.Duration, engines ...*engine) int {
 	n := 0
 	for _, e := range engines {
@@ -339,8 +340,9 @@
 	return n
 }
 
-// lastRequestAfter is how long after the event the endpoints still got requests
-// until the first pause that an ejection makes.
+// lastRequestAfter returns how long after the fault the endpoints still received
+// requests. It stops at the first gap of three seconds, as caused by an ejection;
+// the probes that follow do not count.
 func lastRequestAfter(fault time.Duration, engines ...*engine) time.Duration {
 	worst := time.Duration(0)
 	for _, e := range engines {
--- a/decide/balance/status.go
+++ b/decide/balance/status.go
@@ -6,21 +6,21 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// maxChanges bounds the changes kept for a caller that does not fetch them.
+// maxChanges bounds the changes kept if the caller does not fetch them.
 const maxChanges = 64
 
-// Change is a replica that was ejected, is being probed or has returned. The
-// caller logs it.
+// Change records that a replica was ejected, is being probed or returned to use.
+// The caller logs it.
 type Change struct {
 	At       time.Time
 	Replica  string
 	From, To health.State
-	// Cause is that of the last ejection.
+	// Cause is the cause of the last ejection.
 	Cause health.Cause
 }
 
-// Changes returns the changes since the last call, oldest first. Fetch them
-// after Pick and Finished.
+// Changes returns the changes since the last call, oldest first. Call it after Pick
+// and Finished.
 func (b *Balancer) Changes() []Change {
 	changes := b.changes
 	b.changes = nil
@@ -34,22 +34,22 @@
 	b.changes = append(b.changes, Change{At: now, Replica: m.ID, From: m.state, To: to, Cause: m.health.Cause()})
 }
 
-// Status is what the node knows of a replica of its subset.
+// Status is what the node knows of a replica in its subset.
 type Status struct {
 	Replica
-	// Near is set for the nearest failure domain.
+	// Near is set if the replica is in the nearest failure domain.
 	Near    bool
 	Leaving bool
 	State   health.State
 	Cause   health.Cause
-	// InFlight are the node's own requests, Others those of other nodes by the
-	// last report, as far as it still counts.
+	// InFlight is the number of this node's requests. OtherRequests estimates those
+	// of other nodes from the last report, whose weight decays with its age.
 	InFlight      int
 	OtherRequests float64
 	// ReportAge is the age of that report; negative if there is none.
 	ReportAge time.Duration
-	// Utilization is the load per unit of capacity, Slowness the delay over the
-	// median, and Ramp the part of its share that a newcomer gets.
+	// Utilization is the load per unit of capacity, Slowness the delay relative to
+	// the median, and Ramp the share of its capacity that a new replica may use.
 	Utilization float64
 	Slowness    float64
 	Ramp        float64
--- a/decide/balance/subset.go
+++ b/decide/balance/subset.go
@@ -8,7 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// coverSalt keeps the fraction of a replica's cover independent of its ranks.
+// coverSalt makes the rounding of a replica's cover independent of the scores of
+// its nodes.
 const coverSalt = 0x5bd1e995
 
 // hashedReplica is a replica of the service with the hash of its ID.
@@ -37,14 +38,15 @@
 	return found
 }
 
-// subset chooses the replicas of one node.
+// subset chooses the replicas that one node uses.
 type subset struct {
 	cfg        Config
 	nodeHash   uint64
-	peerHashes []uint64 // hashes of the domain's other nodes; nil if not known
+	peerHashes []uint64 // hashes of the other nodes of the domain; nil if unknown
 }
 
-// choose returns the near replicas and those to spill to.
+// choose returns the replicas of the nearest failure domain and those to which
+// requests spill.
 func (s *subset) choose(all []hashedReplica) (near, spill []hashedReplica) {
 	domains := s.byNearness(all)
 	if len(domains) == 0 {
@@ -53,7 +55,7 @@
 	return s.chooseFromDomains(domains)
 }
 
-// chooseFromDomains takes the failure domains, nearest first.
+// chooseFromDomains expects the failure domains nearest first.
 func (s *subset) chooseFromDomains(domains [][]hashedReplica) (near, spill []hashedReplica) {
 	total := 0
 	for _, domain := range domains {
@@ -92,8 +94,9 @@
 	return ordered
 }
 
-// ringDistance orders domains of the same nearness: all stand on one circle, and a
-// domain spills to the next ones on it, so that each is spilled to by as many.
+// ringDistance orders domains of the same nearness. All domains have a position on
+// one ring, and a domain spills to the ones that follow it, so that each domain
+// receives the spill of equally many others.
 func (s *subset) ringDistance(domain string) uint64 {
 	return rendezvous.Hash(domain) - rendezvous.Hash(s.cfg.FailureDomain)
 }
@@ -108,8 +111,8 @@
 	return len(s.cfg.NearDomains)
 }
 
-// chooseFromDomain chooses about quota replicas of one domain. With all set every
-// replica gets at least one node of this node's domain, so that none is idle.
+// chooseFromDomain chooses about quota replicas of one domain. If coverAll is set,
+// every replica gets at least one node of this node's domain, so that none is idle.
 func (s *subset) chooseFromDomain(replicas []hashedReplica, quota float64, coverAll bool) []hashedReplica {
 	if float64(len(replicas)) <= quota {
 		return replicas
@@ -130,8 +133,8 @@
 	return chosen
 }
 
-// roundCover rounds the cover to a whole number for one replica, up for as many
-// replicas as the fraction says.
+// roundCover rounds the cover, the number of nodes per replica, to an integer for
+// one replica. It rounds up for a share of the replicas equal to the fraction.
 func roundCover(replica uint64, cover float64) int {
 	whole, fraction := math.Modf(cover)
 	if rendezvous.Unit(rendezvous.Score(coverSalt, replica)) < fraction {
@@ -140,7 +143,8 @@
 	return int(whole)
 }
 
-// inTopRanked reports whether this node is inTopRanked the replica's first n by rank.
+// inTopRanked reports whether this node is among the n nodes with the highest score
+// for the replica.
 func (s *subset) inTopRanked(replica uint64, n int) bool {
 	nodeScore := rendezvous.Score(replica, s.nodeHash)
 	for _, p := range s.peerHashes {
@@ -160,9 +164,9 @@
 	return sorted[:min(n, len(sorted))]
 }
 
-// sortedByRank returns the replicas in an order of the node's own, highest rank
-// first. Were the order common, nodes that take them in turn at the same pace
-// would go round together and hit each replica in a burst.
+// sortedByRank returns the replicas by descending score for this node. If all nodes
+// had the same order, nodes that send round robin at the same rate would move
+// through it together and hit each replica in bursts.
 func (s *subset) sortedByRank(replicas []hashedReplica) []hashedReplica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b hashedReplica) int {
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -8,30 +8,31 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// tier is a part of the subset: the near replicas, or those to spill to.
+// tier is a part of the subset: either the replicas of the nearest failure domain,
+// or the replicas to which requests spill.
 type tier struct {
 	members []*member
 	ring    []ringPoint
 	usable  []*member
-	// cumulative sums of the capacities of the usable members, for draws in
-	// proportion to them.
+	// cumulative holds the running sums of the capacities of the usable members,
+	// for draws in proportion to capacity.
 	cumulative []float64
 
-	position      float64 // where the last in turn stood, 0 to 1
+	position      float64 // round-robin position, 0 to 1
 	equalCapacity bool    // all usable members have the same capacity
 
-	inflight         float64 // own requests at the usable members
-	otherRequests    float64 // requests of other nodes there, by report
+	inflight         float64 // this node's requests at the usable members
+	otherRequests    float64 // requests of other nodes at the usable members, as reported
 	reportedCapacity float64 // capacity of the usable members that have reported
 }
 
-// ringPoint is a place on the prefix ring.
+// ringPoint is a point on the prefix hash ring.
 type ringPoint struct {
 	hash   uint64
 	member *member
 }
 
-// newRing depends on the replicas' names alone, so that nodes with common
+// newRing builds the ring from the replica IDs alone, so that nodes with the same
 // replicas send a prefix to the same one.
 func newRing(members []*member) []ringPoint {
 	ring := make([]ringPoint, 0, len(members)*ringPointsPerReplica)
@@ -44,7 +45,8 @@
 	return ring
 }
 
-// attachMembers points the members to the tier once it has its place in memory.
+// attachMembers sets the tier of each member. It is called once the tier has its
+// final address.
 func (t *tier) attachMembers() {
 	for _, m := range t.members {
 		m.tier = t
@@ -94,7 +96,7 @@
 	}
 }
 
-// meanOtherLoad is the load by other nodes per unit of capacity.
+// meanOtherLoad returns the load from other nodes per unit of capacity.
 func (t *tier) meanOtherLoad() float64 {
 	if t.reportedCapacity == 0 {
 		return 0
@@ -102,7 +104,7 @@
 	return t.otherRequests / t.reportedCapacity
 }
 
-// meanLoad is the whole load per unit of capacity.
+// meanLoad returns the load from all nodes per unit of capacity.
 func (t *tier) meanLoad() float64 {
 	capacity := t.capacity()
 	if capacity == 0 {
@@ -111,8 +113,8 @@
 	return t.inflight/capacity + t.meanOtherLoad()
 }
 
-// nextRoundRobin takes the usable members in turn, each as often as its capacity
-// says.
+// nextRoundRobin returns the usable members in weighted round-robin order, each in
+// proportion to its capacity.
 func (t *tier) nextRoundRobin() *member {
 	return t.usable[t.nextIndex()]
 }
@@ -122,9 +124,9 @@
 	return t.indexAt(t.position)
 }
 
-// roundRobinStep visits equal members one after the other. Among unequal ones it would
-// send a large one several requests in a row; steps of the golden ratio visit
-// parts of any size evenly.
+// roundRobinStep visits members of equal capacity one after the other. With unequal
+// capacities such a step would send a large member several requests in a row;
+// golden-ratio steps spread the visits evenly for any capacities.
 func (t *tier) roundRobinStep() float64 {
 	if t.equalCapacity {
 		return 1 / float64(len(t.usable))
@@ -132,8 +134,9 @@
 	return math.Phi - 1
 }
 
-// memberAt returns the usable member memberAt a place from 0 to 1, where each has room in
-// proportion to its capacity. The tier must have one.
+// memberAt returns the usable member at a position from 0 to 1, on which each
+// member covers an interval in proportion to its capacity. The tier must have a
+// usable member.
 func (t *tier) memberAt(position float64) *member {
 	return t.usable[t.indexAt(position)]
 }
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -7,82 +7,88 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Failure says how an attempt ended.
+// Failure classifies how an attempt ended.
 type Failure = health.Failure
 
 // Replica is an endpoint that serves the service.
 type Replica struct {
 	ID            string
 	FailureDomain string
-	// Slots is the number of requests that it runs at once; zero counts as 1.
+	// Slots is the number of requests that the replica runs concurrently; zero
+	// counts as 1.
 	Slots int
-	// Weight is its speed per slot relative to the others; zero counts as 1.
+	// Weight is the replica's speed per slot relative to the other replicas; zero
+	// counts as 1.
 	Weight float64
 }
 
-// Query is a request to place.
+// Query describes a request for which a replica is to be picked.
 type Query struct {
-	// Prefix is a hash of the prompt's prefix, 0 for none.
+	// Prefix is a hash of the prompt's prefix; 0 means none.
 	Prefix uint64
-	// Holders are replicas that are thought to have the prompt's beginning cached,
-	// those with the most of it first. They are hints.
+	// Holders are replicas that probably have the beginning of the prompt cached,
+	// longest cached prefix first. They are hints and may be wrong.
 	Holders []cacheindex.Holder
-	// Cost is the expected work in tokens, 0 if unknown.
+	// Cost is the expected work in tokens; 0 means unknown.
 	Cost float64
-	// Exclude holds endpoints already tried for the request.
+	// Exclude lists endpoints that have already been tried for this request.
 	Exclude []string
-	// NoProbe keeps the request from an endpoint that is being probed. It is
-	// set for requests that may not repeat.
+	// NoProbe keeps the request away from an endpoint that is being probed. It is
+	// set for requests that must not be retried.
 	NoProbe bool
 }
 
-// Candidate is an endpoint with its score; the lower the better.
+// Candidate is an endpoint with its score; lower is better.
 type Candidate struct {
 	ID    string
 	Score float64
-	// HeldBlocks is how many blocks of the prompt it is thought to have cached.
+	// HeldBlocks is the estimated number of the prompt's blocks in its cache.
 	HeldBlocks int
 }
 
-// Choice is the endpoint picked and why.
+// Choice is the picked endpoint and the reason for it.
 type Choice struct {
 	Replica string
 	Reason  Reason
-	// Score is that of the chosen: the expected load per unit of capacity.
+	// Score is the score of the picked endpoint: the expected load per unit of
+	// capacity.
 	Score float64
-	// HeldBlocks is how many blocks of the prompt the chosen one is thought to have.
+	// HeldBlocks is the estimated number of the prompt's blocks in its cache.
 	HeldBlocks int
-	// Alternatives are the endpoints that lost, with their scores; empty IDs
-	// stand for none.
+	// Alternatives are the endpoints that were considered and not picked, with
+	// their scores. Unused entries have an empty ID.
 	Alternatives [maxAlternatives]Candidate
 }
 
 const maxAlternatives = 3
 
-// Reason says why a replica was chosen.
+// Reason states why a replica was picked.
 type Reason uint8
 
 const (
-	// ReasonTwoChoices means that it was the better of two drawn at random in
-	// the nearest failure domain.
+	// ReasonTwoChoices means that the replica was the better of two candidates
+	// drawn in the nearest failure domain.
 	ReasonTwoChoices Reason = iota
-	// ReasonOnly means that no other was left to draw.
+	// ReasonOnly means that no other candidate could be drawn.
 	ReasonOnly
-	// ReasonPrefix means that it is the home of the prompt's prefix.
+	// ReasonPrefix means that the replica is the home of the prompt's prefix on the
+	// hash ring.
 	ReasonPrefix
-	// ReasonPrefixMoved means that the home of the prefix was too loaded or
-	// unusable, and this is the next in line.
+	// ReasonPrefixMoved means that the home of the prefix was overloaded or
+	// unusable, and that this replica follows it on the hash ring.
 	ReasonPrefixMoved
-	// ReasonSpill means that the nearest failure domain was too loaded or gone.
+	// ReasonSpill means that the nearest failure domain was overloaded or had no
+	// usable replica.
 	ReasonSpill
-	// ReasonProbe means that an ejected endpoint is being tried again.
+	// ReasonProbe means that the request probes an ejected endpoint.
 	ReasonProbe
 	// ReasonLastResort means that only ejected endpoints were left.
 	ReasonLastResort
-	// ReasonHeld means that it is thought to have the most of the prompt cached.
+	// ReasonHeld means that the replica probably has the longest part of the prompt
+	// cached.
 	ReasonHeld
-	// ReasonFewestOwn means that all are full and it has the fewest of the node's
-	// own requests.
+	// ReasonFewestOwn means that all replicas are full and that this one has the
+	// fewest in-flight requests of this node.
 	ReasonFewestOwn
 )
 
@@ -97,43 +103,44 @@
 	return "invalid"
 }
 
-// Result tells how an attempt ended.
+// Result describes how an attempt ended.
 type Result struct {
-	// Cost is what was given to Sent.
+	// Cost is the cost that was passed to Sent.
 	Cost float64
-	// FirstToken is the time from sending to the first part of the answer, and
-	// Total to its end or to the failure. FirstToken is zero for plain services
-	// and for attempts that failed before it.
+	// FirstToken is the time from sending the request to the first part of the
+	// answer. It is zero for plain services and for attempts that failed before the
+	// first part. Total is the time from sending to the end or to the failure.
 	FirstToken time.Duration
 	Total      time.Duration
-	// Started is set if Started has been called for the attempt.
+	// Started is set if Balancer.Started has been called for the attempt.
 	Started bool
 	Failure Failure
 }
 
-// Load is an endpoint's own report.
+// Load is a load report made by an endpoint.
 type Load struct {
-	// Running and Waiting are its requests from all nodes.
+	// Running and Waiting count the endpoint's requests from all nodes.
 	Running int
 	Waiting int
-	// Age is how old the figures were when they arrived.
+	// Age is how old the figures were when the report arrived.
 	Age time.Duration
-	// Leaving is set if the endpoint says that it shuts down.
+	// Leaving is set if the endpoint reports that it is shutting down.
 	Leaving bool
 }
 
-// Source is who said that an endpoint leaves.
+// Source identifies who reported that an endpoint is leaving.
 type Source uint8
 
 const (
-	// SourcePlatform is the platform's list of VMs, which lags.
+	// SourcePlatform is the platform's list of VMs, which lags behind.
 	SourcePlatform Source = iota
-	// SourceEndpoint is the endpoint's own report.
+	// SourceEndpoint is the endpoint's own load report.
 	SourceEndpoint
 	// SourcePeer is another node.
 	SourcePeer
 	// SourceOperator is the environment document or a drain command.
 	SourceOperator
-	// sourceRefusal is a request refused by the endpoint as it leaves.
+	// sourceRefusal is a request that the endpoint refused because it is shutting
+	// down.
 	sourceRefusal
 )
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -6,12 +6,12 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// FIFO is the baseline: one queue in order of arrival, without shares, limits
-// or refusals.
+// FIFO is a baseline: one queue in order of arrival, without shares, limits or
+// refusals.
 type FIFO struct {
 	Slots int
-	// DropExpired refuses a request whose deadline has passed when its turn
-	// comes: a stronger baseline.
+	// DropExpired refuses a request whose deadline has passed when it reaches the
+	// head of the queue, which makes the baseline stronger.
 	DropExpired bool
 
 	running int
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -11,79 +11,84 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Fleet is a run of several nodes, each with its own queue and balancer, before
-// replicas that they share. The nodes learn of each other's requests only from
-// the replicas' reports.
+// Fleet describes a run of several nodes, each with its own queue and balancer,
+// that share replicas. A node learns of the other nodes' requests only from the
+// replicas' load reports.
 type Fleet struct {
-	// Nodes are the nodes' parts of the calls; they add up to 1. A call of a
-	// team with a heavy node is sent there however long its queue is, as callers
+	// Nodes holds each node's share of the calls; the shares add up to 1. A call
+	// goes to its node regardless of the length of the queue there, because callers
 	// keep the addresses they were given.
 	Nodes    []float64
 	Replicas int
-	// Slots are those of a replica; it queues what comes beyond them.
+	// Slots is the number of slots of each replica. A replica queues further
+	// requests.
 	Slots int
-	// TokenTime is the time of a token, the same in every slot.
+	// TokenTime is the time per token, the same in every slot.
 	TokenTime time.Duration
-	// Tokens of an answer.
+	// Tokens is the length of each answer.
 	Tokens int
 	Teams  int
-	// OfferedLoad is the load over the bound.
+	// OfferedLoad is the rate of calls over Capacity.
 	OfferedLoad float64
-	// Preload is served before.
+	// Preload is a load that precedes the run's own.
 	Preload Preload
 	// CallerTimeout is how long a caller waits for its whole answer.
 	CallerTimeout time.Duration
-	// Length of the run; calls from Warmup on are judged.
+	// Length is that of the run. RunFleet returns only the calls sent after Warmup.
 	Length, Warmup time.Duration
 	Seed           uint64
-	// RoundRobin sends the calls to the replicas in turn, without nodes.
+	// RoundRobin sends the calls to the replicas by round robin, without nodes.
 	RoundRobin bool
-	// Domains is the number of failure domains, among which nodes and replicas
-	// are dealt in turn; zero: one.
+	// Domains is the number of failure domains; zero means one. Nodes and replicas
+	// are assigned to them by round robin.
 	Domains int
-	// SharedPrompt has all callers ask with the same prompt, which each replica
-	// keeps cached.
+	// SharedPrompt makes all callers send the same prompt, which every replica has
+	// cached.
 	SharedPrompt bool
-	// HideNodeCount keeps from the nodes how many they are, so that none counts on a
-	// part of the slots of its own.
+	// HideNodeCount withholds the number of nodes from the balancers, so that no
+	// node has a fair share of the slots.
 	HideNodeCount bool
 }
 
-// Preload is a load before that of the run, and a pause after it.
+// Preload is a load before that of the run, followed by a pause.
 type Preload struct {
-	// OfferedLoad is the load over the bound.
+	// OfferedLoad is the rate of calls over Capacity.
 	OfferedLoad     float64
 	Duration, Pause time.Duration
 }
 
 const (
-	// reportInterval is how old a replica's report may be: it is renewed no sooner.
+	// reportInterval is the shortest time between two load reports made by a
+	// replica; a report sent in between repeats the last one.
 	reportInterval = 100 * time.Millisecond
-	// tokensPerReport is the number of tokens between two reports on an answer.
+	// tokensPerReport is the number of tokens of an answer between two load
+	// reports.
 	tokensPerReport = 8
-	// refreshInterval is how often a node looks again at its slots.
+	// refreshInterval is how often a node recomputes its slots when nothing else
+	// happens.
 	refreshInterval = time.Second
-	// sharedPrefix names the prefix of the prompt that all callers share.
+	// sharedPrefix is the prefix hash of the prompt that all callers share.
 	sharedPrefix = 12345
 )
 
-// Capacity is what the replicas can answer, in calls a second.
+// Capacity returns the calls per second that the replicas can answer.
 func (f Fleet) Capacity() float64 {
 	return float64(f.Replicas*f.Slots) / (float64(f.Tokens) * f.TokenTime.Seconds())
 }
 
-// domain of the i-th node or replica.
+// domain returns the failure domain of the i-th node or replica.
 func (f Fleet) domain(i int) string {
 	return fmt.Sprint("domain-", i%max(f.Domains, 1))
 }
 
-// Answer is what one caller of a Fleet received.
+// Answer records what one caller of a Fleet received.
 type Answer struct {
 	Sent time.Duration // since Start
-	// FirstToken and Total are since the call; FirstToken is zero if none came.
+	// FirstToken and Total are measured from the call; FirstToken is zero if no
+	// token arrived.
 	FirstToken, Total time.Duration
-	// Completed is set if the answer was whole while the caller waited, Refused if
-	// the caller was told that it will not run. Neither: it waited in vain.
+	// Completed is set if the whole answer arrived before the caller's timeout,
+	// Refused if the request was refused. If neither is set, the caller timed out.
 	Completed, Refused bool
 	RetryAfter         time.Duration
 	Node               int
@@ -92,8 +97,8 @@
 type fleet struct {
 	Fleet
 	*Loop
-	arrivalRNG    *rand.Rand // of the arrivals, the same however they are served
-	assignmentRNG *rand.Rand // of nodes and teams
+	arrivalRNG    *rand.Rand // of the arrivals, which do not depend on how calls are served
+	assignmentRNG *rand.Rand // of the nodes and teams of calls
 	nodes         []*fleetNode
 	replicas      []*fleetReplica
 	nextReplica   int
@@ -117,7 +122,7 @@
 	nextTick       time.Time
 	slots          int
 	running        int
-	meanAnswerTime time.Duration // mean time of an answer
+	meanAnswerTime time.Duration // moving average
 }
 
 type fleetCall struct {
@@ -126,13 +131,14 @@
 	node       *fleetNode
 	replica    *fleetReplica
 	cost       float64
-	received   float64 // come so far
+	received   float64 // tokens
 	sent       time.Time
 	firstToken time.Duration
 	ended      bool
 }
 
-// RunFleet plays the run and returns the judged calls in order of arrival.
+// RunFleet runs the simulation and returns the calls sent after Warmup, in order of
+// arrival.
 func RunFleet(f Fleet) []*Answer {
 	r := &fleet{Fleet: f, Loop: NewLoop(), arrivalRNG: rand.New(rand.NewPCG(f.Seed, 3)), assignmentRNG: rand.New(rand.NewPCG(f.Seed, 4))}
 	var replicas []balance.Replica
@@ -169,7 +175,7 @@
 	r.Schedule(r.Now.Add(refreshInterval), func() { r.refresh(n) })
 }
 
-// updateShare tells the queue the slots that the balancer sees.
+// updateShare sets the queue's slots to those that the balancer allows.
 func (r *fleet) updateShare(n *fleetNode) {
 	slots := max(1, n.running+n.balancer.Headroom(r.Now))
 	if slots == n.slots {
@@ -190,7 +196,7 @@
 	})
 }
 
-// nextArrival draws the time of the nextArrival call.
+// nextArrival draws the time of the next call.
 func (r *fleet) nextArrival() time.Time {
 	preloadEnd, pauseEnd := Start.Add(r.Preload.Duration), Start.Add(r.Preload.Duration+r.Preload.Pause)
 	if r.Now.Before(preloadEnd) {
@@ -243,7 +249,7 @@
 	return r.nodes[len(r.nodes)-1]
 }
 
-// applyVerdicts does what the queue says and plans its next own event.
+// applyVerdicts carries out the queue's verdicts and schedules its next tick.
 func (r *fleet) applyVerdicts(n *fleetNode, verdicts []admission.Verdict) {
 	r.deliver(n, verdicts)
 	more, next := n.queue.Tick(r.Now)
@@ -292,7 +298,8 @@
 	r.Schedule(r.Now.Add(r.TokenTime), func() { r.emitToken(c, 0) })
 }
 
-// emitToken is the number-th of the answer. A caller who has gone ends it.
+// emitToken produces the token of the given number. If the caller has timed out, it
+// ends the call instead.
 func (r *fleet) emitToken(c *fleetCall, number int) {
 	if c.ended {
 		r.releaseSlot(c)
@@ -318,7 +325,7 @@
 	r.releaseSlot(c)
 }
 
-// releaseSlot ends the call's slot and tells its node.
+// releaseSlot frees the call's slot and records the end of the call at its node.
 func (r *fleet) releaseSlot(c *fleetCall) {
 	e := c.replica
 	e.running--
@@ -346,7 +353,7 @@
 	r.applyVerdicts(c.node, c.node.queue.Finish(r.Now, c.id, c.received))
 }
 
-// deliverReport passes the replica's report to the call's node.
+// deliverReport passes the replica's load report to the call's node.
 func (r *fleet) deliverReport(c *fleetCall) {
 	if c.node == nil {
 		return
@@ -362,7 +369,7 @@
 	r.updateShare(c.node)
 }
 
-// expire ends the patience of a caller.
+// expire ends a call at the caller's timeout.
 func (r *fleet) expire(c *fleetCall) {
 	if c.ended {
 		return
@@ -377,7 +384,7 @@
 	e := c.replica
 	if i := slices.Index(e.waiting, c); i >= 0 {
 		e.waiting = slices.Delete(e.waiting, i, i+1)
-		e.running++ // free takes it off again
+		e.running++ // releaseSlot subtracts it again
 		r.releaseSlot(c)
 	}
 }
--- a/decide/internal/sim/loop.go
+++ b/decide/internal/sim/loop.go
@@ -1,6 +1,5 @@
 // Package sim runs decision modules against a small model of callers and one
-// service, in simulated time. It is a helper for tests: the same seed gives the
-// same run.
+// service in simulated time. It is a test helper. The same seed gives the same run.
 package sim
 
 import (
@@ -34,23 +33,24 @@
 	return last
 }
 
-// Loop runs functions in the order of their times.
+// Loop is an event loop that runs functions in the order of their scheduled times.
 type Loop struct {
 	Now    time.Time
 	events events
 	seq    int
 }
 
-// NewLoop returns a loop at Start.
+// NewLoop returns a loop whose time is Start.
 func NewLoop() *Loop { return &Loop{Now: Start} }
 
-// Schedule plans a function; functions of the same time run in the order of planning.
+// Schedule adds a function that runs at time t. Functions of the same time run in
+// the order in which they were added.
 func (l *Loop) Schedule(t time.Time, run func()) {
 	l.seq++
 	heap.Push(&l.events, event{at: t, seq: l.seq, run: run})
 }
 
-// Run runs what is planned up to and including the given time.
+// Run runs the functions scheduled up to and including the given time.
 func (l *Loop) Run(until time.Time) {
 	for len(l.events) > 0 && !l.events[0].at.After(until) {
 		e := heap.Pop(&l.events).(event)
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -8,7 +8,7 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// Policy is what decides: the queue or a baseline.
+// Policy decides which requests start: the admission queue or a baseline.
 type Policy interface {
 	Offer(now time.Time, r admission.Request) []admission.Verdict
 	Finish(now time.Time, id uint64, cost float64) []admission.Verdict
@@ -17,43 +17,43 @@
 	Tick(now time.Time) ([]admission.Verdict, time.Time)
 }
 
-// Load is one stream of calls with random (Poisson) arrivals.
+// Load is a stream of calls with Poisson arrivals.
 type Load struct {
 	Team          string
 	Class         admission.Class
 	Rate          float64       // calls per second
 	Cost          float64       // mean actual cost in tokens; each call 0.5 to 1.5 times that
-	DeclaredRatio float64       // expected over actual cost; zero means 0.7 to 1.3 at random
-	StartTimeout  time.Duration // from a call to its latest useful start
-	From, To      time.Duration // zero To means the whole run
-	RetryOnce     bool          // a refused caller comes back once, when told to
+	DeclaredRatio float64       // expected over actual cost; zero means random, 0.7 to 1.3
+	StartTimeout  time.Duration // from a call until a start is no longer useful
+	From, To      time.Duration // zero To means the end of the run
+	RetryOnce     bool          // a refused caller retries once, after the time it was told
 }
 
-// Scenario is a run against one service.
+// Scenario describes a run against one service.
 type Scenario struct {
-	SlotRate float64 // tokens per second of a slot
+	SlotRate float64 // tokens per second per slot
 	Length   time.Duration
 	Loads    []Load
-	Capacity map[time.Duration]int // changes of the number of slots
-	StallAt  time.Duration         // from here on nothing finishes; zero means never
-	Seed     uint64                // of the arrivals and costs
+	Capacity map[time.Duration]int // number of slots from each time on
+	StallAt  time.Duration         // from this time on no request finishes; zero means never
+	Seed     uint64                // of arrivals and costs
 }
 
-// Call is what one caller saw.
+// Call records what one caller saw. Times are measured from Start.
 type Call struct {
 	Load      int
-	Offered   time.Duration // since Start
-	Started   time.Duration // zero unless started
-	Finished  time.Duration // zero unless finished
-	RefusedAt time.Duration // refused at
+	Offered   time.Duration
+	Started   time.Duration // zero if it did not start
+	Finished  time.Duration // zero if it did not finish
+	RefusedAt time.Duration // zero if it was not refused
 	Deadline  time.Duration
 	Cost      float64 // actual
 	Verdict   admission.Verdict
 
-	Retry bool // the caller has come back after a refusal
+	Retry bool // the caller retried after a refusal
 }
 
-// InTime tells whether the call started while the caller still wanted it.
+// InTime reports whether the call started by its deadline.
 func (c *Call) InTime() bool { return c.Verdict.Kind == admission.Run && c.Started <= c.Deadline }
 
 // Result holds the calls of a run.
@@ -68,7 +68,7 @@
 	nextTick time.Time
 }
 
-// Run plays the scenario with the policy.
+// Run runs the scenario with the policy.
 func Run(s Scenario, policy Policy) *Result {
 	r := &run{Scenario: s, Loop: NewLoop(), policy: policy, rng: rand.New(rand.NewPCG(s.Seed, 2))}
 	for i, l := range s.Loads {
@@ -146,8 +146,8 @@
 	}
 }
 
-// Goodput returns the tokens per second of calls that started in time, by the
-// slot time they used between the two times.
+// Goodput returns the tokens per second of the calls that started in time, counted
+// by the slot time that they used between the two times.
 func (r *Result) Goodput(slotRate float64, from, to time.Duration, loads ...int) float64 {
 	sum := 0.0
 	for _, c := range r.Calls {
@@ -162,8 +162,9 @@
 	return sum / (to - from).Seconds()
 }
 
-// StartDelays returns the start delays of the load's calls offered between the two
-// times, in order; a call that never started in time counts as its patience.
+// StartDelays returns, in ascending order, the delays until the start of the load's
+// calls that were offered between the two times. A call that did not start in time
+// counts with its whole StartTimeout.
 func (r *Result) StartDelays(load int, from, to time.Duration) []time.Duration {
 	var delays []time.Duration
 	for _, c := range r.Calls {
@@ -180,10 +181,10 @@
 	return delays
 }
 
-// P95 returns the 95th percentile of sorted waits.
+// P95 returns the 95th percentile of sorted delays.
 func P95(sorted []time.Duration) time.Duration { return sorted[len(sorted)*95/100] }
 
-// StartedShare returns the part of the load's calls offered between the two times
+// StartedShare returns the share of the load's calls offered between the two times
 // that started in time.
 func (r *Result) StartedShare(load int, from, to time.Duration) float64 {
 	started, all := 0.0, 0.0
