--- a/decide/paths/path.go
+++ b/decide/paths/path.go
@@ -7,30 +7,30 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// Part is one replica's layers of a path.
-type Part struct {
+// Stage is one replica's layers of a path.
+type Stage struct {
 	Replica string
 	Address string
 	Domain  string
-	Run     layers.Span
+	Layers  layers.Span
 }
 
 // Path runs through all layers, each once and in order.
-type Path []Part
+type Path []Stage
 
-// Runs says whether the path runs each of the layers once and in order, with no
+// Covers says whether the path runs each of the layers once and in order, with no
 // replica twice. Engines check none of this.
-func (p Path) Runs(span layers.Span) bool {
-	at := span.From
+func (p Path) Covers(span layers.Span) bool {
+	next := span.From
 	seen := make(map[string]bool, len(p))
-	for _, part := range p {
-		if part.Run.From != at || part.Run.Empty() || seen[part.Replica] {
+	for _, stage := range p {
+		if stage.Layers.From != next || stage.Layers.Empty() || seen[stage.Replica] {
 			return false
 		}
-		seen[part.Replica] = true
-		at = part.Run.To
+		seen[stage.Replica] = true
+		next = stage.Layers.To
 	}
-	return at == span.To
+	return next == span.To
 }
 
 // Crossings is how often the path goes from one failure domain to another.
@@ -47,11 +47,11 @@
 // String is the path for log lines: each replica with its layers.
 func (p Path) String() string {
 	var b strings.Builder
-	for i, part := range p {
+	for i, stage := range p {
 		if i > 0 {
 			b.WriteByte(' ')
 		}
-		fmt.Fprintf(&b, "%s:%d-%d", part.Replica, part.Run.From, part.Run.To)
+		fmt.Fprintf(&b, "%s:%d-%d", stage.Replica, stage.Layers.From, stage.Layers.To)
 	}
 	return b.String()
 }
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -8,131 +8,131 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// way is the cheapest known way to a boundary between layers that ends in a
+// partialPath is the cheapest known partialPath to a boundary between layers that ends in a
 // domain.
-type way struct {
-	cost   float64
-	from   int // index of the boundary before
-	domain int // of the way before
-	node   *node
+type partialPath struct {
+	cost         float64
+	prevBoundary int // index of the boundary before
+	prevDomain   int // of the way before
+	replica      *replicaState
 }
 
 // search is a shortest path over the boundaries between layers. The state is the
 // boundary and the domain of the last part, as only a change of domain has a price.
-func (b *Book) search(now time.Time, q Query, usable []*node, most float64) Path {
-	cuts := boundaries(q.Run, usable)
+func (s *Selector) search(now time.Time, q Query, usable []*replicaState, limit float64) Path {
+	bounds := boundaries(q.Layers, usable)
 	domains, index := domainsOf(q.Domain, usable)
-	ways := make([]way, len(cuts)*len(domains))
-	for i := range ways {
-		ways[i].cost = math.Inf(1)
+	cheapest := make([]partialPath, len(bounds)*len(domains))
+	for i := range cheapest {
+		cheapest[i].cost = math.Inf(1)
 	}
-	at := func(cut, domain int) *way { return &ways[cut*len(domains)+domain] }
-	at(0, 0).cost = 0
-	weights := b.weights(now, usable)
-	for to := 1; to < len(cuts); to++ {
-		for k, n := range usable {
-			if n.Holds.To < cuts[to] {
+	cell := func(boundary, domain int) *partialPath { return &cheapest[boundary*len(domains)+domain] }
+	cell(0, 0).cost = 0
+	factors := s.costFactors(now, usable)
+	for to := 1; to < len(bounds); to++ {
+		for k, r := range usable {
+			if r.Holds.To < bounds[to] {
 				continue
 			}
 			domain := index[k]
-			for from := to - 1; from >= 0 && cuts[from] >= n.Holds.From; from-- {
-				if from == 0 && len(q.FirstOf) > 0 && !slices.Contains(q.FirstOf, n.ID) {
+			for from := to - 1; from >= 0 && bounds[from] >= r.Holds.From; from-- {
+				if from == 0 && len(q.FirstReplicas) > 0 && !slices.Contains(q.FirstReplicas, r.ID) {
 					continue
 				}
-				part, ok := b.partCost(now, n, cuts[to]-cuts[from], q.Tokens, most, weights[k])
+				stageMillis, ok := s.stageCost(now, r, bounds[to]-bounds[from], q.Tokens, limit, factors[k])
 				if !ok {
 					continue
 				}
-				part += readPrice * n.reading.left(now)
+				stageMillis += prefillCostFactor * r.prefill.remaining(now)
 				for last := range domains {
-					cost := at(from, last).cost + part + crossing(from == 0 && q.Run.From == 0, last, domain)
-					if cost < at(to, domain).cost {
-						*at(to, domain) = way{cost: cost, from: from, domain: last, node: n}
+					total := cell(from, last).cost + stageMillis + crossingCost(from == 0 && q.Layers.From == 0, last, domain)
+					if total < cell(to, domain).cost {
+						*cell(to, domain) = partialPath{cost: total, prevBoundary: from, prevDomain: last, replica: r}
 					}
 				}
 			}
 		}
 	}
-	return trace(cuts, len(domains), ways)
+	return reconstruct(bounds, len(domains), cheapest)
 }
 
-// crossing is the price of going from one domain to another. Before the first part
+// crossingCost is the price of going from one domain to another. Before the first part
 // stands the node itself.
-func crossing(first bool, last, domain int) float64 {
+func crossingCost(first bool, last, domain int) float64 {
 	switch {
 	case last == domain:
 		return 0
 	case first:
-		return entryCost
+		return remoteEntryMillis
 	default:
-		return crossCost
+		return crossDomainMillis
 	}
 }
 
-func boundaries(run layers.Span, usable []*node) []int {
-	cuts := []int{run.From, run.To}
-	for _, n := range usable {
-		for _, cut := range []int{n.Holds.From, n.Holds.To} {
-			if cut > run.From && cut < run.To {
-				cuts = append(cuts, cut)
+func boundaries(run layers.Span, usable []*replicaState) []int {
+	bounds := []int{run.From, run.To}
+	for _, r := range usable {
+		for _, bound := range []int{r.Holds.From, r.Holds.To} {
+			if bound > run.From && bound < run.To {
+				bounds = append(bounds, bound)
 			}
 		}
 	}
-	slices.Sort(cuts)
-	return slices.Compact(cuts)
+	slices.Sort(bounds)
+	return slices.Compact(bounds)
 }
 
 // domainsOf lists the domains, the node's own first, and each replica's place among
 // them.
-func domainsOf(own string, usable []*node) (domains []string, index []int) {
+func domainsOf(own string, usable []*replicaState) (domains []string, index []int) {
 	domains = []string{own}
 	index = make([]int, len(usable))
-	for k, n := range usable {
-		place := slices.Index(domains, n.Domain)
-		if place < 0 {
-			place = len(domains)
-			domains = append(domains, n.Domain)
+	for k, r := range usable {
+		i := slices.Index(domains, r.Domain)
+		if i < 0 {
+			i = len(domains)
+			domains = append(domains, r.Domain)
 		}
-		index[k] = place
+		index[k] = i
 	}
 	return domains, index
 }
 
-// weights draws what chance adds to each replica's cost, and a price on those that
+// costFactors draws what chance adds to each replica's cost, and a price on those that
 // have just said that they are full.
-func (b *Book) weights(now time.Time, usable []*node) []float64 {
-	weights := make([]float64, len(usable))
-	for k, n := range usable {
-		weights[k] = 1 + jitter*b.random.Float64()
-		if now.Before(n.full) {
-			weights[k] *= fullWeight
+func (s *Selector) costFactors(now time.Time, usable []*replicaState) []float64 {
+	factors := make([]float64, len(usable))
+	for k, r := range usable {
+		factors[k] = 1 + costJitter*s.random.Float64()
+		if now.Before(r.avoidUntil) {
+			factors[k] *= avoidFactor
 		}
 	}
-	return weights
+	return factors
 }
 
-// fullWeight makes a replica that has just refused for want of room the last choice
+// avoidFactor makes a replica that has just refused for want of room the last choice
 // in its domain.
-const fullWeight = 8
+const avoidFactor = 8
 
-// partCost is the cost of n layers on a replica, in milliseconds a step.
-func (b *Book) partCost(now time.Time, n *node, count int, tokens, most, weight float64) (float64, bool) {
-	more := tokens * float64(count)
-	use := b.use(now, n, more)
-	if use > most || !math.IsInf(most, 1) && !b.grabs(now, n, more, most) {
+// stageCost is the cost of n layers on a replica, in milliseconds a step.
+func (s *Selector) stageCost(now time.Time, r *replicaState, count int, tokens, limit, factor float64) (float64, bool) {
+	extra := tokens * float64(count)
+	utilization := s.utilization(now, r, extra)
+	if utilization > limit || !math.IsInf(limit, 1) && !s.mayReserve(now, r, extra, limit) {
 		return 0, false
 	}
-	use = min(use, 0.99)
-	return hopCost + weight*float64(count)*(n.LayerMillis*n.pace*n.pace+slowLayer*use/(1-use)), true
+	utilization = min(utilization, 0.99)
+	return hopMillis + factor*float64(count)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
 }
 
-// trace reads the path off the ways, last part first, and joins parts of one
+// reconstruct reads the path off the ways, last part first, and joins parts of one
 // replica.
-func trace(cuts []int, domains int, ways []way) Path {
-	last := len(cuts) - 1
+func reconstruct(bounds []int, domains int, cheapest []partialPath) Path {
+	last := len(bounds) - 1
 	best := -1
 	for d := range domains {
-		if w := ways[last*domains+d]; w.node != nil && (best < 0 || w.cost < ways[last*domains+best].cost) {
+		if w := cheapest[last*domains+d]; w.replica != nil && (best < 0 || w.cost < cheapest[last*domains+best].cost) {
 			best = d
 		}
 	}
@@ -140,29 +140,29 @@
 		return nil
 	}
 	var path Path
-	for cut, domain := last, best; cut > 0; {
-		w := ways[cut*domains+domain]
-		path = append(path, Part{
-			Replica: w.node.ID, Address: w.node.Address, Domain: w.node.Domain,
-			Run: layers.Span{From: cuts[w.from], To: cuts[cut]},
+	for boundary, domain := last, best; boundary > 0; {
+		w := cheapest[boundary*domains+domain]
+		path = append(path, Stage{
+			Replica: w.replica.ID, Address: w.replica.Address, Domain: w.replica.Domain,
+			Layers: layers.Span{From: bounds[w.prevBoundary], To: bounds[boundary]},
 		})
-		cut, domain = w.from, w.domain
+		boundary, domain = w.prevBoundary, w.prevDomain
 	}
 	slices.Reverse(path)
-	path = joined(path)
-	if len(path) > MaxParts {
+	path = mergeRepeated(path)
+	if len(path) > MaxStages {
 		return nil
 	}
 	return path
 }
 
-// joined gives all layers between two parts of one replica to that replica, which
+// mergeRepeated gives all layers between two parts of one replica to that replica, which
 // holds them too: an engine refuses a path that names it twice.
-func joined(path Path) Path {
+func mergeRepeated(path Path) Path {
 	for i := 0; i < len(path); i++ {
 		for j := len(path) - 1; j > i; j-- {
 			if path[j].Replica == path[i].Replica {
-				path[i].Run.To = path[j].Run.To
+				path[i].Layers.To = path[j].Layers.To
 				path = slices.Delete(path, i+1, j+1)
 				break
 			}
--- a/route/targets/flight.go
+++ b/route/targets/flight.go
@@ -50,7 +50,7 @@
 			continue
 		}
 		for _, part := range f.path[1:] {
-			if !m.book.Known(part.Replica) || m.book.Leaving(part.Replica, part.Run) {
+			if !m.book.Known(part.Replica) || m.book.NeedsReroute(part.Replica, part.Layers) {
 				f.told = true
 				list = append(list, notice{f.leave, part.Replica})
 				break
@@ -95,7 +95,7 @@
 	f.model.mu.Lock()
 	defer f.model.mu.Unlock()
 	first := f.path[0].Replica
-	return f.model.book.Suspected(first), f.model.book.Silent(first)
+	return f.model.book.Suspected(first), f.model.book.HostUnreachable(first)
 }
 
 // Others says which replicas may be handed a request that is underway.
@@ -125,10 +125,10 @@
 	m := f.model
 	whole := layers.Span{To: m.layers}
 	path, reason := m.book.Choose(now, paths.Query{
-		Domain: m.domain, Run: whole, Tokens: f.tokens,
-		Exclude: append(slices.Clone(o.Exclude), f.path[0].Replica), FirstOf: o.FirstOf,
+		Domain: m.domain, Layers: whole, Tokens: f.tokens,
+		Exclude: append(slices.Clone(o.Exclude), f.path[0].Replica), FirstReplicas: o.FirstOf,
 	})
-	if reason != paths.Found || !path.Runs(whole) {
+	if reason != paths.Found || !path.Covers(whole) {
 		return nil
 	}
 	return path
@@ -145,21 +145,21 @@
 	now := m.now()
 	around := f.around(now)
 	load := f.load(around)
-	load.Free, load.Reading = free, m.book.ReadWait(now, around, f.path, f.tokens, m.part.Near)
+	load.Free, load.Reading = free, m.book.PrefillWait(now, around, f.path, f.tokens, m.part.Near)
 	var other paths.Path
 	if elsewhere {
 		other = f.elsewhere(now, o)
-		load.Elsewhere = m.book.ReadWait(now, other, nil, f.tokens, m.part.Near)
+		load.Elsewhere = m.book.PrefillWait(now, other, nil, f.tokens, m.part.Near)
 	}
 	way := m.links.Decide(now, around != nil, load, other != nil && other.Crossings() == 0)
 	// Noted now and not once the order is taken: those that lose their part together decide
 	// together.
 	switch way {
 	case reroute.Elsewhere:
-		m.book.Reads(now, other, nil, f.tokens, m.part.Near)
+		m.book.AddPrefill(now, other, nil, f.tokens, m.part.Near)
 		return way, nil, m.begin(other, f.tokens)
 	case reroute.Around:
-		m.book.Reads(now, around, f.path, f.tokens, m.part.Near)
+		m.book.AddPrefill(now, around, f.path, f.tokens, m.part.Near)
 		if load.Bytes > 0 {
 			m.links.Crossed(now, load)
 		}
@@ -204,7 +204,7 @@
 			living[part.Replica] = true
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(f.path), func(p paths.Part) bool { return living[p.Replica] })
+	return slices.DeleteFunc(slices.Clone(f.path), func(p paths.Stage) bool { return living[p.Replica] })
 }
 
 // Path is the path that the request runs along now.
@@ -235,18 +235,18 @@
 func (f *Flight) around(now time.Time) paths.Path {
 	m := f.model
 	first := f.path[0]
-	if first.Run.To == m.layers {
+	if first.Layers.To == m.layers {
 		return nil
 	}
 	rest, reason := m.book.Choose(now, paths.Query{
-		Domain: first.Domain, Run: layers.Span{From: first.Run.To, To: m.layers},
+		Domain: first.Domain, Layers: layers.Span{From: first.Layers.To, To: m.layers},
 		Tokens: f.tokens, Exclude: []string{first.Replica},
 	})
 	if reason != paths.Found {
 		return nil
 	}
 	path := append(paths.Path{first}, rest...)
-	if !path.Runs(layers.Span{To: m.layers}) {
+	if !path.Covers(layers.Span{To: m.layers}) {
 		return nil
 	}
 	return path
@@ -261,7 +261,7 @@
 		return
 	}
 	m.book.Release(f.path, f.tokens)
-	m.book.Hold(path, f.tokens)
+	m.book.Reserve(path, f.tokens)
 	f.path, f.told = path, false
 	f.heard.Store(0)
 }
@@ -277,7 +277,7 @@
 	defer m.mu.Unlock()
 	slowest := 1.0
 	for _, part := range f.path {
-		slowest = max(slowest, m.book.Pace(part.Replica))
+		slowest = max(slowest, m.book.Slowdown(part.Replica))
 	}
 	return slowest
 }
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -29,7 +29,7 @@
 	mu     sync.Mutex
 	layers int
 	part   Part
-	book   *paths.Book
+	book   *paths.Selector
 	// links is what this node's detours have sent between failure domains; a token
 	// sends crossBytes each time, of crossPerSecond that all share.
 	links                      reroute.Links
@@ -102,11 +102,11 @@
 	card := model.Cards[r.Kind]
 	room := max(0, card.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.TokenLayerMB()
 	return paths.Replica{
-		ID: r.ID, Born: r.Born, Address: r.Address, Domain: r.Domain, Holds: r.Holds,
-		Room:        room,
-		LayerMillis: model.StepMillis * card.Pace / float64(model.Layers),
-		ReadMillis:  model.ReadMillis(card),
-		Leaving:     r.Draining, Revision: r.Revision,
+		ID: r.ID, Incarnation: r.Born, Address: r.Address, Domain: r.Domain, Holds: r.Holds,
+		Capacity:      room,
+		LayerMillis:   model.StepMillis * card.Pace / float64(model.Layers),
+		PrefillMillis: model.ReadMillis(card),
+		Draining:      r.Draining, Revision: r.Revision,
 	}
 }
 
@@ -140,7 +140,7 @@
 }
 
 func errorOf(reason paths.Reason) error {
-	if reason == paths.NoRoom {
+	if reason == paths.NoCapacity {
 		return ErrNoRoom
 	}
 	return ErrNoEndpoint
@@ -165,26 +165,26 @@
 	now := m.now()
 	if first && m.waiting.Before(now, w) {
 		m.waiting.Add(now, w)
-		return Target{}, paths.NoRoom, false
+		return Target{}, paths.NoCapacity, false
 	}
 	path, reason := m.book.Choose(now, paths.Query{
-		Domain: m.domain, Run: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstOf: q.FirstOf,
+		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.FirstOf,
 	})
-	if reason != paths.Found || !path.Runs(layers.Span{To: m.layers}) {
+	if reason != paths.Found || !path.Covers(layers.Span{To: m.layers}) {
 		if first {
 			m.waiting.Add(now, w)
 		}
 		return Target{}, reason, false
 	}
 	m.forget(w)
-	m.book.Reads(now, path, nil, q.Read, m.part.Near)
+	m.book.AddPrefill(now, path, nil, q.Read, m.part.Near)
 	m.wakeOne() // there may be room for the next as well
 	return m.begin(path, q.Tokens), paths.Found, true
 }
 
 func (m *Model) begin(path paths.Path, tokens float64) Target {
 	f := &Flight{model: m, path: path, tokens: tokens}
-	m.book.Hold(path, tokens)
+	m.book.Reserve(path, tokens)
 	m.flights[f] = struct{}{}
 	return Target{
 		Replica: path[0].Replica, Address: path[0].Address, Domain: path[0].Domain,
@@ -238,7 +238,7 @@
 	case fault == "":
 		return nil
 	case r.Misheld:
-		m.book.Misheld(fault)
+		m.book.MarkLayersMissing(fault)
 		m.knowledge.seen[fault] = sight{at: m.now(), away: true}
 	case r.Gone:
 		m.knowledge.seen[fault] = sight{at: m.now(), lost: true}
@@ -246,7 +246,7 @@
 			return m.through(fault)
 		}
 	case r.NoRoom:
-		if m.book.Full(m.now(), fault) {
+		if m.book.RecordRejection(m.now(), fault) {
 			m.knowledge.seen[fault] = sight{at: m.now(), away: true}
 		}
 	}
@@ -295,7 +295,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.knowledge.seen[replica] = sight{at: m.now()}
-	was := m.book.Alive(replica)
+	was := m.book.MarkAlive(replica)
 	m.wakeOne()
 	return was
 }
@@ -319,18 +319,18 @@
 func (m *Model) SetPace(replica string, pace float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if max(pace, m.book.Pace(replica)) >= paths.SlowPace {
+	if max(pace, m.book.Slowdown(replica)) >= paths.SlowThreshold {
 		// One that is as fast as it was is no news to anybody.
 		m.knowledge.seen[replica] = sight{at: m.now(), pace: max(1, pace)}
 	}
-	return m.book.SetPace(replica, pace)
+	return m.book.SetSlowdown(replica, pace)
 }
 
 // Away returns the replicas that turn requests away although they have room.
 func (m *Model) Away() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Away(m.now())
+	return m.book.BackedOff(m.now())
 }
 
 // Slow returns the replicas that are slower than their kind.
@@ -349,7 +349,7 @@
 func (m *Model) Lost(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Lost(m.now(), replica, lostAfter)
+	return m.book.SuspectedFor(m.now(), replica, lostAfter)
 }
 
 // Refused notes an order to go around that an engine did not take. fault is the
@@ -359,7 +359,7 @@
 	defer m.mu.Unlock()
 	now := m.now()
 	if id := m.book.ByAddress(fault); id != "" {
-		m.book.Misheld(id)
+		m.book.MarkLayersMissing(id)
 		return
 	}
 	for _, part := range path[1:] {
@@ -371,7 +371,7 @@
 func (m *Model) Booked() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Booked()
+	return m.book.Reserved()
 }
 
 // SetOthers notes what the other nodes of this one's failure domain have booked, as far
@@ -379,7 +379,7 @@
 func (m *Model) SetOthers(held reservations.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.book.SetOthers(m.domain, held.Nodes, held.Amounts)
+	m.book.SetPeerReservations(m.domain, held.Nodes, held.Amounts)
 	m.wakeOne()
 }
 
@@ -388,7 +388,7 @@
 func (m *Model) Used() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Used(m.now())
+	return m.book.PeakUtilization(m.now())
 }
 
 // Waiting is how many requests wait for room, and Underway how many run.
--- a/route/targets/seen.go
+++ b/route/targets/seen.go
@@ -110,10 +110,10 @@
 		m.book.Suspect(now, c.Replica, false)
 		return
 	case c.TurnsAway:
-		m.book.TurnsAway(now, c.Replica)
+		m.book.BackOff(now, c.Replica)
 		return
 	}
-	m.book.SetPace(c.Replica, c.Pace)
+	m.book.SetSlowdown(c.Replica, c.Pace)
 }
 
 // Followed says whether others have told of a replica of late, so that this node need not
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -154,7 +154,7 @@
 	m.Ended(target, Result{Whole: true})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if booked := m.book.Booked(); len(booked) > 0 {
+	if booked := m.book.Reserved(); len(booked) > 0 {
 		t.Errorf("still booked: %v", booked)
 	}
 }
