--- a/decide/paths/backoff.go
+++ b/decide/paths/backoff.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// backoffBase is how long a replica is left out that has turned a request away, the
-	// first time; awayMost is the longest such pause.
+	// backoffBase is how long a replica is skipped after its first refusal.
 	backoffBase = 150 * time.Millisecond
-	backoffMax  = 2400 * time.Millisecond
+	// backoffMax bounds the backoff after repeated refusals.
+	backoffMax = 2400 * time.Millisecond
 )
 
-// backoff is what a replica's refusals say that has room: it is about to leave, gives up its
-// layers, or waits for what is gone, and the list does not tell yet. Each time that it
-// refuses again after a pause the next one is twice as long.
+// backoff is the state of a replica that refuses requests although it has capacity: it
+// is about to leave, gives up its layers, or waits for a lost replica, and the list
+// doesn't show this yet. Each refusal after a backoff period doubles the next one.
 type backoff struct {
 	delay time.Duration
 	until time.Time
 }
 
-// extend notes a refusal. Those that come together are one sign.
+// extend records a refusal. Refusals during a backoff period don't extend it.
 func (b *backoff) extend(now time.Time) {
 	switch {
 	case now.Before(b.until):
--- a/decide/paths/path.go
+++ b/decide/paths/path.go
@@ -7,7 +7,7 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// Stage is one replica's layers of a path.
+// Stage is one replica of a path with the layers that it runs.
 type Stage struct {
 	Replica string
 	Address string
@@ -15,11 +15,11 @@
 	Layers  layers.Span
 }
 
-// Path runs through all layers, each once and in order.
+// Path runs each layer once and in order.
 type Path []Stage
 
-// Covers says whether the path runs each of the layers once and in order, with no
-// replica twice. Engines check none of this.
+// Covers reports whether the path runs each layer of the span exactly once and in
+// order, with no replica twice. Engines don't check this.
 func (p Path) Covers(span layers.Span) bool {
 	next := span.From
 	seen := make(map[string]bool, len(p))
@@ -33,7 +33,7 @@
 	return next == span.To
 }
 
-// Crossings is how often the path goes from one failure domain to another.
+// Crossings returns the number of hops from one failure domain to another.
 func (p Path) Crossings() int {
 	n := 0
 	for i := 1; i < len(p); i++ {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// String is the path for log lines: each replica with its layers.
+// String formats the path for log lines: each replica with its layers.
 func (p Path) String() string {
 	var b strings.Builder
 	for i, stage := range p {
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -10,34 +10,34 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// Replica is what a path may run through.
+// Replica is a replica as it is listed.
 type Replica struct {
 	ID          string
 	Incarnation int64
 	Address     string
 	Domain      string
 	Holds       layers.Span
-	// Capacity is the memory for requests, in tokens times layers.
+	// Capacity is the KV cache memory for requests, in tokens times layers.
 	Capacity float64
-	// LayerMillis is the time of one step through one layer.
+	// LayerMillis is the time of one decode step through one layer.
 	LayerMillis float64
-	// PrefillMillis is the time in which one token of a prompt is read with one layer.
+	// PrefillMillis is the time to prefill one token of a prompt through one layer.
 	PrefillMillis float64
-	// Draining replicas take no new requests.
+	// Draining replicas accept no new requests.
 	Draining bool
-	// Revision rises with each account that the replica gives of itself.
+	// Revision rises with each report of the replica.
 	Revision int64
 }
 
-// Reason says why there is no path.
+// Reason is the outcome of Choose: a path was found, or why there is none.
 type Reason uint8
 
 const (
-	// Found comes with a path.
+	// Found means that there is a path.
 	Found Reason = iota
 	// LayersUnavailable means that some layer has no usable holder.
 	LayersUnavailable
-	// NoCapacity means that the holders of some layer are full.
+	// NoCapacity means that the usable holders of some layer are full or backed off.
 	NoCapacity
 )
 
@@ -46,75 +46,77 @@
 	return [...]string{"found", "layers without a usable holder", "no room"}[r]
 }
 
-// Query asks for a path.
+// Query describes the path that a request needs.
 type Query struct {
-	// Domain is the asking node's failure domain.
+	// Domain is the failure domain of this node.
 	Domain string
-	// Layers is the layers to run, all of the model's for a new request.
+	// Layers is the span to run: all layers of the model for a new request.
 	Layers layers.Span
-	// Tokens is the most that the request is expected to hold at a time.
+	// Tokens is the expected maximum of tokens that the request keeps in the KV cache.
 	Tokens float64
-	// Exclude names replicas not to use.
+	// Exclude lists replicas that the path must not use.
 	Exclude []string
-	// FirstReplicas, if not empty, names the replicas that the path may begin with.
+	// FirstReplicas, if not empty, lists the replicas that may run the first stage.
 	FirstReplicas []string
 }
 
 const (
-	// MaxStages is the most parts that an engine accepts in a path.
+	// MaxStages is the maximum number of stages that an engine accepts in a path.
 	MaxStages = 32
-	// hopMillis is the time from one replica to the next in a failure domain, in
-	// milliseconds: two transfers and the wait for its next pass.
+	// hopMillis is the time from one replica to the next in a failure domain: two
+	// transfers and the wait for the next step of the receiving replica.
 	hopMillis = 0.5
-	// crossDomainMillis is the price of leaving a failure domain within a path, and
-	// entryCost that of a first part in another than the node's, in milliseconds.
+	// crossDomainMillis is the cost of a hop between failure domains within a path.
 	crossDomainMillis = 150
+	// remoteEntryMillis is the cost of a first stage outside this node's failure domain.
 	remoteEntryMillis = 12
-	// slowLayerMillis is the time of a layer on a slow card, in milliseconds; the price
-	// of room is a multiple of it.
+	// slowLayerMillis is the time of a layer on a slow card. The price of capacity is a
+	// multiple of it.
 	slowLayerMillis = 0.17
-	// maxUtilization is the part of this node's share of a replica's room that is booked. It is
-	// over 1 since nodes are seldom all full at the same moment; where they are, the
-	// replica refuses, and the share that is reckoned with shrinks.
+	// maxUtilization bounds the reservations on a replica, as a fraction of this node's
+	// share of the capacity. It is over 1 because nodes are seldom all full at the same
+	// time. If they are, the replica refuses requests and the usable fraction shrinks.
 	maxUtilization = 1.1
-	// costJitter is the part by which costs vary by chance, so that nodes which see the
-	// same replicas do not all choose the same one.
+	// costJitter is the fraction by which costs vary at random, so that nodes which see the
+	// same replicas don't all choose the same one.
 	costJitter = 0.1
 )
 
-// replicaState is a replica and what is known of it here.
+// replicaState is a listed replica with what this node knows of it.
 type replicaState struct {
 	Replica
-	reserved float64 // tokens times layers of this node's requests
+	reserved float64 // by this node's requests, in tokens times layers
 	usable   usableFraction
-	// suspected is set from a sign that the replica is gone until one that it lives;
-	// hostUnreachable if its machine does not answer.
+	// suspected is set while the replica looks dead; hostUnreachable is set if its machine
+	// doesn't answer either.
 	suspected, hostUnreachable bool
-	suspectedSince             time.Time // of the suspicion
-	// layersMissing is set if the replica has refused layers that it is listed with, until
-	// it has given a newer account of itself.
+	suspectedSince             time.Time
+	// layersMissing is set if the replica doesn't hold the layers that it is listed with,
+	// until its next report.
 	layersMissing bool
 	avoidUntil    time.Time
 	backoff       backoff
 	prefill       prefillBacklog
-	// slowdown is over 1 for a replica that is slower than its kind.
+	// slowdown is over 1 for a replica that is slower than its kind of card.
 	slowdown float64
-	// peerReserved is what other nodes have booked as far as it is known, told when this node
-	// had booked reservedAtReport.
+	// peerReserved is what other nodes have reserved according to their last reports.
+	// reservedAtReport is what this node had reserved when it received them.
 	peerReserved, reservedAtReport float64
 }
 
-// Selector keeps what is booked on each replica. Not safe for concurrent use.
+// Selector tracks the reservations on each replica and chooses paths. It is not safe for
+// concurrent use.
 type Selector struct {
 	replicas map[string]*replicaState
-	sorted   []*replicaState // by id, so that walks are the same each time
+	sorted   []*replicaState // by ID, so that iteration is deterministic
 	shares   map[string]float64
-	// reportingPeers is of how many other nodes in a failure domain the bookings are known.
+	// reportingPeers is the number of other nodes, by failure domain, whose reservations
+	// are known.
 	reportingPeers map[string]int
 	random         *rand.Rand
 }
 
-// New returns an empty Book; nodes take different seeds.
+// New returns a Selector without replicas. Each node passes a different seed.
 func New(seed uint64) *Selector {
 	return &Selector{
 		replicas:       map[string]*replicaState{},
@@ -124,8 +126,8 @@
 	}
 }
 
-// Update replaces the replicas. What is booked and suspected of one stays while it
-// lives; a replica that started again under its id begins anew.
+// Update replaces the list of replicas. The state of a replica is kept as long as its
+// incarnation is the same; a replica that restarted under its ID starts without state.
 func (s *Selector) Update(replicas []Replica) {
 	states := make(map[string]*replicaState, len(replicas))
 	s.sorted = s.sorted[:0]
@@ -145,14 +147,15 @@
 	slices.SortFunc(s.sorted, func(a, c *replicaState) int { return cmp.Compare(a.ID, c.ID) })
 }
 
-// SetShare sets the part of a failure domain's room that this node reckons with: its
-// part of the nodes that send work there.
+// SetShare sets this node's share of the capacity of a failure domain: its fraction of
+// the nodes that send requests there.
 func (s *Selector) SetShare(domain string, share float64) {
 	s.shares[domain] = share
 }
 
-// SetPeerReservations notes what other nodes have booked on the replicas of a failure domain, and
-// of how many of them that is known; the others are taken to use their even parts.
+// SetPeerReservations records what other nodes have reserved on the replicas of a failure
+// domain. peers is the number of nodes that reported; the rest are assumed to use their
+// even shares.
 func (s *Selector) SetPeerReservations(domain string, peers int, reserved map[string]float64) {
 	s.reportingPeers[domain] = peers
 	for _, r := range s.sorted {
@@ -162,7 +165,7 @@
 	}
 }
 
-// share is the even part of a failure domain's room for one node.
+// share returns the even share of one node in the capacity of a failure domain.
 func (s *Selector) share(domain string) float64 {
 	share, ok := s.shares[domain]
 	if !ok || share <= 0 {
@@ -171,14 +174,15 @@
 	return share
 }
 
-// capacity is what this node and those whose bookings are known have of a replica together.
+// capacity returns the capacity of a replica that is shared by this node and the nodes
+// whose reservations are known.
 func (s *Selector) capacity(now time.Time, r *replicaState) float64 {
 	fraction := min(1, s.share(r.Domain)*float64(1+s.reportingPeers[r.Domain]))
 	return r.Capacity * fraction * r.usable.at(now)
 }
 
-// utilization is the part of the replica's room that would be booked with more added, by this
-// node and, as far as it knows, the others.
+// utilization returns the fraction of the replica's capacity that this node and its
+// reporting peers would have reserved with extra added.
 func (s *Selector) utilization(now time.Time, r *replicaState, extra float64) float64 {
 	capacity := s.capacity(now, r)
 	if capacity <= 0 {
@@ -188,17 +192,19 @@
 }
 
 const (
-	// sharesPerReport: of the room that was free when the others last told what they have
-	// booked, a node takes at most so many even parts until they tell again. With one,
-	// uneven callers find room unused; with the whole, all nodes fill the same room.
+	// sharesPerReport bounds what a node reserves between two reports of its peers, in even
+	// shares of the capacity that was free at the last report. With one share, capacity
+	// stays unused when the load on nodes is uneven; without a bound, all nodes reserve the
+	// same free capacity.
 	sharesPerReport = 2
-	// singleRequestFraction is the part of that room which one request alone may take: a large one
-	// would else find no room beside many nodes while most of it is free.
+	// singleRequestFraction is the fraction of that capacity which a single request may
+	// take. Without it a large request would not fit into the shares of many nodes while
+	// most of the capacity is free.
 	singleRequestFraction = 0.5
 )
 
-// mayReserve says whether the node may book more on a replica before it hears from the
-// others again.
+// mayReserve reports whether this node may reserve extra on a replica before the next
+// report of its peers.
 func (s *Selector) mayReserve(now time.Time, r *replicaState, extra, limit float64) bool {
 	if s.reportingPeers[r.Domain] == 0 {
 		return true
@@ -211,7 +217,7 @@
 	return r.reserved <= r.reservedAtReport && extra <= free*singleRequestFraction
 }
 
-// Choose returns the cheapest path, or why there is none.
+// Choose returns the cheapest path, or the reason why there is none.
 func (s *Selector) Choose(now time.Time, q Query) (Path, Reason) {
 	usable := s.usable(q)
 	path := s.search(now, q, accepting(now, usable), maxUtilization)
@@ -235,7 +241,7 @@
 	return usable
 }
 
-// accepting leaves out the replicas that turn requests away.
+// accepting leaves out the replicas in a backoff period.
 func accepting(now time.Time, usable []*replicaState) []*replicaState {
 	return slices.DeleteFunc(slices.Clone(usable), func(r *replicaState) bool { return r.backoff.active(now) })
 }
--- a/decide/paths/prefill.go
+++ b/decide/paths/prefill.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// prefillCostFactor is what a millisecond for which a replica is still reading adds to its cost: at
-// a tenth, the wait for a few prompts weighs as much as a usual path.
+// prefillCostFactor is what each millisecond of a replica's prefill backlog adds to its
+// cost. At 0.1 the wait for a few prompts weighs as much as a usual path.
 const prefillCostFactor = 0.1
 
-// prefillBacklog is what a replica has been given to read by this node, in milliseconds.
+// prefillBacklog is the prefill work, in milliseconds, that this node has sent to a
+// replica.
 type prefillBacklog struct {
 	millis  float64
 	updated time.Time
 }
 
-// remaining is how long it will still read.
+// remaining returns the milliseconds of work that are not done yet.
 func (p *prefillBacklog) remaining(now time.Time) float64 {
 	return max(0, p.millis-float64(now.Sub(p.updated))/float64(time.Millisecond))
 }
@@ -21,7 +22,8 @@
 	p.millis, p.updated = p.remaining(now)+millis, now
 }
 
-// newStages lists the parts of a path that read a request which ran along another one.
+// newStages returns the stages of a path that must prefill a request which ran along
+// another path before.
 func newStages(path, previous Path) []Stage {
 	var stages []Stage
 	for _, stage := range path {
@@ -36,25 +38,26 @@
 	return stages
 }
 
-// PrefillWait is how long the slowest new part of a path takes until it has read a request
-// that ran along another path, behind what this node has given it before. nodes is how
-// many are in the same case: what strikes one node's streams strikes all alike.
+// PrefillWait returns how long the slowest new stage of a path takes to prefill a
+// request that ran along another path, behind the backlog from this node. nodes is the
+// number of nodes whose streams are affected in the same way: a lost replica affects the
+// streams of all nodes alike, and each sends as much work as this one.
 func (s *Selector) PrefillWait(now time.Time, path, previous Path, tokens float64, nodes int) time.Duration {
 	slowest := 0.0
 	for _, stage := range newStages(path, previous) {
-		if n, ok := s.replicas[stage.Replica]; ok {
-			own := tokens * float64(stage.Layers.Len()) * n.PrefillMillis
-			slowest = max(slowest, n.prefill.remaining(now)+own*float64(max(1, nodes)))
+		if r, ok := s.replicas[stage.Replica]; ok {
+			own := tokens * float64(stage.Layers.Len()) * r.PrefillMillis
+			slowest = max(slowest, r.prefill.remaining(now)+own*float64(max(1, nodes)))
 		}
 	}
 	return time.Duration(slowest * float64(time.Millisecond))
 }
 
-// AddPrefill notes that the new parts of a path are given a request to read.
+// AddPrefill adds the prefill of a request to the backlog of the new stages of its path.
 func (s *Selector) AddPrefill(now time.Time, path, previous Path, tokens float64, nodes int) {
 	for _, stage := range newStages(path, previous) {
-		if n, ok := s.replicas[stage.Replica]; ok {
-			n.prefill.add(now, tokens*float64(stage.Layers.Len())*n.PrefillMillis*float64(max(1, nodes)))
+		if r, ok := s.replicas[stage.Replica]; ok {
+			r.prefill.add(now, tokens*float64(stage.Layers.Len())*r.PrefillMillis*float64(max(1, nodes)))
 		}
 	}
 }
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -7,24 +7,25 @@
 )
 
 const (
-	// avoidDuration is how long a refusal for want of room makes a replica the last
-	// choice: the time in which some streams of a few seconds end.
+	// avoidDuration is how long a replica is the last choice after it refused for lack of
+	// capacity: the time in which some streams of a few seconds end.
 	avoidDuration = 150 * time.Millisecond
-	// rejectionFactor is what a refusal for want of room leaves of the room that is reckoned
-	// with, and roomPerSecond the part that comes back each second: what other nodes
-	// have booked ends within the seconds that streams last.
-	rejectionFactor   = 0.85
+	// refusalFactor scales the usable fraction of the capacity down at each refusal for
+	// lack of capacity. recoveryPerSecond is the fraction that comes back each second:
+	// reservations of other nodes end within the seconds that streams last.
+	refusalFactor     = 0.85
 	recoveryPerSecond = 0.1
-	// minUsable is the smallest part of a replica's room that is reckoned with.
+	// minUsable is the lower bound of the usable fraction.
 	minUsable = 0.1
-	// lowUtilization: a replica that refuses although no more than this part of its room is
-	// booked does so for another reason.
+	// lowUtilization: a replica that refuses a request although at most this fraction of its
+	// capacity is reserved does so for another reason than lack of capacity.
 	lowUtilization = 0.6
 )
 
-// usableFraction is the part of its share of a replica's room that a node can use. Nodes
-// book without knowing of one another; where they together book more than there is,
-// the replica refuses, and each takes less until it no longer does.
+// usableFraction is the fraction of its share of a replica's capacity that a node can
+// use. Nodes reserve without knowing each other's latest reservations. When they
+// together reserve more than the capacity, the replica refuses requests, and each node
+// lowers its fraction until the refusals stop.
 type usableFraction struct {
 	value   float64
 	updated time.Time
@@ -37,223 +38,228 @@
 	return min(1, f.value+recoveryPerSecond*now.Sub(f.updated).Seconds())
 }
 
-// reduce lowers the part. Refusals that come together are one sign.
+// reduce lowers the fraction. Refusals within avoidDuration count as one.
 func (f *usableFraction) reduce(now time.Time) {
 	if now.Sub(f.updated) < avoidDuration {
 		return
 	}
-	f.value, f.updated = max(minUsable, f.at(now)*rejectionFactor), now
+	f.value, f.updated = max(minUsable, f.at(now)*refusalFactor), now
 }
 
-// Reserve books tokens of memory along a path.
+// Reserve reserves memory for a number of tokens in all layers of a path.
 func (s *Selector) Reserve(path Path, tokens float64) {
-	for _, part := range path {
-		if n, ok := s.replicas[part.Replica]; ok {
-			n.reserved += tokens * float64(part.Layers.Len())
+	for _, stage := range path {
+		if r, ok := s.replicas[stage.Replica]; ok {
+			r.reserved += tokens * float64(stage.Layers.Len())
 		}
 	}
 }
 
-// Release gives back what Hold booked.
+// Release gives back what Reserve reserved.
 func (s *Selector) Release(path Path, tokens float64) {
-	for _, part := range path {
-		if n, ok := s.replicas[part.Replica]; ok {
-			n.reserved = max(0, n.reserved-tokens*float64(part.Layers.Len()))
+	for _, stage := range path {
+		if r, ok := s.replicas[stage.Replica]; ok {
+			r.reserved = max(0, r.reserved-tokens*float64(stage.Layers.Len()))
 		}
 	}
 }
 
-// Reserved is what this node has booked on each replica, in tokens times layers.
+// Reserved returns what this node has reserved on each replica, in tokens times layers.
 func (s *Selector) Reserved() map[string]float64 {
 	reserved := map[string]float64{}
-	for _, n := range s.sorted {
-		if n.reserved > 0 {
-			reserved[n.ID] = n.reserved
+	for _, r := range s.sorted {
+		if r.reserved > 0 {
+			reserved[r.ID] = r.reserved
 		}
 	}
 	return reserved
 }
 
-// Suspect leaves a replica out after a sign that it is gone, until Alive. silent says
-// that its machine does not answer either. It says whether the suspicion is new.
+// Suspect excludes a replica that looks dead, until MarkAlive. hostUnreachable means that
+// its machine doesn't answer either. Suspect reports whether the suspicion is new.
 func (s *Selector) Suspect(now time.Time, id string, hostUnreachable bool) bool {
-	n, ok := s.replicas[id]
+	r, ok := s.replicas[id]
 	if !ok {
 		return false
 	}
-	n.hostUnreachable = n.hostUnreachable || hostUnreachable
-	if n.suspected {
+	r.hostUnreachable = r.hostUnreachable || hostUnreachable
+	if r.suspected {
 		return false
 	}
-	n.suspected, n.suspectedSince = true, now
+	r.suspected, r.suspectedSince = true, now
 	return true
 }
 
-// MarkLayersMissing notes that a replica does not hold what it is listed with: it was started
-// anew, or its address is another's now. That its machine answers says nothing then;
-// it is left out until it has told what it holds.
+// MarkLayersMissing records that a replica doesn't hold the layers that it is listed
+// with: it was restarted, or another replica has its address now. A probe of its machine
+// succeeds none the less, so the replica is excluded until it has reported its layers
+// again.
 func (s *Selector) MarkLayersMissing(id string) {
-	if n, ok := s.replicas[id]; ok {
-		n.layersMissing = true
+	if r, ok := s.replicas[id]; ok {
+		r.layersMissing = true
 	}
 }
 
-// MarkAlive notes a sign that a replica lives. It says whether it was suspected.
+// MarkAlive records that a replica answers. It reports whether the replica was suspected.
 func (s *Selector) MarkAlive(id string) bool {
-	n, ok := s.replicas[id]
-	if !ok || !n.suspected {
+	r, ok := s.replicas[id]
+	if !ok || !r.suspected {
 		return false
 	}
-	n.suspected, n.hostUnreachable = false, false
+	r.suspected, r.hostUnreachable = false, false
 	return true
 }
 
-// Suspected says whether a replica is left out.
+// Suspected reports whether a replica is suspected to be dead.
 func (s *Selector) Suspected(id string) bool {
-	n, ok := s.replicas[id]
-	return ok && n.suspected
+	r, ok := s.replicas[id]
+	return ok && r.suspected
 }
 
-// HostUnreachable says whether a replica is left out because its machine does not answer.
+// HostUnreachable reports whether a replica is suspected and its machine doesn't answer.
 func (s *Selector) HostUnreachable(id string) bool {
-	n, ok := s.replicas[id]
-	return ok && n.hostUnreachable
+	r, ok := s.replicas[id]
+	return ok && r.hostUnreachable
 }
 
-// Len is how many replicas are listed.
+// Len returns the number of listed replicas.
 func (s *Selector) Len() int { return len(s.replicas) }
 
-// Replica returns a replica that is listed.
+// Replica returns a listed replica.
 func (s *Selector) Replica(id string) (Replica, bool) {
-	n, ok := s.replicas[id]
+	r, ok := s.replicas[id]
 	if !ok {
 		return Replica{}, false
 	}
-	return n.Replica, true
+	return r.Replica, true
 }
 
-// Suspects returns the replicas that are suspected.
+// Suspects returns the suspected replicas.
 func (s *Selector) Suspects() []Replica {
 	var list []Replica
-	for _, n := range s.sorted {
-		if n.suspected {
-			list = append(list, n.Replica)
+	for _, r := range s.sorted {
+		if r.suspected {
+			list = append(list, r.Replica)
 		}
 	}
 	return list
 }
 
-// SetSlowdown notes how much slower than its kind a replica says it is, 1 for not at all.
-// It says whether that has changed what the replica counts as.
+// SetSlowdown records the slowdown that a replica reports against its kind of card, 1 for
+// none. It reports whether the replica has become slow or is no longer slow.
 func (s *Selector) SetSlowdown(id string, slowdown float64) bool {
-	n, ok := s.replicas[id]
+	r, ok := s.replicas[id]
 	if !ok {
 		return false
 	}
-	before := n.slowdown
-	n.slowdown = max(1, slowdown)
-	return (before >= SlowThreshold) != (n.slowdown >= SlowThreshold)
+	before := r.slowdown
+	r.slowdown = max(1, slowdown)
+	return (before >= SlowThreshold) != (r.slowdown >= SlowThreshold)
 }
 
-// Slowdown is how much slower than its kind a replica is known to be, 1 for not at all.
+// Slowdown returns the last reported slowdown of a replica against its kind of card, 1 for
+// none.
 func (s *Selector) Slowdown(id string) float64 {
-	if n, ok := s.replicas[id]; ok {
-		return n.slowdown
+	if r, ok := s.replicas[id]; ok {
+		return r.slowdown
 	}
 	return 1
 }
 
-// SlowThreshold is the pace from which a replica is asked again until it is well.
+// SlowThreshold is the slowdown from which a replica counts as slow and is asked for its
+// slowdown again until it has recovered.
 const SlowThreshold = 1.5
 
-// Slow returns the replicas that are slower than their kind.
+// Slow returns the slow replicas that are not suspected.
 func (s *Selector) Slow() []Replica {
 	var list []Replica
-	for _, n := range s.sorted {
-		if n.slowdown >= SlowThreshold && !n.suspected {
-			list = append(list, n.Replica)
+	for _, r := range s.sorted {
+		if r.slowdown >= SlowThreshold && !r.suspected {
+			list = append(list, r.Replica)
 		}
 	}
 	return list
 }
 
-// SuspectedFor says whether a replica has been suspected for at least the given time.
+// SuspectedFor reports whether a replica has been suspected for at least the given time.
 func (s *Selector) SuspectedFor(now time.Time, id string, least time.Duration) bool {
-	n, ok := s.replicas[id]
-	return ok && n.suspected && now.Sub(n.suspectedSince) >= least
+	r, ok := s.replicas[id]
+	return ok && r.suspected && now.Sub(r.suspectedSince) >= least
 }
 
-// RecordRejection notes that a replica has refused as if for want of room. It says whether it turns
-// requests away for another reason: as far as is known here it has room.
-func (s *Selector) RecordRejection(now time.Time, id string) (backedOff bool) {
-	n, ok := s.replicas[id]
+// RecordRefusal records that a replica refused a request for lack of capacity. If the
+// replica has capacity as far as this node knows, it refuses for another reason: it is
+// backed off, and RecordRefusal returns true.
+func (s *Selector) RecordRefusal(now time.Time, id string) (backedOff bool) {
+	r, ok := s.replicas[id]
 	if !ok {
 		return false
 	}
-	if s.utilization(now, n, 0) <= lowUtilization {
-		n.backoff.extend(now)
+	if s.utilization(now, r, 0) <= lowUtilization {
+		r.backoff.extend(now)
 		return true
 	}
-	n.usable.reduce(now)
-	n.avoidUntil = now.Add(avoidDuration)
+	r.usable.reduce(now)
+	r.avoidUntil = now.Add(avoidDuration)
 	return false
 }
 
-// BackOff notes the word of others that a replica turns requests away.
+// BackOff records other nodes' reports that a replica refuses requests although it has
+// capacity.
 func (s *Selector) BackOff(now time.Time, id string) {
-	if n, ok := s.replicas[id]; ok {
-		n.backoff.extend(now)
+	if r, ok := s.replicas[id]; ok {
+		r.backoff.extend(now)
 	}
 }
 
-// BackedOff returns the replicas that turn requests away.
+// BackedOff returns the replicas in a backoff period.
 func (s *Selector) BackedOff(now time.Time) []string {
 	var list []string
-	for _, n := range s.sorted {
-		if n.backoff.active(now) {
-			list = append(list, n.ID)
+	for _, r := range s.sorted {
+		if r.backoff.active(now) {
+			list = append(list, r.ID)
 		}
 	}
 	return list
 }
 
-// Avoid makes a replica the last choice for a moment, without a lesson about its room.
+// Avoid makes a replica the last choice for avoidDuration, without lowering its usable
+// capacity.
 func (s *Selector) Avoid(now time.Time, id string) {
-	if n, ok := s.replicas[id]; ok {
-		n.avoidUntil = now.Add(avoidDuration)
+	if r, ok := s.replicas[id]; ok {
+		r.avoidUntil = now.Add(avoidDuration)
 	}
 }
 
-// NeedsReroute says whether a replica that is listed is about to leave, or no longer holds
-// the span.
+// NeedsReroute reports whether a listed replica is draining or no longer holds the span,
+// so that requests which run the span there must be rerouted.
 func (s *Selector) NeedsReroute(id string, span layers.Span) bool {
-	n, ok := s.replicas[id]
-	return ok && (n.Replica.Draining || !n.Holds.Covers(span))
+	r, ok := s.replicas[id]
+	return ok && (r.Replica.Draining || !r.Holds.Covers(span))
 }
 
 // ByAddress returns the id of the replica at an address, or "".
 func (s *Selector) ByAddress(address string) string {
-	for _, n := range s.sorted {
-		if n.Address == address {
-			return n.ID
+	for _, r := range s.sorted {
+		if r.Address == address {
+			return r.ID
 		}
 	}
 	return ""
 }
 
-// PeakUtilization is the part of the room that is booked on the fullest replica of each failure
-// domain.
+// PeakUtilization returns the utilization of the fullest replica of each failure domain.
 func (s *Selector) PeakUtilization(now time.Time) map[string]float64 {
 	peak := map[string]float64{}
-	for _, n := range s.sorted {
-		if !n.Holds.Empty() && n.Capacity > 0 {
-			peak[n.Domain] = max(peak[n.Domain], s.utilization(now, n, 0))
+	for _, r := range s.sorted {
+		if !r.Holds.Empty() && r.Capacity > 0 {
+			peak[r.Domain] = max(peak[r.Domain], s.utilization(now, r, 0))
 		}
 	}
 	return peak
 }
 
-// Known says whether a replica is in the list.
+// Known reports whether a replica is listed.
 func (s *Selector) Known(id string) bool {
 	_, ok := s.replicas[id]
 	return ok
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -8,17 +8,18 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// partialPath is the cheapest known partialPath to a boundary between layers that ends in a
-// domain.
+// partialPath is the cheapest known path up to a boundary between layers whose last stage
+// is in a given failure domain. Its fields describe the last stage.
 type partialPath struct {
 	cost         float64
-	prevBoundary int // index of the boundary before
-	prevDomain   int // of the way before
+	prevBoundary int // index of the boundary at which the stage begins
+	prevDomain   int // of the stage before
 	replica      *replicaState
 }
 
-// search is a shortest path over the boundaries between layers. The state is the
-// boundary and the domain of the last part, as only a change of domain has a price.
+// search computes a shortest path over the boundaries between layers. The state is the
+// boundary and the domain of the last stage, because only a change of domain has a cost.
+// limit bounds the utilization of each replica.
 func (s *Selector) search(now time.Time, q Query, usable []*replicaState, limit float64) Path {
 	bounds := boundaries(q.Layers, usable)
 	domains, index := domainsOf(q.Domain, usable)
@@ -56,8 +57,8 @@
 	return reconstruct(bounds, len(domains), cheapest)
 }
 
-// crossingCost is the price of going from one domain to another. Before the first part
-// stands the node itself.
+// crossingCost returns the cost of a hop from one domain to another. The hop to the first
+// stage starts at this node.
 func crossingCost(first bool, last, domain int) float64 {
 	switch {
 	case last == domain:
@@ -69,6 +70,7 @@
 	}
 }
 
+// boundaries returns the sorted layers at which a stage may begin or end.
 func boundaries(run layers.Span, usable []*replicaState) []int {
 	bounds := []int{run.From, run.To}
 	for _, r := range usable {
@@ -82,8 +84,8 @@
 	return slices.Compact(bounds)
 }
 
-// domainsOf lists the domains, the node's own first, and each replica's place among
-// them.
+// domainsOf returns the failure domains, this node's own first, and the index of each
+// replica's domain.
 func domainsOf(own string, usable []*replicaState) (domains []string, index []int) {
 	domains = []string{own}
 	index = make([]int, len(usable))
@@ -98,8 +100,8 @@
 	return domains, index
 }
 
-// costFactors draws what chance adds to each replica's cost, and a price on those that
-// have just said that they are full.
+// costFactors returns the random cost factor of each replica, raised for replicas that
+// have just refused for lack of capacity.
 func (s *Selector) costFactors(now time.Time, usable []*replicaState) []float64 {
 	factors := make([]float64, len(usable))
 	for k, r := range usable {
@@ -111,11 +113,12 @@
 	return factors
 }
 
-// avoidFactor makes a replica that has just refused for want of room the last choice
+// avoidFactor makes a replica that has just refused for lack of capacity the last choice
 // in its domain.
 const avoidFactor = 8
 
-// stageCost is the cost of n layers on a replica, in milliseconds a step.
+// stageCost returns the cost of count layers on a replica, in milliseconds a step, and
+// whether the replica has the capacity.
 func (s *Selector) stageCost(now time.Time, r *replicaState, count int, tokens, limit, factor float64) (float64, bool) {
 	extra := tokens * float64(count)
 	utilization := s.utilization(now, r, extra)
@@ -126,13 +129,13 @@
 	return hopMillis + factor*float64(count)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
 }
 
-// reconstruct reads the path off the ways, last part first, and joins parts of one
-// replica.
+// reconstruct follows the partial paths back from the last layer and merges the stages of
+// one replica.
 func reconstruct(bounds []int, domains int, cheapest []partialPath) Path {
 	last := len(bounds) - 1
 	best := -1
 	for d := range domains {
-		if w := cheapest[last*domains+d]; w.replica != nil && (best < 0 || w.cost < cheapest[last*domains+best].cost) {
+		if p := cheapest[last*domains+d]; p.replica != nil && (best < 0 || p.cost < cheapest[last*domains+best].cost) {
 			best = d
 		}
 	}
@@ -141,12 +144,12 @@
 	}
 	var path Path
 	for boundary, domain := last, best; boundary > 0; {
-		w := cheapest[boundary*domains+domain]
+		p := cheapest[boundary*domains+domain]
 		path = append(path, Stage{
-			Replica: w.replica.ID, Address: w.replica.Address, Domain: w.replica.Domain,
-			Layers: layers.Span{From: bounds[w.prevBoundary], To: bounds[boundary]},
+			Replica: p.replica.ID, Address: p.replica.Address, Domain: p.replica.Domain,
+			Layers: layers.Span{From: bounds[p.prevBoundary], To: bounds[boundary]},
 		})
-		boundary, domain = w.prevBoundary, w.prevDomain
+		boundary, domain = p.prevBoundary, p.prevDomain
 	}
 	slices.Reverse(path)
 	path = mergeRepeated(path)
@@ -156,8 +159,8 @@
 	return path
 }
 
-// mergeRepeated gives all layers between two parts of one replica to that replica, which
-// holds them too: an engine refuses a path that names it twice.
+// mergeRepeated gives all layers between two stages of one replica to that replica, which
+// holds them too. An engine refuses a path that contains its replica twice.
 func mergeRepeated(path Path) Path {
 	for i := 0; i < len(path); i++ {
 		for j := len(path) - 1; j > i; j-- {
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -246,7 +246,7 @@
 			return m.through(fault)
 		}
 	case r.NoRoom:
-		if m.book.RecordRejection(m.now(), fault) {
+		if m.book.RecordRefusal(m.now(), fault) {
 			m.knowledge.seen[fault] = sight{at: m.now(), away: true}
 		}
 	}
