--- a/decide/placement/pace.go
+++ b/decide/placement/load_schedule.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxAhead is how far ahead the weight store's time may be given away. A node
+// maxBusyAhead is how far ahead the weight store's time may be given away. A node
 // whose clock is hours fast books hours ahead, and all others would wait for it.
-const maxAhead = time.Hour
+const maxBusyAhead = time.Hour
 
-// Pace is the weight store's time, as far as it is given away to loads. One value
+// LoadSchedule is the weight store's time, as far as it is given away to loads. One value
 // is shared by all plans and all nodes.
 //
 // The load pattern that it answers: a rack comes back, or a document changes, and
@@ -17,61 +17,61 @@
 //
 // It is a hint: a node with a wrong clock makes loads overlap or wait, and nothing
 // else.
-type Pace struct {
+type LoadSchedule struct {
 	// BusyUntil is when the last load that was given a time ends.
 	BusyUntil time.Time
 }
 
 // Free reports whether a load could begin at once.
-func (p Pace) Free(now time.Time) bool {
-	return !p.BusyUntil.After(now) || p.BusyUntil.Sub(now) > maxAhead
+func (s LoadSchedule) Free(now time.Time) bool {
+	return !s.BusyUntil.After(now) || s.BusyUntil.Sub(now) > maxBusyAhead
 }
 
-// Book gives each load the time behind the last one; takes are their lengths. A
+// Reserve gives each load the time behind the last one; takes are their lengths. A
 // load of no length, an order for layers that the engine holds, waits for none.
-func (p Pace) Book(now time.Time, takes []time.Duration) ([]time.Time, Pace) {
-	if p.Free(now) {
-		p.BusyUntil = now
+func (s LoadSchedule) Reserve(now time.Time, durations []time.Duration) ([]time.Time, LoadSchedule) {
+	if s.Free(now) {
+		s.BusyUntil = now
 	}
-	starts := make([]time.Time, len(takes))
-	for i, take := range takes {
+	starts := make([]time.Time, len(durations))
+	for i, d := range durations {
 		starts[i] = now
-		if take > 0 {
-			starts[i] = p.BusyUntil
-			p.BusyUntil = p.BusyUntil.Add(take)
+		if d > 0 {
+			starts[i] = s.BusyUntil
+			s.BusyUntil = s.BusyUntil.Add(d)
 		}
 	}
-	return starts, p
+	return starts, s
 }
 
-// State is how a replica stands to its plan.
-type State uint8
+// ReplicaState is how a replica stands to its plan.
+type ReplicaState uint8
 
 const (
 	// Unknown replicas have not answered, in part or whole.
-	Unknown State = iota
-	// Moving replicas are about to load what their plan says.
-	Moving
-	// Whole replicas hold what their plan says, and serve.
-	Whole
+	Unknown ReplicaState = iota
+	// Loading replicas are about to load what their plan says.
+	Loading
+	// Ready replicas hold what their plan says, and serve.
+	Ready
 )
 
-// MayMove reports whether a replica that serves may be stopped for a better plan,
+// MayReload reports whether a replica that serves may be stopped for a better plan,
 // by the states of the others that serve the same callers. One moves at a time,
 // and only while at least half of the others are whole.
 //
 // The load pattern that it answers: one bad switch makes every replica's times
 // worse, and all their plans change in the same second. Each stops serving for the
 // seconds of its load, and callers find no replica at all.
-func MayMove(others []State) bool {
-	whole := 0
+func MayReload(others []ReplicaState) bool {
+	ready := 0
 	for _, s := range others {
 		switch s {
-		case Moving:
+		case Loading:
 			return false
-		case Whole:
-			whole++
+		case Ready:
+			ready++
 		}
 	}
-	return 2*whole >= len(others)
+	return 2*ready >= len(others)
 }
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// even is a chain of equal accelerators with equal links.
-func even(n int, layerMicros, linkMicros float64) Chain {
+// evenChain is a chain of equal accelerators with equal links.
+func evenChain(n int, layerMicros, linkMicros float64) Chain {
 	var c Chain
 	for i := range n {
 		c.Accelerators = append(c.Accelerators, Accelerator{Endpoint: fmt.Sprint("e", i), LayerMicros: layerMicros, MemoryBytes: 100})
@@ -23,13 +23,13 @@
 	return c
 }
 
-// exhaustive tries every cut there is.
-func exhaustive(model Model, chain Chain) Cut {
-	best := Cut{Bottleneck: math.Inf(1), Total: math.Inf(1)}
+// bestByExhaustion tries every cut there is.
+func bestByExhaustion(model Model, chain Chain) Partition {
+	best := Partition{Bottleneck: math.Inf(1), Total: math.Inf(1)}
 	var try func(at, from int, stages []Stage)
 	try = func(at, from int, stages []Stage) {
 		if from == model.Layers {
-			cut, _ := Measured(Cut{Stages: stages}, chain)
+			cut, _ := Evaluate(Partition{Stages: stages}, chain)
 			if cut.Bottleneck < best.Bottleneck || cut.Bottleneck == best.Bottleneck && cut.Total < best.Total {
 				best = cut
 			}
@@ -55,7 +55,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "engines")
 		model := Model{Layers: rapid.IntRange(1, 9).Draw(t, "layers"), LayerBytes: 10}
-		chain := even(n, 0, 0)
+		chain := evenChain(n, 0, 0)
 		for i := range n {
 			chain.Accelerators[i].LayerMicros = float64(rapid.IntRange(1, 100).Draw(t, "speed"))
 			chain.Accelerators[i].MemoryBytes = int64(rapid.IntRange(0, 60).Draw(t, "memory"))
@@ -63,15 +63,15 @@
 				chain.LinkMicros[i][j] = float64(rapid.IntRange(1, 100).Draw(t, "link"))
 			}
 		}
-		want := exhaustive(model, chain)
-		got, err := Best(model, chain)
+		want := bestByExhaustion(model, chain)
+		got, err := BestPartition(model, chain)
 		if math.IsInf(want.Bottleneck, 1) {
 			if err != ErrNoFit {
 				t.Fatal("a cut that does not fit", got)
 			}
 			return
 		}
-		again, whole := Measured(got, chain)
+		again, whole := Evaluate(got, chain)
 		if err != nil || !whole || got.Bottleneck != want.Bottleneck || got.Total != want.Total ||
 			again.Bottleneck != got.Bottleneck || again.Total != got.Total {
 			t.Fatalf("got %+v, which costs %+v; best is %+v; %v", got, again, want, err)
@@ -79,24 +79,24 @@
 	})
 }
 
-func planned(chain Chain, model Model) *Planner {
-	cut, err := Best(model, chain)
+func newTestPlanner(chain Chain, model Model) *Planner {
+	cut, err := BestPartition(model, chain)
 	So(err, ShouldBeNil)
-	return NewPlanner(model, chain, Plan{Version: 1, Cut: cut}, Policy{})
+	return NewPlanner(model, chain, Plan{Version: 1, Partition: cut}, Policy{})
 }
 
-// run observes the plan in force each second, with the times that truth says,
+// observeSeconds observes the plan in force each second, with the times that truth says,
 // adopts what is decided, and returns how often the plan changed.
-func run(p *Planner, now *time.Time, seconds int, truth func(second int) Chain) int {
+func observeSeconds(p *Planner, now *time.Time, seconds int, truth func(second int) Chain) int {
 	changes := 0
 	for second := range seconds {
 		*now = now.Add(time.Second)
 		chain := truth(second)
-		stages := p.Plan().Cut.Stages
+		stages := p.Plan().Partition.Stages
 		for i, s := range stages {
 			at := chain.index(s.Endpoint)
 			step := float64(s.Last-s.First+1) * chain.Accelerators[at].LayerMicros
-			m := Measure{Endpoint: s.Endpoint, HopMicros: step, StepMicros: step}
+			m := Measurement{Endpoint: s.Endpoint, HopMicros: step, StepMicros: step}
 			if i+1 < len(stages) {
 				m.Next = stages[i+1].Endpoint
 				m.HopMicros += chain.LinkMicros[at][chain.index(m.Next)]
@@ -114,30 +114,30 @@
 // What callers see: tokens slow down while a link or stage is bad for longer
 // than the hold, then the plan goes round it, once. A link that turns bad and
 // good again within the hold moves nothing: each move would cost a load.
-func TestPlannerGoesRoundWithoutFlapping(t *testing.T) {
+func TestPlannerAvoidsSlowHopsWithoutFlapping(t *testing.T) {
 	model := Model{Layers: 12, LayerBytes: 10}
-	good := even(4, 100, 10)
-	badLink := even(4, 100, 10)
+	good := evenChain(4, 100, 10)
+	badLink := evenChain(4, 100, 10)
 	badLink.LinkMicros[1][2] = 5000
-	badStage := even(4, 100, 10)
+	badStage := evenChain(4, 100, 10)
 	badStage.Accelerators[2].LayerMicros = 3000
 	now := time.Unix(0, 0)
 	Convey("A lasting bad link is gone round once", t, func() {
-		p := planned(good, model)
-		So(run(p, &now, 300, func(int) Chain { return badLink }), ShouldEqual, 1)
-		cut, _ := Measured(p.Plan().Cut, badLink)
+		p := newTestPlanner(good, model)
+		So(observeSeconds(p, &now, 300, func(int) Chain { return badLink }), ShouldEqual, 1)
+		cut, _ := Evaluate(p.Plan().Partition, badLink)
 		So(cut.Bottleneck, ShouldBeLessThan, 1000)
 		So(p.Plan().Version, ShouldEqual, 2)
 	})
 	Convey("A lasting slow stage is gone round once", t, func() {
-		p := planned(good, model)
-		So(run(p, &now, 300, func(int) Chain { return badStage }), ShouldEqual, 1)
-		cut, _ := Measured(p.Plan().Cut, badStage)
+		p := newTestPlanner(good, model)
+		So(observeSeconds(p, &now, 300, func(int) Chain { return badStage }), ShouldEqual, 1)
+		cut, _ := Evaluate(p.Plan().Partition, badStage)
 		So(cut.Bottleneck, ShouldBeLessThan, 1000)
 	})
 	Convey("A link that flaps faster than the hold moves nothing", t, func() {
-		p := planned(good, model)
-		changes := run(p, &now, 300, func(second int) Chain {
+		p := newTestPlanner(good, model)
+		changes := observeSeconds(p, &now, 300, func(second int) Chain {
 			if second%15 < 3 {
 				return badLink
 			}
@@ -146,21 +146,21 @@
 		So(changes, ShouldEqual, 0)
 	})
 	Convey("A link that flaps for an hour moves the plan a few times at most", t, func() {
-		p := planned(good, model)
-		changes := run(p, &now, 3600, func(second int) Chain {
+		p := newTestPlanner(good, model)
+		changes := observeSeconds(p, &now, 3600, func(second int) Chain {
 			if second/30%2 == 0 {
 				return badLink
 			}
 			return good
 		})
-		So(changes, ShouldBeLessThanOrEqualTo, 2*int(time.Hour/DefaultForgetAfter))
+		So(changes, ShouldBeLessThanOrEqualTo, 2*int(time.Hour/DefaultMeasurementTTL))
 	})
 	Convey("Stages that slow down whenever they are given the most move it once a minute", t, func() {
-		p := planned(good, model)
-		changes := run(p, &now, int(DefaultMinInterval/time.Second), func(int) Chain {
-			chain := even(4, 100, 10)
-			most := p.Plan().Cut.Stages[0]
-			for _, s := range p.Plan().Cut.Stages {
+		p := newTestPlanner(good, model)
+		changes := observeSeconds(p, &now, int(DefaultMinInterval/time.Second), func(int) Chain {
+			chain := evenChain(4, 100, 10)
+			most := p.Plan().Partition.Stages[0]
+			for _, s := range p.Plan().Partition.Stages {
 				if s.Last-s.First > most.Last-most.First {
 					most = s
 				}
@@ -171,8 +171,8 @@
 		So(changes, ShouldEqual, 1)
 	})
 	Convey("An engine that is gone is replaced at once, in order of versions", t, func() {
-		p := planned(good, model)
-		less := even(4, 100, 10)
+		p := newTestPlanner(good, model)
+		less := evenChain(4, 100, 10)
 		less.Accelerators = less.Accelerators[:3]
 		p.SetChain(less)
 		plan, changed := p.Decide(now)
@@ -183,15 +183,15 @@
 		So(p.Plan().Version, ShouldEqual, 2)
 	})
 	Convey("An unknown step time is split as declared", t, func() {
-		p := planned(good, model)
-		p.Observe(now, Measure{Endpoint: "e0", Next: "e1", HopMicros: 620})
+		p := newTestPlanner(good, model)
+		p.Observe(now, Measurement{Endpoint: "e0", Next: "e1", HopMicros: 620})
 		chain := p.measuredChain(now)
 		So(chain.Accelerators[0].LayerMicros, ShouldAlmostEqual, 200)
 		So(chain.LinkMicros[0][1], ShouldAlmostEqual, 20)
 	})
 }
 
-func TestLoads(t *testing.T) {
+func TestLoadScheduling(t *testing.T) {
 	model := Model{LayerBytes: 50}
 	Convey("Only layers not held are fetched, at the store's rate", t, func() {
 		So(FetchBytes(model, Stage{"a", 0, 3}, Stage{"a", 0, 1}), ShouldEqual, 0)
@@ -204,33 +204,33 @@
 	})
 	now := time.Unix(1000, 0)
 	Convey("Loads of all plans stand one behind the other", t, func() {
-		first, pace := Pace{}.Book(now, []time.Duration{2 * time.Second, 0, time.Second})
+		first, pace := LoadSchedule{}.Reserve(now, []time.Duration{2 * time.Second, 0, time.Second})
 		So(first, ShouldResemble, []time.Time{now, now, now.Add(2 * time.Second)})
-		second, pace := pace.Book(now.Add(time.Second), []time.Duration{time.Second})
+		second, pace := pace.Reserve(now.Add(time.Second), []time.Duration{time.Second})
 		So(second, ShouldResemble, []time.Time{now.Add(3 * time.Second)})
 		So(pace.Free(now.Add(3*time.Second)), ShouldBeFalse)
 		So(pace.Free(now.Add(4*time.Second)), ShouldBeTrue)
 	})
 	Convey("What a clock hours ahead has booked holds nobody up", t, func() {
-		starts, pace := Pace{BusyUntil: now.Add(2 * maxAhead)}.Book(now, []time.Duration{time.Second})
+		starts, pace := LoadSchedule{BusyUntil: now.Add(2 * maxBusyAhead)}.Reserve(now, []time.Duration{time.Second})
 		So(starts, ShouldResemble, []time.Time{now})
 		So(pace.BusyUntil, ShouldEqual, now.Add(time.Second))
 	})
 	Convey("One replica moves at a time, and only while enough of the others serve", t, func() {
-		So(MayMove(nil), ShouldBeTrue)
-		So(MayMove([]State{Whole, Whole}), ShouldBeTrue)
-		So(MayMove([]State{Whole, Moving, Whole}), ShouldBeFalse)
-		So(MayMove([]State{Whole, Unknown}), ShouldBeTrue)
-		So(MayMove([]State{Unknown}), ShouldBeFalse)
+		So(MayReload(nil), ShouldBeTrue)
+		So(MayReload([]ReplicaState{Ready, Ready}), ShouldBeTrue)
+		So(MayReload([]ReplicaState{Ready, Loading, Ready}), ShouldBeFalse)
+		So(MayReload([]ReplicaState{Ready, Unknown}), ShouldBeTrue)
+		So(MayReload([]ReplicaState{Unknown}), ShouldBeFalse)
 	})
 }
 
 func BenchmarkBest(b *testing.B) {
 	for _, size := range [][2]int{{4, 32}, {8, 80}, {16, 128}} {
 		b.Run(fmt.Sprintf("engines=%d/layers=%d", size[0], size[1]), func(b *testing.B) {
-			chain := even(size[0], 100, 10)
+			chain := evenChain(size[0], 100, 10)
 			for b.Loop() {
-				if _, err := Best(Model{Layers: size[1], LayerBytes: 1}, chain); err != nil {
+				if _, err := BestPartition(Model{Layers: size[1], LayerBytes: 1}, chain); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -98,7 +98,7 @@
 			Name:    kept.open.name,
 			Room:    adapterRoom(d, kept.open, agreed),
 			Held:    kept.heldAdapters(agreed),
-			Serving: kept.state == placement.Whole,
+			Serving: kept.state == placement.Ready,
 			Busy:    float64(kept.running()) / float64(slots),
 			Uses:    kept.adapters.rates,
 		}
--- a/route/layerplans/keeper.go
+++ b/route/layerplans/keeper.go
@@ -83,7 +83,7 @@
 	// endpoint, until the engine holds what it was told to.
 	booked map[string]booking
 	// state is how the engines stood to the plan when they were last asked.
-	state placement.State
+	state placement.ReplicaState
 	// checked is when the engines were last asked what they hold.
 	checked time.Time
 	// reports are the engines' last answers, by endpoint.
@@ -97,7 +97,7 @@
 // measured is what a stream told of a hop.
 type measured struct {
 	name    replicaName
-	measure placement.Measure
+	measure placement.Measurement
 }
 
 // maxMeasures bounds what is kept between two rounds; more tell nothing new.
@@ -123,7 +123,7 @@
 		if len(k.measures) >= maxMeasures {
 			return
 		}
-		m := placement.Measure{Endpoint: h.Endpoint, HopMicros: h.Micros, StepMicros: h.StepMicros}
+		m := placement.Measurement{Endpoint: h.Endpoint, HopMicros: h.Micros, StepMicros: h.StepMicros}
 		if i+1 < len(hops) {
 			m.Next = hops[i+1].Endpoint
 		}
@@ -264,7 +264,7 @@
 	}
 	k.cfg.Book.take(kept.open.place, record)
 	kept.adopt(now, model, chain, record.Replicas[kept.open.name])
-	kept.state = placement.Moving
+	kept.state = placement.Loading
 	k.recordPlan(now, kept, record.Version, reason)
 	return nil
 }
@@ -293,7 +293,7 @@
 }
 
 func (k *Keeper) recordPlan(now time.Time, kept *keptReplica, version int64, reason string) {
-	cut := kept.planner.Plan().Cut
+	cut := kept.planner.Plan().Partition
 	figures := map[string]float64{
 		"version":       float64(version),
 		"stages":        float64(len(cut.Stages)),
@@ -302,9 +302,9 @@
 	}
 	if reason == reasonVersion {
 		rollout := k.rollouts[kept.open.place]
-		figures["out"] = float64(rollout.Out)
-		figures["may_be_out"] = float64(rollout.MayBeOut)
-		figures["behind"] = float64(rollout.Behind)
+		figures["out"] = float64(rollout.Unavailable)
+		figures["may_be_out"] = float64(rollout.MaxUnavailable)
+		figures["behind"] = float64(rollout.Outdated)
 	}
 	k.cfg.Record.Record(decisionlog.Decision{
 		At:      now,
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -38,12 +38,12 @@
 	kept.noteUses(now, agreed.Stages[0].Endpoint)
 	if len(differ) == 0 {
 		kept.drained = time.Time{}
-		if kept.state == placement.Whole {
+		if kept.state == placement.Ready {
 			k.orderAdapters(ctx, now, d, kept, agreed)
 		}
 		return
 	}
-	kept.state = placement.Moving
+	kept.state = placement.Loading
 	if !k.drain(ctx, now, kept, differ) {
 		kept.checked = time.Time{} // looked at first in the next round
 		return
@@ -63,7 +63,7 @@
 // plan, and returns the orders that are due.
 func (k *Keeper) differing(ctx context.Context, d *docindex.Directory, kept *keptReplica, agreed plan.Replica) []due {
 	var differ []due
-	kept.state = placement.Whole
+	kept.state = placement.Ready
 	for _, s := range agreed.Stages {
 		e, known := d.Endpoint(s.Endpoint)
 		if !known {
@@ -183,13 +183,13 @@
 // its model and failure domain must carry its callers meanwhile, and the weight
 // store must be free, or the chain would stand empty until its turn.
 func (k *Keeper) mayMove(ctx context.Context, now time.Time, kept *keptReplica) (bool, error) {
-	var others []placement.State
+	var others []placement.ReplicaState
 	for _, other := range k.kept {
 		if other != kept && other.open.place == kept.open.place {
 			others = append(others, other.state)
 		}
 	}
-	if !placement.MayMove(others) {
+	if !placement.MayReload(others) {
 		return false, nil
 	}
 	pace, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -39,7 +39,7 @@
 	if !contains(rollout.Start, kept.open.name) {
 		return false, nil
 	}
-	if kept.state != placement.Whole {
+	if kept.state != placement.Ready {
 		return true, nil
 	}
 	pace, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
@@ -54,7 +54,7 @@
 		}
 		agreed, _ := k.cfg.Book.Agreed(open.place.model, other.open.name)
 		candidates = append(candidates, placement.Candidate{
-			Name: other.open.name, Version: agreed.Weights, State: other.state, Running: other.running(),
+			Name: other.open.name, Version: agreed.Weights, State: other.state, RunningStreams: other.running(),
 		})
 	}
 	return placement.NextRollout(open.model.Version, open.model.Rollout(), candidates)
--- a/route/layerplans/shape.go
+++ b/route/layerplans/shape.go
@@ -88,18 +88,18 @@
 		if ok {
 			reason = reasonEndpoints
 		}
-		cut, err := placement.Best(model, chain)
+		cut, err := placement.BestPartition(model, chain)
 		return stagesOf(cut), reason, true, err
 	case planned.Weights != kept.open.model.Version:
 		return planned.Stages, reasonVersion, true, nil
 	case kept.planner == nil:
-		kept.planner = placement.NewPlanner(model, chain, placement.Plan{Version: version, Cut: measuredCut(agreed, chain)}, placement.Policy{})
+		kept.planner = placement.NewPlanner(model, chain, placement.Plan{Version: version, Partition: measuredCut(agreed, chain)}, placement.Policy{})
 	default:
 		kept.planner.SetChain(chain)
-		kept.planner.Adopt(now, placement.Plan{Version: version, Cut: measuredCut(agreed, chain)})
+		kept.planner.Adopt(now, placement.Plan{Version: version, Partition: measuredCut(agreed, chain)})
 	}
 	next, changed := kept.planner.Decide(now)
-	return stagesOf(next.Cut), reasonMeasured, changed, nil
+	return stagesOf(next.Partition), reasonMeasured, changed, nil
 }
 
 // within says whether every stage's endpoint is one that the document names.
@@ -112,18 +112,18 @@
 	return true
 }
 
-func measuredCut(agreed []document.Stage, chain placement.Chain) placement.Cut {
-	cut := placement.Cut{}
+func measuredCut(agreed []document.Stage, chain placement.Chain) placement.Partition {
+	cut := placement.Partition{}
 	for _, s := range agreed {
 		cut.Stages = append(cut.Stages, placement.Stage{Endpoint: s.Endpoint, First: s.Layers[0], Last: s.Layers[1]})
 	}
-	if priced, ok := placement.Measured(cut, chain); ok {
+	if priced, ok := placement.Evaluate(cut, chain); ok {
 		return priced
 	}
 	return cut
 }
 
-func stagesOf(cut placement.Cut) []plan.Stage {
+func stagesOf(cut placement.Partition) []plan.Stage {
 	stages := make([]plan.Stage, len(cut.Stages))
 	for i, s := range cut.Stages {
 		stages[i] = plan.Stage{Endpoint: s.Endpoint, First: s.First, Last: s.Last}
@@ -133,14 +133,14 @@
 
 // adopt takes an agreed plan.
 func (kept *keptReplica) adopt(now time.Time, model placement.Model, chain placement.Chain, agreed plan.Replica) {
-	next := placement.Cut{}
+	next := placement.Partition{}
 	for _, s := range agreed.Stages {
 		next.Stages = append(next.Stages, placement.Stage{Endpoint: s.Endpoint, First: s.First, Last: s.Last})
 	}
-	if priced, ok := placement.Measured(next, chain); ok {
+	if priced, ok := placement.Evaluate(next, chain); ok {
 		next = priced
 	}
-	adopted := placement.Plan{Version: agreed.Version, Cut: next}
+	adopted := placement.Plan{Version: agreed.Version, Partition: next}
 	if kept.planner == nil {
 		kept.planner = placement.NewPlanner(model, chain, adopted, placement.Policy{})
 		return
--- a/state/plan/pace.go
+++ b/state/plan/pace.go
@@ -28,13 +28,13 @@
 }
 
 // LoadPace reads the weight store's time; a missing record is all free.
-func LoadPace(ctx context.Context, s store.Reader, key string) (placement.Pace, int64, error) {
+func LoadPace(ctx context.Context, s store.Reader, key string) (placement.LoadSchedule, int64, error) {
 	entry, err := s.Get(ctx, key)
 	if err != nil {
-		return placement.Pace{}, 0, Error.Wrap(err)
+		return placement.LoadSchedule{}, 0, Error.Wrap(err)
 	}
 	record, err := decodePace(entry.Value)
-	return placement.Pace{BusyUntil: time.UnixMilli(record.BusyUntilMillis)}, entry.Revision, err
+	return placement.LoadSchedule{BusyUntil: time.UnixMilli(record.BusyUntilMillis)}, entry.Revision, err
 }
 
 func decodePace(value []byte) (paceRecord, error) {
@@ -60,7 +60,7 @@
 		if err != nil {
 			return nil, err
 		}
-		starts, booked := pace.Book(now, takes)
+		starts, booked := pace.Reserve(now, takes)
 		err = writePace(ctx, s, key, revision, writer, booked)
 		if err == nil {
 			return starts, nil
@@ -72,7 +72,7 @@
 	return nil, Error.Wrap(store.ErrConflict)
 }
 
-func writePace(ctx context.Context, s store.ReadSwapper, key string, revision int64, writer string, pace placement.Pace) error {
+func writePace(ctx context.Context, s store.ReadSwapper, key string, revision int64, writer string, pace placement.LoadSchedule) error {
 	record := paceRecord{Format: Format, ID: rand.Text(), Writer: writer, BusyUntilMillis: pace.BusyUntil.UnixMilli()}
 	value, err := json.Marshal(record)
 	if err != nil {
