--- a/decide/placement/load_schedule.go
+++ b/decide/placement/load_schedule.go
@@ -2,33 +2,34 @@
 
 import "time"
 
-// maxBusyAhead is how far ahead the weight store's time may be given away. A node
-// whose clock is hours fast books hours ahead, and all others would wait for it.
+// maxBusyAhead bounds how far ahead reservations are respected. A node whose clock is
+// hours fast reserves hours ahead, and without the bound all other nodes would wait.
 const maxBusyAhead = time.Hour
 
-// LoadSchedule is the weight store's time, as far as it is given away to loads. One value
-// is shared by all plans and all nodes.
+// LoadSchedule is the reserved time of the weight store. All plans and all nodes share
+// one schedule.
 //
-// The load pattern that it answers: a rack comes back, or a document changes, and
-// the engines of many replicas fetch their layers. Each plan paced for itself they
-// all began at once, shared the store's rate and were all ready at the end. One
-// after the other at the full rate, the first replica serves as soon as its own
-// layers are there.
+// Load pattern: a rack comes back, or a document changes, and the engines of many
+// replicas fetch their layers. With a schedule for each plan they all start at once,
+// share the rate of the store and are all ready only at the end. With a common schedule
+// each load gets the full rate in turn, and the first replica serves as soon as its own
+// layers are loaded.
 //
-// It is a hint: a node with a wrong clock makes loads overlap or wait, and nothing
-// else.
+// The schedule is a hint: a node with a wrong clock makes loads overlap or wait, but does
+// no other harm.
 type LoadSchedule struct {
-	// BusyUntil is when the last load that was given a time ends.
+	// BusyUntil is the end of the last reserved load.
 	BusyUntil time.Time
 }
 
-// Free reports whether a load could begin at once.
+// Free reports whether a load could start at once.
 func (s LoadSchedule) Free(now time.Time) bool {
 	return !s.BusyUntil.After(now) || s.BusyUntil.Sub(now) > maxBusyAhead
 }
 
-// Reserve gives each load the time behind the last one; takes are their lengths. A
-// load of no length, an order for layers that the engine holds, waits for none.
+// Reserve schedules loads of the given durations one after the other behind the last
+// reserved load, and returns their start times and the new schedule. A load of zero
+// duration, an order for layers that the engine already holds, starts at once.
 func (s LoadSchedule) Reserve(now time.Time, durations []time.Duration) ([]time.Time, LoadSchedule) {
 	if s.Free(now) {
 		s.BusyUntil = now
@@ -44,25 +45,25 @@
 	return starts, s
 }
 
-// ReplicaState is how a replica stands to its plan.
+// ReplicaState tells whether a replica follows its plan.
 type ReplicaState uint8
 
 const (
-	// Unknown replicas have not answered, in part or whole.
+	// Unknown means that not all engines of the replica have answered.
 	Unknown ReplicaState = iota
-	// Loading replicas are about to load what their plan says.
+	// Loading means that the replica is about to load the layers of its plan.
 	Loading
-	// Ready replicas hold what their plan says, and serve.
+	// Ready means that the replica holds the layers of its plan and serves.
 	Ready
 )
 
-// MayReload reports whether a replica that serves may be stopped for a better plan,
-// by the states of the others that serve the same callers. One moves at a time,
-// and only while at least half of the others are whole.
+// MayReload reports whether a serving replica may be stopped for a better plan. others
+// are the states of the other replicas that serve the same callers. One replica reloads
+// at a time, and only while at least half of the others are ready.
 //
-// The load pattern that it answers: one bad switch makes every replica's times
-// worse, and all their plans change in the same second. Each stops serving for the
-// seconds of its load, and callers find no replica at all.
+// Load pattern: one bad switch makes the times of every replica worse, and all their
+// plans change in the same second. Without the limit all of them stop serving for the
+// seconds of their loads, and callers find no replica.
 func MayReload(others []ReplicaState) bool {
 	ready := 0
 	for _, s := range others {
--- a/decide/placement/loads.go
+++ b/decide/placement/loads.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// FetchBytes is what an engine that holds one run of a model's layers has to fetch
-// to hold another. held with Last below First holds nothing.
+// FetchBytes returns the bytes that an engine must fetch from the weight store to hold
+// the layers of want when it holds those of held. A held stage with Last below First is
+// empty.
 func FetchBytes(model Model, held, want Stage) int64 {
 	common := min(held.Last, want.Last) - max(held.First, want.First) + 1
 	missing := want.Last - want.First + 1 - max(common, 0)
 	return int64(missing) * model.LayerBytes
 }
 
-// FetchTime is how long the weight store takes for that at its full rate, in bytes
-// a second; a rate of zero means no limit.
+// FetchTime returns how long a fetch takes at the full rate of the weight store. A rate
+// of zero means no limit.
 func FetchTime(bytes, bytesPerSecond int64) time.Duration {
 	if bytesPerSecond <= 0 {
 		return 0
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -5,14 +5,14 @@
 	"math"
 )
 
-// ErrNoFit reports that the chain's memory does not hold the model.
+// ErrNoFit means that the model doesn't fit in the memory of the chain.
 var ErrNoFit = errors.New("placement: the chain's memory does not hold the model")
 
-// Model is what has to be placed.
+// Model describes the model to place.
 type Model struct {
-	// Layers is how many layers the model has.
+	// Layers is the number of layers.
 	Layers int
-	// LayerBytes is the memory of one layer with its share of KV cache.
+	// LayerBytes is the memory of one layer with its share of the KV cache.
 	LayerBytes int64
 }
 
@@ -20,93 +20,95 @@
 type Accelerator struct {
 	// Endpoint is the engine's name.
 	Endpoint string
-	// LayerMicros is the time of one layer for one token, in microseconds.
+	// LayerMicros is the time of one token in one layer, in microseconds.
 	LayerMicros float64
-	// MemoryBytes is what the engine has for layers.
+	// MemoryBytes is the memory for layers.
 	MemoryBytes int64
 }
 
-// Chain is engines in the order in which a token may cross them, not all of
-// which need be used.
+// Chain lists engines in the order in which a token may pass through them. A
+// partition may leave out some of them.
 type Chain struct {
 	Accelerators []Accelerator
-	// LinkMicros[i][j], i < j, is the time from accelerator i to j.
+	// LinkMicros[i][j], for i < j, is the transfer time from accelerator i to j, in
+	// microseconds.
 	LinkMicros [][]float64
 }
 
-// Stage is an engine and the layers that it is to hold, both inclusive.
+// Stage is an engine with the first and last layer that it is to hold, both inclusive.
 type Stage struct {
 	Endpoint    string
 	First, Last int
 }
 
-// Partition is a model cut over a chain. A hop is a stage's layers and its outgoing
-// link; a stage takes its next token only when the hop is over.
+// Partition assigns the layers of a model to engines of a chain. A hop is the time of a
+// stage's layers and of its outgoing link; a stage starts its next token only when the
+// hop is over.
 type Partition struct {
 	Stages []Stage
-	// Bottleneck is the longest hop, Total the sum of all, in microseconds.
+	// Bottleneck is the longest hop and Total the sum of all hops, in microseconds.
 	Bottleneck, Total float64
 }
 
-// BestPartition returns the cut with the least bottleneck, and of these the one with
-// the least total. Its time grows with the square of the engines and of the
-// layers.
+// BestPartition returns the partition with the least bottleneck, and of these the one
+// with the least total. Its running time grows with the square of the number of engines
+// and of the number of layers.
 func BestPartition(model Model, chain Chain) (Partition, error) {
 	minBottleneck := newSearch(model, chain, math.Inf(1), math.Max)
 	if math.IsInf(minBottleneck.value, 1) {
 		return Partition{}, ErrNoFit
 	}
-	// A prefix with the least bottleneck need not have the least minTotal, so
-	// the minTotal is sought in a second pass under the bottleneck found.
+	// A prefix with the least bottleneck need not have the least total, so a second
+	// pass minimises the total under the bottleneck found by the first.
 	minTotal := newSearch(model, chain, minBottleneck.value, func(a, b float64) float64 { return a + b })
 	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.value, Total: minTotal.value}, nil
 }
 
-// searchState is the state of the search: accelerator at is used and begins at layer
-// from.
+// searchState is a state of the search: a stage that runs on an accelerator and begins at
+// a layer.
 type searchState struct{ accelerator, layer int }
 
-// transition is the best way to a start: from the start before it, with the layers
-// that the accelerator there takes.
+// transition is the best transition into a state: the state before it and the value of
+// all hops so far.
 type transition struct {
 	value    float64
 	previous searchState
 }
 
-// search is a dynamic programme over starts. limit bounds each hop; combine
-// folds the hops into the value that is minimised.
+// search is a dynamic programme over states. maxHop bounds each hop; combine folds the
+// hops into the value that is minimised.
 type search struct {
 	model     Model
 	chain     Chain
 	maxHop    float64
 	combine   func(a, b float64) float64
 	best      [][]transition
-	lastState searchState // the start of the last stage
+	lastState searchState // of the last stage
 	value     float64
 }
 
 func newSearch(model Model, chain Chain, maxHop float64, combine func(a, b float64) float64) *search {
 	s := &search{model: model, chain: chain, maxHop: maxHop, combine: combine, value: math.Inf(1)}
 	s.best = make([][]transition, len(chain.Accelerators))
-	for at := range s.best {
-		s.best[at] = make([]transition, model.Layers)
-		for from := range s.best[at] {
-			s.best[at][from] = transition{value: math.Inf(1)}
+	for accelerator := range s.best {
+		s.best[accelerator] = make([]transition, model.Layers)
+		for layer := range s.best[accelerator] {
+			s.best[accelerator][layer] = transition{value: math.Inf(1)}
 		}
 		if model.Layers > 0 {
-			s.best[at][0] = transition{previous: searchState{accelerator: -1}}
+			s.best[accelerator][0] = transition{previous: searchState{accelerator: -1}}
 		}
 	}
-	for at := range s.best {
-		for from := range s.best[at] {
-			s.extend(searchState{at, from})
+	for accelerator := range s.best {
+		for layer := range s.best[accelerator] {
+			s.extend(searchState{accelerator, layer})
 		}
 	}
 	return s
 }
 
-// extend tries every number of layers on the accelerator of a start, and every
-// accelerator behind it.
+// extend tries every number of layers on the accelerator of a state, and every later
+// accelerator for the next stage.
 func (s *search) extend(state searchState) {
 	value := s.best[state.accelerator][state.layer].value
 	if math.IsInf(value, 1) {
@@ -127,7 +129,7 @@
 	}
 }
 
-// maxLayers is how many layers the accelerator of a start can take.
+// maxLayers returns the number of layers that fit on the accelerator of a state.
 func (s *search) maxLayers(from searchState) int {
 	remaining := s.model.Layers - from.layer
 	if s.model.LayerBytes <= 0 {
@@ -137,6 +139,7 @@
 	return int(min(int64(remaining), max(fits, 0)))
 }
 
+// relax records a transition if it improves the value of its target state.
 func (s *search) relax(to, from searchState, before, hop float64) {
 	if hop > s.maxHop {
 		return
@@ -146,6 +149,7 @@
 	}
 }
 
+// finish records a last stage if it improves the value of the whole partition.
 func (s *search) finish(from searchState, before, hop float64) {
 	if hop > s.maxHop {
 		return
@@ -156,7 +160,7 @@
 	}
 }
 
-// stages walks the best choices back from the last stage.
+// stages follows the best transitions back from the last stage.
 func (s *search) stages() []Stage {
 	var reversed []Stage
 	end := s.model.Layers
@@ -172,8 +176,8 @@
 	return stages
 }
 
-// Evaluate returns what a cut costs on a chain, and false if the chain no
-// longer has an engine of it.
+// Evaluate returns a partition with its cost on a chain, and false if the chain lacks one
+// of its engines or orders them differently.
 func Evaluate(p Partition, chain Chain) (Partition, bool) {
 	measured := Partition{Stages: p.Stages}
 	for i, stage := range p.Stages {
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// evenChain is a chain of equal accelerators with equal links.
+// evenChain returns a chain of equal accelerators with equal links.
 func evenChain(n int, layerMicros, linkMicros float64) Chain {
 	var c Chain
 	for i := range n {
@@ -23,15 +23,15 @@
 	return c
 }
 
-// bestByExhaustion tries every cut there is.
+// bestByExhaustion tries every partition.
 func bestByExhaustion(model Model, chain Chain) Partition {
 	best := Partition{Bottleneck: math.Inf(1), Total: math.Inf(1)}
 	var try func(at, from int, stages []Stage)
 	try = func(at, from int, stages []Stage) {
 		if from == model.Layers {
-			cut, _ := Evaluate(Partition{Stages: stages}, chain)
-			if cut.Bottleneck < best.Bottleneck || cut.Bottleneck == best.Bottleneck && cut.Total < best.Total {
-				best = cut
+			partition, _ := Evaluate(Partition{Stages: stages}, chain)
+			if partition.Bottleneck < best.Bottleneck || partition.Bottleneck == best.Bottleneck && partition.Total < best.Total {
+				best = partition
 			}
 			return
 		}
@@ -49,8 +49,9 @@
 	return best
 }
 
-// TestBestAgainstExhaustive draws chains whose speeds and links differ a
-// hundredfold; whole numbers keep sums exact, so equal cuts compare equal.
+// BestPartition must be as good as an exhaustive search over all partitions. Speeds and
+// links differ a hundredfold; whole numbers keep sums exact, so equal partitions compare
+// equal.
 func TestBestAgainstExhaustive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "engines")
@@ -67,26 +68,27 @@
 		got, err := BestPartition(model, chain)
 		if math.IsInf(want.Bottleneck, 1) {
 			if err != ErrNoFit {
-				t.Fatal("a cut that does not fit", got)
+				t.Fatal("the model does not fit, but BestPartition returned", got)
 			}
 			return
 		}
-		again, whole := Evaluate(got, chain)
-		if err != nil || !whole || got.Bottleneck != want.Bottleneck || got.Total != want.Total ||
+		again, valid := Evaluate(got, chain)
+		if err != nil || !valid || got.Bottleneck != want.Bottleneck || got.Total != want.Total ||
 			again.Bottleneck != got.Bottleneck || again.Total != got.Total {
-			t.Fatalf("got %+v, which costs %+v; best is %+v; %v", got, again, want, err)
+			t.Fatalf("got %+v, which costs %+v; the best is %+v; error %v", got, again, want, err)
 		}
 	})
 }
 
 func newTestPlanner(chain Chain, model Model) *Planner {
-	cut, err := BestPartition(model, chain)
+	partition, err := BestPartition(model, chain)
 	So(err, ShouldBeNil)
-	return NewPlanner(model, chain, Plan{Version: 1, Partition: cut}, Policy{})
+	return NewPlanner(model, chain, Plan{Version: 1, Partition: partition}, Policy{})
 }
 
-// observeSeconds observes the plan in force each second, with the times that truth says,
-// adopts what is decided, and returns how often the plan changed.
+// observeSeconds feeds the planner one measurement of each stage per second, with the
+// times of the chain that truth returns. It adopts each decided plan and returns the
+// number of changes.
 func observeSeconds(p *Planner, now *time.Time, seconds int, truth func(second int) Chain) int {
 	changes := 0
 	for second := range seconds {
@@ -111,9 +113,9 @@
 	return changes
 }
 
-// What callers see: tokens slow down while a link or stage is bad for longer
-// than the hold, then the plan goes round it, once. A link that turns bad and
-// good again within the hold moves nothing: each move would cost a load.
+// A link or stage that stays slow for longer than the stabilization window slows down all
+// tokens until the plan avoids it, with a single move. A link that is slow for less than
+// the window causes no move, because each move costs a load.
 func TestPlannerAvoidsSlowHopsWithoutFlapping(t *testing.T) {
 	model := Model{Layers: 12, LayerBytes: 10}
 	good := evenChain(4, 100, 10)
@@ -122,20 +124,20 @@
 	badStage := evenChain(4, 100, 10)
 	badStage.Accelerators[2].LayerMicros = 3000
 	now := time.Unix(0, 0)
-	Convey("A lasting bad link is gone round once", t, func() {
+	Convey("A link that stays slow causes one move", t, func() {
 		p := newTestPlanner(good, model)
 		So(observeSeconds(p, &now, 300, func(int) Chain { return badLink }), ShouldEqual, 1)
-		cut, _ := Evaluate(p.Plan().Partition, badLink)
-		So(cut.Bottleneck, ShouldBeLessThan, 1000)
+		partition, _ := Evaluate(p.Plan().Partition, badLink)
+		So(partition.Bottleneck, ShouldBeLessThan, 1000)
 		So(p.Plan().Version, ShouldEqual, 2)
 	})
-	Convey("A lasting slow stage is gone round once", t, func() {
+	Convey("A stage that stays slow causes one move", t, func() {
 		p := newTestPlanner(good, model)
 		So(observeSeconds(p, &now, 300, func(int) Chain { return badStage }), ShouldEqual, 1)
-		cut, _ := Evaluate(p.Plan().Partition, badStage)
-		So(cut.Bottleneck, ShouldBeLessThan, 1000)
+		partition, _ := Evaluate(p.Plan().Partition, badStage)
+		So(partition.Bottleneck, ShouldBeLessThan, 1000)
 	})
-	Convey("A link that flaps faster than the hold moves nothing", t, func() {
+	Convey("A link that flaps faster than the stabilization window causes no move", t, func() {
 		p := newTestPlanner(good, model)
 		changes := observeSeconds(p, &now, 300, func(second int) Chain {
 			if second%15 < 3 {
@@ -145,7 +147,7 @@
 		})
 		So(changes, ShouldEqual, 0)
 	})
-	Convey("A link that flaps for an hour moves the plan a few times at most", t, func() {
+	Convey("A link that flaps for an hour causes at most a few moves", t, func() {
 		p := newTestPlanner(good, model)
 		changes := observeSeconds(p, &now, 3600, func(second int) Chain {
 			if second/30%2 == 0 {
@@ -155,7 +157,7 @@
 		})
 		So(changes, ShouldBeLessThanOrEqualTo, 2*int(time.Hour/DefaultMeasurementTTL))
 	})
-	Convey("Stages that slow down whenever they are given the most move it once a minute", t, func() {
+	Convey("A stage that slows down whenever it holds the most layers causes at most one move a minute", t, func() {
 		p := newTestPlanner(good, model)
 		changes := observeSeconds(p, &now, int(DefaultMinInterval/time.Second), func(int) Chain {
 			chain := evenChain(4, 100, 10)
@@ -170,7 +172,7 @@
 		})
 		So(changes, ShouldEqual, 1)
 	})
-	Convey("An engine that is gone is replaced at once, in order of versions", t, func() {
+	Convey("A missing engine is replaced at once, and an older plan is not adopted", t, func() {
 		p := newTestPlanner(good, model)
 		less := evenChain(4, 100, 10)
 		less.Accelerators = less.Accelerators[:3]
@@ -182,7 +184,7 @@
 		p.Adopt(now, Plan{Version: 1})
 		So(p.Plan().Version, ShouldEqual, 2)
 	})
-	Convey("An unknown step time is split as declared", t, func() {
+	Convey("A hop with unknown step time is divided in the declared proportion", t, func() {
 		p := newTestPlanner(good, model)
 		p.Observe(now, Measurement{Endpoint: "e0", Next: "e1", HopMicros: 620})
 		chain := p.measuredChain(now)
@@ -193,7 +195,7 @@
 
 func TestLoadScheduling(t *testing.T) {
 	model := Model{LayerBytes: 50}
-	Convey("Only layers not held are fetched, at the store's rate", t, func() {
+	Convey("Only missing layers are fetched, at the rate of the weight store", t, func() {
 		So(FetchBytes(model, Stage{"a", 0, 3}, Stage{"a", 0, 1}), ShouldEqual, 0)
 		So(FetchBytes(model, Stage{"b", 4, 7}, Stage{"b", 4, 7}), ShouldEqual, 0)
 		So(FetchBytes(model, Stage{"c", 0, -1}, Stage{"c", 2, 3}), ShouldEqual, 100)
@@ -203,7 +205,7 @@
 		So(FetchTime(200, 0), ShouldEqual, 0)
 	})
 	now := time.Unix(1000, 0)
-	Convey("Loads of all plans stand one behind the other", t, func() {
+	Convey("Loads of all plans are scheduled one after the other", t, func() {
 		first, pace := LoadSchedule{}.Reserve(now, []time.Duration{2 * time.Second, 0, time.Second})
 		So(first, ShouldResemble, []time.Time{now, now, now.Add(2 * time.Second)})
 		second, pace := pace.Reserve(now.Add(time.Second), []time.Duration{time.Second})
@@ -211,12 +213,12 @@
 		So(pace.Free(now.Add(3*time.Second)), ShouldBeFalse)
 		So(pace.Free(now.Add(4*time.Second)), ShouldBeTrue)
 	})
-	Convey("What a clock hours ahead has booked holds nobody up", t, func() {
+	Convey("Reservations by a clock that is hours fast delay no load", t, func() {
 		starts, pace := LoadSchedule{BusyUntil: now.Add(2 * maxBusyAhead)}.Reserve(now, []time.Duration{time.Second})
 		So(starts, ShouldResemble, []time.Time{now})
 		So(pace.BusyUntil, ShouldEqual, now.Add(time.Second))
 	})
-	Convey("One replica moves at a time, and only while enough of the others serve", t, func() {
+	Convey("One replica reloads at a time, and only while enough of the others serve", t, func() {
 		So(MayReload(nil), ShouldBeTrue)
 		So(MayReload([]ReplicaState{Ready, Ready}), ShouldBeTrue)
 		So(MayReload([]ReplicaState{Ready, Loading, Ready}), ShouldBeFalse)
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// Plan is a cut in force. Versions only grow; a version is the fencing number
-// of the orders that carry the plan out.
+// Plan is a partition in force. Versions only grow; a version is the fencing number of
+// the orders that carry the plan out.
 type Plan struct {
 	Version   int64
 	Partition Partition
 }
 
-// Policy says when a better cut is worth a move. Zero fields mean defaults.
+// Policy says when a better partition is worth a move. Zero fields mean defaults.
 type Policy struct {
-	// MinGain is the part of the bottleneck that a move must save.
+	// MinGain is the fraction of the bottleneck that a move must save.
 	MinGain float64
 	// StabilizationWindow is how long the gain must last before the move.
 	StabilizationWindow time.Duration
-	// MinInterval is the least time between two moves.
+	// MinInterval is the minimum time between two moves.
 	MinInterval time.Duration
-	// MeasurementTTL is how long a measurement counts that is not renewed. A
-	// link that the plan avoids is not measured; without forgetting it would
-	// be avoided for ever, and with it the chain comes back at most once in
-	// this time.
+	// MeasurementTTL is how long a measurement counts without a newer one. A link
+	// that the plan avoids is not measured, so without a TTL it would be avoided
+	// for ever. With it, the plan returns to a slow link at most once in this time.
 	MeasurementTTL time.Duration
 }
 
 // Defaults of Policy.
 const (
-	// DefaultMinGain pays for a move within minutes: a move stops a chain for
-	// the seconds of a load, during which others carry its streams.
+	// DefaultMinGain recovers the cost of a move within minutes: a move stops a
+	// chain for the seconds of a load, and other chains carry its streams meanwhile.
 	DefaultMinGain = 0.2
-	// DefaultStabilizationWindow outlasts a burst or a collection pause.
+	// DefaultStabilizationWindow is longer than a burst or a garbage collection
+	// pause.
 	DefaultStabilizationWindow = 10 * time.Second
 	DefaultMinInterval         = time.Minute
 	DefaultMeasurementTTL      = 10 * time.Minute
@@ -55,25 +55,27 @@
 	return d
 }
 
-// Measurement is the mean time of a hop over some tokens.
+// Measurement is the mean time of a hop over several tokens.
 type Measurement struct {
-	// Endpoint is the stage, Next the one that it sends to, empty if none.
+	// Endpoint is the engine of the stage; Next is that of the next stage, empty if
+	// there is none.
 	Endpoint, Next string
 	// HopMicros is the time of the stage's layers and its outgoing link.
 	HopMicros float64
-	// StepMicros is the engine's own report of the time of its layers. Zero
-	// means that it is not known; the hop's change is then laid on the link
-	// and the layers in the proportion in which they were declared.
+	// StepMicros is the time of the layers as the engine reports it. If it is zero
+	// (unknown), the hop is divided between the layers and the link in the
+	// proportion of their declared times.
 	StepMicros float64
 }
 
-// medianWindow is how many of the last measurements an estimate goes by. Their
-// median forgets a short burst within three measurements; a moving average
-// carries it on well past Policy.HoldFor and so moves layers for a blip.
+// medianWindow is the number of last measurements of which an estimate is the median.
+// The median forgets a short burst within three measurements. A moving average would
+// carry it on well past Policy.StabilizationWindow and move layers for a short
+// disturbance.
 const medianWindow = 5
 
-// Planner follows a chain's measured times and decides when to move layers. It
-// is for one goroutine.
+// Planner follows the measured times of a chain and decides when to move layers. It is
+// not safe for concurrent use.
 type Planner struct {
 	model       Model
 	declared    Chain
@@ -82,7 +84,7 @@
 	layerMicros map[string]estimate // microseconds of a layer
 	linkMicros  map[link]estimate   // microseconds
 	lastMove    time.Time
-	betterSince time.Time // since when a cut worth the move is known, zero if none
+	betterSince time.Time // since when a partition worth a move is known, zero if none
 }
 
 type link struct{ from, to string }
@@ -91,10 +93,10 @@
 type estimate struct {
 	last    [medianWindow]float64
 	count   int
-	updated time.Time // of the last
+	updated time.Time
 }
 
-// NewPlanner returns a planner of a chain with the plan in force.
+// NewPlanner returns a Planner for a chain with the plan in force.
 func NewPlanner(model Model, declared Chain, plan Plan, policy Policy) *Planner {
 	return &Planner{
 		model:       model,
@@ -109,7 +111,8 @@
 // Plan returns the plan in force.
 func (p *Planner) Plan() Plan { return p.plan }
 
-// Adopt takes a plan that was agreed, by whomever, unless it is an older one.
+// Adopt puts an agreed plan in force, unless it is older than the present one. The plan
+// may come from any node.
 func (p *Planner) Adopt(now time.Time, plan Plan) {
 	if plan.Version <= p.plan.Version {
 		return
@@ -119,10 +122,10 @@
 	p.betterSince = time.Time{}
 }
 
-// SetChain replaces the engines that there are.
+// SetChain replaces the declared chain.
 func (p *Planner) SetChain(declared Chain) { p.declared = declared }
 
-// Observe takes a measurement of a stage of the plan in force.
+// Observe records a measurement of a stage of the plan in force.
 func (p *Planner) Observe(now time.Time, m Measurement) {
 	i := slices.IndexFunc(p.plan.Partition.Stages, func(s Stage) bool { return s.Endpoint == m.Endpoint })
 	accelerator := p.declared.index(m.Endpoint)
@@ -142,7 +145,7 @@
 	}
 }
 
-// computeFraction is the part of a hop that its layers were declared to take.
+// computeFraction returns the declared fraction of a hop that its layers take.
 func (p *Planner) computeFraction(at int, layers float64, next string) float64 {
 	compute := layers * p.declared.Accelerators[at].LayerMicros
 	to := p.declared.index(next)
@@ -152,7 +155,7 @@
 	return compute / (compute + p.declared.LinkMicros[at][to])
 }
 
-// with returns the estimate with one more measurement.
+// with returns the estimate with one more measurement added.
 func (e estimate) with(now time.Time, micros float64) estimate {
 	e.last[e.count%medianWindow] = micros
 	e.count++
@@ -167,8 +170,8 @@
 	return known[len(known)/2]
 }
 
-// Decide returns the plan to have and whether it differs from the one in
-// force. The planner keeps the old one until Adopt: the new one counts only
+// Decide returns the plan that should be in force and whether it differs from the present
+// one. The planner keeps the present plan until Adopt, because a new plan counts only
 // once it is agreed.
 func (p *Planner) Decide(now time.Time) (Plan, bool) {
 	chain := p.measuredChain(now)
@@ -179,7 +182,7 @@
 	current, valid := Evaluate(p.plan.Partition, chain)
 	next := Plan{Version: p.plan.Version + 1, Partition: best}
 	if !valid {
-		return next, true // an engine of the plan is gone: nothing to weigh
+		return next, true // an engine of the plan is gone, so there is no gain to compare
 	}
 	if best.Bottleneck > current.Bottleneck*(1-p.policy.MinGain) {
 		p.betterSince = time.Time{}
@@ -196,7 +199,8 @@
 	return next, true
 }
 
-// measuredChain is the declared chain with what was measured lately put in.
+// measuredChain returns the declared chain with recent measurements in place of declared
+// times.
 func (p *Planner) measuredChain(now time.Time) Chain {
 	chain := Chain{Accelerators: slices.Clone(p.declared.Accelerators)}
 	for i := range chain.Accelerators {
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -6,44 +6,48 @@
 	"slices"
 )
 
-// Candidate is a replica as a roll-out of a new version of the weights sees it.
+// Candidate is a replica considered for a new version of the weights.
 type Candidate struct {
 	Name string
-	// Version is the one that its plan says.
+	// Version is the version in the replica's plan.
 	Version string
 	State   ReplicaState
-	// RunningStreams is how many streams its engines work on.
+	// RunningStreams is the number of streams that its engines work on.
 	RunningStreams int
 }
 
-// Rollout is which replicas of a failure domain take a new version next.
+// Rollout is the next step of a roll-out in a failure domain.
 type Rollout struct {
-	// Start lists them. Those that serve finish their streams first.
+	// Start lists the replicas that take the new version now. Serving replicas finish
+	// their streams first.
 	Start []string
-	// Unavailable is how many replicas do not serve now, MaxUnavailable how many may not.
+	// Unavailable is the number of replicas that don't serve now, and MaxUnavailable
+	// its upper bound.
 	Unavailable, MaxUnavailable int
-	// Outdated is how many replicas' plans say another version.
+	// Outdated is the number of replicas whose plans name another version.
 	Outdated int
 }
 
-// maxConcurrentUpdates bounds the replicas of a failure domain that are on their way to a
-// version: one loads while the next finishes its streams. The weight store gives its
-// rate to one load after the other, so more would only stand empty in its queue. Of
-// 400 replicas of 30 s each, half would be gone for over an hour.
+// maxConcurrentUpdates bounds the replicas of a failure domain that change to a version at
+// the same time: one loads while the next finishes its streams. The weight store serves
+// one load after the other, so further replicas would only wait in its queue without
+// serving. Of 400 replicas with loads of 30 s each, half would be out for over an hour.
 const maxConcurrentUpdates = 2
 
-// NextRollout decides which replicas begin with a version of the weights. part is
-// the most of a failure domain's replicas that a roll-out may keep from serving.
+// NextRollout decides which replicas start to take a version of the weights. maxFraction
+// bounds the fraction of a failure domain's replicas that may be out of service during
+// the roll-out.
 //
-// The load pattern that it answers: a new version is promoted in the dawn rush. If
-// each replica took it at once, all would empty, share the weight store's rate and
-// come back together minutes later; callers would find nobody meanwhile. And a
-// version that cannot be loaded would take the whole model down: here it stops by
-// itself, because a replica that does not come back stays out and is counted.
+// Load pattern: a new version is promoted in the dawn rush. If all replicas took it at
+// once, all would drain, share the rate of the weight store and come back together
+// minutes later, and callers would find no replica meanwhile. A version that can't be
+// loaded would take down the whole model. Here such a roll-out stops, because a replica
+// that doesn't come back stays unavailable and is counted.
 //
-// A replica that has not answered counts as out but is not started: a node that has
-// just begun to keep the plans knows of no replica yet, and would start all. One
-// whose engines differ from its plan serves nobody, so it changes course at once.
+// A replica that has not answered counts as unavailable but is not started: a node that
+// has just taken over the plans has heard of no replica yet, and would start all of
+// them. A replica whose engines differ from its plan serves no requests, so it takes the
+// version at once.
 func NextRollout(version string, maxFraction float64, replicas []Candidate) Rollout {
 	r := Rollout{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
 	loading := 0
@@ -63,20 +67,20 @@
 		}
 	}
 	allowed := min(r.MaxUnavailable-r.Unavailable, maxConcurrentUpdates-loading)
-	var stopped []int
-	for len(stopped) < allowed {
-		next := fewestStreams(version, replicas, stopped)
+	var chosen []int
+	for len(chosen) < allowed {
+		next := fewestStreams(version, replicas, chosen)
 		if next < 0 {
 			break
 		}
-		stopped = append(stopped, next)
+		chosen = append(chosen, next)
 		r.Start = append(r.Start, replicas[next].Name)
 	}
 	return r
 }
 
-// fewestStreams is the serving replica with another version that has the fewest streams,
-// and so is free the fewestStreams; -1 if there is none but those already chosen.
+// fewestStreams returns the index of the serving replica with another version that has
+// the fewest streams and so drains first, or -1 if all such replicas are chosen already.
 func fewestStreams(version string, replicas []Candidate, chosen []int) int {
 	best := -1
 	for i := range replicas {
@@ -91,7 +95,7 @@
 	return best
 }
 
-// roundingTolerance keeps a part such as 0.3 of 10 from being 2.9999.
+// roundingTolerance keeps a product such as 0.3 of 10 from becoming 2.9999.
 const roundingTolerance = 1e-9
 
 func maxUnavailable(fraction float64, replicas int) int {
