--- /dev/null
+++ b/decide/layers/coverage.go
@@ -0,0 +1,77 @@
+package layers
+
+import (
+	"cmp"
+	"slices"
+)
+
+// coverage is the cover of a domain while a plan is made.
+type coverage struct {
+	model    Model
+	replicas []Replica
+	capacity []float64 // tokens by layer, summed over holders
+	holders  []int     // holders by layer
+}
+
+func newCoverage(model Model, replicas []Replica) *coverage {
+	c := &coverage{
+		model:    model,
+		replicas: slices.Clone(replicas),
+		capacity: make([]float64, model.Layers),
+		holders:  make([]int, model.Layers),
+	}
+	// Large cards first, so that small ones close the gaps that are left.
+	slices.SortStableFunc(c.replicas, func(a, b Replica) int {
+		return cmp.Or(cmp.Compare(b.MemoryMB, a.MemoryMB), cmp.Compare(a.ID, b.ID))
+	})
+	for i := range c.replicas {
+		c.addContribution(&c.replicas[i], 1)
+	}
+	return c
+}
+
+// addContribution adds or takes away what a card gives to its layers.
+func (c *coverage) addContribution(r *Replica, sign int) {
+	if r.Excluded || r.Held.Empty() {
+		return
+	}
+	capacity := c.model.TokenCapacity(r.MemoryMB, r.Held.Len())
+	for l := max(0, r.Held.From); l < min(r.Held.To, c.model.Layers); l++ {
+		c.capacity[l] += float64(sign) * capacity
+		c.holders[l] += sign
+	}
+}
+
+func (c *coverage) activeHolders() int {
+	n := 0
+	for _, r := range c.replicas {
+		if !r.Excluded && !r.Held.Empty() {
+			n++
+		}
+	}
+	return n
+}
+
+// gaps returns the spans that nobody holds.
+func (c *coverage) gaps() []Span {
+	var gaps []Span
+	for l := 0; l < c.model.Layers; l++ {
+		if c.holders[l] > 0 {
+			continue
+		}
+		if n := len(gaps); n > 0 && gaps[n-1].To == l {
+			gaps[n-1].To++
+			continue
+		}
+		gaps = append(gaps, Span{l, l + 1})
+	}
+	return gaps
+}
+
+// assign notes that a card is to hold a span.
+func (c *coverage) assign(r *Replica, span Span, reason string) Order {
+	c.addContribution(r, -1)
+	r.Held = span
+	c.addContribution(r, 1)
+	return Order{ID: r.ID, Hold: span, Reason: reason}
+}
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -1,82 +1,82 @@
 package layers
 
-func (s *state) fillEmpty() []Order {
+func (c *coverage) fillEmpty() []Order {
 	var orders []Order
-	for i := range s.cards {
-		c := &s.cards[i]
-		if c.Leaving || c.Fixed || !c.Held.Empty() {
+	for i := range c.replicas {
+		r := &c.replicas[i]
+		if r.Excluded || r.Fixed || !r.Held.Empty() {
 			continue
 		}
-		n := s.model.Most(c.MemoryMB, Fill)
-		orders = append(orders, s.give(c, s.neediest(n, c.MemoryMB), ReasonFill))
+		n := c.model.MaxLayers(r.MemoryMB, TargetFill)
+		orders = append(orders, c.assign(r, c.bestWindow(n, r.MemoryMB), ReasonFill))
 	}
 	return orders
 }
 
-// neediest returns the window of n layers that gains most from a holder. Of equal
+// bestWindow returns the window of n layers that gains most from a holder. Of equal
 // windows with layers that nobody holds the first is taken, so that spans follow one
 // another without gaps that no card fits; of others the last.
-func (s *state) neediest(n int, memoryMB float64) Span {
-	add := s.model.Room(memoryMB, n)
+func (c *coverage) bestWindow(n int, memoryMB float64) Span {
+	capacity := c.model.TokenCapacity(memoryMB, n)
 	best, gain := Span{0, n}, -1.0
-	for from := 0; from+n <= s.model.Layers; from++ {
+	for from := 0; from+n <= c.model.Layers; from++ {
 		sum := 0.0
 		for l := from; l < from+n; l++ {
-			sum += s.need(l, add)
+			sum += c.layerGain(l, capacity)
 		}
-		if sum > gain+tie || sum > gain-tie && sum < uncovered {
+		if sum > gain+gainTolerance || sum > gain-gainTolerance && sum < uncoveredGain {
 			best, gain = Span{from, from + n}, sum
 		}
 	}
 	return best
 }
 
-// tie is the difference in gain below which windows are equal.
-const tie = 1e-9
+// gainTolerance is the difference in gain below which windows are equal.
+const gainTolerance = 1e-9
 
 const (
-	// uncovered outweighs any gain at layers that have a holder.
-	uncovered = 100
-	// single is what a second holder is worth beyond its room: the loss of one
+	// uncoveredGain outweighs any gain at layers that have a holder.
+	uncoveredGain = 100
+	// secondHolderGain is what a second holder is worth beyond its room: the loss of one
 	// replica then no longer stops the domain.
-	single = 0.5
+	secondHolderGain = 0.5
 )
 
-// need is the gain of a layer from a holder with the given room: by what part its
+// layerGain is the gain of a layer from a holder with the given room: by what part its
 // room grows, with more for the first and the second holder.
-func (s *state) need(layer int, add float64) float64 {
-	if s.held[layer] == 0 {
-		return uncovered
+func (c *coverage) layerGain(layer int, capacity float64) float64 {
+	if c.holders[layer] == 0 {
+		return uncoveredGain
 	}
-	gain := add / (s.room[layer] + add)
-	if s.held[layer] == 1 {
-		gain += single
+	gain := capacity / (c.capacity[layer] + capacity)
+	if c.holders[layer] == 1 {
+		gain += secondHolderGain
 	}
 	return gain
 }
 
 // shrink lets cards that hold more than their part give back what others hold too.
-func (s *state) shrink() []Order {
+func (c *coverage) shrink() []Order {
 	var orders []Order
-	for i := range s.cards {
-		c := &s.cards[i]
-		usual := s.model.Most(c.MemoryMB, Fill)
-		if c.Leaving || c.Fixed || c.Held.Len() < usual+leastShrink {
+	for i := range c.replicas {
+		r := &c.replicas[i]
+		target := c.model.MaxLayers(r.MemoryMB, TargetFill)
+		if r.Excluded || r.Fixed || r.Held.Len() < target+minShrinkLayers {
 			continue
 		}
-		span := c.Held
-		for span.Len() > usual && s.held[span.To-1] > 1 {
+		span := r.Held
+		for span.Len() > target && c.holders[span.To-1] > 1 {
 			span.To--
 		}
-		for span.Len() > usual && s.held[span.From] > 1 {
+		for span.Len() > target && c.holders[span.From] > 1 {
 			span.From++
 		}
-		if c.Held.Len()-span.Len() >= leastShrink {
-			orders = append(orders, s.give(c, span, ReasonShrink))
+		if r.Held.Len()-span.Len() >= minShrinkLayers {
+			orders = append(orders, c.assign(r, span, ReasonShrink))
 		}
 	}
 	return orders
 }
 
-// leastShrink is the fewest layers that are worth an order.
-const leastShrink = 2
+// minShrinkLayers is the fewest layers that are worth an order.
+const minShrinkLayers = 2
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -60,8 +60,8 @@
 	LayerMB, TokenLayerMB float64
 }
 
-// Card is one replica.
-type Card struct {
+// Replica is one replica.
+type Replica struct {
 	ID string
 	// MemoryMB holds weights and requests.
 	MemoryMB float64
@@ -69,8 +69,8 @@
 	Held Span
 	// Fixed cards take no order now: one is being carried out, or they are in doubt.
 	Fixed bool
-	// Leaving cards count for no cover and take no order.
-	Leaving bool
+	// Excluded cards count for no cover and take no order.
+	Excluded bool
 }
 
 // Order tells a replica to hold a span.
@@ -90,11 +90,11 @@
 )
 
 const (
-	// Fill is the part of a card's most layers that it is given. What is left holds some
+	// TargetFill is the part of a card's most layers that it is given. What is left holds some
 	// hundred requests of usual size whatever the card, so that two of three domains carry
 	// the load of all; a domain's cards hold more than one copy, and half of them may be
 	// lost, one at a time, without a gap.
-	Fill = 0.74
+	TargetFill = 0.74
 	// MaxFill bounds what a neighbour takes over: 26,000 tokens stay, about 30
 	// requests of usual size.
 	MaxFill = 0.9
@@ -102,52 +102,52 @@
 
 // Plan returns the orders for one failure domain, one for each card that is to hold
 // something else.
-func Plan(model Model, cards []Card) []Order {
-	s := newState(model, cards)
-	orders := s.fillEmpty()
-	if gaps := s.gaps(); len(gaps) > 0 && s.holders() > 0 {
-		orders = append(orders, s.repair(gaps)...)
+func Plan(model Model, replicas []Replica) []Order {
+	c := newCoverage(model, replicas)
+	orders := c.fillEmpty()
+	if gaps := c.gaps(); len(gaps) > 0 && c.activeHolders() > 0 {
+		orders = append(orders, c.repair(gaps)...)
 	} else {
-		orders = append(orders, s.shrink()...)
+		orders = append(orders, c.shrink()...)
 	}
-	return merged(orders, cards)
+	return finalOrders(orders, replicas)
 }
 
-// merged leaves the last order of each card, as it stands at the end of the plan, and
+// finalOrders leaves the last order of each card, as it stands at the end of the plan, and
 // none for a card that holds that already: a card that moves to a gap may then also
 // take what is left beside it. Two orders at once would name the same count of orders,
 // and the card would take whichever comes first.
-func merged(orders []Order, cards []Card) []Order {
-	held := make(map[string]Span, len(cards))
-	for _, c := range cards {
-		held[c.ID] = c.Held
+func finalOrders(orders []Order, replicas []Replica) []Order {
+	held := make(map[string]Span, len(replicas))
+	for _, r := range replicas {
+		held[r.ID] = r.Held
 	}
 	last := make(map[string]int, len(orders))
 	for i, o := range orders {
 		last[o.ID] = i
 	}
-	var list []Order
+	var final []Order
 	for i, o := range orders {
 		if last[o.ID] == i && held[o.ID] != o.Hold {
-			list = append(list, o)
+			final = append(final, o)
 		}
 	}
-	return list
+	return final
 }
 
-// Whole says whether each layer has a holder that is not leaving.
-func Whole(model Model, cards []Card) bool {
-	return len(newState(model, cards).gaps()) == 0
+// FullyCovered says whether each layer has a holder that is not leaving.
+func FullyCovered(model Model, replicas []Replica) bool {
+	return len(newCoverage(model, replicas).gaps()) == 0
 }
 
-// Most is the number of layers that a part of a card's memory holds.
-func (m Model) Most(memoryMB, fill float64) int {
+// MaxLayers is the number of layers that a part of a card's memory holds.
+func (m Model) MaxLayers(memoryMB, fill float64) int {
 	most := int(memoryMB / m.LayerMB)
 	return min(m.Layers, max(1, int(math.Round(float64(most)*fill))))
 }
 
-// Room is the tokens that fit beside n layers in all of them.
-func (m Model) Room(memoryMB float64, n int) float64 {
+// TokenCapacity is the tokens that fit beside n layers in all of them.
+func (m Model) TokenCapacity(memoryMB float64, n int) float64 {
 	if n <= 0 {
 		return 0
 	}
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -18,22 +18,22 @@
 	t4    = 14400
 )
 
-func fleet(memory ...float64) []Card {
-	cards := make([]Card, len(memory))
+func replicasWithMemory(memory ...float64) []Replica {
+	replicas := make([]Replica, len(memory))
 	for i, mb := range memory {
-		cards[i] = Card{ID: fmt.Sprintf("r%02d", i), MemoryMB: mb}
+		replicas[i] = Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: mb}
 	}
-	return cards
+	return replicas
 }
 
-// domain is the cards of one failure domain without the fastest kind.
-func domain() []Card {
-	return fleet(a100s, l4, l4, l4, l4, l4, l4, l4, l4, t4, t4, t4)
+// typicalDomain is the cards of one failure typicalDomain without the fastest kind.
+func typicalDomain() []Replica {
+	return replicasWithMemory(a100s, l4, l4, l4, l4, l4, l4, l4, l4, t4, t4, t4)
 }
 
-// obey carries orders out.
-func obey(cards []Card, orders []Order) []Card {
-	out := append([]Card(nil), cards...)
+// applyOrders carries orders out.
+func applyOrders(replicas []Replica, orders []Order) []Replica {
+	out := append([]Replica(nil), replicas...)
 	for _, o := range orders {
 		for i := range out {
 			if out[i].ID == o.ID {
@@ -44,11 +44,11 @@
 	return out
 }
 
-func without(cards []Card, id string) []Card {
-	var out []Card
-	for _, c := range cards {
-		if c.ID != id {
-			out = append(out, c)
+func without(replicas []Replica, id string) []Replica {
+	var out []Replica
+	for _, r := range replicas {
+		if r.ID != id {
+			out = append(out, r)
 		}
 	}
 	return out
@@ -56,18 +56,18 @@
 
 // An empty domain gets one whole chain, with room for requests on every card and a
 // second holder of some layers.
-func TestFirstPlanIsWhole(t *testing.T) {
-	for name, cards := range map[string][]Card{
-		"one fast card": fleet(h100, a100s, l4, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
-		"no fast card":  domain(),
-		"two middling":  fleet(a100s, a100s, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
+func TestFirstPlanCoversAllLayers(t *testing.T) {
+	for name, cards := range map[string][]Replica{
+		"one fast card": replicasWithMemory(h100, a100s, l4, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
+		"no fast card":  typicalDomain(),
+		"two middling":  replicasWithMemory(a100s, a100s, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
 	} {
-		cards = obey(cards, Plan(model, cards))
-		if !Whole(model, cards) {
+		cards = applyOrders(cards, Plan(model, cards))
+		if !FullyCovered(model, cards) {
 			t.Errorf("%s: not whole: %v", name, cards)
 		}
 		for _, c := range cards {
-			if room := model.Room(c.MemoryMB, c.Held.Len()); room < 80000 {
+			if room := model.TokenCapacity(c.MemoryMB, c.Held.Len()); room < 80000 {
 				t.Errorf("%s: %s holds %v, room for %.0f tokens", name, c.ID, c.Held, room)
 			}
 		}
@@ -78,8 +78,8 @@
 // that takes over, or the same one before replicas have reported, gives no second
 // order.
 func TestPlanIsStable(t *testing.T) {
-	cards := domain()
-	cards = obey(cards, Plan(model, cards))
+	cards := typicalDomain()
+	cards = applyOrders(cards, Plan(model, cards))
 	if again := Plan(model, cards); len(again) > 0 {
 		t.Errorf("ordered again: %v", again)
 	}
@@ -89,13 +89,13 @@
 // cross to another domain, until its layers are held again. So whichever one is lost,
 // one round of orders closes the gap.
 func TestAnyLossIsRepaired(t *testing.T) {
-	cards := domain()
-	cards = obey(cards, Plan(model, cards))
+	cards := typicalDomain()
+	cards = applyOrders(cards, Plan(model, cards))
 	for _, lost := range cards {
 		left := without(cards, lost.ID)
 		orders := Plan(model, left)
-		repaired := obey(left, orders)
-		if !Whole(model, repaired) {
+		repaired := applyOrders(left, orders)
+		if !FullyCovered(model, repaired) {
 			t.Errorf("%s (%v) lost: not whole after %v", lost.ID, lost.Held, orders)
 		}
 	}
@@ -104,15 +104,15 @@
 // A card that takes over what its neighbour held fills up; the requests of the whole
 // domain then find room on it alone for as long as it stays so. Once another card
 // holds these layers too, it gives them back.
-func TestTakenLayersAreGivenBack(t *testing.T) {
-	cards := []Card{
+func TestExtraLayersAreGivenBack(t *testing.T) {
+	cards := []Replica{
 		{ID: "a", MemoryMB: l4, Held: Span{0, 11}}, // more than its part
 		{ID: "b", MemoryMB: h100, Held: Span{8, 36}},
 		{ID: "c", MemoryMB: h100, Held: Span{36, 64}},
 		{ID: "d", MemoryMB: h100, Held: Span{52, 80}},
 	}
 	orders := Plan(model, cards)
-	part := Span{0, model.Most(l4, Fill)}
+	part := Span{0, model.MaxLayers(l4, TargetFill)}
 	if len(orders) != 1 || orders[0].ID != "a" || orders[0].Hold != part || orders[0].Reason != ReasonShrink {
 		t.Errorf("orders %v, want a to hold %v", orders, part)
 	}
@@ -120,14 +120,14 @@
 
 // A card that is about to leave counts for no cover: its layers are held by others
 // before it has gone.
-func TestLeavingCardIsReplaced(t *testing.T) {
-	cards := domain()
-	cards = obey(cards, Plan(model, cards))
+func TestExcludedReplicaIsReplaced(t *testing.T) {
+	cards := typicalDomain()
+	cards = applyOrders(cards, Plan(model, cards))
 	for i := range cards {
-		leaving := append([]Card(nil), cards...)
-		leaving[i].Leaving = true
-		after := obey(leaving, Plan(model, leaving))
-		if !Whole(model, after) {
+		leaving := append([]Replica(nil), cards...)
+		leaving[i].Excluded = true
+		after := applyOrders(leaving, Plan(model, leaving))
+		if !FullyCovered(model, after) {
 			t.Errorf("%s leaves: not whole", leaving[i].ID)
 		}
 		if after[i].Held != cards[i].Held {
@@ -141,14 +141,14 @@
 // an order, nor in one to a card that has an order or leaves.
 func TestNoOrderExceedsMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cards := domain()
+		cards := typicalDomain()
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
 			for i := range cards {
-				cards[i].Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
+				cards[i].Excluded = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
 				cards[i].Fixed = rapid.IntRange(0, 9).Draw(t, "fixed") == 0
 			}
 			orders := Plan(model, cards)
-			byID := map[string]Card{}
+			byID := map[string]Replica{}
 			for _, c := range cards {
 				byID[c.ID] = c
 			}
@@ -160,15 +160,15 @@
 				if float64(o.Hold.Len())*model.LayerMB > c.MemoryMB {
 					t.Fatalf("%v exceeds %v MB", o, c.MemoryMB)
 				}
-				if c.Leaving || c.Fixed {
+				if c.Excluded || c.Fixed {
 					t.Fatalf("%v to a card that takes none", o)
 				}
 			}
-			cards = obey(cards, orders)
+			cards = applyOrders(cards, orders)
 			if rapid.Bool().Draw(t, "lose") && len(cards) > 4 {
 				cards = cards[1:]
 			} else {
-				cards = append(cards, Card{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4})
+				cards = append(cards, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4})
 			}
 		}
 	})
@@ -177,16 +177,16 @@
 // Measured against equal cuts: how many whole chains' worth of room the narrowest
 // layer of a domain has. Equal cuts give each card the same number of layers, so the
 // small ones are full and the large ones idle.
-func TestRoomAgainstEqualCuts(t *testing.T) {
-	cards := domain()
-	planned := leastRoom(model, obey(cards, Plan(model, cards)))
-	equal := append([]Card(nil), cards...)
+func TestCapacityAgainstEqualSpans(t *testing.T) {
+	cards := typicalDomain()
+	planned := minCapacity(model, applyOrders(cards, Plan(model, cards)))
+	equal := append([]Replica(nil), cards...)
 	per := (model.Layers + len(equal) - 1) / len(equal)
 	for i := range equal {
 		equal[i].Held = Span{i * per, min(model.Layers, (i+1)*per)}
 	}
-	if planned < 1.5*leastRoom(model, equal) {
-		t.Errorf("narrowest layer: %.0f tokens, equal cuts %.0f", planned, leastRoom(model, equal))
+	if planned < 1.5*minCapacity(model, equal) {
+		t.Errorf("narrowest layer: %.0f tokens, equal cuts %.0f", planned, minCapacity(model, equal))
 	}
 }
 
@@ -197,11 +197,11 @@
 // waits for the next plan.
 func TestNoReplicaIsOrderedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var cards []Card
+		var cards []Replica
 		for i := range rapid.IntRange(3, 16).Draw(t, "cards") {
-			c := Card{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100, a100s, l4, t4}).Draw(t, "memory")}
-			c.Leaving = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
-			if n := model.Most(c.MemoryMB, Fill); rapid.IntRange(0, 3).Draw(t, "empty") > 0 {
+			c := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100, a100s, l4, t4}).Draw(t, "memory")}
+			c.Excluded = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
+			if n := model.MaxLayers(c.MemoryMB, TargetFill); rapid.IntRange(0, 3).Draw(t, "empty") > 0 {
 				from := rapid.IntRange(0, model.Layers-n).Draw(t, "from")
 				c.Held = Span{from, from + n}
 			}
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -2,21 +2,21 @@
 
 import "math"
 
-func (s *state) repair(gaps []Span) []Order {
+func (c *coverage) repair(gaps []Span) []Order {
 	var orders []Order
 	for _, gap := range gaps {
-		for gap.Len() >= smallGap {
-			moved, ok := s.move(gap)
+		for gap.Len() >= smallGapLayers {
+			moved, ok := c.move(gap)
 			if !ok {
 				break
 			}
 			orders = append(orders, moved)
 			gap.From = min(gap.To, moved.Hold.To)
 		}
-		taken, left := s.extend(gap)
+		taken, rest := c.extend(gap)
 		orders = append(orders, taken...)
-		if !left.Empty() {
-			if moved, ok := s.move(left); ok {
+		if !rest.Empty() {
+			if moved, ok := c.move(rest); ok {
 				orders = append(orders, moved)
 			}
 		}
@@ -24,19 +24,19 @@
 	return orders
 }
 
-// smallGap is what neighbours take without becoming narrow: two layers each.
-const smallGap = 4
+// smallGapLayers is what neighbours take without becoming narrow: two layers each.
+const smallGapLayers = 4
 
 // extend lets the cards on both sides of a gap grow into it layer by layer, the one
 // with more room first, and returns what is left over. If both are full, one passes
 // its far end on to the next card.
-func (s *state) extend(gap Span) ([]Order, Span) {
-	before := map[*Card]Span{}
+func (c *coverage) extend(gap Span) ([]Order, Span) {
+	before := map[*Replica]Span{}
 	for !gap.Empty() {
-		c, span := s.bestNeighbour(gap)
-		if c != nil {
-			s.set(c, span, before)
-		} else if c, span = s.pushNeighbour(gap, before); c == nil {
+		r, span := c.bestNeighbour(gap)
+		if r != nil {
+			c.reassign(r, span, before)
+		} else if r, span = c.pushNeighbour(gap, before); r == nil {
 			break
 		}
 		if span.From <= gap.From && span.To > gap.From {
@@ -46,54 +46,54 @@
 		}
 	}
 	var orders []Order
-	for i := range s.cards {
-		c := &s.cards[i]
-		if was, ok := before[c]; ok && was != c.Held {
-			orders = append(orders, Order{ID: c.ID, Hold: c.Held, Reason: ReasonExtend})
+	for i := range c.replicas {
+		changed := &c.replicas[i]
+		if was, ok := before[changed]; ok && was != changed.Held {
+			orders = append(orders, Order{ID: changed.ID, Hold: changed.Held, Reason: ReasonExtend})
 		}
 	}
 	return orders, gap
 }
 
-// set changes what a card is to hold and remembers what it held.
-func (s *state) set(c *Card, span Span, before map[*Card]Span) {
-	if _, ok := before[c]; !ok {
-		before[c] = c.Held
-	}
-	s.count(c, -1)
-	c.Held = span
-	s.count(c, 1)
+// reassign changes what a card is to hold and remembers what it held.
+func (c *coverage) reassign(r *Replica, span Span, before map[*Replica]Span) {
+	if _, ok := before[r]; !ok {
+		before[r] = r.Held
+	}
+	c.addContribution(r, -1)
+	r.Held = span
+	c.addContribution(r, 1)
 }
 
 // bestNeighbour returns the card that has most room left after taking the first or
 // the last layer of the gap, or nil if none may take one.
-func (s *state) bestNeighbour(gap Span) (*Card, Span) {
-	var best *Card
+func (c *coverage) bestNeighbour(gap Span) (*Replica, Span) {
+	var best *Replica
 	var bestSpan Span
-	bestRoom := 0.0
-	for i := range s.cards {
-		c := &s.cards[i]
-		span, adjacent := s.grown(c, gap)
-		if !adjacent || span.Len() > s.model.Most(c.MemoryMB, MaxFill) {
+	bestCapacity := 0.0
+	for i := range c.replicas {
+		r := &c.replicas[i]
+		span, adjacent := c.grown(r, gap)
+		if !adjacent || span.Len() > c.model.MaxLayers(r.MemoryMB, MaxFill) {
 			continue
 		}
-		if room := s.model.Room(c.MemoryMB, span.Len()); room > bestRoom {
-			best, bestSpan, bestRoom = c, span, room
+		if capacity := c.model.TokenCapacity(r.MemoryMB, span.Len()); capacity > bestCapacity {
+			best, bestSpan, bestCapacity = r, span, capacity
 		}
 	}
 	return best, bestSpan
 }
 
-// maxPushes is over how many cards the layers of a gap are passed on.
-const maxPushes = 6
+// maxPushDepth is over how many cards the layers of a gap are passed on.
+const maxPushDepth = 6
 
 // pushNeighbour lets a full card beside the gap take a layer and pass its far end on.
-func (s *state) pushNeighbour(gap Span, before map[*Card]Span) (*Card, Span) {
-	for i := range s.cards {
-		c := &s.cards[i]
-		span, adjacent := s.grown(c, gap)
-		if adjacent && s.push(c, span, before, maxPushes) {
-			return c, c.Held
+func (c *coverage) pushNeighbour(gap Span, before map[*Replica]Span) (*Replica, Span) {
+	for i := range c.replicas {
+		r := &c.replicas[i]
+		span, adjacent := c.grown(r, gap)
+		if adjacent && c.push(r, span, before, maxPushDepth) {
+			return r, r.Held
 		}
 	}
 	return nil, Span{}
@@ -101,30 +101,30 @@
 
 // push gives a card a span that is one layer longer than it held. Beyond its most the
 // layer at the other end goes to whoever holds it too, or to the next card.
-func (s *state) push(c *Card, span Span, before map[*Card]Span, left int) bool {
-	if span.Len() <= s.model.Most(c.MemoryMB, MaxFill) {
-		s.set(c, span, before)
+func (c *coverage) push(r *Replica, span Span, before map[*Replica]Span, depth int) bool {
+	if span.Len() <= c.model.MaxLayers(r.MemoryMB, MaxFill) {
+		c.reassign(r, span, before)
 		return true
 	}
-	if left == 0 {
+	if depth == 0 {
 		return false
 	}
-	far, rest := span.From, Span{span.From + 1, span.To}
-	if span.From < c.Held.From {
-		far, rest = span.To-1, Span{span.From, span.To - 1}
+	farLayer, rest := span.From, Span{span.From + 1, span.To}
+	if span.From < r.Held.From {
+		farLayer, rest = span.To-1, Span{span.From, span.To - 1}
 	}
-	if s.held[far] > 1 {
-		s.set(c, rest, before)
+	if c.holders[farLayer] > 1 {
+		c.reassign(r, rest, before)
 		return true
 	}
-	for i := range s.cards {
-		next := &s.cards[i]
-		if next == c {
+	for i := range c.replicas {
+		next := &c.replicas[i]
+		if next == r {
 			continue
 		}
-		longer, adjacent := s.grown(next, Span{far, far + 1})
-		if adjacent && s.push(next, longer, before, left-1) {
-			s.set(c, rest, before)
+		longer, adjacent := c.grown(next, Span{farLayer, farLayer + 1})
+		if adjacent && c.push(next, longer, before, depth-1) {
+			c.reassign(r, rest, before)
 			return true
 		}
 	}
@@ -132,11 +132,11 @@
 }
 
 // grown is what a card would hold with one layer of a gap beside it.
-func (s *state) grown(c *Card, gap Span) (Span, bool) {
-	if c.Leaving || c.Fixed || c.Held.Empty() {
+func (c *coverage) grown(r *Replica, gap Span) (Span, bool) {
+	if r.Excluded || r.Fixed || r.Held.Empty() {
 		return Span{}, false
 	}
-	return grow(c.Held, gap)
+	return grow(r.Held, gap)
 }
 
 // grow returns held with one layer of the gap beside it.
@@ -153,33 +153,33 @@
 // move gives the beginning of a gap to a card whose layers all have another holder:
 // the smallest, through which least passes that must end first, and one that holds
 // the first layer only if there is no other.
-func (s *state) move(gap Span) (Order, bool) {
-	var best *Card
+func (c *coverage) move(gap Span) (Order, bool) {
+	var best *Replica
 	bestCost := math.Inf(1)
-	for i := range s.cards {
-		c := &s.cards[i]
-		if c.Leaving || c.Fixed || c.Held.Empty() || !s.redundant(c) {
+	for i := range c.replicas {
+		r := &c.replicas[i]
+		if r.Excluded || r.Fixed || r.Held.Empty() || !c.redundant(r) {
 			continue
 		}
-		cost := float64(s.model.Most(c.MemoryMB, Fill))
-		if c.Held.From == 0 {
-			cost += float64(s.model.Layers)
+		cost := float64(c.model.MaxLayers(r.MemoryMB, TargetFill))
+		if r.Held.From == 0 {
+			cost += float64(c.model.Layers)
 		}
 		if cost < bestCost {
-			best, bestCost = c, cost
+			best, bestCost = r, cost
 		}
 	}
 	if best == nil {
 		return Order{}, false
 	}
-	n := s.model.Most(best.MemoryMB, Fill)
-	from := min(gap.From, s.model.Layers-n)
-	return s.give(best, Span{from, from + n}, ReasonMove), true
+	n := c.model.MaxLayers(best.MemoryMB, TargetFill)
+	from := min(gap.From, c.model.Layers-n)
+	return c.assign(best, Span{from, from + n}, ReasonMove), true
 }
 
-func (s *state) redundant(c *Card) bool {
-	for l := c.Held.From; l < c.Held.To; l++ {
-		if s.held[l] < 2 {
+func (c *coverage) redundant(r *Replica) bool {
+	for l := r.Held.From; l < r.Held.To; l++ {
+		if c.holders[l] < 2 {
 			return false
 		}
 	}
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -115,7 +115,7 @@
 		return nil
 	}
 	byID := map[string]*replicalist.Replica{}
-	cards := make([]layers.Card, 0, len(replicas))
+	cards := make([]layers.Replica, 0, len(replicas))
 	for _, r := range replicas {
 		byID[r.ID] = r
 		cards = append(cards, k.card(now, model, r, lost(r.ID)))
@@ -162,10 +162,10 @@
 }
 
 // card is a replica with what it has been ordered.
-func (k *Keeper) card(now time.Time, model *ruleset.Model, r *replicalist.Replica, lost bool) layers.Card {
-	c := layers.Card{
+func (k *Keeper) card(now time.Time, model *ruleset.Model, r *replicalist.Replica, lost bool) layers.Replica {
+	c := layers.Replica{
 		ID: r.ID, MemoryMB: model.Cards[r.Kind].MemoryMB, Held: r.Holds,
-		Fixed: r.Busy, Leaving: r.Draining || lost || model.Cards[r.Kind].MemoryMB == 0,
+		Fixed: r.Busy, Excluded: r.Draining || lost || model.Cards[r.Kind].MemoryMB == 0,
 	}
 	p, ok := k.pending[r.ID]
 	if !ok {
