--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// minCapacity is the room at the layer that has least: as many tokens the domain can run
-// at once. It is zero if some layer has no holder.
+// minCapacity returns the capacity of the layer that has the least, which is the number of
+// tokens that the domain can hold at once. It is zero if some layer has no holder.
 func minCapacity(m Model, replicas []Replica) float64 {
 	c := newCoverage(m, replicas)
 	lowest := math.Inf(1)
@@ -24,7 +24,8 @@
 	return lowest
 }
 
-// bestCapacity searches all plans in which each card holds some span that it has memory for.
+// bestCapacity returns the highest capacity of all plans in which each replica holds a span
+// that fits in its memory.
 func bestCapacity(m Model, replicas []Replica, at int) float64 {
 	if at == len(replicas) {
 		return minCapacity(m, replicas)
@@ -40,8 +41,9 @@
 	return highest
 }
 
-// On small cases the plan is held against all that there are. It trades room for second
-// holders of layers, so it may have less; where any plan is whole, it is.
+// On small cases the plan is compared with all possible plans. It gives up capacity for
+// second holders of layers, so it may have less than the best, but on average at least
+// half.
 func TestPlanAgainstAllPlans(t *testing.T) {
 	small := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
 	sum, cases := 0.0, 0
@@ -51,7 +53,7 @@
 			replicas = append(replicas, Replica{ID: fmt.Sprint("r", i), MemoryMB: float64(rapid.IntRange(2, 7).Draw(t, "memory")) * 50 * 2})
 		}
 		planned := applyOrders(replicas, Plan(small, replicas))
-		for range 3 { // layers that were left over are taken by neighbours
+		for range 3 { // neighbours take the remaining layers
 			planned = applyOrders(planned, Plan(small, planned))
 		}
 		highest := bestCapacity(small, slices.Clone(replicas), 0)
@@ -61,21 +63,21 @@
 		}
 		sum, cases = sum+got/highest, cases+1
 	}
-	// Of 70 cases the mean still differs by a tenth from draw to draw.
+	// With only 70 cases the mean differs by a tenth between runs.
 	const casesPerDraw = 3
 	rapid.Check(t, func(t *rapid.T) {
 		for range casesPerDraw {
 			compare(t)
 		}
 	})
-	t.Logf("%d cases that can be whole with room: the plan has %.2f of the most room on the mean", cases, sum/float64(cases))
+	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", cases, sum/float64(cases))
 	if sum < float64(cases)/2 {
-		t.Errorf("%.2f of the most room", sum/float64(cases))
+		t.Errorf("the plan has %.2f of the highest capacity on average", sum/float64(cases))
 	}
 }
 
-// consecutiveSpans gives cards their layers one after the other, each as many as its part of its
-// memory holds, from the first layer again when the last is reached.
+// consecutiveSpans gives replicas adjoining spans, each as long as fits in the given
+// fraction of its memory, and starts again at the first layer after the last.
 func consecutiveSpans(m Model, replicas []Replica, fill float64) []Replica {
 	next := 0
 	for i := range replicas {
@@ -86,8 +88,8 @@
 	return replicas
 }
 
-// The plan beside the naive ones, for a domain of today's sites: what runs at once (the
-// narrowest layer's room), and of how many replicas the loss leaves the domain whole.
+// The plan is compared with naive plans for a typical domain by the capacity of the layer
+// that has the least, and by the number of replicas whose loss leaves all layers covered.
 func TestPlanAgainstNaivePlans(t *testing.T) {
 	byMemory := func(replicas []Replica) []Replica {
 		slices.SortStableFunc(replicas, func(a, b Replica) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
@@ -103,34 +105,35 @@
 		return replicas
 	}
 	plans := []struct {
-		name  string
-		cards []Replica
+		name     string
+		replicas []Replica
 	}{
 		{"the plan", applyOrders(typicalDomain(), Plan(model, typicalDomain()))},
 		{"fast cards only, filled", consecutiveSpans(model, byMemory(typicalDomain())[:5], 1)},
 		{"one after the other, 0.9 of each", consecutiveSpans(model, byMemory(typicalDomain()), 0.9)},
-		{"cuts at each 5", equalSpans(byMemory(typicalDomain()), 5)},
-		{"cuts at each 7", equalSpans(byMemory(typicalDomain()), 7)},
+		{"spans on a grid of 5", equalSpans(byMemory(typicalDomain()), 5)},
+		{"spans on a grid of 7", equalSpans(byMemory(typicalDomain()), 7)},
 	}
 	capacities := map[string]float64{}
 	for _, p := range plans {
 		expendable := 0
-		for _, c := range p.cards {
-			if FullyCovered(model, without(p.cards, c.ID)) {
+		for _, r := range p.replicas {
+			if FullyCovered(model, without(p.replicas, r.ID)) {
 				expendable++
 			}
 		}
-		capacities[p.name] = minCapacity(model, p.cards)
-		t.Logf("%-34s room %7.0f tokens, %d of %d may be lost", p.name, capacities[p.name], expendable, len(p.cards))
+		capacities[p.name] = minCapacity(model, p.replicas)
+		t.Logf("%-34s capacity %7.0f tokens, any one of %d of %d replicas may be lost", p.name, capacities[p.name], expendable, len(p.replicas))
 	}
 	for name, capacity := range capacities {
 		if name != "the plan" && capacity > capacities["the plan"] {
-			t.Errorf("%s has more room: %.0f", name, capacity)
+			t.Errorf("%s has more capacity: %.0f", name, capacity)
 		}
 	}
 }
 
-// layersOnGrid is the most layers of a card that end on a grid of cuts.
+// layersOnGrid returns the number of layers that a card holds if spans must be multiples of
+// the grid, or all that fit if that is less than one multiple.
 func layersOnGrid(memoryMB float64, grid int) int {
 	return max(1, model.MaxLayers(memoryMB, 1)/grid) * min(grid, model.MaxLayers(memoryMB, 1))
 }
--- a/decide/layers/coverage.go
+++ b/decide/layers/coverage.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// coverage is the cover of a domain while a plan is made.
+// coverage is the state of a domain while a plan is made.
 type coverage struct {
 	model    Model
 	replicas []Replica
@@ -20,7 +20,7 @@
 		capacity: make([]float64, model.Layers),
 		holders:  make([]int, model.Layers),
 	}
-	// Large cards first, so that small ones close the gaps that are left.
+	// Large replicas come first, so that small ones fill the remaining gaps.
 	slices.SortStableFunc(c.replicas, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(b.MemoryMB, a.MemoryMB), cmp.Compare(a.ID, b.ID))
 	})
@@ -30,7 +30,8 @@
 	return c
 }
 
-// addContribution adds or takes away what a card gives to its layers.
+// addContribution adds what a replica contributes to its layers, or subtracts it if sign
+// is -1.
 func (c *coverage) addContribution(r *Replica, sign int) {
 	if r.Excluded || r.Held.Empty() {
 		return
@@ -42,6 +43,7 @@
 	}
 }
 
+// activeHolders returns the number of replicas that hold layers and are not excluded.
 func (c *coverage) activeHolders() int {
 	n := 0
 	for _, r := range c.replicas {
@@ -52,7 +54,7 @@
 	return n
 }
 
-// gaps returns the spans that nobody holds.
+// gaps returns the spans without a holder.
 func (c *coverage) gaps() []Span {
 	var gaps []Span
 	for l := 0; l < c.model.Layers; l++ {
@@ -68,7 +70,7 @@
 	return gaps
 }
 
-// assign notes that a card is to hold a span.
+// assign gives a replica a span and returns the order for it.
 func (c *coverage) assign(r *Replica, span Span, reason string) Order {
 	c.addContribution(r, -1)
 	r.Held = span
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -1,5 +1,6 @@
 package layers
 
+// fillEmpty gives each empty replica the window of layers that gains most.
 func (c *coverage) fillEmpty() []Order {
 	var orders []Order
 	for i := range c.replicas {
@@ -13,16 +14,16 @@
 	return orders
 }
 
-// bestWindow returns the window of n layers that gains most from a holder. Of equal
-// windows with layers that nobody holds the first is taken, so that spans follow one
-// another without gaps that no card fits; of others the last.
+// bestWindow returns the window of n layers that gains most from a holder. Among equal
+// windows that contain layers without a holder it returns the first, so that spans adjoin
+// and leave no gaps too small for a replica; among other equal windows the last.
 func (c *coverage) bestWindow(n int, memoryMB float64) Span {
-	capacity := c.model.TokenCapacity(memoryMB, n)
+	added := c.model.TokenCapacity(memoryMB, n)
 	best, gain := Span{0, n}, -1.0
 	for from := 0; from+n <= c.model.Layers; from++ {
 		sum := 0.0
 		for l := from; l < from+n; l++ {
-			sum += c.layerGain(l, capacity)
+			sum += c.layerGain(l, added)
 		}
 		if sum > gain+gainTolerance || sum > gain-gainTolerance && sum < uncoveredGain {
 			best, gain = Span{from, from + n}, sum
@@ -31,31 +32,32 @@
 	return best
 }
 
-// gainTolerance is the difference in gain below which windows are equal.
+// gainTolerance is the difference in gain below which windows count as equal.
 const gainTolerance = 1e-9
 
 const (
-	// uncoveredGain outweighs any gain at layers that have a holder.
+	// uncoveredGain outweighs any gain of layers that have a holder.
 	uncoveredGain = 100
-	// secondHolderGain is what a second holder is worth beyond its room: the loss of one
-	// replica then no longer stops the domain.
+	// secondHolderGain is the gain from a second holder beyond its capacity: the loss of
+	// one replica no longer stops the domain.
 	secondHolderGain = 0.5
 )
 
-// layerGain is the gain of a layer from a holder with the given room: by what part its
-// room grows, with more for the first and the second holder.
-func (c *coverage) layerGain(layer int, capacity float64) float64 {
+// layerGain returns the gain of a layer from a holder that adds the given capacity: the
+// fraction of the new capacity that is added, and more for the first and second holder.
+func (c *coverage) layerGain(layer int, added float64) float64 {
 	if c.holders[layer] == 0 {
 		return uncoveredGain
 	}
-	gain := capacity / (c.capacity[layer] + capacity)
+	gain := added / (c.capacity[layer] + added)
 	if c.holders[layer] == 1 {
 		gain += secondHolderGain
 	}
 	return gain
 }
 
-// shrink lets cards that hold more than their part give back what others hold too.
+// shrink lets replicas that hold more than TargetFill give back layers that have other
+// holders.
 func (c *coverage) shrink() []Order {
 	var orders []Order
 	for i := range c.replicas {
@@ -78,5 +80,5 @@
 	return orders
 }
 
-// minShrinkLayers is the fewest layers that are worth an order.
+// minShrinkLayers is the minimum number of layers that justifies an order.
 const minShrinkLayers = 2
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -1,79 +1,80 @@
 // Package layers decides which layers of a model each replica of a failure domain
 // holds, where no replica holds them all.
 //
-// Use: call Plan with the replicas as they are now; it returns the orders to give.
-// It keeps no state, so any node can go on from what replicas report, and calling it
-// again before the orders have been carried out gives the same ones, as long as the
-// caller passes what it has ordered in Card.Held.
+// Use: call Plan with the present replicas; it returns the orders to give. Plan keeps no
+// state, so any node can continue from what replicas report. Called again before the
+// orders have been carried out, it returns no further orders as long as the caller
+// passes the ordered spans in Replica.Held.
 //
 // # Load pattern
 //
-// A fleet of unlike cards, each too small for the model, of which some are lost,
+// A fleet of different cards, each too small for the model, of which some are lost,
 // drained or added at any time. Requests run through all layers inside one failure
-// domain, since the links between domains carry a fraction of what passes between
-// layers.
+// domain, because the links between domains carry only a fraction of the data that
+// passes between layers.
 //
-// # Without it
+// # Failure without it
 //
-// Equal cuts leave domains without a whole chain or fast cards without work; cards
-// filled to the brim have no room for requests, whose memory is what is left beside
-// the weights; and the loss of one card stops its whole domain.
+// With equal numbers of layers, some domains don't cover all layers or fast cards are
+// idle. Cards filled completely have no memory for requests, which use what the weights
+// leave. The loss of one card stops its whole domain.
 //
 // # Rules
 //
-//   - Every card holds the same part of what it could (Fill): the room for requests
-//     of a card is then the same for all, and no span is the narrow place. What is
-//     held beyond one whole copy is a second holder of some layers.
-//   - An empty card takes the window of layers that needs it most: layers that
-//     nobody holds first, then those with the least room.
-//   - Layers that nobody holds any more, and no empty card is there to take, go to a
-//     card whose own layers all have other holders, and what is left to the
-//     neighbours: only the missing layers are loaded, and what the neighbours hold
-//     goes on serving. Neighbours that take over much become the narrow place of
-//     their domain, so they come second, and give back what another card has taken.
-//   - Second holders stand at the last layers: where a request begins it can't be led
-//     away from, so a card that holds the first layers is slow to move.
+//   - Every card holds the same fraction of the layers that fit (TargetFill), so the
+//     capacity for requests is about the same on all cards and no span is the
+//     bottleneck. Layers held beyond one full copy are second holders.
+//   - An empty card takes the window of layers that gains most from a holder: first
+//     layers without a holder, then those with the least capacity.
+//   - If layers have no holder and there is no empty card, a card whose own layers all
+//     have other holders moves to the gap, and the neighbours take the rest: they load
+//     only the missing layers and go on serving what they hold. Neighbours that take
+//     over many layers become the bottleneck of their domain, so they come second, and
+//     they give layers back once another card holds them.
+//   - Second holders are placed at the last layers. Requests can't be rerouted away from
+//     their first replica, so a card that holds the first layers takes long to move.
 //
-// Nothing is moved for balance alone: a load takes seconds of the weight store and
-// empties the prompts that pass through.
+// Nothing is moved for balance alone, because a load takes seconds of the weight store
+// and interrupts the prompts that run through the card.
 package layers
 
 import "math"
 
-// Span is the layers from From up to but without To.
+// Span is the half-open range of layers from From to To.
 type Span struct{ From, To int }
 
-// Len is the number of layers.
+// Len returns the number of layers.
 func (s Span) Len() int { return s.To - s.From }
 
-// Empty says whether the span holds no layer.
+// Empty reports whether the span contains no layer.
 func (s Span) Empty() bool { return s.To <= s.From }
 
-// Covers says whether all layers of t are in s.
+// Covers reports whether s contains all layers of t.
 func (s Span) Covers(t Span) bool { return s.From <= t.From && t.To <= s.To }
 
-// Model is what the plan needs to know of a model.
+// Model describes a model for the plan.
 type Model struct {
 	Layers int
-	// LayerMB is the weight of a layer and TokenLayerMB the memory of one token in
+	// LayerMB is the memory of a layer's weights and TokenLayerMB that of one token in
 	// one layer, both in megabytes.
 	LayerMB, TokenLayerMB float64
 }
 
-// Replica is one replica.
+// Replica is a replica as the plan sees it.
 type Replica struct {
 	ID string
-	// MemoryMB holds weights and requests.
+	// MemoryMB is the memory for weights and requests.
 	MemoryMB float64
-	// Held is the layers held, or ordered and not yet reported.
+	// Held is the span that the replica holds, or was ordered to hold and has not
+	// reported yet.
 	Held Span
-	// Fixed cards take no order now: one is being carried out, or they are in doubt.
+	// Fixed replicas take no order now: they carry one out, or their state is uncertain.
 	Fixed bool
-	// Excluded cards count for no cover and take no order.
+	// Excluded replicas don't count as holders and take no order.
 	Excluded bool
 }
 
-// Order tells a replica to hold a span.
+// Order tells a replica which span to hold.
 type Order struct {
 	ID   string
 	Hold Span
@@ -90,18 +91,19 @@
 )
 
 const (
-	// TargetFill is the part of a card's most layers that it is given. What is left holds some
-	// hundred requests of usual size whatever the card, so that two of three domains carry
-	// the load of all; a domain's cards hold more than one copy, and half of them may be
-	// lost, one at a time, without a gap.
+	// TargetFill is the fraction of the layers that fit on a replica which it is given.
+	// The rest of its memory holds some hundred requests of usual size on any card, so
+	// that two of three domains can carry the load of all. The replicas of a domain then
+	// hold more than one copy of the model, and half of them may be lost, one at a time,
+	// without a gap.
 	TargetFill = 0.74
-	// MaxFill bounds what a neighbour takes over: 26,000 tokens stay, about 30
-	// requests of usual size.
+	// MaxFill bounds what a neighbour takes over. It leaves memory for 26,000 tokens,
+	// about 30 requests of usual size.
 	MaxFill = 0.9
 )
 
-// Plan returns the orders for one failure domain, one for each card that is to hold
-// something else.
+// Plan returns the orders for one failure domain, one for each replica whose span
+// changes.
 func Plan(model Model, replicas []Replica) []Order {
 	c := newCoverage(model, replicas)
 	orders := c.fillEmpty()
@@ -113,10 +115,10 @@
 	return finalOrders(orders, replicas)
 }
 
-// finalOrders leaves the last order of each card, as it stands at the end of the plan, and
-// none for a card that holds that already: a card that moves to a gap may then also
-// take what is left beside it. Two orders at once would name the same count of orders,
-// and the card would take whichever comes first.
+// finalOrders keeps the last order of each replica and drops orders for spans that the
+// replica already holds. A replica that moves to a gap may also take the rest of the gap
+// in the same plan. Two orders given at once would name the same order count, and the
+// replica would accept whichever arrives first.
 func finalOrders(orders []Order, replicas []Replica) []Order {
 	held := make(map[string]Span, len(replicas))
 	for _, r := range replicas {
@@ -135,18 +137,19 @@
 	return final
 }
 
-// FullyCovered says whether each layer has a holder that is not leaving.
+// FullyCovered reports whether each layer has a holder that is not excluded.
 func FullyCovered(model Model, replicas []Replica) bool {
 	return len(newCoverage(model, replicas).gaps()) == 0
 }
 
-// MaxLayers is the number of layers that a part of a card's memory holds.
+// MaxLayers returns the number of layers that fit in a fraction of a card's memory.
 func (m Model) MaxLayers(memoryMB, fill float64) int {
 	most := int(memoryMB / m.LayerMB)
 	return min(m.Layers, max(1, int(math.Round(float64(most)*fill))))
 }
 
-// TokenCapacity is the tokens that fit beside n layers in all of them.
+// TokenCapacity returns the number of tokens for which the memory beside n layers has
+// room, each token in all n layers.
 func (m Model) TokenCapacity(memoryMB float64, n int) float64 {
 	if n <= 0 {
 		return 0
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// model is one of 80 layers; a token takes as much in a layer as with today's sites.
+// model has 80 layers and the memory per token and layer of a typical site.
 var model = Model{Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375}
 
-// Memory of the cards in use, in megabytes.
+// Memory of the kinds of cards, in megabytes.
 const (
 	h100  = 72000
 	a100s = 36000
@@ -26,12 +26,12 @@
 	return replicas
 }
 
-// typicalDomain is the cards of one failure typicalDomain without the fastest kind.
+// typicalDomain returns the replicas of a failure domain without the fastest kind of card.
 func typicalDomain() []Replica {
 	return replicasWithMemory(a100s, l4, l4, l4, l4, l4, l4, l4, l4, t4, t4, t4)
 }
 
-// applyOrders carries orders out.
+// applyOrders returns the replicas after they have carried out the orders.
 func applyOrders(replicas []Replica, orders []Order) []Replica {
 	out := append([]Replica(nil), replicas...)
 	for _, o := range orders {
@@ -54,170 +54,166 @@
 	return out
 }
 
-// An empty domain gets one whole chain, with room for requests on every card and a
-// second holder of some layers.
+// The first plan of an empty domain covers all layers and leaves capacity for requests on
+// every replica.
 func TestFirstPlanCoversAllLayers(t *testing.T) {
-	for name, cards := range map[string][]Replica{
+	for name, replicas := range map[string][]Replica{
 		"one fast card": replicasWithMemory(h100, a100s, l4, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
 		"no fast card":  typicalDomain(),
 		"two middling":  replicasWithMemory(a100s, a100s, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
 	} {
-		cards = applyOrders(cards, Plan(model, cards))
-		if !FullyCovered(model, cards) {
-			t.Errorf("%s: not whole: %v", name, cards)
+		replicas = applyOrders(replicas, Plan(model, replicas))
+		if !FullyCovered(model, replicas) {
+			t.Errorf("%s: layers without a holder: %v", name, replicas)
 		}
-		for _, c := range cards {
-			if room := model.TokenCapacity(c.MemoryMB, c.Held.Len()); room < 80000 {
-				t.Errorf("%s: %s holds %v, room for %.0f tokens", name, c.ID, c.Held, room)
+		for _, r := range replicas {
+			if capacity := model.TokenCapacity(r.MemoryMB, r.Held.Len()); capacity < 80000 {
+				t.Errorf("%s: %s holds %v and has capacity for %.0f tokens", name, r.ID, r.Held, capacity)
 			}
 		}
 	}
 }
 
-// A plan that is made again from what it has ordered changes nothing: another node
-// that takes over, or the same one before replicas have reported, gives no second
-// order.
+// A plan computed again from the ordered spans gives no second order. This happens when
+// another node takes over, or before the replicas have reported.
 func TestPlanIsStable(t *testing.T) {
-	cards := typicalDomain()
-	cards = applyOrders(cards, Plan(model, cards))
-	if again := Plan(model, cards); len(again) > 0 {
+	replicas := typicalDomain()
+	replicas = applyOrders(replicas, Plan(model, replicas))
+	if again := Plan(model, replicas); len(again) > 0 {
 		t.Errorf("ordered again: %v", again)
 	}
 }
 
-// The callers of a domain that has lost a replica go to others, or their prompts
-// cross to another domain, until its layers are held again. So whichever one is lost,
-// one round of orders closes the gap.
+// While layers have no holder, the requests of the domain must run in or cross to another
+// domain. Whichever replica is lost, one round of orders must close the gap.
 func TestAnyLossIsRepaired(t *testing.T) {
-	cards := typicalDomain()
-	cards = applyOrders(cards, Plan(model, cards))
-	for _, lost := range cards {
-		left := without(cards, lost.ID)
-		orders := Plan(model, left)
-		repaired := applyOrders(left, orders)
+	replicas := typicalDomain()
+	replicas = applyOrders(replicas, Plan(model, replicas))
+	for _, lost := range replicas {
+		remaining := without(replicas, lost.ID)
+		orders := Plan(model, remaining)
+		repaired := applyOrders(remaining, orders)
 		if !FullyCovered(model, repaired) {
-			t.Errorf("%s (%v) lost: not whole after %v", lost.ID, lost.Held, orders)
+			t.Errorf("%s (%v) lost: layers without a holder after %v", lost.ID, lost.Held, orders)
 		}
 	}
 }
 
-// A card that takes over what its neighbour held fills up; the requests of the whole
-// domain then find room on it alone for as long as it stays so. Once another card
-// holds these layers too, it gives them back.
+// A replica that has taken over layers of its neighbour has less capacity and limits the
+// whole domain. Once another replica holds these layers, it gives them back.
 func TestExtraLayersAreGivenBack(t *testing.T) {
-	cards := []Replica{
-		{ID: "a", MemoryMB: l4, Held: Span{0, 11}}, // more than its part
+	replicas := []Replica{
+		{ID: "a", MemoryMB: l4, Held: Span{0, 11}}, // more than TargetFill
 		{ID: "b", MemoryMB: h100, Held: Span{8, 36}},
 		{ID: "c", MemoryMB: h100, Held: Span{36, 64}},
 		{ID: "d", MemoryMB: h100, Held: Span{52, 80}},
 	}
-	orders := Plan(model, cards)
+	orders := Plan(model, replicas)
 	part := Span{0, model.MaxLayers(l4, TargetFill)}
 	if len(orders) != 1 || orders[0].ID != "a" || orders[0].Hold != part || orders[0].Reason != ReasonShrink {
 		t.Errorf("orders %v, want a to hold %v", orders, part)
 	}
 }
 
-// A card that is about to leave counts for no cover: its layers are held by others
-// before it has gone.
+// An excluded replica, for example one that is draining, doesn't count as a holder: other
+// replicas hold its layers before it leaves, and it gets no order.
 func TestExcludedReplicaIsReplaced(t *testing.T) {
-	cards := typicalDomain()
-	cards = applyOrders(cards, Plan(model, cards))
-	for i := range cards {
-		leaving := append([]Replica(nil), cards...)
-		leaving[i].Excluded = true
-		after := applyOrders(leaving, Plan(model, leaving))
+	replicas := typicalDomain()
+	replicas = applyOrders(replicas, Plan(model, replicas))
+	for i := range replicas {
+		excluded := append([]Replica(nil), replicas...)
+		excluded[i].Excluded = true
+		after := applyOrders(excluded, Plan(model, excluded))
 		if !FullyCovered(model, after) {
-			t.Errorf("%s leaves: not whole", leaving[i].ID)
+			t.Errorf("%s excluded: layers without a holder", excluded[i].ID)
 		}
-		if after[i].Held != cards[i].Held {
-			t.Errorf("%s was ordered while it leaves", leaving[i].ID)
+		if after[i].Held != replicas[i].Held {
+			t.Errorf("%s got an order although it is excluded", excluded[i].ID)
 		}
 	}
 }
 
-// A replica that is ordered to hold more than its memory crashes, and with it
-// everything that runs through it. No history of losses and newcomers may end in such
-// an order, nor in one to a card that has an order or leaves.
+// A replica that is ordered to hold more layers than fit in its memory crashes, and all
+// requests that run through it fail. No sequence of losses and new replicas may lead to
+// such an order, nor to an order for a fixed or excluded replica.
 func TestNoOrderExceedsMemory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cards := typicalDomain()
+		replicas := typicalDomain()
 		for step := range rapid.IntRange(1, 12).Draw(t, "steps") {
-			for i := range cards {
-				cards[i].Excluded = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
-				cards[i].Fixed = rapid.IntRange(0, 9).Draw(t, "fixed") == 0
+			for i := range replicas {
+				replicas[i].Excluded = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
+				replicas[i].Fixed = rapid.IntRange(0, 9).Draw(t, "fixed") == 0
 			}
-			orders := Plan(model, cards)
+			orders := Plan(model, replicas)
 			byID := map[string]Replica{}
-			for _, c := range cards {
-				byID[c.ID] = c
+			for _, r := range replicas {
+				byID[r.ID] = r
 			}
 			for _, o := range orders {
-				c := byID[o.ID]
+				r := byID[o.ID]
 				if o.Hold.From < 0 || o.Hold.To > model.Layers || o.Hold.Empty() {
-					t.Fatalf("%v is no span", o)
+					t.Fatalf("%v has an invalid span", o)
 				}
-				if float64(o.Hold.Len())*model.LayerMB > c.MemoryMB {
-					t.Fatalf("%v exceeds %v MB", o, c.MemoryMB)
+				if float64(o.Hold.Len())*model.LayerMB > r.MemoryMB {
+					t.Fatalf("%v exceeds %v MB", o, r.MemoryMB)
 				}
-				if c.Excluded || c.Fixed {
-					t.Fatalf("%v to a card that takes none", o)
+				if r.Excluded || r.Fixed {
+					t.Fatalf("%v is for a replica that takes no order", o)
 				}
 			}
-			cards = applyOrders(cards, orders)
-			if rapid.Bool().Draw(t, "lose") && len(cards) > 4 {
-				cards = cards[1:]
+			replicas = applyOrders(replicas, orders)
+			if rapid.Bool().Draw(t, "lose") && len(replicas) > 4 {
+				replicas = replicas[1:]
 			} else {
-				cards = append(cards, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4})
+				replicas = append(replicas, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4})
 			}
 		}
 	})
 }
 
-// Measured against equal cuts: how many whole chains' worth of room the narrowest
-// layer of a domain has. Equal cuts give each card the same number of layers, so the
-// small ones are full and the large ones idle.
+// The plan is compared with spans of equal length by the capacity of the layer that has
+// the least. Equal spans fill the small replicas and leave the large ones idle.
 func TestCapacityAgainstEqualSpans(t *testing.T) {
-	cards := typicalDomain()
-	planned := minCapacity(model, applyOrders(cards, Plan(model, cards)))
-	equal := append([]Replica(nil), cards...)
+	replicas := typicalDomain()
+	planned := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
+	equal := append([]Replica(nil), replicas...)
 	per := (model.Layers + len(equal) - 1) / len(equal)
 	for i := range equal {
 		equal[i].Held = Span{i * per, min(model.Layers, (i+1)*per)}
 	}
 	if planned < 1.5*minCapacity(model, equal) {
-		t.Errorf("narrowest layer: %.0f tokens, equal cuts %.0f", planned, minCapacity(model, equal))
+		t.Errorf("capacity of the weakest layer: %.0f tokens, with equal spans %.0f", planned, minCapacity(model, equal))
 	}
 }
 
-// Layers stay without a holder for seconds longer than they need to: a plan orders a
-// replica twice, to move to the gap and, as it now stands beside what is left of it, to
-// take that too. Both orders go out at once and name the same count of orders, so the
-// replica takes whichever comes first; if it is the shorter one, the rest of the gap
-// waits for the next plan.
+// A plan may give a replica two orders: to move to a gap, and then, as a neighbour of the
+// rest of the gap, to take that too. Both orders would go out at once with the same order
+// count, and the replica would accept whichever arrives first. If that is the shorter span,
+// the rest of the gap stays without a holder until the next plan. So a plan contains at
+// most one order for each replica.
 func TestNoReplicaIsOrderedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var cards []Replica
+		var replicas []Replica
 		for i := range rapid.IntRange(3, 16).Draw(t, "cards") {
-			c := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100, a100s, l4, t4}).Draw(t, "memory")}
-			c.Excluded = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
-			if n := model.MaxLayers(c.MemoryMB, TargetFill); rapid.IntRange(0, 3).Draw(t, "empty") > 0 {
+			r := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100, a100s, l4, t4}).Draw(t, "memory")}
+			r.Excluded = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
+			if n := model.MaxLayers(r.MemoryMB, TargetFill); rapid.IntRange(0, 3).Draw(t, "empty") > 0 {
 				from := rapid.IntRange(0, model.Layers-n).Draw(t, "from")
-				c.Held = Span{from, from + n}
+				r.Held = Span{from, from + n}
 			}
-			cards = append(cards, c)
+			replicas = append(replicas, r)
 		}
 		held := map[string]Span{}
-		for _, c := range cards {
-			held[c.ID] = c.Held
+		for _, r := range replicas {
+			held[r.ID] = r.Held
 		}
 		seen := map[string]bool{}
-		for _, o := range Plan(model, cards) {
+		for _, o := range Plan(model, replicas) {
 			if seen[o.ID] {
-				t.Fatalf("%s is ordered twice", o.ID)
+				t.Fatalf("%s gets two orders", o.ID)
 			}
 			if o.Hold == held[o.ID] {
-				t.Fatalf("%s is ordered to hold %v, which it does", o.ID, o.Hold)
+				t.Fatalf("%s gets an order for %v, which it already holds", o.ID, o.Hold)
 			}
 			seen[o.ID] = true
 		}
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -2,6 +2,7 @@
 
 import "math"
 
+// repair closes gaps: redundant replicas move to large gaps, and neighbours take the rest.
 func (c *coverage) repair(gaps []Span) []Order {
 	var orders []Order
 	for _, gap := range gaps {
@@ -24,12 +25,13 @@
 	return orders
 }
 
-// smallGapLayers is what neighbours take without becoming narrow: two layers each.
+// smallGapLayers is the size from which a gap is not left to the neighbours. Two layers
+// each don't make them the bottleneck.
 const smallGapLayers = 4
 
-// extend lets the cards on both sides of a gap grow into it layer by layer, the one
-// with more room first, and returns what is left over. If both are full, one passes
-// its far end on to the next card.
+// extend lets the replicas on both sides of a gap take it layer by layer, the one with
+// more capacity first, and returns the rest of the gap. If both are full, one of them
+// passes the layer at its far end on to the next replica.
 func (c *coverage) extend(gap Span) ([]Order, Span) {
 	before := map[*Replica]Span{}
 	for !gap.Empty() {
@@ -55,7 +57,7 @@
 	return orders, gap
 }
 
-// reassign changes what a card is to hold and remembers what it held.
+// reassign gives a replica another span and records in before what it held at first.
 func (c *coverage) reassign(r *Replica, span Span, before map[*Replica]Span) {
 	if _, ok := before[r]; !ok {
 		before[r] = r.Held
@@ -65,8 +67,8 @@
 	c.addContribution(r, 1)
 }
 
-// bestNeighbour returns the card that has most room left after taking the first or
-// the last layer of the gap, or nil if none may take one.
+// bestNeighbour returns the replica that has the most capacity left after it takes the
+// first or last layer of the gap, with its new span, or nil if none may take one.
 func (c *coverage) bestNeighbour(gap Span) (*Replica, Span) {
 	var best *Replica
 	var bestSpan Span
@@ -84,10 +86,11 @@
 	return best, bestSpan
 }
 
-// maxPushDepth is over how many cards the layers of a gap are passed on.
+// maxPushDepth is the maximum number of replicas over which a layer is passed on.
 const maxPushDepth = 6
 
-// pushNeighbour lets a full card beside the gap take a layer and pass its far end on.
+// pushNeighbour lets a full replica beside the gap take a layer and pass the layer at its
+// far end on.
 func (c *coverage) pushNeighbour(gap Span, before map[*Replica]Span) (*Replica, Span) {
 	for i := range c.replicas {
 		r := &c.replicas[i]
@@ -99,8 +102,9 @@
 	return nil, Span{}
 }
 
-// push gives a card a span that is one layer longer than it held. Beyond its most the
-// layer at the other end goes to whoever holds it too, or to the next card.
+// push gives a replica a span that is one layer longer than before. If the span exceeds
+// MaxFill, the replica gives up the layer at the other end, which must have another holder
+// or be taken by the next replica. push reports whether this succeeded.
 func (c *coverage) push(r *Replica, span Span, before map[*Replica]Span, depth int) bool {
 	if span.Len() <= c.model.MaxLayers(r.MemoryMB, MaxFill) {
 		c.reassign(r, span, before)
@@ -131,7 +135,8 @@
 	return false
 }
 
-// grown is what a card would hold with one layer of a gap beside it.
+// grown returns the span of a replica extended by one layer of an adjacent gap, and whether
+// the gap is adjacent and the replica may take an order.
 func (c *coverage) grown(r *Replica, gap Span) (Span, bool) {
 	if r.Excluded || r.Fixed || r.Held.Empty() {
 		return Span{}, false
@@ -139,7 +144,7 @@
 	return grow(r.Held, gap)
 }
 
-// grow returns held with one layer of the gap beside it.
+// grow returns held extended by one layer of the gap, and whether they are adjacent.
 func grow(held, gap Span) (Span, bool) {
 	switch {
 	case held.To == gap.From:
@@ -150,9 +155,9 @@
 	return held, false
 }
 
-// move gives the beginning of a gap to a card whose layers all have another holder:
-// the smallest, through which least passes that must end first, and one that holds
-// the first layer only if there is no other.
+// move gives the beginning of a gap to a replica whose layers all have another holder. It
+// prefers the smallest replica, which has the least traffic to finish before it moves, and
+// takes one that holds the first layer only if there is no other.
 func (c *coverage) move(gap Span) (Order, bool) {
 	var best *Replica
 	bestCost := math.Inf(1)
@@ -177,6 +182,7 @@
 	return c.assign(best, Span{from, from + n}, ReasonMove), true
 }
 
+// redundant reports whether all layers of a replica have another holder.
 func (c *coverage) redundant(r *Replica) bool {
 	for l := r.Held.From; l < r.Held.To; l++ {
 		if c.holders[l] < 2 {
