--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -10,14 +10,14 @@
 
 var notes1, notes2, plans1 = Adapter{"notes", "1"}, Adapter{"notes", "2"}, Adapter{"plans", "1"}
 
-func wants(a Adapter, replicas int) Wanted { return Wanted{a, 10, replicas} }
+func desired(a Adapter, replicas int) Desired { return Desired{a, 10, replicas} }
 
 func serving(name string, room int64, planned ...Adapter) Replica {
-	return Replica{Name: name, Room: room, Planned: planned, Held: planned, Serving: true}
+	return Replica{Name: name, MemoryBytes: room, Planned: planned, Held: planned, Serving: true}
 }
 
-func (r Replica) used(a Adapter, rate, busy float64) Replica {
-	r.Uses, r.Busy = map[Adapter]float64{a: rate}, busy
+func (r Replica) withLoad(a Adapter, rate, busy float64) Replica {
+	r.UseRate, r.Utilization = map[Adapter]float64{a: rate}, busy
 	return r
 }
 
@@ -30,47 +30,47 @@
 	stopped.Serving = false
 	cases := []struct {
 		name     string
-		wanted   []Wanted
+		wanted   []Desired
 		replicas []Replica
 		want     string // replica and adapters of each change
 	}{
-		{"as many as the document asks, the idle ones first", []Wanted{wants(notes1, 2)},
-			[]Replica{serving("a", 100).used(notes1, 0, 0.5), serving("b", 100), serving("c", 100)}, "b[notes@1] c[notes@1]"},
-		{"no room, no load", []Wanted{wants(notes1, 1)}, []Replica{serving("a", 9)}, ""},
-		{"a replica that does not serve takes none", []Wanted{wants(notes1, 1)}, []Replica{stopped}, ""},
-		{"one more while all that hold it are busy", []Wanted{wants(notes1, 1)},
-			[]Replica{serving("a", 100, notes1).used(notes1, 3, 0.9), serving("b", 100)}, "b[notes@1]"},
-		{"none while one is not", []Wanted{wants(notes1, 2)},
-			[]Replica{serving("a", 100, notes1).used(notes1, 3, 0.9), serving("b", 100, notes1), serving("c", 100)}, ""},
-		{"none while a load is underway", []Wanted{wants(notes1, 1)},
-			[]Replica{serving("c", 100, notes1).used(notes1, 3, 0.9), loading, serving("b", 100)}, ""},
-		{"none where it would queue as well", []Wanted{wants(notes1, 1)},
-			[]Replica{serving("a", 100, notes1).used(notes1, 3, 0.9), serving("b", 100).used(notes1, 0, 0.9)}, ""},
-		{"an idle one is kept", []Wanted{wants(notes1, 1)},
+		{"as many as the document asks, the idle ones first", []Desired{desired(notes1, 2)},
+			[]Replica{serving("a", 100).withLoad(notes1, 0, 0.5), serving("b", 100), serving("c", 100)}, "b[notes@1] c[notes@1]"},
+		{"no room, no load", []Desired{desired(notes1, 1)}, []Replica{serving("a", 9)}, ""},
+		{"a replica that does not serve takes none", []Desired{desired(notes1, 1)}, []Replica{stopped}, ""},
+		{"one more while all that hold it are busy", []Desired{desired(notes1, 1)},
+			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100)}, "b[notes@1]"},
+		{"none while one is not", []Desired{desired(notes1, 2)},
+			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100, notes1), serving("c", 100)}, ""},
+		{"none while a load is underway", []Desired{desired(notes1, 1)},
+			[]Replica{serving("c", 100, notes1).withLoad(notes1, 3, 0.9), loading, serving("b", 100)}, ""},
+		{"none where it would queue as well", []Desired{desired(notes1, 1)},
+			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100).withLoad(notes1, 0, 0.9)}, ""},
+		{"an idle one is kept", []Desired{desired(notes1, 1)},
 			[]Replica{serving("a", 100, notes1), serving("b", 100, notes1)}, ""},
-		{"and goes where another needs the room", []Wanted{wants(notes1, 1), wants(plans1, 1)},
-			[]Replica{serving("a", 10, notes1).used(notes1, 1, 0), serving("b", 10, notes1)}, "a[plans@1]"},
-		{"but not the last that the document asks for", []Wanted{wants(notes1, 1), wants(plans1, 1)},
+		{"and goes where another needs the room", []Desired{desired(notes1, 1), desired(plans1, 1)},
+			[]Replica{serving("a", 10, notes1).withLoad(notes1, 1, 0), serving("b", 10, notes1)}, "a[plans@1]"},
+		{"but not the last that the document asks for", []Desired{desired(notes1, 1), desired(plans1, 1)},
 			[]Replica{serving("a", 10, notes1)}, ""},
 		{"what the document no longer names goes", nil, []Replica{serving("a", 100, notes1)}, "a[]"},
-		{"a new version comes beside the old one", []Wanted{wants(notes2, 1)},
+		{"a new version comes beside the old one", []Desired{desired(notes2, 1)},
 			[]Replica{serving("b", 100), serving("c", 100, notes1)}, "c[notes@1 notes@2]"},
-		{"which stays until the new one is there", []Wanted{wants(notes2, 1)},
-			[]Replica{{Name: "a", Room: 100, Planned: []Adapter{notes1, notes2}, Held: []Adapter{notes1}, Serving: true}}, ""},
-		{"and goes then", []Wanted{wants(notes2, 1)}, []Replica{serving("a", 100, notes1, notes2)}, "a[notes@2]"},
-		{"without room for both the last of the old stays", []Wanted{wants(notes2, 1)},
+		{"which stays until the new one is there", []Desired{desired(notes2, 1)},
+			[]Replica{{Name: "a", MemoryBytes: 100, Planned: []Adapter{notes1, notes2}, Held: []Adapter{notes1}, Serving: true}}, ""},
+		{"and goes then", []Desired{desired(notes2, 1)}, []Replica{serving("a", 100, notes1, notes2)}, "a[notes@2]"},
+		{"without room for both the last of the old stays", []Desired{desired(notes2, 1)},
 			[]Replica{serving("a", 10, notes1)}, ""},
-		{"and is replaced if another has the old one", []Wanted{wants(notes2, 1)},
+		{"and is replaced if another has the old one", []Desired{desired(notes2, 1)},
 			[]Replica{serving("a", 10, notes1), serving("b", 10, notes1)}, "a[notes@2]"},
 	}
 	for _, c := range cases {
-		if got := text(Decide(c.wanted, c.replicas)); got != c.want {
+		if got := summary(Decide(c.wanted, c.replicas)); got != c.want {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
 }
 
-func text(r Result) string {
+func summary(r Result) string {
 	all := ""
 	for i, c := range r.Changes {
 		if i > 0 {
@@ -87,21 +87,21 @@
 
 // Callers always find a holder that there was before: however tight the memory and
 // whatever is used, changes keep to it, take no adapter's last holder, and end.
-func TestDecideSettles(t *testing.T) {
+func TestDecideConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var wanted []Wanted
+		var wanted []Desired
 		for i := range rapid.IntRange(0, 4).Draw(t, "adapters") {
-			wanted = append(wanted, Wanted{Adapter{fmt.Sprint("a", i), "2"}, rapid.Int64Range(1, 20).Draw(t, "bytes"), rapid.IntRange(1, 4).Draw(t, "holders")})
+			wanted = append(wanted, Desired{Adapter{fmt.Sprint("a", i), "2"}, rapid.Int64Range(1, 20).Draw(t, "bytes"), rapid.IntRange(1, 4).Draw(t, "holders")})
 		}
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
 			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "room"))
-			r.Busy = rapid.Float64Range(0, 1).Draw(t, "busy")
-			r.Uses = map[Adapter]float64{}
-			free := r.Room
+			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "busy")
+			r.UseRate = map[Adapter]float64{}
+			free := r.MemoryBytes
 			for _, w := range wanted {
 				a := Adapter{w.Name, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")}
-				r.Uses[a] = rapid.Float64Range(0, 5).Draw(t, "uses")
+				r.UseRate[a] = rapid.Float64Range(0, 5).Draw(t, "uses")
 				if rapid.Bool().Draw(t, "planned") && free >= w.Bytes {
 					r.Planned = append(r.Planned, a)
 					free -= w.Bytes
@@ -110,7 +110,7 @@
 			r.Held = r.Planned
 			replicas = append(replicas, r)
 		}
-		held := names(replicas)
+		held := heldNames(replicas)
 		for round := 0; ; round++ {
 			result := Decide(wanted, replicas)
 			if len(result.Changes) == 0 {
@@ -119,9 +119,9 @@
 			if round > 100 {
 				t.Fatal("no end", result.Changes)
 			}
-			apply(t, wanted, replicas, result)
+			applyChanges(t, wanted, replicas, result)
 			for name := range held {
-				if !names(replicas)[name] {
+				if !heldNames(replicas)[name] {
 					t.Fatalf("nobody holds %q any more: %+v", name, result.Changes)
 				}
 			}
@@ -129,8 +129,8 @@
 	})
 }
 
-// names are the adapters of which some replica holds some version.
-func names(replicas []Replica) map[string]bool {
+// heldNames are the adapters of which some replica holds some version.
+func heldNames(replicas []Replica) map[string]bool {
 	all := map[string]bool{}
 	for _, r := range replicas {
 		for _, a := range r.Held {
@@ -140,9 +140,9 @@
 	return all
 }
 
-// apply carries changes out: what was held and stays is held at once, the rest after
+// applyChanges carries changes out: what was held and stays is held at once, the rest after
 // the check.
-func apply(t *rapid.T, wanted []Wanted, replicas []Replica, result Result) {
+func applyChanges(t *rapid.T, wanted []Desired, replicas []Replica, result Result) {
 	for i := range replicas {
 		r := &replicas[i]
 		at := slices.IndexFunc(result.Changes, func(c Change) bool { return c.Replica == r.Name })
@@ -161,17 +161,17 @@
 				}
 			}
 		}
-		if total > r.Room {
-			t.Fatalf("%s has room for %d and is to hold %d", r.Name, r.Room, total)
+		if total > r.MemoryBytes {
+			t.Fatalf("%s has room for %d and is to hold %d", r.Name, r.MemoryBytes, total)
 		}
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
 	const kinds = 10
-	var wanted []Wanted
+	var wanted []Desired
 	for i := range kinds {
-		wanted = append(wanted, Wanted{Adapter{fmt.Sprint("adapter-", i), "2"}, 10, 4})
+		wanted = append(wanted, Desired{Adapter{fmt.Sprint("adapter-", i), "2"}, 10, 4})
 	}
 	for _, n := range []int{10, 100, 1000, 10_000} {
 		for name, planned := range map[string]bool{"settled": true, "none placed": false} {
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -73,10 +73,10 @@
 	}
 }
 
-func wantedAdapters(open openReplica) []adapters.Wanted {
-	var wanted []adapters.Wanted
+func wantedAdapters(open openReplica) []adapters.Desired {
+	var wanted []adapters.Desired
 	for _, a := range open.model.Adapters {
-		wanted = append(wanted, adapters.Wanted{
+		wanted = append(wanted, adapters.Desired{
 			Adapter: adapters.Adapter{Name: a.Name, Version: a.Version}, Bytes: int64(a.Bytes), Replicas: a.Replicas,
 		})
 	}
@@ -95,12 +95,12 @@
 			continue
 		}
 		r := adapters.Replica{
-			Name:    kept.open.name,
-			Room:    adapterRoom(d, kept.open, agreed),
-			Held:    kept.heldAdapters(agreed),
-			Serving: kept.state == placement.Ready,
-			Busy:    float64(kept.running()) / float64(slots),
-			Uses:    kept.adapters.rates,
+			Name:        kept.open.name,
+			MemoryBytes: adapterRoom(d, kept.open, agreed),
+			Held:        kept.heldAdapters(agreed),
+			Serving:     kept.state == placement.Ready,
+			Utilization: float64(kept.running()) / float64(slots),
+			UseRate:     kept.adapters.rates,
 		}
 		for _, a := range agreed.Adapters {
 			r.Planned = append(r.Planned, adapters.Adapter(a))
@@ -189,7 +189,7 @@
 		Figures: map[string]float64{
 			"holders":   float64(c.Holders),
 			"target":    float64(c.Target),
-			"with_room": float64(c.Passed),
+			"with_room": float64(c.Alternatives),
 			"unplaced":  float64(unplaced),
 			"adapters":  float64(len(c.Adapters)),
 			"loads":     float64(len(c.Loads)),
