--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -30,27 +30,27 @@
 // Lease is a node's right to serve on its configuration. The zero value has none.
 // It is not safe for concurrent use; the caller locks.
 type Lease struct {
-	// Limit is the greatest age of a proof with which requests are served.
-	Limit  time.Duration
-	proved time.Duration
-	known  bool
+	// MaxAge is the greatest age of a proof with which requests are served.
+	MaxAge      time.Duration
+	confirmedAt time.Duration
+	confirmed   bool
 }
 
-// Prove notes that a read begun at the given reading of the clock has shown the
+// Renew notes that a read begun at the given reading of the clock has shown the
 // configuration to be current. Proofs that come out of order do no harm.
-func (l *Lease) Prove(begun time.Duration) {
-	if !l.known || begun > l.proved {
-		l.proved, l.known = begun, true
+func (l *Lease) Renew(readStart time.Duration) {
+	if !l.confirmed || readStart > l.confirmedAt {
+		l.confirmedAt, l.confirmed = readStart, true
 	}
 }
 
 // Age is the age of the newest proof; ok is false if there has been none.
 func (l *Lease) Age(now time.Duration) (age time.Duration, ok bool) {
-	return now - l.proved, l.known
+	return now - l.confirmedAt, l.confirmed
 }
 
 // Fresh says whether the configuration may be served on.
 func (l *Lease) Fresh(now time.Duration) bool {
 	age, ok := l.Age(now)
-	return ok && age < l.Limit
+	return ok && age < l.MaxAge
 }
--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -8,12 +8,12 @@
 // A caller whose key was taken away is served no longer than the limit after it, by
 // any node. A proof counts from the beginning of the read that gave it: a node that
 // was frozen while the answer was under way must not count from its arrival.
-func TestLeaseEndsAfterItsLimit(t *testing.T) {
-	l := Lease{Limit: 4 * time.Second}
+func TestLeaseExpiresAtMaxAge(t *testing.T) {
+	l := Lease{MaxAge: 4 * time.Second}
 	if l.Fresh(0) {
 		t.Fatal("fresh without a proof")
 	}
-	l.Prove(10 * time.Second)
+	l.Renew(10 * time.Second)
 	for _, c := range []struct {
 		now  time.Duration
 		want bool
@@ -31,10 +31,10 @@
 
 // An answer that comes late, after that of a younger read, takes nothing back; and an
 // old one does not make the proof look younger.
-func TestProofsOutOfOrder(t *testing.T) {
-	l := Lease{Limit: time.Second}
-	l.Prove(5 * time.Second)
-	l.Prove(3 * time.Second)
+func TestRenewalsOutOfOrder(t *testing.T) {
+	l := Lease{MaxAge: time.Second}
+	l.Renew(5 * time.Second)
+	l.Renew(3 * time.Second)
 	if age, ok := l.Age(5500 * time.Millisecond); !ok || age != 500*time.Millisecond {
 		t.Errorf("age %v, %v; want 500ms", age, ok)
 	}
--- a/node/site/reload.go
+++ b/node/site/reload.go
@@ -49,7 +49,7 @@
 	n.inForce.Store(&now.Bounds)
 	n.lease.Lock()
 	defer n.lease.Unlock()
-	n.lease.Limit = freshLimit(now.Bounds)
+	n.lease.MaxAge = freshLimit(now.Bounds)
 }
 
 // unbounded are the settings without what a reload puts in force.
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -142,7 +142,7 @@
 	n.prober = connprobe.New(n.pool, time.Now)
 	n.reports = replicareport.New(n.engines, time.Now)
 	n.inForce.Store(&settings.Bounds)
-	n.lease.Limit = freshLimit(settings.Bounds)
+	n.lease.MaxAge = freshLimit(settings.Bounds)
 	n.services.init(n)
 	n.bookings = bookings.New(settings.Node, time.Now, n.services.booked, n.services.seen)
 	n.decisions = decisionlog.NewLog(log)
@@ -303,5 +303,5 @@
 func (n *Node) prove(begun time.Duration) {
 	n.lease.Lock()
 	defer n.lease.Unlock()
-	n.lease.Prove(begun)
+	n.lease.Renew(begun)
 }
