--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -32,91 +32,91 @@
 
 import "time"
 
-// Way is how a request goes on.
-type Way uint8
+// Action is how a request goes on.
+type Action uint8
 
 const (
 	// Stay leaves it where it is: there is no way now.
-	Stay Way = iota
-	// Around leads it around the lost part.
-	Around
-	// Elsewhere has another first replica go on after its last event.
-	Elsewhere
+	Stay Action = iota
+	// Bypass leads it around the lost part.
+	Bypass
+	// Migrate has another first replica go on after its last event.
+	Migrate
 )
 
 // String names the way for log lines.
-func (w Way) String() string {
-	return [...]string{"stay", "around", "elsewhere"}[w]
+func (a Action) String() string {
+	return [...]string{"stay", "around", "elsewhere"}[a]
 }
 
-// Links is what this node has sent over the links between failure domains. Not safe for
+// LinkBacklog is what this node has sent over the links between failure domains. Not safe for
 // concurrent use.
-type Links struct {
-	backlog float64 // bytes not yet transferred at a time
-	at      time.Time
+type LinkBacklog struct {
+	bytes   float64 // bytes not yet transferred at a time
+	updated time.Time
 }
 
-// Load describes a request that may cross.
-type Load struct {
+// Estimate describes a request that may cross.
+type Estimate struct {
 	// Bytes is what crosses, each added crossing counted; zero if no more crossings are
 	// added.
 	Bytes float64
-	// PerSecond is what the links carry; zero for no bound.
-	PerSecond float64
+	// BytesPerSecond is what the links carry; zero for no bound.
+	BytesPerSecond float64
 	// Nodes is how many nodes are in the same case.
 	Nodes int
-	// Reading is how long the slowest of the replicas that take over will read, and
-	// Elsewhere the same of the way that begins at another first replica.
-	Reading, Elsewhere time.Duration
-	// Free is the wait up to which the request goes around without further ado: what is
+	// BypassPrefill is how long the slowest of the replicas that take over will read, and
+	// MigratePrefill the same of the way that begins at another first replica.
+	BypassPrefill, MigratePrefill time.Duration
+	// MaxWait is the wait up to which the request goes around without further ado: what is
 	// left of the pause that is on time once the loss is known.
-	Free time.Duration
+	MaxWait time.Duration
 }
 
-// Wait is how long the transfer would take, with what all nodes have under way.
-func (l *Links) Wait(now time.Time, load Load) time.Duration {
-	if load.PerSecond <= 0 {
+// TransferTime is how long the transfer would take, with what all nodes have under way.
+func (l *LinkBacklog) TransferTime(now time.Time, e Estimate) time.Duration {
+	if e.BytesPerSecond <= 0 {
 		return 0
 	}
-	all := (l.left(now, load) + load.Bytes) * float64(max(1, load.Nodes))
-	return time.Duration(all / load.PerSecond * float64(time.Second))
+	total := (l.remaining(now, e) + e.Bytes) * float64(max(1, e.Nodes))
+	return time.Duration(total / e.BytesPerSecond * float64(time.Second))
 }
 
-// around is how long a way around takes until its next event can come.
-func (l *Links) around(now time.Time, load Load) time.Duration {
-	if load.Bytes == 0 {
-		return load.Reading
+// bypassTime is how long a way bypassTime takes until its next event can come.
+func (l *LinkBacklog) bypassTime(now time.Time, e Estimate) time.Duration {
+	if e.Bytes == 0 {
+		return e.BypassPrefill
 	}
-	return l.Wait(now, load) + load.Reading
+	return l.TransferTime(now, e) + e.BypassPrefill
 }
 
 // Idle says whether a request that has time may cross now: nothing of this node is under
 // way over the links, so that its own transfer is all that it waits for.
-func (l *Links) Idle(now time.Time, load Load) bool {
-	return load.Bytes == 0 || l.left(now, load) == 0
+func (l *LinkBacklog) Idle(now time.Time, e Estimate) bool {
+	return e.Bytes == 0 || l.remaining(now, e) == 0
 }
 
-// Crossed notes that the request was sent across.
-func (l *Links) Crossed(now time.Time, load Load) {
-	l.backlog, l.at = l.left(now, load)+load.Bytes, now
+// AddTransfer notes that the request was sent across.
+func (l *LinkBacklog) AddTransfer(now time.Time, e Estimate) {
+	l.bytes, l.updated = l.remaining(now, e)+e.Bytes, now
 }
 
-// left is this node's backlog now: of what the links carry it has an even part.
-func (l *Links) left(now time.Time, load Load) float64 {
-	part := load.PerSecond / float64(max(1, load.Nodes))
-	return max(0, l.backlog-part*now.Sub(l.at).Seconds())
+// remaining is this node's backlog now: of what the links carry it has an even part.
+func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
+	rate := e.BytesPerSecond / float64(max(1, e.Nodes))
+	return max(0, l.bytes-rate*now.Sub(l.updated).Seconds())
 }
 
 // Decide chooses between a way around, if there is one, and another first replica, if
 // one may go on and has read the request no later.
-func (l *Links) Decide(now time.Time, around bool, load Load, elsewhere bool) Way {
+func (l *LinkBacklog) Decide(now time.Time, canBypass bool, e Estimate, canMigrate bool) Action {
 	switch {
-	case around && l.around(now, load) <= load.Free:
-		return Around
-	case elsewhere && (!around || load.Elsewhere < l.around(now, load)):
-		return Elsewhere
-	case around:
-		return Around
+	case canBypass && l.bypassTime(now, e) <= e.MaxWait:
+		return Bypass
+	case canMigrate && (!canBypass || e.MigratePrefill < l.bypassTime(now, e)):
+		return Migrate
+	case canBypass:
+		return Bypass
 	}
 	return Stay
 }
--- a/route/relay/goon.go
+++ b/route/relay/goon.go
@@ -121,7 +121,7 @@
 func (w *watch) goOn(flight *targets.Flight, why string) bool {
 	free := time.Duration(float64(w.a.q.maxPause()) * freePart)
 	way, path, next := flight.GoOn(w.mayMove && w.a.q.Budget.Left(), free, w.others)
-	if way == reroute.Elsewhere {
+	if way == reroute.Migrate {
 		if w.quiet() && w.move(next, why+"; another failure domain goes on sooner") {
 			return true
 		}
--- a/route/targets/flight.go
+++ b/route/targets/flight.go
@@ -138,30 +138,30 @@
 // along the path, or at another first replica, for which the target is booked and needs
 // one Ended. elsewhere says whether another may go on with it, free up to which wait it
 // is on time.
-func (f *Flight) GoOn(elsewhere bool, free time.Duration, o Others) (reroute.Way, paths.Path, Target) {
+func (f *Flight) GoOn(elsewhere bool, free time.Duration, o Others) (reroute.Action, paths.Path, Target) {
 	m := f.model
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	around := f.around(now)
 	load := f.load(around)
-	load.Free, load.Reading = free, m.book.PrefillWait(now, around, f.path, f.tokens, m.part.Near)
+	load.MaxWait, load.BypassPrefill = free, m.book.PrefillWait(now, around, f.path, f.tokens, m.part.Near)
 	var other paths.Path
 	if elsewhere {
 		other = f.elsewhere(now, o)
-		load.Elsewhere = m.book.PrefillWait(now, other, nil, f.tokens, m.part.Near)
+		load.MigratePrefill = m.book.PrefillWait(now, other, nil, f.tokens, m.part.Near)
 	}
 	way := m.links.Decide(now, around != nil, load, other != nil && other.Crossings() == 0)
 	// Noted now and not once the order is taken: those that lose their part together decide
 	// together.
 	switch way {
-	case reroute.Elsewhere:
+	case reroute.Migrate:
 		m.book.AddPrefill(now, other, nil, f.tokens, m.part.Near)
 		return way, nil, m.begin(other, f.tokens)
-	case reroute.Around:
+	case reroute.Bypass:
 		m.book.AddPrefill(now, around, f.path, f.tokens, m.part.Near)
 		if load.Bytes > 0 {
-			m.links.Crossed(now, load)
+			m.links.AddTransfer(now, load)
 		}
 	}
 	return way, around, Target{}
@@ -169,11 +169,11 @@
 
 // load is what a way around sends over the links between failure domains. The caller
 // holds the lock.
-func (f *Flight) load(around paths.Path) reroute.Load {
+func (f *Flight) load(around paths.Path) reroute.Estimate {
 	m := f.model
 	added := max(0, around.Crossings()-f.path.Crossings())
-	return reroute.Load{
-		Bytes: float64(added) * f.tokens * m.crossBytes, PerSecond: m.crossPerSecond, Nodes: m.part.Near,
+	return reroute.Estimate{
+		Bytes: float64(added) * f.tokens * m.crossBytes, BytesPerSecond: m.crossPerSecond, Nodes: m.part.Near,
 	}
 }
 
@@ -226,7 +226,7 @@
 	if path == nil || !m.links.Idle(now, f.load(path)) {
 		return nil
 	}
-	m.links.Crossed(now, f.load(path))
+	m.links.AddTransfer(now, f.load(path))
 	return path
 }
 
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -32,7 +32,7 @@
 	book   *paths.Selector
 	// links is what this node's detours have sent between failure domains; a token
 	// sends crossBytes each time, of crossPerSecond that all share.
-	links                      reroute.Links
+	links                      reroute.LinkBacklog
 	crossBytes, crossPerSecond float64
 
 	knowledge knowledge
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -251,11 +251,11 @@
 		flights = append(flights, take(t, m, 1000))
 	}
 	m.Suspect("b", false)
-	var ways []reroute.Way
+	var ways []reroute.Action
 	for _, target := range flights {
 		way, path, next := target.Flight.GoOn(true, 120*time.Millisecond, Others{})
 		ways = append(ways, way)
-		if way == reroute.Around {
+		if way == reroute.Bypass {
 			if path == nil {
 				t.Error("no path")
 			}
@@ -265,11 +265,11 @@
 			t.Errorf("it goes on at %+v", next)
 		}
 	}
-	want := []reroute.Way{reroute.Around, reroute.Around, reroute.Elsewhere, reroute.Elsewhere, reroute.Elsewhere, reroute.Elsewhere}
+	want := []reroute.Action{reroute.Bypass, reroute.Bypass, reroute.Migrate, reroute.Migrate, reroute.Migrate, reroute.Migrate}
 	if !slices.Equal(ways, want) {
 		t.Errorf("%v, want %v", ways, want)
 	}
-	if way, path, _ := flights[1].Flight.GoOn(false, 120*time.Millisecond, Others{}); way != reroute.Around || path == nil {
+	if way, path, _ := flights[1].Flight.GoOn(false, 120*time.Millisecond, Others{}); way != reroute.Bypass || path == nil {
 		t.Errorf("one that may not be moved: %v %v", way, path)
 	}
 }
