--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -8,30 +8,29 @@
 // Adapter names one version of an adapter.
 type Adapter struct{ Name, Version string }
 
-// Desired is an adapter as the document asks for it.
+// Desired is an adapter as the document defines it.
 type Desired struct {
 	Adapter
-	// Bytes is its size over all layers.
+	// Bytes is the size of the adapter over all layers.
 	Bytes int64
-	// Replicas is how many replicas are to hold it.
+	// Replicas is the number of replicas that should hold it.
 	Replicas int
 }
 
-// Replica is how a replica stands.
+// Replica is the plan and the reported state of a replica.
 type Replica struct {
 	Name string
-	// MemoryBytes is the memory for adapters, those held included, in bytes over all
-	// layers.
+	// MemoryBytes is the memory for adapters over all layers, including those held.
 	MemoryBytes int64
-	// Planned are the adapters that its plan says, the oldest first; Held those
+	// Planned lists the adapters in its plan, the oldest first; Held lists those
 	// that all its engines report.
 	Planned, Held []Adapter
-	// Serving replicas hold what their plan says of layers and weights. Others are
-	// given no adapter.
+	// Serving replicas hold the layers and weights of their plan. Other replicas get
+	// no adapters.
 	Serving bool
-	// Utilization is the part of its slots that is taken.
+	// Utilization is the fraction of its slots in use.
 	Utilization float64
-	// UseRate is how many streams a second each adapter was opened for.
+	// UseRate is the number of streams opened per second for each adapter.
 	UseRate map[Adapter]float64
 }
 
@@ -39,21 +38,20 @@
 type Change struct {
 	Replica  string
 	Adapters []Adapter
-	// Loads and Drops are how it differs from the one planned.
+	// Loads and Drops are the differences from the planned set.
 	Loads, Drops []Adapter
 	Reason       string
-	// Holders is how many replicas were planned to hold the first of Loads, and
-	// Target how many are to.
+	// Holders is the number of replicas planned to hold the first of Loads before
+	// the change, and Target the number that should hold it.
 	Holders, Target int
-	// Alternatives is how many other replicas had the room.
+	// Alternatives is the number of other replicas that could have taken the adapter.
 	Alternatives int
 }
 
-// Result is what to change.
+// Result holds the changes to make.
 type Result struct {
 	Changes []Change
-	// Unplaced are adapters held by fewer replicas than the document asks, for want
-	// of room.
+	// Unplaced lists adapters with fewer holders than desired for lack of memory.
 	Unplaced []Adapter
 }
 
@@ -66,31 +64,32 @@
 )
 
 const (
-	// busyUtilization is the part of the slots above which a holder counts as busy. Above
-	// three quarters a queue before a batch of 16 begins to show; below, one more
-	// holder would cost a load for nothing.
+	// busyUtilization is the utilization from which a holder counts as busy. Above 0.75 a
+	// queue in front of a batch of 16 begins to form; below, another holder would cost a
+	// load without need.
 	busyUtilization = 0.75
 )
 
-// Decide returns the changes to make now, at most one for each replica.
+// Decide returns the changes to make now, at most one per replica.
 func Decide(desired []Desired, replicas []Replica) Result {
 	d := newDecision(desired, replicas)
 	for i := range replicas {
 		d.dropObsolete(i)
 	}
-	for _, w := range d.byNeed() {
-		d.place(w)
+	for _, want := range d.byNeed() {
+		d.place(want)
 	}
 	return d.result
 }
 
-// decision is one call of Decide.
+// decision is the state of one call of Decide.
 type decision struct {
 	replicas      []Replica
 	desired       map[Adapter]Desired
 	desiredByName map[string]Desired
 	changed       []bool
-	// planned and held count replicas by adapter, changes so far included.
+	// planned and held are the numbers of replicas by adapter. planned includes the
+	// changes so far.
 	planned, held map[Adapter]int
 	useRate       map[Adapter]float64
 	result        Result
@@ -106,9 +105,9 @@
 		held:          map[Adapter]int{},
 		useRate:       map[Adapter]float64{},
 	}
-	for _, w := range desired {
-		d.desired[w.Adapter] = w
-		d.desiredByName[w.Name] = w
+	for _, want := range desired {
+		d.desired[want.Adapter] = want
+		d.desiredByName[want.Name] = want
 	}
 	for i := range replicas {
 		for _, a := range replicas[i].Planned {
@@ -124,18 +123,18 @@
 	return d
 }
 
-// dropObsolete takes from a replica what the document no longer names, and old versions
-// that it holds the new one of.
+// dropObsolete drops adapters that the document no longer names, and old versions of
+// adapters of which the replica holds the new version.
 func (d *decision) dropObsolete(index int) {
 	r := &d.replicas[index]
 	var drops []Adapter
 	reason := ""
 	for _, a := range r.Planned {
-		w, known := d.desiredByName[a.Name]
+		want, known := d.desiredByName[a.Name]
 		switch {
 		case !known:
 			drops, reason = append(drops, a), ReasonRemoved
-		case w.Adapter != a && slices.Contains(r.Held, w.Adapter):
+		case want.Adapter != a && slices.Contains(r.Held, want.Adapter):
 			drops, reason = append(drops, a), cmp.Or(reason, ReasonSuperseded)
 		}
 	}
@@ -144,12 +143,12 @@
 	}
 }
 
-// byNeed lists the wanted adapters, those first that the fewest replicas hold for
-// their number, and of these the most used.
+// byNeed returns the desired adapters, ordered by the ratio of planned to desired holders
+// and then by use, most used first.
 func (d *decision) byNeed() []Desired {
 	all := make([]Desired, 0, len(d.desired))
-	for _, w := range d.desired {
-		all = append(all, w)
+	for _, want := range d.desired {
+		all = append(all, want)
 	}
 	slices.SortFunc(all, func(a, b Desired) int {
 		return cmp.Or(
@@ -161,8 +160,8 @@
 	return all
 }
 
-// nameUseRate is how much an adapter's versions are used together: the new version of
-// a busy adapter is not used yet.
+// nameUseRate returns the use rate of all versions of an adapter together, because the new
+// version of a busy adapter is not used yet.
 func (d *decision) nameUseRate(name string) float64 {
 	sum := 0.0
 	for a, rate := range d.useRate {
@@ -173,28 +172,28 @@
 	return sum
 }
 
-// place puts an adapter on more replicas if it is short.
-func (d *decision) place(w Desired) {
-	target, reason := w.Replicas, ReasonTooFew
-	if d.planned[w.Adapter] >= target {
-		if !d.allBusy(w.Adapter) {
+// place puts an adapter on more replicas if it has too few holders or all are busy.
+func (d *decision) place(want Desired) {
+	target, reason := want.Replicas, ReasonTooFew
+	if d.planned[want.Adapter] >= target {
+		if !d.allBusy(want.Adapter) {
 			return
 		}
-		target, reason = d.planned[w.Adapter]+1, ReasonAllBusy
+		target, reason = d.planned[want.Adapter]+1, ReasonAllBusy
 	}
-	for d.planned[w.Adapter] < target {
-		if !d.placeOne(w, target, reason) {
+	for d.planned[want.Adapter] < target {
+		if !d.placeOne(want, target, reason) {
 			if reason == ReasonTooFew {
-				d.result.Unplaced = append(d.result.Unplaced, w.Adapter)
+				d.result.Unplaced = append(d.result.Unplaced, want.Adapter)
 			}
 			return
 		}
 	}
 }
 
-// allBusy says whether more holders would help: all have it, none has room for more
-// streams, and some of the streams are its own. While a load is underway nothing is
-// added: what it brings is not known yet.
+// allBusy reports whether another holder would help: every planned holder holds the
+// adapter and is busy, and the adapter is in use. While a load is underway its effect is
+// not known yet, so no holder is added.
 func (d *decision) allBusy(a Adapter) bool {
 	if d.held[a] < d.planned[a] || d.useRate[a] == 0 {
 		return false
@@ -207,53 +206,56 @@
 	return true
 }
 
-// placeOne puts an adapter on the best replica that can take it.
-func (d *decision) placeOne(w Desired, target int, reason string) bool {
+// placeOne puts an adapter on the best eligible replica, and reports whether there is one.
+func (d *decision) placeOne(want Desired, target int, reason string) bool {
 	best, alternatives := -1, 0
 	var drops []Adapter
 	for i := range d.replicas {
-		if !d.eligible(i, w, reason) {
+		if !d.eligible(i, want, reason) {
 			continue
 		}
-		evictions, fits := d.evictions(i, w)
+		evictions, fits := d.evictions(i, want)
 		if !fits {
 			continue
 		}
 		if best >= 0 {
 			alternatives++
 		}
-		if best < 0 || d.better(w, i, len(evictions), best, len(drops)) {
+		if best < 0 || d.better(want, i, len(evictions), best, len(drops)) {
 			best, drops = i, evictions
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	d.change(best, []Adapter{w.Adapter}, drops, Change{Reason: reason, Holders: d.planned[w.Adapter], Target: target, Alternatives: alternatives})
+	d.change(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.planned[want.Adapter], Target: target, Alternatives: alternatives})
 	return true
 }
 
-func (d *decision) eligible(index int, w Desired, reason string) bool {
+// eligible reports whether a replica may take an adapter for the given reason.
+func (d *decision) eligible(index int, want Desired, reason string) bool {
 	r := &d.replicas[index]
-	if !r.Serving || d.changed[index] || slices.Contains(r.Planned, w.Adapter) {
+	if !r.Serving || d.changed[index] || slices.Contains(r.Planned, want.Adapter) {
 		return false
 	}
 	return reason != ReasonAllBusy || r.Utilization < busyUtilization
 }
 
-// better prefers a replica that need drop nothing, then one that holds an older
-// version, so that callers stay where they are, then the least busy.
-func (d *decision) better(w Desired, a, dropsA, b, dropsB int) bool {
+// better reports whether replica a is better than b: it prefers the replica that drops
+// fewer adapters, then one with another version of the adapter, so that callers stay on
+// their replicas, then the less busy one.
+func (d *decision) better(want Desired, a, dropsA, b, dropsB int) bool {
 	x, y := &d.replicas[a], &d.replicas[b]
 	return cmp.Or(
 		cmp.Compare(dropsA, dropsB),
-		cmp.Compare(plansOtherVersion(y, w.Name), plansOtherVersion(x, w.Name)),
+		cmp.Compare(plansOtherVersion(y, want.Name), plansOtherVersion(x, want.Name)),
 		cmp.Compare(x.Utilization, y.Utilization),
 		cmp.Compare(len(x.Planned), len(y.Planned)),
 		cmp.Compare(x.Name, y.Name),
 	) < 0
 }
 
+// plansOtherVersion returns 1 if the replica's plan contains a version of the adapter.
 func plansOtherVersion(r *Replica, name string) int {
 	if slices.ContainsFunc(r.Planned, func(a Adapter) bool { return a.Name == name }) {
 		return 1
@@ -261,11 +263,11 @@
 	return 0
 }
 
-// evictions are what a replica must drop to have room for an adapter: the least used
-// of those that enough other replicas hold.
-func (d *decision) evictions(index int, w Desired) ([]Adapter, bool) {
+// evictions returns the adapters that a replica must drop to make room for an adapter, the
+// least used evictable ones, and whether it then has enough memory.
+func (d *decision) evictions(index int, want Desired) ([]Adapter, bool) {
 	r := &d.replicas[index]
-	free := r.MemoryBytes - w.Bytes
+	free := r.MemoryBytes - want.Bytes
 	for _, a := range r.Planned {
 		free -= d.size(a)
 	}
@@ -285,20 +287,22 @@
 	return nil, false
 }
 
-// evictable says whether a replica may lose an adapter: the present version if more
-// replicas are planned to hold it than the document asks, an old one if another
-// replica holds it or the new one.
+// evictable reports whether a replica may drop an adapter: the current version if it has
+// more planned holders than desired, an old version if another replica is planned to hold
+// it or any replica holds the new version.
 func (d *decision) evictable(a Adapter) bool {
-	w := d.desiredByName[a.Name]
-	if w.Adapter == a {
-		return d.planned[a] > w.Replicas
+	want := d.desiredByName[a.Name]
+	if want.Adapter == a {
+		return d.planned[a] > want.Replicas
 	}
-	return d.planned[a] > 1 || d.held[w.Adapter] > 0
+	return d.planned[a] > 1 || d.held[want.Adapter] > 0
 }
 
-// size is an adapter's size; an old version is taken to be as large as the new one.
+// size returns the size of an adapter. An old version is assumed to be as large as the new
+// one.
 func (d *decision) size(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
 
+// change adds the change of a replica to the result and counts its planned adapters.
 func (d *decision) change(index int, loads, drops []Adapter, c Change) {
 	r := &d.replicas[index]
 	for _, a := range r.Planned {
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -12,8 +12,8 @@
 
 func desired(a Adapter, replicas int) Desired { return Desired{a, 10, replicas} }
 
-func serving(name string, room int64, planned ...Adapter) Replica {
-	return Replica{Name: name, MemoryBytes: room, Planned: planned, Held: planned, Serving: true}
+func serving(name string, memoryBytes int64, planned ...Adapter) Replica {
+	return Replica{Name: name, MemoryBytes: memoryBytes, Planned: planned, Held: planned, Serving: true}
 }
 
 func (r Replica) withLoad(a Adapter, rate, busy float64) Replica {
@@ -21,8 +21,8 @@
 	return r
 }
 
-// What callers see of each rule: an adapter's calls are refused, queue, or wait for
-// loads over and over without it.
+// Without one of these rules, requests for an adapter are refused, queue, or wait for
+// repeated loads.
 func TestDecide(t *testing.T) {
 	loading := serving("a", 100, notes1)
 	loading.Held = nil
@@ -34,33 +34,33 @@
 		replicas []Replica
 		want     string // replica and adapters of each change
 	}{
-		{"as many as the document asks, the idle ones first", []Desired{desired(notes1, 2)},
+		{"the desired number of holders, idle replicas first", []Desired{desired(notes1, 2)},
 			[]Replica{serving("a", 100).withLoad(notes1, 0, 0.5), serving("b", 100), serving("c", 100)}, "b[notes@1] c[notes@1]"},
-		{"no room, no load", []Desired{desired(notes1, 1)}, []Replica{serving("a", 9)}, ""},
-		{"a replica that does not serve takes none", []Desired{desired(notes1, 1)}, []Replica{stopped}, ""},
-		{"one more while all that hold it are busy", []Desired{desired(notes1, 1)},
+		{"no load without memory", []Desired{desired(notes1, 1)}, []Replica{serving("a", 9)}, ""},
+		{"a replica that does not serve takes no adapter", []Desired{desired(notes1, 1)}, []Replica{stopped}, ""},
+		{"one more holder while all holders are busy", []Desired{desired(notes1, 1)},
 			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100)}, "b[notes@1]"},
-		{"none while one is not", []Desired{desired(notes1, 2)},
+		{"no further holder while one holder is not busy", []Desired{desired(notes1, 2)},
 			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100, notes1), serving("c", 100)}, ""},
-		{"none while a load is underway", []Desired{desired(notes1, 1)},
+		{"no further holder while a load is underway", []Desired{desired(notes1, 1)},
 			[]Replica{serving("c", 100, notes1).withLoad(notes1, 3, 0.9), loading, serving("b", 100)}, ""},
-		{"none where it would queue as well", []Desired{desired(notes1, 1)},
+		{"no further holder on a busy replica", []Desired{desired(notes1, 1)},
 			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100).withLoad(notes1, 0, 0.9)}, ""},
-		{"an idle one is kept", []Desired{desired(notes1, 1)},
+		{"an idle adapter is kept", []Desired{desired(notes1, 1)},
 			[]Replica{serving("a", 100, notes1), serving("b", 100, notes1)}, ""},
-		{"and goes where another needs the room", []Desired{desired(notes1, 1), desired(plans1, 1)},
+		{"an idle adapter is dropped where another needs the memory", []Desired{desired(notes1, 1), desired(plans1, 1)},
 			[]Replica{serving("a", 10, notes1).withLoad(notes1, 1, 0), serving("b", 10, notes1)}, "a[plans@1]"},
-		{"but not the last that the document asks for", []Desired{desired(notes1, 1), desired(plans1, 1)},
+		{"the last desired holder keeps its adapter", []Desired{desired(notes1, 1), desired(plans1, 1)},
 			[]Replica{serving("a", 10, notes1)}, ""},
-		{"what the document no longer names goes", nil, []Replica{serving("a", 100, notes1)}, "a[]"},
-		{"a new version comes beside the old one", []Desired{desired(notes2, 1)},
+		{"an adapter that the document no longer names is dropped", nil, []Replica{serving("a", 100, notes1)}, "a[]"},
+		{"a new version is loaded beside the old one", []Desired{desired(notes2, 1)},
 			[]Replica{serving("b", 100), serving("c", 100, notes1)}, "c[notes@1 notes@2]"},
-		{"which stays until the new one is there", []Desired{desired(notes2, 1)},
+		{"the old version stays until the new one is held", []Desired{desired(notes2, 1)},
 			[]Replica{{Name: "a", MemoryBytes: 100, Planned: []Adapter{notes1, notes2}, Held: []Adapter{notes1}, Serving: true}}, ""},
-		{"and goes then", []Desired{desired(notes2, 1)}, []Replica{serving("a", 100, notes1, notes2)}, "a[notes@2]"},
-		{"without room for both the last of the old stays", []Desired{desired(notes2, 1)},
+		{"the old version is dropped once the new one is held", []Desired{desired(notes2, 1)}, []Replica{serving("a", 100, notes1, notes2)}, "a[notes@2]"},
+		{"without memory for both the last holder keeps the old version", []Desired{desired(notes2, 1)},
 			[]Replica{serving("a", 10, notes1)}, ""},
-		{"and is replaced if another has the old one", []Desired{desired(notes2, 1)},
+		{"without memory for both the old version is replaced if another replica holds it", []Desired{desired(notes2, 1)},
 			[]Replica{serving("a", 10, notes1), serving("b", 10, notes1)}, "a[notes@2]"},
 	}
 	for _, c := range cases {
@@ -85,8 +85,8 @@
 	return all
 }
 
-// Callers always find a holder that there was before: however tight the memory and
-// whatever is used, changes keep to it, take no adapter's last holder, and end.
+// Whatever the memory and the use, changes stay within the memory, never drop the last
+// holder of an adapter, and end within 100 rounds.
 func TestDecideConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wanted []Desired
@@ -117,19 +117,19 @@
 				return
 			}
 			if round > 100 {
-				t.Fatal("no end", result.Changes)
+				t.Fatal("changes do not end", result.Changes)
 			}
 			applyChanges(t, wanted, replicas, result)
 			for name := range held {
 				if !heldNames(replicas)[name] {
-					t.Fatalf("nobody holds %q any more: %+v", name, result.Changes)
+					t.Fatalf("no replica holds %q any more: %+v", name, result.Changes)
 				}
 			}
 		}
 	})
 }
 
-// heldNames are the adapters of which some replica holds some version.
+// heldNames returns the names of the adapters of which any replica holds any version.
 func heldNames(replicas []Replica) map[string]bool {
 	all := map[string]bool{}
 	for _, r := range replicas {
@@ -140,18 +140,19 @@
 	return all
 }
 
-// applyChanges carries changes out: what was held and stays is held at once, the rest after
-// the check.
+// applyChanges carries out the changes of one round. Adapters that are held and stay planned
+// are held at once; new ones are held only after the next round without a change of their
+// replica.
 func applyChanges(t *rapid.T, wanted []Desired, replicas []Replica, result Result) {
 	for i := range replicas {
 		r := &replicas[i]
-		at := slices.IndexFunc(result.Changes, func(c Change) bool { return c.Replica == r.Name })
-		if at < 0 {
+		index := slices.IndexFunc(result.Changes, func(c Change) bool { return c.Replica == r.Name })
+		if index < 0 {
 			r.Held = r.Planned
 			continue
 		}
 		before := r.Held
-		r.Planned = result.Changes[at].Adapters
+		r.Planned = result.Changes[index].Adapters
 		r.Held = slices.DeleteFunc(slices.Clone(r.Planned), func(a Adapter) bool { return !slices.Contains(before, a) })
 		total := int64(0)
 		for _, a := range r.Planned {
@@ -162,7 +163,7 @@
 			}
 		}
 		if total > r.MemoryBytes {
-			t.Fatalf("%s has room for %d and is to hold %d", r.Name, r.MemoryBytes, total)
+			t.Fatalf("%s has memory for %d bytes and should hold %d", r.Name, r.MemoryBytes, total)
 		}
 	}
 }
--- a/decide/adapters/doc.go
+++ b/decide/adapters/doc.go
@@ -1,26 +1,26 @@
 // Package adapters decides which replicas of a model hold which adapters.
 //
-//	result := adapters.Decide(wanted, replicas)
+//	result := adapters.Decide(desired, replicas)
 //	for _, change := range result.Changes {
 //		// put change.Adapters in the plan by compare-and-swap, then order the engines
 //	}
 //
-// The load patterns that it answers:
+// # Load patterns, and the failure without it
 //
-//   - One team's dawn rush falls on the two replicas that hold its adapter while
-//     the rest idle. An adapter whose holders are all busy is put on one more
-//     replica; without it the rush waits for two replicas.
-//   - More adapters than memory holds, asked for in turn. Nothing is dropped
-//     because it is idle, only to make room for an adapter that is short, and then
-//     the least used of those that are held more often than asked. Dropped as soon
-//     as they were idle, adapters would be fetched again and again from a weight
-//     store whose rate all loads share.
-//   - A new version of an adapter. It is loaded beside the old one, and the old one
-//     stays on a replica until that replica has the new one, so that callers always
-//     find a holder. Where memory has no room for both, the old one goes first, but
-//     only while another replica holds either.
+//   - The dawn rush of one team goes to the two replicas that hold its adapter, while
+//     the other replicas are idle. An adapter whose holders are all busy is placed on one
+//     more replica; otherwise the rush waits for two replicas.
+//   - More adapters than fit in memory are requested in turn. An adapter is never
+//     dropped because it is idle, but only to make room for one with too few holders, and
+//     then the least used of those with more holders than desired. If idle adapters were
+//     dropped at once, they would be fetched again and again from the weight store, whose
+//     rate all loads share.
+//   - A new version of an adapter is loaded beside the old one. The old version stays on a
+//     replica until that replica holds the new one, so that callers always find a
+//     holder. Where memory has no room for both, the old version is dropped first, but
+//     only while another replica holds either version.
 //
-// All is pure: reports come in as values and changes go out as values. Whether an
-// engine holds an adapter is checked where a stream is sent; this package only
-// makes it likely.
+// All functions are pure: reports are arguments and changes are return values. Whether an
+// engine holds an adapter is checked when a stream is sent; this package only makes it
+// likely.
 package adapters
