--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A caller whose key was taken away is served no longer than the limit after it, by
-// any node. A proof counts from the beginning of the read that gave it: a node that
-// was frozen while the answer was under way must not count from its arrival.
+// No node accepts a revoked key for longer than MaxAge. The age counts from the start of the
+// read: a node that was stalled while the answer was on its way must not count from the
+// arrival of the answer.
 func TestLeaseExpiresAtMaxAge(t *testing.T) {
 	l := Lease{MaxAge: 4 * time.Second}
 	if l.Fresh(0) {
-		t.Fatal("fresh without a proof")
+		t.Fatal("fresh without a confirmation")
 	}
 	l.Renew(10 * time.Second)
 	for _, c := range []struct {
@@ -29,8 +29,7 @@
 	}
 }
 
-// An answer that comes late, after that of a younger read, takes nothing back; and an
-// old one does not make the proof look younger.
+// A late answer to an older read doesn't change the age of the newest confirmation.
 func TestRenewalsOutOfOrder(t *testing.T) {
 	l := Lease{MaxAge: time.Second}
 	l.Renew(5 * time.Second)
