--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -1,79 +1,82 @@
-// Package reroute decides how a request goes on whose path has lost a part: around it,
-// or from its last event at another first replica.
+// Package reroute decides how a request continues when its path has lost a stage: on a
+// path that bypasses the lost replica, or, after its last event, at another first
+// replica.
 //
 // # Load pattern
 //
-// A replica dies whose layers nobody else in its failure domain holds. All streams of
-// the domain run through it, dozens at once, and each must have its prompt and what has
-// been generated read again by whoever takes the lost layers.
+// A replica dies whose layers no other replica of its failure domain holds. All streams
+// of the domain run through it, dozens at once. For each of them the replica that takes
+// over the lost layers must prefill the prompt and the generated tokens again.
 //
-// # Without it
+// # Failure without it
 //
-// All of them are led around through another failure domain. What passes between two
-// layers is many times the text, and crosses twice, over links that all domains share,
-// one transfer after another: 25 MB each way for a usual request, over 1.4 GB a second,
-// and every stream of the domain pauses for up to a second and more.
+// All streams bypass the lost replica through another failure domain. The data between
+// two layers is many times the text, and it crosses twice, over links that all domains
+// share, one transfer after another: 25 MB each way for a usual request, at 1.4 GB a
+// second. Every stream of the domain pauses for up to a second and more.
 //
 // # Rules
 //
-//   - A way around is taken while the request can be on time on it: while the links that
-//     it crosses are free enough, and the replica that takes over has not too much to read
-//     of others that lost the same part.
-//   - Otherwise the request goes on whole in another failure domain, where only its text is
-//     sent and many replicas share the reading, if that is sooner.
-//   - Where neither another first replica nor a free link is to be had, it crosses and
-//     waits its turn.
-//   - A part that only leaves serves on for seconds: what must cross does so one at a
-//     time (Idle), while the others stay.
+//   - A request bypasses the lost replica if it can be on time that way: the links
+//     that the path crosses are free enough, and the replica that takes over doesn't
+//     have too much prefill for other streams that lost the same stage.
+//   - Otherwise the request migrates as a whole to another failure domain if that is
+//     sooner. Only its text is sent there, and many replicas share the prefill.
+//   - If neither another first replica nor a free link is available, the request crosses
+//     and waits for its transfer.
+//   - A replica that is only draining serves on for seconds. Requests that must cross
+//     then do so one at a time (Idle), and the others stay.
 //
-// A node sees only what it has sent itself. What strikes one node's streams strikes those of
-// all nodes of the domain alike, so it reckons with as many times its own.
+// A node knows only its own transfers. A lost replica affects the streams of all nodes
+// of the domain alike, so a node multiplies its own transfers by the number of nodes.
 package reroute
 
 import "time"
 
-// Action is how a request goes on.
+// Action says how a request continues.
 type Action uint8
 
 const (
-	// Stay leaves it where it is: there is no way now.
+	// Stay leaves the request on its path because there is no other way now.
 	Stay Action = iota
-	// Bypass leads it around the lost part.
+	// Bypass keeps the first replica and routes the request around the lost one.
 	Bypass
-	// Migrate has another first replica go on after its last event.
+	// Migrate continues the request after its last event at another first replica.
 	Migrate
 )
 
-// String names the way for log lines.
+// String names the action for log lines.
 func (a Action) String() string {
 	return [...]string{"stay", "around", "elsewhere"}[a]
 }
 
-// LinkBacklog is what this node has sent over the links between failure domains. Not safe for
-// concurrent use.
+// LinkBacklog tracks what this node has sent over the links between failure domains. It is
+// not safe for concurrent use.
 type LinkBacklog struct {
-	bytes   float64 // bytes not yet transferred at a time
+	bytes   float64 // not yet transferred at the last update
 	updated time.Time
 }
 
-// Estimate describes a request that may cross.
+// Estimate holds the costs of rerouting a request.
 type Estimate struct {
-	// Bytes is what crosses, each added crossing counted; zero if no more crossings are
-	// added.
+	// Bytes is the data that the added crossings of the bypass transfer, zero if the
+	// bypass adds no crossings.
 	Bytes float64
-	// BytesPerSecond is what the links carry; zero for no bound.
+	// BytesPerSecond is the bandwidth of the links; zero means no limit.
 	BytesPerSecond float64
-	// Nodes is how many nodes are in the same case.
+	// Nodes is the number of nodes whose streams are affected in the same way.
 	Nodes int
-	// BypassPrefill is how long the slowest of the replicas that take over will read, and
-	// MigratePrefill the same of the way that begins at another first replica.
+	// BypassPrefill is the prefill time of the slowest replica that takes over on the
+	// bypass, and MigratePrefill that of the slowest on the path from another first
+	// replica.
 	BypassPrefill, MigratePrefill time.Duration
-	// MaxWait is the wait up to which the request goes around without further ado: what is
-	// left of the pause that is on time once the loss is known.
+	// MaxWait is the wait up to which a bypass is on time: the rest of the allowed pause
+	// once the loss is known.
 	MaxWait time.Duration
 }
 
-// TransferTime is how long the transfer would take, with what all nodes have under way.
+// TransferTime returns how long the transfer of a request would take behind the transfers
+// of all nodes.
 func (l *LinkBacklog) TransferTime(now time.Time, e Estimate) time.Duration {
 	if e.BytesPerSecond <= 0 {
 		return 0
@@ -82,7 +85,7 @@
 	return time.Duration(total / e.BytesPerSecond * float64(time.Second))
 }
 
-// bypassTime is how long a way bypassTime takes until its next event can come.
+// bypassTime returns the time until the next event of the request on the bypass.
 func (l *LinkBacklog) bypassTime(now time.Time, e Estimate) time.Duration {
 	if e.Bytes == 0 {
 		return e.BypassPrefill
@@ -90,25 +93,26 @@
 	return l.TransferTime(now, e) + e.BypassPrefill
 }
 
-// Idle says whether a request that has time may cross now: nothing of this node is under
-// way over the links, so that its own transfer is all that it waits for.
+// Idle reports whether a request that need not move at once may cross now: this node has no
+// transfer on the links, so the request waits only for its own.
 func (l *LinkBacklog) Idle(now time.Time, e Estimate) bool {
 	return e.Bytes == 0 || l.remaining(now, e) == 0
 }
 
-// AddTransfer notes that the request was sent across.
+// AddTransfer records the transfer of a request.
 func (l *LinkBacklog) AddTransfer(now time.Time, e Estimate) {
 	l.bytes, l.updated = l.remaining(now, e)+e.Bytes, now
 }
 
-// remaining is this node's backlog now: of what the links carry it has an even part.
+// remaining returns this node's backlog in bytes. It drains at the node's even share of the
+// bandwidth.
 func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
 	rate := e.BytesPerSecond / float64(max(1, e.Nodes))
 	return max(0, l.bytes-rate*now.Sub(l.updated).Seconds())
 }
 
-// Decide chooses between a way around, if there is one, and another first replica, if
-// one may go on and has read the request no later.
+// Decide chooses between a bypass, if there is one, and the migration to another first
+// replica, if it is allowed and the prefill ends sooner there.
 func (l *LinkBacklog) Decide(now time.Time, canBypass bool, e Estimate, canMigrate bool) Action {
 	switch {
 	case canBypass && l.bypassTime(now, e) <= e.MaxWait:
--- a/decide/reroute/reroute_test.go
+++ b/decide/reroute/reroute_test.go
@@ -7,90 +7,92 @@
 
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// crossingEstimate is a prompt of 900 tokens that crosses twice: 53 MB over 1.4 GB a second.
+// crossingEstimate returns the estimate for a prompt of 900 tokens that crosses twice: 53 MB
+// at 1.4 GB a second.
 func crossingEstimate(nodes int) Estimate {
 	return Estimate{Bytes: 53e6, BytesPerSecond: 1.4e9, Nodes: nodes, MaxWait: maxWait}
 }
 
-// maxWait is what is left of a pause of 0.3 s.
+// maxWait is the rest of an allowed pause of 0.3 s.
 const maxWait = 120 * time.Millisecond
 
-// Forty streams of a failure domain lose a part at once, at two nodes that see twenty
-// each. Led around one behind the other, the last would wait for three seconds. Those
-// that go first fit; the others go on elsewhere, and nobody waits longer than is on time.
+// Forty streams of a failure domain lose a stage at once, twenty at each of two nodes. If
+// all of them bypass it one after the other, the last waits for three seconds. The first
+// ones bypass, the others migrate, and no stream waits longer than allowed.
 func TestSimultaneousLossesSplitBetweenActions(t *testing.T) {
 	var links LinkBacklog
-	ways := map[Action]int{}
+	actions := map[Action]int{}
 	longest := time.Duration(0)
 	for range 20 {
-		load := crossingEstimate(2)
-		way := links.Decide(start, true, load, true)
-		ways[way]++
-		if way == Bypass {
-			longest = max(longest, links.TransferTime(start, load))
-			links.AddTransfer(start, load)
+		estimate := crossingEstimate(2)
+		action := links.Decide(start, true, estimate, true)
+		actions[action]++
+		if action == Bypass {
+			longest = max(longest, links.TransferTime(start, estimate))
+			links.AddTransfer(start, estimate)
 		}
 	}
-	if ways[Bypass] < 1 || ways[Bypass] > 2 || ways[Stay] > 0 || longest > maxWait {
-		t.Errorf("%v, the longest wait %v", ways, longest)
+	if actions[Bypass] < 1 || actions[Bypass] > 2 || actions[Stay] > 0 || longest > maxWait {
+		t.Errorf("actions %v, longest wait %v", actions, longest)
 	}
-	// Without another first replica all cross and wait their turn.
+	// Without another first replica all streams cross one after the other.
 	var alone LinkBacklog
 	for range 20 {
-		if way := alone.Decide(start, true, crossingEstimate(2), false); way != Bypass {
-			t.Fatalf("%v", way)
+		if action := alone.Decide(start, true, crossingEstimate(2), false); action != Bypass {
+			t.Fatalf("action %v without another first replica", action)
 		}
 		alone.AddTransfer(start, crossingEstimate(2))
 	}
 	if wait := alone.TransferTime(start, crossingEstimate(2)); wait < 1400*time.Millisecond {
-		t.Errorf("the last is reckoned to wait %v", wait)
+		t.Errorf("the last stream waits %v", wait)
 	}
 }
 
 func TestDecide(t *testing.T) {
-	near := Estimate{BytesPerSecond: 1.4e9, Nodes: 6}
+	local := Estimate{BytesPerSecond: 1.4e9, Nodes: 6}
 	for _, c := range []struct {
-		name      string
-		around    bool
-		load      Estimate
-		elsewhere bool
-		want      Action
+		name       string
+		canBypass  bool
+		estimate   Estimate
+		canMigrate bool
+		want       Action
 	}{
-		{"in the same domains, links busy or not", true, near, true, Bypass},
-		{"a single crossing of one node", true, crossingEstimate(1), true, Bypass},
-		{"nine nodes in the same case", true, crossingEstimate(9), true, Migrate},
-		{"the replica near has much to read", true, Estimate{BypassPrefill: 300 * time.Millisecond, MigratePrefill: 90 * time.Millisecond, MaxWait: maxWait}, true, Migrate},
-		{"those elsewhere have more", true, Estimate{BypassPrefill: 300 * time.Millisecond, MigratePrefill: 400 * time.Millisecond, MaxWait: maxWait}, true, Bypass},
-		{"it has read in time", true, Estimate{BypassPrefill: 100 * time.Millisecond, MigratePrefill: 10 * time.Millisecond, MaxWait: maxWait}, true, Bypass},
+		{"no added crossings", true, local, true, Bypass},
+		{"a single crossing by one node", true, crossingEstimate(1), true, Bypass},
+		{"crossings by nine nodes", true, crossingEstimate(9), true, Migrate},
+		{"the prefill on the bypass is too long", true, Estimate{BypassPrefill: 300 * time.Millisecond, MigratePrefill: 90 * time.Millisecond, MaxWait: maxWait}, true, Migrate},
+		{"the prefill after a migration is longer", true, Estimate{BypassPrefill: 300 * time.Millisecond, MigratePrefill: 400 * time.Millisecond, MaxWait: maxWait}, true, Bypass},
+		{"the prefill on the bypass is on time", true, Estimate{BypassPrefill: 100 * time.Millisecond, MigratePrefill: 10 * time.Millisecond, MaxWait: maxWait}, true, Bypass},
 		{"no other first replica", true, crossingEstimate(9), false, Bypass},
-		{"no way around", false, Estimate{}, true, Migrate},
-		{"no way at all", false, Estimate{}, false, Stay},
-		{"links without a bound", true, Estimate{Bytes: 1e12}, true, Bypass},
+		{"no bypass", false, Estimate{}, true, Migrate},
+		{"no bypass and no migration", false, Estimate{}, false, Stay},
+		{"links without a limit", true, Estimate{Bytes: 1e12}, true, Bypass},
 	} {
 		var links LinkBacklog
-		if got := links.Decide(start, c.around, c.load, c.elsewhere); got != c.want {
+		if got := links.Decide(start, c.canBypass, c.estimate, c.canMigrate); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// What was sent over the links is through after its time.
+// The backlog of the links drains at their bandwidth.
 func TestBacklogDrains(t *testing.T) {
 	var links LinkBacklog
 	for range 10 {
 		links.AddTransfer(start, crossingEstimate(1))
 	}
 	if wait := links.TransferTime(start, Estimate{BytesPerSecond: 1.4e9}); wait < 370*time.Millisecond || wait > 390*time.Millisecond {
-		t.Errorf("%v for 530 MB", wait)
+		t.Errorf("transfer time %v for 530 MB", wait)
 	}
 	if wait := links.TransferTime(start.Add(time.Second), Estimate{BytesPerSecond: 1.4e9}); wait != 0 {
-		t.Errorf("%v a second later", wait)
+		t.Errorf("transfer time %v a second later", wait)
 	}
 }
 
-// Forty streams of two nodes run through a replica that leaves, and nobody near holds its
-// layers. Sent over the links at once all of them would pause for a second; one at a time
-// each waits for its own transfer, and all are through before the replica ends.
+// Forty streams of two nodes run through a draining replica, and no other replica of the
+// domain holds its layers. If all cross at once, each pauses for a second. If they cross
+// one at a time, each waits only for its own transfer, and all have moved before the
+// replica ends.
 func TestDrainingStreamsCrossOneAtATime(t *testing.T) {
 	var links LinkBacklog
 	crossed := 0
@@ -100,15 +102,15 @@
 			continue
 		}
 		if wait := links.TransferTime(now, crossingEstimate(2)); wait > 80*time.Millisecond {
-			t.Errorf("at %v it would wait %v", at, wait)
+			t.Errorf("at %v a stream would wait %v", at, wait)
 		}
 		links.AddTransfer(now, crossingEstimate(2))
 		crossed++
 	}
 	if crossed < 20 {
-		t.Errorf("%d of 20 streams were led away in two seconds", crossed)
+		t.Errorf("%d of 20 streams moved within two seconds", crossed)
 	}
 	if !links.Idle(start, Estimate{}) {
-		t.Error("one that crosses no more often than before waits")
+		t.Error("a stream without added crossings must not wait")
 	}
 }
