--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -12,7 +12,8 @@
 
 // Replica is a replica as it is listed.
 type Replica struct {
-	ID          string
+	ID string
+	// Incarnation changes when the replica restarts under the same ID.
 	Incarnation int64
 	Address     string
 	Domain      string
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// Release gives back what Reserve reserved.
+// Release releases a reservation that was made with Reserve.
 func (s *Selector) Release(path Path, tokens float64) {
 	for _, stage := range path {
 		if r, ok := s.replicas[stage.Replica]; ok {
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -146,13 +146,13 @@
 }
 
 // computeFraction returns the declared fraction of a hop that its layers take.
-func (p *Planner) computeFraction(at int, layers float64, next string) float64 {
-	compute := layers * p.declared.Accelerators[at].LayerMicros
+func (p *Planner) computeFraction(accelerator int, layers float64, next string) float64 {
+	compute := layers * p.declared.Accelerators[accelerator].LayerMicros
 	to := p.declared.index(next)
-	if to <= at || compute <= 0 {
+	if to <= accelerator || compute <= 0 {
 		return 1
 	}
-	return compute / (compute + p.declared.LinkMicros[at][to])
+	return compute / (compute + p.declared.LinkMicros[accelerator][to])
 }
 
 // with returns the estimate with one more measurement added.
