--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -8,107 +8,106 @@
 // Adapter names one version of an adapter.
 type Adapter struct{ Name, Version string }
 
-// Wanted is an adapter as the document asks for it.
-type Wanted struct {
+// Desired is an adapter as the document defines it.
+type Desired struct {
 	Adapter
-	// Bytes is its size over all layers.
+	// Bytes is the size of the adapter over all layers.
 	Bytes int64
-	// Replicas is how many replicas are to hold it.
+	// Replicas is the number of replicas that should hold it.
 	Replicas int
 }
 
-// Replica is how a replica stands.
+// Replica is the plan and the reported state of a replica.
 type Replica struct {
 	Name string
-	// Room is the memory for adapters, those held included, in bytes over all
-	// layers.
-	Room int64
-	// Planned are the adapters that its plan says, the oldest first; Held those
+	// MemoryBytes is the memory for adapters over all layers, including those held.
+	MemoryBytes int64
+	// Planned lists the adapters in its plan, the oldest first; Held lists those
 	// that all its engines report.
 	Planned, Held []Adapter
-	// Serving replicas hold what their plan says of layers and weights. Others are
-	// given no adapter.
+	// Serving replicas hold the layers and weights of their plan. Other replicas get
+	// no adapters.
 	Serving bool
-	// Busy is the part of its slots that is taken.
-	Busy float64
-	// Uses is how many streams a second each adapter was opened for.
-	Uses map[Adapter]float64
+	// Utilization is the fraction of its slots in use.
+	Utilization float64
+	// UseRate is the number of streams opened per second for each adapter.
+	UseRate map[Adapter]float64
 }
 
 // Change is a replica's new set of adapters.
 type Change struct {
 	Replica  string
 	Adapters []Adapter
-	// Loads and Drops are how it differs from the one planned.
+	// Loads and Drops are the differences from the planned set.
 	Loads, Drops []Adapter
 	Reason       string
-	// Holders is how many replicas were planned to hold the first of Loads, and
-	// Target how many are to.
+	// Holders is the number of replicas planned to hold the first of Loads before
+	// the change, and Target the number that should hold it.
 	Holders, Target int
-	// Passed is how many other replicas had the room.
-	Passed int
+	// Alternatives is the number of other replicas that could have taken the adapter.
+	Alternatives int
 }
 
-// Result is what to change.
+// Result holds the changes to make.
 type Result struct {
 	Changes []Change
-	// Unplaced are adapters held by fewer replicas than the document asks, for want
-	// of room.
+	// Unplaced lists adapters with fewer holders than desired for lack of memory.
 	Unplaced []Adapter
 }
 
 // Reasons of changes.
 const (
-	ReasonUnknown = "the document no longer names it"
-	ReasonOld     = "the replica holds its new version"
-	ReasonWanted  = "held by fewer replicas than the document asks"
-	ReasonBusy    = "every replica that holds it is busy"
+	ReasonRemoved    = "the document no longer names it"
+	ReasonSuperseded = "the replica holds its new version"
+	ReasonTooFew     = "held by fewer replicas than the document asks"
+	ReasonAllBusy    = "every replica that holds it is busy"
 )
 
 const (
-	// growAt is the part of the slots above which a holder counts as busy. Above
-	// three quarters a queue before a batch of 16 begins to show; below, one more
-	// holder would cost a load for nothing.
-	growAt = 0.75
+	// busyUtilization is the utilization from which a holder counts as busy. Above 0.75 a
+	// queue in front of a batch of 16 begins to form; below, another holder would cost a
+	// load without need.
+	busyUtilization = 0.75
 )
 
-// Decide returns the changes to make now, at most one for each replica.
-func Decide(wanted []Wanted, replicas []Replica) Result {
-	d := newDecision(wanted, replicas)
+// Decide returns the changes to make now, at most one per replica.
+func Decide(desired []Desired, replicas []Replica) Result {
+	d := newDecision(desired, replicas)
 	for i := range replicas {
-		d.dropDead(i)
+		d.dropObsolete(i)
 	}
-	for _, w := range d.byNeed() {
-		d.place(w)
+	for _, want := range d.byNeed() {
+		d.place(want)
 	}
 	return d.result
 }
 
-// decision is one call of Decide.
+// decision is the state of one call of Decide.
 type decision struct {
-	replicas []Replica
-	wanted   map[Adapter]Wanted
-	byName   map[string]Wanted
-	changed  []bool
-	// planned and held count replicas by adapter, changes so far included.
+	replicas      []Replica
+	desired       map[Adapter]Desired
+	desiredByName map[string]Desired
+	changed       []bool
+	// planned and held are the numbers of replicas by adapter. planned includes the
+	// changes so far.
 	planned, held map[Adapter]int
-	used          map[Adapter]float64
+	useRate       map[Adapter]float64
 	result        Result
 }
 
-func newDecision(wanted []Wanted, replicas []Replica) *decision {
+func newDecision(desired []Desired, replicas []Replica) *decision {
 	d := &decision{
-		replicas: replicas,
-		wanted:   make(map[Adapter]Wanted, len(wanted)),
-		byName:   make(map[string]Wanted, len(wanted)),
-		changed:  make([]bool, len(replicas)),
-		planned:  map[Adapter]int{},
-		held:     map[Adapter]int{},
-		used:     map[Adapter]float64{},
+		replicas:      replicas,
+		desired:       make(map[Adapter]Desired, len(desired)),
+		desiredByName: make(map[string]Desired, len(desired)),
+		changed:       make([]bool, len(replicas)),
+		planned:       map[Adapter]int{},
+		held:          map[Adapter]int{},
+		useRate:       map[Adapter]float64{},
 	}
-	for _, w := range wanted {
-		d.wanted[w.Adapter] = w
-		d.byName[w.Name] = w
+	for _, want := range desired {
+		d.desired[want.Adapter] = want
+		d.desiredByName[want.Name] = want
 	}
 	for i := range replicas {
 		for _, a := range replicas[i].Planned {
@@ -117,190 +116,195 @@
 		for _, a := range replicas[i].Held {
 			d.held[a]++
 		}
-		for a, n := range replicas[i].Uses {
-			d.used[a] += n
+		for a, rate := range replicas[i].UseRate {
+			d.useRate[a] += rate
 		}
 	}
 	return d
 }
 
-// dropDead takes from a replica what the document no longer names, and old versions
-// that it holds the new one of.
-func (d *decision) dropDead(at int) {
-	r := &d.replicas[at]
+// dropObsolete drops adapters that the document no longer names, and old versions of
+// adapters of which the replica holds the new version.
+func (d *decision) dropObsolete(index int) {
+	r := &d.replicas[index]
 	var drops []Adapter
 	reason := ""
 	for _, a := range r.Planned {
-		w, known := d.byName[a.Name]
+		want, known := d.desiredByName[a.Name]
 		switch {
 		case !known:
-			drops, reason = append(drops, a), ReasonUnknown
-		case w.Adapter != a && slices.Contains(r.Held, w.Adapter):
-			drops, reason = append(drops, a), cmp.Or(reason, ReasonOld)
+			drops, reason = append(drops, a), ReasonRemoved
+		case want.Adapter != a && slices.Contains(r.Held, want.Adapter):
+			drops, reason = append(drops, a), cmp.Or(reason, ReasonSuperseded)
 		}
 	}
 	if len(drops) > 0 {
-		d.change(at, nil, drops, Change{Reason: reason})
+		d.change(index, nil, drops, Change{Reason: reason})
 	}
 }
 
-// byNeed lists the wanted adapters, those first that the fewest replicas hold for
-// their number, and of these the most used.
-func (d *decision) byNeed() []Wanted {
-	all := make([]Wanted, 0, len(d.wanted))
-	for _, w := range d.wanted {
-		all = append(all, w)
+// byNeed returns the desired adapters, ordered by the ratio of planned to desired holders
+// and then by use, most used first.
+func (d *decision) byNeed() []Desired {
+	all := make([]Desired, 0, len(d.desired))
+	for _, want := range d.desired {
+		all = append(all, want)
 	}
-	slices.SortFunc(all, func(a, b Wanted) int {
+	slices.SortFunc(all, func(a, b Desired) int {
 		return cmp.Or(
 			cmp.Compare(d.planned[a.Adapter]*b.Replicas, d.planned[b.Adapter]*a.Replicas),
-			cmp.Compare(d.usedName(b.Name), d.usedName(a.Name)),
+			cmp.Compare(d.nameUseRate(b.Name), d.nameUseRate(a.Name)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
 	return all
 }
 
-// usedName is how much an adapter's versions are used together: the new version of
-// a busy adapter is not used yet.
-func (d *decision) usedName(name string) float64 {
+// nameUseRate returns the use rate of all versions of an adapter together, because the new
+// version of a busy adapter is not used yet.
+func (d *decision) nameUseRate(name string) float64 {
 	sum := 0.0
-	for a, n := range d.used {
+	for a, rate := range d.useRate {
 		if a.Name == name {
-			sum += n
+			sum += rate
 		}
 	}
 	return sum
 }
 
-// place puts an adapter on more replicas if it is short.
-func (d *decision) place(w Wanted) {
-	target, reason := w.Replicas, ReasonWanted
-	if d.planned[w.Adapter] >= target {
-		if !d.allBusy(w.Adapter) {
+// place puts an adapter on more replicas if it has too few holders or all are busy.
+func (d *decision) place(want Desired) {
+	target, reason := want.Replicas, ReasonTooFew
+	if d.planned[want.Adapter] >= target {
+		if !d.allBusy(want.Adapter) {
 			return
 		}
-		target, reason = d.planned[w.Adapter]+1, ReasonBusy
+		target, reason = d.planned[want.Adapter]+1, ReasonAllBusy
 	}
-	for d.planned[w.Adapter] < target {
-		if !d.placeOne(w, target, reason) {
-			if reason == ReasonWanted {
-				d.result.Unplaced = append(d.result.Unplaced, w.Adapter)
+	for d.planned[want.Adapter] < target {
+		if !d.placeOne(want, target, reason) {
+			if reason == ReasonTooFew {
+				d.result.Unplaced = append(d.result.Unplaced, want.Adapter)
 			}
 			return
 		}
 	}
 }
 
-// allBusy says whether more holders would help: all have it, none has room for more
-// streams, and some of the streams are its own. While a load is underway nothing is
-// added: what it brings is not known yet.
+// allBusy reports whether another holder would help: every planned holder holds the
+// adapter and is busy, and the adapter is in use. While a load is underway its effect is
+// not known yet, so no holder is added.
 func (d *decision) allBusy(a Adapter) bool {
-	if d.held[a] < d.planned[a] || d.used[a] == 0 {
+	if d.held[a] < d.planned[a] || d.useRate[a] == 0 {
 		return false
 	}
 	for i := range d.replicas {
-		if slices.Contains(d.replicas[i].Held, a) && d.replicas[i].Busy < growAt {
+		if slices.Contains(d.replicas[i].Held, a) && d.replicas[i].Utilization < busyUtilization {
 			return false
 		}
 	}
 	return true
 }
 
-// placeOne puts an adapter on the best replica that can take it.
-func (d *decision) placeOne(w Wanted, target int, reason string) bool {
-	best, passed := -1, 0
+// placeOne puts an adapter on the best eligible replica, and reports whether there is one.
+func (d *decision) placeOne(want Desired, target int, reason string) bool {
+	best, alternatives := -1, 0
 	var drops []Adapter
 	for i := range d.replicas {
-		if !d.mayTake(i, w, reason) {
+		if !d.eligible(i, want, reason) {
 			continue
 		}
-		victims, fits := d.victims(i, w)
+		evictions, fits := d.evictions(i, want)
 		if !fits {
 			continue
 		}
 		if best >= 0 {
-			passed++
+			alternatives++
 		}
-		if best < 0 || d.better(w, i, len(victims), best, len(drops)) {
-			best, drops = i, victims
+		if best < 0 || d.better(want, i, len(evictions), best, len(drops)) {
+			best, drops = i, evictions
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	d.change(best, []Adapter{w.Adapter}, drops, Change{Reason: reason, Holders: d.planned[w.Adapter], Target: target, Passed: passed})
+	d.change(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.planned[want.Adapter], Target: target, Alternatives: alternatives})
 	return true
 }
 
-func (d *decision) mayTake(at int, w Wanted, reason string) bool {
-	r := &d.replicas[at]
-	if !r.Serving || d.changed[at] || slices.Contains(r.Planned, w.Adapter) {
+// eligible reports whether a replica may take an adapter for the given reason.
+func (d *decision) eligible(index int, want Desired, reason string) bool {
+	r := &d.replicas[index]
+	if !r.Serving || d.changed[index] || slices.Contains(r.Planned, want.Adapter) {
 		return false
 	}
-	return reason != ReasonBusy || r.Busy < growAt
+	return reason != ReasonAllBusy || r.Utilization < busyUtilization
 }
 
-// better prefers a replica that need drop nothing, then one that holds an older
-// version, so that callers stay where they are, then the least busy.
-func (d *decision) better(w Wanted, a, dropsA, b, dropsB int) bool {
+// better reports whether replica a is better than b: it prefers the replica that drops
+// fewer adapters, then one with another version of the adapter, so that callers stay on
+// their replicas, then the less busy one.
+func (d *decision) better(want Desired, a, dropsA, b, dropsB int) bool {
 	x, y := &d.replicas[a], &d.replicas[b]
 	return cmp.Or(
 		cmp.Compare(dropsA, dropsB),
-		cmp.Compare(older(y, w.Name), older(x, w.Name)),
-		cmp.Compare(x.Busy, y.Busy),
+		cmp.Compare(plansOtherVersion(y, want.Name), plansOtherVersion(x, want.Name)),
+		cmp.Compare(x.Utilization, y.Utilization),
 		cmp.Compare(len(x.Planned), len(y.Planned)),
 		cmp.Compare(x.Name, y.Name),
 	) < 0
 }
 
-func older(r *Replica, name string) int {
+// plansOtherVersion returns 1 if the replica's plan contains a version of the adapter.
+func plansOtherVersion(r *Replica, name string) int {
 	if slices.ContainsFunc(r.Planned, func(a Adapter) bool { return a.Name == name }) {
 		return 1
 	}
 	return 0
 }
 
-// victims are what a replica must drop to have room for an adapter: the least used
-// of those that enough other replicas hold.
-func (d *decision) victims(at int, w Wanted) ([]Adapter, bool) {
-	r := &d.replicas[at]
-	free := r.Room - w.Bytes
+// evictions returns the adapters that a replica must drop to make room for an adapter, the
+// least used evictable ones, and whether it then has enough memory.
+func (d *decision) evictions(index int, want Desired) ([]Adapter, bool) {
+	r := &d.replicas[index]
+	free := r.MemoryBytes - want.Bytes
 	for _, a := range r.Planned {
-		free -= d.bytes(a)
+		free -= d.size(a)
 	}
 	if free >= 0 {
 		return nil, true
 	}
-	spare := slices.Clone(r.Planned)
-	spare = slices.DeleteFunc(spare, func(a Adapter) bool { return !d.spare(a) })
-	slices.SortFunc(spare, func(a, b Adapter) int {
-		return cmp.Or(cmp.Compare(d.used[a], d.used[b]), cmp.Compare(a.Name, b.Name))
+	candidates := slices.Clone(r.Planned)
+	candidates = slices.DeleteFunc(candidates, func(a Adapter) bool { return !d.evictable(a) })
+	slices.SortFunc(candidates, func(a, b Adapter) int {
+		return cmp.Or(cmp.Compare(d.useRate[a], d.useRate[b]), cmp.Compare(a.Name, b.Name))
 	})
-	for i, a := range spare {
-		if free += d.bytes(a); free >= 0 {
-			return spare[:i+1], true
+	for i, a := range candidates {
+		if free += d.size(a); free >= 0 {
+			return candidates[:i+1], true
 		}
 	}
 	return nil, false
 }
 
-// spare says whether a replica may lose an adapter: the present version if more
-// replicas are planned to hold it than the document asks, an old one if another
-// replica holds it or the new one.
-func (d *decision) spare(a Adapter) bool {
-	w := d.byName[a.Name]
-	if w.Adapter == a {
-		return d.planned[a] > w.Replicas
+// evictable reports whether a replica may drop an adapter: the current version if it has
+// more planned holders than desired, an old version if another replica is planned to hold
+// it or any replica holds the new version.
+func (d *decision) evictable(a Adapter) bool {
+	want := d.desiredByName[a.Name]
+	if want.Adapter == a {
+		return d.planned[a] > want.Replicas
 	}
-	return d.planned[a] > 1 || d.held[w.Adapter] > 0
+	return d.planned[a] > 1 || d.held[want.Adapter] > 0
 }
 
-// bytes is an adapter's size; an old version is taken to be as large as the new one.
-func (d *decision) bytes(a Adapter) int64 { return d.byName[a.Name].Bytes }
+// size returns the size of an adapter. An old version is assumed to be as large as the new
+// one.
+func (d *decision) size(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
 
-func (d *decision) change(at int, loads, drops []Adapter, c Change) {
-	r := &d.replicas[at]
+// change adds the change of a replica to the result and counts its planned adapters.
+func (d *decision) change(index int, loads, drops []Adapter, c Change) {
+	r := &d.replicas[index]
 	for _, a := range r.Planned {
 		if !slices.Contains(drops, a) {
 			c.Adapters = append(c.Adapters, a)
@@ -308,7 +312,7 @@
 	}
 	c.Adapters = append(c.Adapters, loads...)
 	c.Replica, c.Loads, c.Drops = r.Name, loads, drops
-	d.changed[at] = true
+	d.changed[index] = true
 	for _, a := range loads {
 		d.planned[a]++
 	}
--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// A caller whose key was taken away is served no longer than the limit after it, by
-// any node. A proof counts from the beginning of the read that gave it: a node that
-// was frozen while the answer was under way must not count from its arrival.
-func TestLeaseEndsAfterItsLimit(t *testing.T) {
-	l := Lease{Limit: 4 * time.Second}
+// No node accepts a revoked key for longer than MaxAge. The age counts from the start of the
+// read: a node that was stalled while the answer was on its way must not count from the
+// arrival of the answer.
+func TestLeaseExpiresAtMaxAge(t *testing.T) {
+	l := Lease{MaxAge: 4 * time.Second}
 	if l.Fresh(0) {
-		t.Fatal("fresh without a proof")
+		t.Fatal("fresh without a confirmation")
 	}
-	l.Prove(10 * time.Second)
+	l.Renew(10 * time.Second)
 	for _, c := range []struct {
 		now  time.Duration
 		want bool
@@ -29,12 +29,11 @@
 	}
 }
 
-// An answer that comes late, after that of a younger read, takes nothing back; and an
-// old one does not make the proof look younger.
-func TestProofsOutOfOrder(t *testing.T) {
-	l := Lease{Limit: time.Second}
-	l.Prove(5 * time.Second)
-	l.Prove(3 * time.Second)
+// A late answer to an older read doesn't change the age of the newest confirmation.
+func TestRenewalsOutOfOrder(t *testing.T) {
+	l := Lease{MaxAge: time.Second}
+	l.Renew(5 * time.Second)
+	l.Renew(3 * time.Second)
 	if age, ok := l.Age(5500 * time.Millisecond); !ok || age != 500*time.Millisecond {
 		t.Errorf("age %v, %v; want 500ms", age, ok)
 	}
--- /dev/null
+++ b/decide/placement/load_schedule.go
@@ -0,0 +1,78 @@
+package placement
+
+import "time"
+
+// maxBusyAhead bounds how far ahead reservations are respected. A node whose clock is
+// hours fast reserves hours ahead, and without the bound all other nodes would wait.
+const maxBusyAhead = time.Hour
+
+// LoadSchedule is the reserved time of the weight store. All plans and all nodes share
+// one schedule.
+//
+// Load pattern: a rack comes back, or a document changes, and the engines of many
+// replicas fetch their layers. With a schedule for each plan they all start at once,
+// share the rate of the store and are all ready only at the end. With a common schedule
+// each load gets the full rate in turn, and the first replica serves as soon as its own
+// layers are loaded.
+//
+// The schedule is a hint: a node with a wrong clock makes loads overlap or wait, but does
+// no other harm.
+type LoadSchedule struct {
+	// BusyUntil is the end of the last reserved load.
+	BusyUntil time.Time
+}
+
+// Free reports whether a load could start at once.
+func (s LoadSchedule) Free(now time.Time) bool {
+	return !s.BusyUntil.After(now) || s.BusyUntil.Sub(now) > maxBusyAhead
+}
+
+// Reserve schedules loads of the given durations one after the other behind the last
+// reserved load, and returns their start times and the new schedule. A load of zero
+// duration, an order for layers that the engine already holds, starts at once.
+func (s LoadSchedule) Reserve(now time.Time, durations []time.Duration) ([]time.Time, LoadSchedule) {
+	if s.Free(now) {
+		s.BusyUntil = now
+	}
+	starts := make([]time.Time, len(durations))
+	for i, d := range durations {
+		starts[i] = now
+		if d > 0 {
+			starts[i] = s.BusyUntil
+			s.BusyUntil = s.BusyUntil.Add(d)
+		}
+	}
+	return starts, s
+}
+
+// ReplicaState tells whether a replica follows its plan.
+type ReplicaState uint8
+
+const (
+	// Unknown means that not all engines of the replica have answered.
+	Unknown ReplicaState = iota
+	// Loading means that the replica is about to load the layers of its plan.
+	Loading
+	// Ready means that the replica holds the layers of its plan and serves.
+	Ready
+)
+
+// MayReload reports whether a serving replica may be stopped for a better plan. others
+// are the states of the other replicas that serve the same callers. One replica reloads
+// at a time, and only while at least half of the others are ready.
+//
+// Load pattern: one bad switch makes the times of every replica worse, and all their
+// plans change in the same second. Without the limit all of them stop serving for the
+// seconds of their loads, and callers find no replica.
+func MayReload(others []ReplicaState) bool {
+	ready := 0
+	for _, s := range others {
+		switch s {
+		case Loading:
+			return false
+		case Ready:
+			ready++
+		}
+	}
+	return 2*ready >= len(others)
+}
