--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -15,8 +15,8 @@
 // unevenly, before 96 slots. Callers wait 4 s for an answer that takes 0.5 s.
 func fleetOf(offered float64, seed uint64) sim.Fleet {
 	return sim.Fleet{
-		Nodes: []float64{0.4, 0.35, 0.25}, Replicas: 6, Slots: 16, TokenTime: 20 * time.Millisecond, Tokens: 25,
-		Teams: 10, OfferedLoad: offered, CallerTimeout: 4 * time.Second, Length: 23 * time.Second, Warmup: 3 * time.Second,
+		NodeShares: []float64{0.4, 0.35, 0.25}, ReplicaCount: 6, SlotsPerReplica: 16, TokenTime: 20 * time.Millisecond, TokensPerAnswer: 25,
+		TeamCount: 10, OfferedLoad: offered, CallerTimeout: 4 * time.Second, Duration: 23 * time.Second, Warmup: 3 * time.Second,
 		Seed: seed,
 	}
 }
@@ -42,15 +42,15 @@
 		switch {
 		case a.Completed:
 			whole++
-			r.first = append(r.first, a.FirstToken)
+			r.first = append(r.first, a.TimeToFirstToken)
 		case a.Refused:
 			r.refused++
-			r.told = append(r.told, a.Total)
+			r.told = append(r.told, a.TotalTime)
 		default:
 			r.vain++
 		}
 	}
-	goodput := float64(whole) / (f.Length - f.Warmup).Seconds() / f.Capacity()
+	goodput := float64(whole) / (f.Duration - f.Warmup).Seconds() / f.Capacity()
 	r.goodput += goodput / float64(runs)
 	r.least = min(r.least, goodput)
 }
@@ -78,7 +78,7 @@
 	// without nodes, nobody is refused, and in overload nobody is answered.
 	Convey("Given three nodes before common replicas", t, func() {
 		nodes := func(*sim.Fleet) {}
-		strangers := func(f *sim.Fleet) { f.HideNodeCount = true }
+		strangers := func(f *sim.Fleet) { f.HideNodeCountFromBalancers = true }
 		inTurn := func(f *sim.Fleet) { f.RoundRobin = true }
 		Convey("at the bound nearly nobody is refused", func() {
 			good, free, turns := play(t, "nodes", 1, nodes), play(t, "free slots only", 1, strangers), play(t, "in turn", 1, inTurn)
@@ -110,7 +110,7 @@
 			for _, x := range []float64{1, 2, 4} {
 				Convey(fmt.Sprintf("with %d failure domains at %gx the bound is served", domains, x), func() {
 					good := play(t, fmt.Sprintf("%d domains", domains), x, func(f *sim.Fleet) {
-						f.SharedPrompt, f.Domains = true, domains
+						f.SharedPrompt, f.DomainCount = true, domains
 					})
 					So(good.least, ShouldBeGreaterThanOrEqualTo, 0.95)
 					So(good.vain, ShouldBeLessThan, (len(good.first)+good.refused)/200)
@@ -135,9 +135,9 @@
 			for _, x := range []float64{2, 4} {
 				Convey(fmt.Sprintf("%s, at %gx nearly all refusals are told at once from the first second on", name, x), func() {
 					good := play(t, name, x, func(f *sim.Fleet) {
-						f.SharedPrompt, f.Domains, f.Preload = true, 3, before
+						f.SharedPrompt, f.DomainCount, f.Preload = true, 3, before
 						f.Warmup = before.Duration + before.Pause
-						f.Length = f.Warmup + 12*time.Second
+						f.Duration = f.Warmup + 12*time.Second
 					})
 					late := len(good.told) - countBelow(good.told, atOnce)
 					t.Logf("refused later than after %v: %d of %d", atOnce, late, len(good.told))
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -28,7 +28,7 @@
 
 // calls returns a load that asks for the given part of the bound.
 func calls(team string, part, cost float64) sim.Load {
-	return sim.Load{Team: team, Class: admission.Interactive, Rate: part * bound / cost, Cost: cost, StartTimeout: patience}
+	return sim.Load{Team: team, Class: admission.Interactive, Rate: part * bound / cost, MeanCost: cost, StartTimeout: patience}
 }
 
 func during(l sim.Load, from, to float64) sim.Load {
@@ -44,7 +44,7 @@
 func queue() *admission.Queue { return admission.New(admission.Config{Slots: slots}) }
 func fifo() sim.Policy        { return &sim.FIFO{Slots: slots} }
 func scenario(l ...sim.Load) sim.Scenario {
-	return sim.Scenario{SlotRate: slotRate, Length: 120 * time.Second, Loads: l, Seed: *seed}
+	return sim.Scenario{SlotRate: slotRate, Duration: 120 * time.Second, Loads: l, Seed: *seed}
 }
 
 // rush is x times the bound from five teams, a fifth of it in long jobs.
@@ -70,7 +70,7 @@
 	for _, c := range r.Calls {
 		if c.Verdict.Kind == admission.Refuse {
 			n++
-			mean += c.RefusedAt - c.Offered
+			mean += c.RefusedAt - c.OfferedAt
 		}
 	}
 	return n, mean / time.Duration(max(n, 1))
@@ -79,7 +79,7 @@
 // misjudged returns the mean difference of the predicted from the actual wait
 // of the calls that were run after waiting.
 func misjudged(r *sim.Result) (mean time.Duration) {
-	waited := func(c *sim.Call) bool { return c.InTime() && c.Verdict.Predicted > 0 }
+	waited := func(c *sim.Call) bool { return c.StartedByDeadline() && c.Verdict.Predicted > 0 }
 	for _, c := range r.Calls {
 		if waited(c) {
 			mean += (c.Verdict.Predicted - c.Verdict.Waited).Abs()
@@ -116,7 +116,7 @@
 				t.Logf("%gx, %s: goodput/bound queue %.3f, FIFO %.3f, FIFO dropping late %.3f; refused %d of %d after %v (FIFO dropping late %v); prediction off by %v",
 					x, name, g, b, drop.Goodput(slotRate, from, to)/bound, n, len(good.Calls), wait, dropWait, misjudged(good))
 				So(g, ShouldBeGreaterThanOrEqualTo, 0.95)
-				So(count(good, func(c *sim.Call) bool { return c.Started > c.Deadline }), ShouldEqual, 0)
+				So(count(good, func(c *sim.Call) bool { return c.StartedAt > c.Deadline }), ShouldEqual, 0)
 				if x > 1 {
 					So(b, ShouldBeLessThan, 0.5)
 					So(wait, ShouldBeLessThan, 500*time.Millisecond)
@@ -205,7 +205,7 @@
 				sum, served, least := time.Duration(0), 1.0, 1.0
 				for i := range uint64(hotRuns) {
 					s := scenario(calls("good", c.part, 300), calls("hot", c.hot, c.cost))
-					s.Seed, s.Length = *seed+i, seconds(30)
+					s.Seed, s.Duration = *seed+i, seconds(30)
 					r := sim.Run(s, admission.New(admission.Config{Slots: slots, SlotRate: assumed}))
 					sum += sim.P95(r.StartDelays(0, 0, seconds(10)))
 					served = min(served, r.StartedShare(0, 0, seconds(10)))
@@ -227,9 +227,9 @@
 	// who asks most gets most.
 	Convey("Work served follows the weights", t, func() {
 		second := calls("b", 1, 600)
-		second.DeclaredRatio = 0.5
+		second.ExpectedCostRatio = 0.5
 		s := scenario(calls("a", 2, 300), second, calls("c", 1, 1500))
-		s.Length = 300 * time.Second
+		s.Duration = 300 * time.Second
 		q := queue()
 		for team, weight := range map[string]float64{"a": 1, "b": 2, "c": 4} {
 			q.SetTeam(team, weight)
@@ -252,7 +252,7 @@
 	// slots, and a short question waits until one of them is done.
 	Convey("Long jobs do not hold up short ones, nor starve", t, func() {
 		s := scenario(calls("a", 0.2, 300), patient(calls("a", 1.5, 8000), 60*time.Second))
-		s.Length = 300 * time.Second
+		s.Duration = 300 * time.Second
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		from, to := seconds(100), seconds(290)
 		g, b := sim.P95(good.StartDelays(0, from, to)), sim.P95(base.StartDelays(0, from, to))
@@ -273,7 +273,7 @@
 	// then on serves only callers who have gone.
 	Convey("A third of the capacity is lost", t, func() {
 		s := scenario(calls("a", 0.5, 300), calls("b", 0.4, 300))
-		s.Capacity = map[time.Duration]int{seconds(50): slots * 2 / 3}
+		s.SlotsFromTime = map[time.Duration]int{seconds(50): slots * 2 / 3}
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		from, to := seconds(60), seconds(110)
 		g, b := good.Goodput(slotRate, from, to)/bound*1.5, base.Goodput(slotRate, from, to)/bound*1.5
@@ -296,7 +296,7 @@
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		n, wait := refusals(good)
 		m, _ := refusals(base)
-		late := count(good, func(c *sim.Call) bool { return c.Offered > seconds(50) && c.RefusedAt > c.Offered })
+		late := count(good, func(c *sim.Call) bool { return c.OfferedAt > seconds(50) && c.RefusedAt > c.OfferedAt })
 		t.Logf("refused %d after %v, FIFO %d; offered ten seconds later and kept waiting: %d", n, wait, m, late)
 		So(count(good, atDeadline), ShouldEqual, 0)
 		So(late, ShouldEqual, 0)
@@ -314,8 +314,8 @@
 		s := scenario(calls("a", 0.5, 300), hot)
 		again := func(p sim.Policy) float64 {
 			r := sim.Run(s, p)
-			all := count(r, func(c *sim.Call) bool { return c.Retry })
-			served := count(r, func(c *sim.Call) bool { return c.Retry && c.InTime() })
+			all := count(r, func(c *sim.Call) bool { return c.IsRetry })
+			served := count(r, func(c *sim.Call) bool { return c.IsRetry && c.StartedByDeadline() })
 			return float64(served) / float64(all)
 		}
 		told, second := again(queue()), again(inASecond{queue()})
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -12,33 +12,33 @@
 // Balancer places the requests of one service on one node. It is not safe for
 // concurrent use; the caller must lock.
 type Balancer struct {
-	cfg      Config
-	subset   subset
-	replicas []hashedReplica
-	leaving  map[string]leavingState
-
-	members  map[string]*member
-	near     tier
-	spill    tier
-	probing  []*member
-	eligible []*member // may receive requests
-	changes  []Change
-
-	health        *health.Detector
-	nodeCount     int    // nodes that share the replicas; zero if unknown
-	subsetVersion uint64 // number of times the subset was computed
-	healthVersion uint64 // version of health at the last refresh of the tiers
-	rng           *rand.Rand
-	meanCost      float64 // moving average, tokens
-	meanTime      float64 // moving average of the duration of whole answers, seconds
-	rampFloor     float64 // share of its capacity with which a new replica starts
+	cfg           Config
+	chooser       subsetChooser
+	replicas      []hashedReplica
+	leavingStates map[string]leavingState
+
+	members         map[string]*member
+	nearTier        tier
+	spillTier       tier
+	probingMembers  []*member
+	eligibleMembers []*member // may receive requests
+	changes         []Change
+
+	detector             *health.Detector
+	nodeCount            int    // nodes that share the replicas; zero if unknown
+	subsetVersion        uint64 // number of times the subset was computed
+	groupedHealthVersion uint64 // version of health at the last refresh of the tiers
+	rng                  *rand.Rand
+	meanCost             float64 // moving average, tokens
+	meanAnswerSeconds    float64 // moving average of the duration of whole answers, seconds
+	initialFraction      float64 // share of its capacity with which a new replica starts
 }
 
 // leavingState records which sources report that an endpoint is leaving.
 type leavingState struct {
-	sources    uint8
-	refusedAt  time.Time // when the endpoint last refused a request because it is shutting down
-	reportedAt time.Time // when the endpoint made the load report that says it is leaving
+	sources             uint8
+	refusedAt           time.Time // when the endpoint last refused a request because it is shutting down
+	leavingReportMadeAt time.Time // when the endpoint made the load report that says it is leaving
 }
 
 func (l leavingState) has(s Source) bool { return l.sources&(1<<s) != 0 }
@@ -46,27 +46,27 @@
 // member is a replica in the subset of this node.
 type member struct {
 	hashedReplica
-	load
-	health       *health.Endpoint
-	tier         *tier
-	capacity     float64 // slots times weight
-	usable       bool
-	leaving      bool
-	state        health.State // at the last refresh
-	rampStart    time.Time    // start of the slow start; zero if there is none
-	backoffUntil time.Time    // end of the backoff after a refusal
+	replicaLoad
+	health        *health.Endpoint
+	tier          *tier
+	capacity      float64 // slots times weight
+	usable        bool
+	leaving       bool
+	healthState   health.State // at the last refresh
+	slowStartedAt time.Time    // start of the slow start; zero if there is none
+	backoffUntil  time.Time    // end of the backoff after a refusal
 }
 
 // New returns a Balancer without replicas.
 func New(cfg Config) *Balancer {
 	cfg = withDefaults(cfg)
 	return &Balancer{
-		cfg:     cfg,
-		subset:  subset{cfg: cfg, nodeHash: rendezvous.Hash(cfg.Node)},
-		leaving: make(map[string]leavingState),
-		members: make(map[string]*member),
-		health:  health.New(cfg.Health),
-		rng:     rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^coverSalt)),
+		cfg:           cfg,
+		chooser:       subsetChooser{cfg: cfg, nodeHash: rendezvous.Hash(cfg.Node)},
+		leavingStates: make(map[string]leavingState),
+		members:       make(map[string]*member),
+		detector:      health.New(cfg.Health),
+		rng:           rand.New(rand.NewPCG(cfg.Seed, cfg.Seed^roundingSalt)),
 	}
 }
 
@@ -77,69 +77,69 @@
 func (b *Balancer) SetReplicas(now time.Time, replicas []Replica) {
 	previous := b.replicas
 	b.replicas = hashReplicas(replicas)
-	for id := range b.leaving {
+	for id := range b.leavingStates {
 		if !containsHash(b.replicas, rendezvous.Hash(id)) {
-			delete(b.leaving, id)
+			delete(b.leavingStates, id)
 		}
 	}
-	b.updateSubset(now, func(k hashedReplica) bool {
-		return len(previous) > 0 && !containsHash(previous, k.hash)
+	b.updateSubset(now, func(r hashedReplica) bool {
+		return len(previous) > 0 && !containsHash(previous, r.idHash)
 	})
 }
 
 // SetPeers sets the live nodes of the node's own failure domain; the node itself
 // may be among them. Until SetPeers is called, the node chooses its subset without
 // knowing its peers, and the cover of the replicas is uneven.
-func (b *Balancer) SetPeers(now time.Time, nodes []string) {
-	peers := make([]uint64, 0, len(nodes))
-	for _, n := range nodes {
-		if n != b.cfg.Node {
-			peers = append(peers, rendezvous.Hash(n))
+func (b *Balancer) SetPeers(now time.Time, nodeIDs []string) {
+	peerHashes := make([]uint64, 0, len(nodeIDs))
+	for _, nodeID := range nodeIDs {
+		if nodeID != b.cfg.Node {
+			peerHashes = append(peerHashes, rendezvous.Hash(nodeID))
 		}
 	}
-	slices.Sort(peers)
-	if b.subset.peerHashes != nil && slices.Equal(peers, b.subset.peerHashes) {
+	slices.Sort(peerHashes)
+	if b.chooser.peerHashes != nil && slices.Equal(peerHashes, b.chooser.peerHashes) {
 		return
 	}
-	b.subset.peerHashes = peers
+	b.chooser.peerHashes = peerHashes
 	b.updateSubset(now, func(hashedReplica) bool { return false })
 }
 
 // updateSubset recomputes the subset.
 func (b *Balancer) updateSubset(now time.Time, isNew func(hashedReplica) bool) {
 	b.subsetVersion++
-	near, spill := b.subset.choose(b.replicas)
-	old := b.members
-	b.members = make(map[string]*member, len(near)+len(spill))
-	b.near = b.newTier(now, near, old, isNew)
-	b.spill = b.newTier(now, spill, old, isNew)
-	b.near.attachMembers()
-	b.spill.attachMembers()
-	for id, m := range old {
+	nearReplicas, spillReplicas := b.chooser.choose(b.replicas)
+	oldMembers := b.members
+	b.members = make(map[string]*member, len(nearReplicas)+len(spillReplicas))
+	b.nearTier = b.newTier(now, nearReplicas, oldMembers, isNew)
+	b.spillTier = b.newTier(now, spillReplicas, oldMembers, isNew)
+	b.nearTier.attachMembers()
+	b.spillTier.attachMembers()
+	for id, m := range oldMembers {
 		if b.members[id] == nil {
-			b.health.Forget(m.health)
+			b.detector.Forget(m.health)
 		}
 	}
-	b.refresh(now)
+	b.regroupMembers(now)
 }
 
-func (b *Balancer) newTier(now time.Time, replicas []hashedReplica, old map[string]*member, isNew func(hashedReplica) bool) tier {
-	t := tier{members: make([]*member, len(replicas)), position: b.rng.Float64()}
-	for i, k := range b.subset.sortedByRank(replicas) {
-		m := old[k.ID]
+func (b *Balancer) newTier(now time.Time, replicas []hashedReplica, oldMembers map[string]*member, isNew func(hashedReplica) bool) tier {
+	t := tier{members: make([]*member, len(replicas)), roundRobinPosition: b.rng.Float64()}
+	for i, r := range b.chooser.sortedByRank(replicas) {
+		m := oldMembers[r.ID]
 		if m == nil {
-			m = &member{health: b.health.Track(k.FailureDomain)}
-			if isNew(k) {
-				m.rampStart = now
+			m = &member{health: b.detector.Track(r.FailureDomain)}
+			if isNew(r) {
+				m.slowStartedAt = now
 			}
 		}
-		m.hashedReplica = k
-		m.capacity = float64(k.Slots) * k.Weight
-		m.leaving = b.leaving[k.ID].sources != 0
+		m.hashedReplica = r
+		m.capacity = float64(r.Slots) * r.Weight
+		m.leaving = b.leavingStates[r.ID].sources != 0
 		t.members[i] = m
-		b.members[k.ID] = m
+		b.members[r.ID] = m
 	}
-	t.ring = newRing(t.members)
+	t.prefixRing = newPrefixRing(t.members)
 	return t
 }
 
@@ -155,7 +155,7 @@
 // source, a platform list that lags would send requests back to an endpoint that
 // has itself reported its shutdown.
 func (b *Balancer) MarkLeaving(now time.Time, id string, source Source, leaving bool) {
-	state := b.leaving[id]
+	state := b.leavingStates[id]
 	state.sources &^= 1 << source
 	if leaving {
 		state.sources |= 1 << source
@@ -166,13 +166,13 @@
 func (b *Balancer) setLeavingState(now time.Time, id string, state leavingState) {
 	leaving := state.sources != 0
 	if leaving {
-		b.leaving[id] = state
+		b.leavingStates[id] = state
 	} else {
-		delete(b.leaving, id)
+		delete(b.leavingStates, id)
 	}
 	if m := b.members[id]; m != nil && m.leaving != leaving {
 		m.leaving = leaving
-		b.refresh(now)
+		b.regroupMembers(now)
 	}
 }
 
@@ -181,14 +181,14 @@
 // engines do not report their shutdown. The mark ends when the endpoint disappears
 // from the replica list, or after leavingRefusalTTL.
 func (b *Balancer) recordLeavingRefusal(now time.Time, id string) {
-	state := b.leaving[id]
+	state := b.leavingStates[id]
 	state.sources |= 1 << sourceRefusal
 	state.refusedAt = now
 	b.setLeavingState(now, id, state)
 }
 
 func (b *Balancer) expireLeavingRefusals(now time.Time) {
-	for id, state := range b.leaving {
+	for id, state := range b.leavingStates {
 		if state.has(sourceRefusal) && now.Sub(state.refusedAt) >= leavingRefusalTTL {
 			b.MarkLeaving(now, id, sourceRefusal, false)
 		}
@@ -205,16 +205,16 @@
 	if cost > 0 {
 		b.meanCost = movingAverage(b.meanCost, cost)
 	}
-	m.sent(now, cost)
-	m.tier.addInflight(m, 1)
-	b.health.Sent(now, m.health)
+	m.recordSent(now, cost)
+	m.tier.changeInflight(m, 1)
+	b.detector.Sent(now, m.health)
 }
 
-func movingAverage(old, v float64) float64 {
-	if old == 0 {
-		return v
+func movingAverage(average, sample float64) float64 {
+	if average == 0 {
+		return sample
 	}
-	return old + (v-old)*averageGain
+	return average + (sample-average)*movingAverageGain
 }
 
 // Started records that the first part of an answer arrived firstToken after the
@@ -222,49 +222,49 @@
 // replica is not frozen.
 func (b *Balancer) Started(now time.Time, id string, firstToken time.Duration) {
 	if m := b.members[id]; m != nil {
-		b.health.Heard(now, m.health, firstToken)
+		b.detector.Heard(now, m.health, firstToken)
 	}
 }
 
 // Progress records the mean time between tokens of an unfinished answer. The call
 // is optional and meant to be made about once a second for each long answer. It
 // shows earlier than Finished that a replica is slow.
-func (b *Balancer) Progress(now time.Time, id string, perToken time.Duration) {
+func (b *Balancer) Progress(now time.Time, id string, timePerToken time.Duration) {
 	m := b.members[id]
 	if m == nil || b.meanCost == 0 {
 		return
 	}
-	b.health.ObserveDelay(now, m.health, m.weightAdjusted(perToken.Seconds()*b.meanCost))
-	b.refreshIfChanged(now)
+	b.detector.ObserveDelay(now, m.health, m.weightAdjusted(timePerToken.Seconds()*b.meanCost))
+	b.regroupIfHealthChanged(now)
 }
 
 // Finished records the end of an attempt that was recorded by Sent.
 func (b *Balancer) Finished(now time.Time, id string, r Result) {
 	m := b.members[id]
-	if m == nil || m.inflight == 0 {
+	if m == nil || m.inflightRequests == 0 {
 		return
 	}
-	m.finished(now, r.Cost)
-	m.tier.addInflight(m, -1)
-	b.observe(now, m, r)
+	m.recordFinished(now, r.Cost)
+	m.tier.changeInflight(m, -1)
+	b.observeOutcome(now, m, r)
 	switch r.Failure {
 	case health.Overloaded:
 		m.backoffUntil = now.Add(b.cfg.Backoff)
 	case health.Leaving:
 		b.recordLeavingRefusal(now, id)
 	}
-	b.refreshIfChanged(now)
+	b.regroupIfHealthChanged(now)
 }
 
-func (b *Balancer) observe(now time.Time, m *member, r Result) {
+func (b *Balancer) observeOutcome(now time.Time, m *member, r Result) {
 	if !r.Started {
-		b.health.Heard(now, m.health, r.Total)
+		b.detector.Heard(now, m.health, r.TotalTime)
 	}
 	if r.Failure == health.None {
-		b.meanTime = movingAverage(b.meanTime, r.Total.Seconds())
+		b.meanAnswerSeconds = movingAverage(b.meanAnswerSeconds, r.TotalTime.Seconds())
 	}
-	b.health.Observe(now, m.health, health.Outcome{
-		Delay: m.weightAdjusted(b.normalizedDecodeTime(r)), Age: r.Total, Failure: r.Failure,
+	b.detector.Observe(now, m.health, health.Outcome{
+		Delay: m.weightAdjusted(b.normalizedDecodeTime(r)), Age: r.TotalTime, Failure: r.Failure,
 	})
 }
 
@@ -274,8 +274,8 @@
 // counted, replicas with cold caches would be ejected as slow, and the replicas
 // that take over their prefixes would then have cold caches too.
 func (b *Balancer) normalizedDecodeTime(r Result) float64 {
-	decodeTime := (r.Total - r.FirstToken).Seconds()
-	if r.FirstToken > 0 && r.Cost > 0 {
+	decodeTime := (r.TotalTime - r.TimeToFirstToken).Seconds()
+	if r.TimeToFirstToken > 0 && r.Cost > 0 {
 		return decodeTime / r.Cost * b.meanCost
 	}
 	return decodeTime
@@ -283,34 +283,34 @@
 
 // weightAdjusted converts a delay to the one that a replica of weight 1 would have
 // had, so that a slower type of accelerator is not an outlier.
-func (m *member) weightAdjusted(seconds float64) time.Duration {
-	return time.Duration(seconds * m.Weight * float64(time.Second))
+func (m *member) weightAdjusted(delaySeconds float64) time.Duration {
+	return time.Duration(delaySeconds * m.Weight * float64(time.Second))
 }
 
 // Report records a load report made by a replica.
-func (b *Balancer) Report(now time.Time, id string, l Load) {
-	b.updateLeavingFromReport(now, id, l)
+func (b *Balancer) Report(now time.Time, id string, report LoadReport) {
+	b.updateLeavingFromReport(now, id, report)
 	m := b.members[id]
 	if m == nil {
 		return
 	}
-	before, firstReport := m.otherRequests, m.measuredAt.IsZero()
-	if m.applyReport(now, l) {
-		m.tier.addOtherRequests(m, m.otherRequests-before, firstReport)
+	previousRequests, firstReport := m.reportedOtherNodeRequests, m.lastReportMadeAt.IsZero()
+	if m.applyReport(now, report) {
+		m.tier.changeOtherNodeRequests(m, m.reportedOtherNodeRequests-previousRequests, firstReport)
 	}
 }
 
 // updateLeavingFromReport applies the leaving flag of a load report. Only a report
 // made later can withdraw the flag, because reports from polls and from answers can
 // arrive out of order.
-func (b *Balancer) updateLeavingFromReport(now time.Time, id string, l Load) {
-	state := b.leaving[id]
-	measuredAt := now.Add(-l.Age)
+func (b *Balancer) updateLeavingFromReport(now time.Time, id string, report LoadReport) {
+	state := b.leavingStates[id]
+	madeAt := now.Add(-report.Age)
 	switch {
-	case l.Leaving:
+	case report.Leaving:
 		state.sources |= 1 << SourceEndpoint
-		state.reportedAt = measuredAt
-	case state.has(SourceEndpoint) && measuredAt.After(state.reportedAt):
+		state.leavingReportMadeAt = madeAt
+	case state.has(SourceEndpoint) && madeAt.After(state.leavingReportMadeAt):
 		state.sources &^= 1 << SourceEndpoint
 	default:
 		return
@@ -322,8 +322,8 @@
 // Replicas in slow start count with their current share.
 func (b *Balancer) Capacity(now time.Time) int {
 	slots := 0.0
-	for _, m := range b.eligible {
-		slots += float64(m.Slots) * b.ramp(now, m)
+	for _, m := range b.eligibleMembers {
+		slots += float64(m.Slots) * b.slowStartFraction(now, m)
 	}
 	return int(slots)
 }
@@ -339,7 +339,7 @@
 // domain first.
 func (b *Balancer) Subset() []string {
 	var ids []string
-	for _, m := range slices.Concat(b.near.members, b.spill.members) {
+	for _, m := range slices.Concat(b.nearTier.members, b.spillTier.members) {
 		ids = append(ids, m.ID)
 	}
 	return ids
@@ -348,28 +348,28 @@
 // evaluateHealth runs the periodic outlier detection of package health if it is
 // due.
 func (b *Balancer) evaluateHealth(now time.Time) {
-	if b.health.Due(now) {
+	if b.detector.Due(now) {
 		b.expireLeavingRefusals(now)
-		b.health.Judge(now)
-		b.refresh(now)
+		b.detector.Judge(now)
+		b.regroupMembers(now)
 	}
 }
 
-func (b *Balancer) refreshIfChanged(now time.Time) {
-	if b.health.Version() != b.healthVersion {
-		b.refresh(now)
+func (b *Balancer) regroupIfHealthChanged(now time.Time) {
+	if b.detector.Version() != b.groupedHealthVersion {
+		b.regroupMembers(now)
 	}
 }
 
 // refresh groups the members by health state. It takes one pass over the subset and
 // runs when a state changes and at each health evaluation, never per request.
-func (b *Balancer) refresh(now time.Time) {
-	b.healthVersion = b.health.Version()
-	b.probing = b.probing[:0]
-	b.refreshTier(now, &b.near)
-	b.refreshTier(now, &b.spill)
-	b.refreshEligible()
-	b.setRampFloor(now)
+func (b *Balancer) regroupMembers(now time.Time) {
+	b.groupedHealthVersion = b.detector.Version()
+	b.probingMembers = b.probingMembers[:0]
+	b.regroupTier(now, &b.nearTier)
+	b.regroupTier(now, &b.spillTier)
+	b.updateEligibleMembers()
+	b.updateInitialFraction(now)
 }
 
 // refreshEligible finds the replicas that may receive requests: the usable ones or,
@@ -378,37 +378,37 @@
 // If the ejected ones had no slots, a service whose other replicas are leaving
 // would refuse every request for good: an ejection ends only at a health
 // evaluation, and health is evaluated only when a request arrives.
-func (b *Balancer) refreshEligible() {
-	b.eligible = append(append(b.eligible[:0], b.near.usable...), b.spill.usable...)
-	if len(b.eligible) > 0 {
+func (b *Balancer) updateEligibleMembers() {
+	b.eligibleMembers = append(append(b.eligibleMembers[:0], b.nearTier.usableMembers...), b.spillTier.usableMembers...)
+	if len(b.eligibleMembers) > 0 {
 		return
 	}
-	for _, t := range [...]*tier{&b.near, &b.spill} {
+	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
 		for _, m := range t.members {
 			if !m.leaving {
-				b.eligible = append(b.eligible, m)
+				b.eligibleMembers = append(b.eligibleMembers, m)
 			}
 		}
 	}
 }
 
-func (b *Balancer) refreshTier(now time.Time, t *tier) {
-	t.reset()
+func (b *Balancer) regroupTier(now time.Time, t *tier) {
+	t.clearUsableMembers()
 	for _, m := range t.members {
 		state := m.health.State()
-		if state != m.state {
+		if state != m.healthState {
 			b.recordChange(now, m, state)
 			if state == health.Healthy {
-				m.rampStart = now
+				m.slowStartedAt = now
 			}
-			m.state = state
+			m.healthState = state
 		}
 		m.usable = state == health.Healthy && !m.leaving
 		if m.usable {
 			t.addUsable(m)
 		}
 		if state == health.Probing && !m.leaving {
-			b.probing = append(b.probing, m)
+			b.probingMembers = append(b.probingMembers, m)
 		}
 	}
 }
@@ -417,28 +417,28 @@
 // capacity grows. If new replicas make up half or more of it, their capacity cannot
 // be withheld: when a service grows tenfold, the few old replicas would otherwise
 // be overloaded with all requests.
-func (b *Balancer) setRampFloor(now time.Time) {
-	ramping := 0.0
-	for _, t := range []*tier{&b.near, &b.spill} {
-		for _, m := range t.usable {
-			if now.Sub(m.rampStart) < b.cfg.SlowStart {
-				ramping += m.capacity
+func (b *Balancer) updateInitialFraction(now time.Time) {
+	slowStartCapacity := 0.0
+	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
+		for _, m := range t.usableMembers {
+			if now.Sub(m.slowStartedAt) < b.cfg.SlowStart {
+				slowStartCapacity += m.capacity
 			}
 		}
 	}
-	share := 0.0
-	if total := b.near.capacity() + b.spill.capacity(); total > 0 {
-		share = ramping / total
+	slowStartShare := 0.0
+	if totalCapacity := b.nearTier.capacity() + b.spillTier.capacity(); totalCapacity > 0 {
+		slowStartShare = slowStartCapacity / totalCapacity
 	}
-	b.rampFloor = max(minRamp, 2*share-1)
+	b.initialFraction = max(minInitialFraction, 2*slowStartShare-1)
 }
 
 // ramp returns the share of its capacity that a replica may use during its slow
 // start.
-func (b *Balancer) ramp(now time.Time, m *member) float64 {
-	if m.rampStart.IsZero() {
+func (b *Balancer) slowStartFraction(now time.Time, m *member) float64 {
+	if m.slowStartedAt.IsZero() {
 		return 1
 	}
-	age := float64(now.Sub(m.rampStart)) / float64(b.cfg.SlowStart)
-	return max(b.rampFloor, min(1, age))
+	elapsedFraction := float64(now.Sub(m.slowStartedAt)) / float64(b.cfg.SlowStart)
+	return max(b.initialFraction, min(1, elapsedFraction))
 }
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -15,30 +15,32 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-func seconds(s float64) time.Time { return epoch.Add(time.Duration(s * float64(time.Second))) }
+func epochPlus(seconds float64) time.Time {
+	return epoch.Add(time.Duration(seconds * float64(time.Second)))
+}
 
-func makeReplicas(replicas, domains int) []Replica {
-	all := make([]Replica, replicas)
-	for i := range all {
-		all[i] = Replica{ID: fmt.Sprint("replica-", i), FailureDomain: fmt.Sprint("fd-", i%domains), Slots: 64}
+func makeReplicas(replicaCount, domainCount int) []Replica {
+	replicas := make([]Replica, replicaCount)
+	for i := range replicas {
+		replicas[i] = Replica{ID: fmt.Sprint("replica-", i), FailureDomain: fmt.Sprint("fd-", i%domainCount), Slots: 64}
 	}
-	return all
+	return replicas
 }
 
-func newBalancer(replicas, domains int) *Balancer {
+func newBalancer(replicaCount, domainCount int) *Balancer {
 	b := New(Config{Node: "vm-1", FailureDomain: "fd-0", Seed: 1})
-	b.SetReplicas(epoch, makeReplicas(replicas, domains))
+	b.SetReplicas(epoch, makeReplicas(replicaCount, domainCount))
 	return b
 }
 
-func pickCounts(b *Balancer, now time.Time, times int, q Query) map[string]int {
-	got := map[string]int{}
-	for range times {
+func pickCounts(b *Balancer, now time.Time, picks int, q Query) map[string]int {
+	counts := map[string]int{}
+	for range picks {
 		if c, ok := b.Pick(now, q); ok {
-			got[c.Replica]++
+			counts[c.Replica]++
 		}
 	}
-	return got
+	return counts
 }
 
 // Requests sent to a leaving endpoint are refused. A single source is enough to
@@ -52,16 +54,16 @@
 		b.Finished(epoch, id, Result{Cost: 1, Failure: health.Leaving})
 	}
 	for _, c := range []struct {
-		name         string
-		mark, unmark func(b *Balancer)
-		usableAgain  bool
-		atSecond     float64
+		name                    string
+		markLeaving, endLeaving func(b *Balancer)
+		usableAgain             bool
+		checkedAtSecond         float64
 	}{
 		{"platform", func(b *Balancer) { b.SetLeaving(epoch, id, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, true, 0},
 		{"peer, platform list says live", func(b *Balancer) { b.MarkLeaving(epoch, id, SourcePeer, true) }, func(b *Balancer) { b.SetLeaving(epoch, id, false) }, false, 0},
-		{"report, newer report", func(b *Balancer) { b.Report(epoch, id, Load{Leaving: true}) }, func(b *Balancer) { b.Report(seconds(1), id, Load{}) }, true, 1},
-		{"report, older report", func(b *Balancer) { b.Report(epoch, id, Load{Leaving: true}) }, func(b *Balancer) { b.Report(seconds(1), id, Load{Age: 2 * time.Second}) }, false, 1},
-		{"refusal, report", refusal, func(b *Balancer) { b.Report(seconds(1), id, Load{}) }, false, 1},
+		{"report, newer report", func(b *Balancer) { b.Report(epoch, id, LoadReport{Leaving: true}) }, func(b *Balancer) { b.Report(epochPlus(1), id, LoadReport{}) }, true, 1},
+		{"report, older report", func(b *Balancer) { b.Report(epoch, id, LoadReport{Leaving: true}) }, func(b *Balancer) { b.Report(epochPlus(1), id, LoadReport{Age: 2 * time.Second}) }, false, 1},
+		{"refusal, report", refusal, func(b *Balancer) { b.Report(epochPlus(1), id, LoadReport{}) }, false, 1},
 		{"refusal, leavingRefusalTTL elapsed", refusal, func(*Balancer) {}, true, 61},
 		{"removed from the list and added again", refusal, func(b *Balancer) {
 			b.SetReplicas(epoch, makeReplicas(4, 1)[1:])
@@ -70,11 +72,11 @@
 	} {
 		Convey("Given an endpoint marked as leaving by "+c.name, t, func() {
 			b := newBalancer(4, 1)
-			c.mark(b)
+			c.markLeaving(b)
 			So(pickCounts(b, epoch, 1000, Query{})[id], ShouldEqual, 0)
 			So(pickCounts(b, epoch, 1000, Query{Prefix: 7})[id], ShouldEqual, 0)
-			c.unmark(b)
-			So(pickCounts(b, seconds(c.atSecond), 1000, Query{})[id] > 0, ShouldEqual, c.usableAgain)
+			c.endLeaving(b)
+			So(pickCounts(b, epochPlus(c.checkedAtSecond), 1000, Query{})[id] > 0, ShouldEqual, c.usableAgain)
 		})
 	}
 	Convey("Given that all endpoints are leaving, none is picked and there is no headroom", t, func() {
@@ -95,7 +97,7 @@
 		b.Finished(epoch, "replica-0", Result{Failure: health.Overloaded})
 		So(pickCounts(b, epoch, 100, Query{}), ShouldResemble, map[string]int{"replica-1": 100})
 		So(pickCounts(b, epoch, 100, Query{Exclude: []string{"replica-1"}}), ShouldResemble, map[string]int{"replica-0": 100})
-		So(len(pickCounts(b, seconds(0.3), 100, Query{})), ShouldEqual, 2)
+		So(len(pickCounts(b, epochPlus(0.3), 100, Query{})), ShouldEqual, 2)
 	})
 	Convey("Given that every endpoint refuses connections, only one of two is ejected", t, func() {
 		b := newBalancer(2, 1)
@@ -105,7 +107,7 @@
 				b.Finished(epoch, id, Result{Failure: health.Unreachable})
 			}
 		}
-		So(b.health.Out(), ShouldEqual, 1)
+		So(b.detector.Out(), ShouldEqual, 1)
 		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.Consecutive}})
 		So(b.Changes(), ShouldBeEmpty)
 		status := b.Status(epoch)
@@ -117,20 +119,20 @@
 	Convey("Given a list that changes, the replicas that stay keep their state", t, func() {
 		b := newBalancer(4, 1)
 		b.Sent(epoch, "replica-1", 10)
-		b.SetReplicas(seconds(1), makeReplicas(6, 1)[1:])
-		So(b.members["replica-1"].inflight, ShouldEqual, 1)
-		So(b.members["replica-1"].rampStart.IsZero(), ShouldBeTrue)
-		So(b.members["replica-5"].rampStart, ShouldEqual, seconds(1))
+		b.SetReplicas(epochPlus(1), makeReplicas(6, 1)[1:])
+		So(b.members["replica-1"].inflightRequests, ShouldEqual, 1)
+		So(b.members["replica-1"].slowStartedAt.IsZero(), ShouldBeTrue)
+		So(b.members["replica-5"].slowStartedAt, ShouldEqual, epochPlus(1))
 		So(b.members["replica-0"], ShouldBeNil)
 	})
 	Convey("Given a service that grows tenfold, the capacity of new replicas is not withheld", t, func() {
 		b := newBalancer(2, 1)
 		b.SetReplicas(epoch, makeReplicas(20, 1))
 		So(b.Capacity(epoch), ShouldBeBetween, 16*64, 20*64)
-		few := newBalancer(18, 1)
-		few.SetReplicas(epoch, makeReplicas(20, 1))
-		So(few.Capacity(epoch), ShouldBeBetween, 18*64, 18.5*64)
-		So(few.Capacity(seconds(15)), ShouldEqual, 20*64)
+		mostlyOld := newBalancer(18, 1)
+		mostlyOld.SetReplicas(epoch, makeReplicas(20, 1))
+		So(mostlyOld.Capacity(epoch), ShouldBeBetween, 18*64, 18.5*64)
+		So(mostlyOld.Capacity(epochPlus(15)), ShouldEqual, 20*64)
 	})
 	Convey("Given a replica that serves only long answers, it is not ejected as slow", t, func() {
 		b := newBalancer(4, 1)
@@ -140,10 +142,10 @@
 				if r.ID == "replica-0" {
 					tokens = 1000
 				}
-				b.Sent(seconds(float64(i)), r.ID, tokens)
-				b.Finished(seconds(float64(i)), r.ID, Result{Cost: tokens, FirstToken: time.Second, Total: time.Second + time.Duration(tokens)*10*time.Millisecond})
+				b.Sent(epochPlus(float64(i)), r.ID, tokens)
+				b.Finished(epochPlus(float64(i)), r.ID, Result{Cost: tokens, TimeToFirstToken: time.Second, TotalTime: time.Second + time.Duration(tokens)*10*time.Millisecond})
 			}
-			b.Pick(seconds(float64(i)), Query{})
+			b.Pick(epochPlus(float64(i)), Query{})
 		}
 		So(b.Changes(), ShouldBeEmpty)
 	})
@@ -163,7 +165,7 @@
 			b.Sent(epoch, "replica-0", 1)
 			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.Broken})
 		}
-		So(b.health.Out(), ShouldEqual, 1)
+		So(b.detector.Out(), ShouldEqual, 1)
 		So(b.Capacity(epoch), ShouldEqual, 64)
 		b.SetLeaving(epoch, "replica-1", true)
 		So(b.Capacity(epoch), ShouldEqual, 64)
@@ -178,18 +180,18 @@
 // of other nodes, whatever this node has sent or finished since.
 func TestReportSubtractsOwnRequestsAtItsTime(t *testing.T) {
 	Convey("Given a report that was made a second ago", t, func() {
-		var l load
+		var loadState replicaLoad
 		for range 4 {
-			l.sent(seconds(0), 0)
+			loadState.recordSent(epochPlus(0), 0)
 		}
-		l.sent(seconds(1.5), 0)
-		l.finished(seconds(1.7), 0)
-		l.finished(seconds(1.8), 0)
-		So(l.applyReport(seconds(2), Load{Running: 8, Waiting: 2, Age: time.Second}), ShouldBeTrue)
-		So(l.otherRequests, ShouldEqual, 6)
-		So(l.applyReport(seconds(2.1), Load{Running: 9, Age: 2 * time.Second}), ShouldBeFalse)
-		So(l.reportWeight(seconds(1), 7), ShouldEqual, 1)
-		So(l.reportWeight(seconds(8), 7), ShouldAlmostEqual, math.Exp(-1))
+		loadState.recordSent(epochPlus(1.5), 0)
+		loadState.recordFinished(epochPlus(1.7), 0)
+		loadState.recordFinished(epochPlus(1.8), 0)
+		So(loadState.applyReport(epochPlus(2), LoadReport{RunningRequests: 8, WaitingRequests: 2, Age: time.Second}), ShouldBeTrue)
+		So(loadState.reportedOtherNodeRequests, ShouldEqual, 6)
+		So(loadState.applyReport(epochPlus(2.1), LoadReport{RunningRequests: 9, Age: 2 * time.Second}), ShouldBeFalse)
+		So(loadState.reportWeight(epochPlus(1), 7), ShouldEqual, 1)
+		So(loadState.reportWeight(epochPlus(8), 7), ShouldAlmostEqual, math.Exp(-1))
 	})
 }
 
@@ -198,20 +200,22 @@
 func TestBalancerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBalancer(10, 2)
-		now, leaving, sent := epoch, map[string]bool{}, []string{}
-		id := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("replica-", rapid.IntRange(0, 10).Draw(t, "n")) })
+		now, isLeaving, inflightIDs := epoch, map[string]bool{}, []string{}
+		randomID := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("replica-", rapid.IntRange(0, 10).Draw(t, "n")) })
 		t.Repeat(map[string]func(*rapid.T){
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(0, 9000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"leave": func(t *rapid.T) {
-				r := id.Draw(t, "id")
-				leaving[r] = rapid.Bool().Draw(t, "leaving")
-				b.SetLeaving(now, r, leaving[r])
+				id := randomID.Draw(t, "id")
+				isLeaving[id] = rapid.Bool().Draw(t, "leaving")
+				b.SetLeaving(now, id, isLeaving[id])
+			},
+			"report": func(t *rapid.T) {
+				b.Report(now, randomID.Draw(t, "id"), LoadReport{RunningRequests: rapid.IntRange(0, 200).Draw(t, "n")})
 			},
-			"report": func(t *rapid.T) { b.Report(now, id.Draw(t, "id"), Load{Running: rapid.IntRange(0, 200).Draw(t, "n")}) },
 			"send": func(t *rapid.T) {
-				q := Query{Prefix: rapid.Uint64Range(0, 3).Draw(t, "prefix"), Exclude: []string{id.Draw(t, "not")}}
+				q := Query{Prefix: rapid.Uint64Range(0, 3).Draw(t, "prefix"), Exclude: []string{randomID.Draw(t, "not")}}
 				c, ok := b.Pick(now, q)
 				if !ok {
 					return
@@ -219,25 +223,25 @@
 				if b.Capacity(now) == 0 {
 					t.Fatalf("picked %+v although the service has no slots", c)
 				}
-				if leaving[c.Replica] || slices.Contains(q.Exclude, c.Replica) || !(c.Score > 0) {
+				if isLeaving[c.Replica] || slices.Contains(q.Exclude, c.Replica) || !(c.Score > 0) {
 					t.Fatalf("picked %+v, which is leaving, excluded or without a positive score", c)
 				}
 				b.Sent(now, c.Replica, 5)
-				sent = append(sent, c.Replica)
+				inflightIDs = append(inflightIDs, c.Replica)
 			},
 			"finish": func(t *rapid.T) {
-				if len(sent) > 0 {
-					b.Finished(now, sent[0], Result{Cost: 5, Total: time.Second, Failure: health.Failure(rapid.IntRange(0, 7).Draw(t, "failure"))})
-					sent = sent[1:]
+				if len(inflightIDs) > 0 {
+					b.Finished(now, inflightIDs[0], Result{Cost: 5, TotalTime: time.Second, Failure: health.Failure(rapid.IntRange(0, 7).Draw(t, "failure"))})
+					inflightIDs = inflightIDs[1:]
 				}
 			},
 		})
-		for _, r := range sent {
-			b.Finished(now, r, Result{Cost: 5, Total: time.Second})
+		for _, id := range inflightIDs {
+			b.Finished(now, id, Result{Cost: 5, TotalTime: time.Second})
 		}
 		for _, m := range b.members {
-			if m.inflight != 0 || m.cost != 0 || m.tier.inflight != 0 {
-				t.Fatalf("%s still has %d requests in flight with cost %v, its tier has %v", m.ID, m.inflight, m.cost, m.tier.inflight)
+			if m.inflightRequests != 0 || m.knownCost != 0 || m.tier.inflightRequests != 0 {
+				t.Fatalf("%s still has %d requests in flight with cost %v, its tier has %v", m.ID, m.inflightRequests, m.knownCost, m.tier.inflightRequests)
 			}
 		}
 	})
@@ -245,102 +249,102 @@
 
 // subsets returns the replicas that each node uses. Nodes are assigned to the
 // failure domains by round robin.
-func subsets(nodes, domains int, all []hashedReplica, knowPeers bool) [][]hashedReplica {
-	near, peers, chosen := make([][][]hashedReplica, domains), make([][]uint64, domains), make([][]hashedReplica, nodes)
-	for n := range nodes {
-		peers[n%domains] = append(peers[n%domains], rendezvous.Hash(fmt.Sprint("vm-", n)))
+func subsetsOfNodes(nodeCount, domainCount int, replicas []hashedReplica, knowPeers bool) [][]hashedReplica {
+	replicasByNearness, nodeHashes, subsets := make([][][]hashedReplica, domainCount), make([][]uint64, domainCount), make([][]hashedReplica, nodeCount)
+	for n := range nodeCount {
+		nodeHashes[n%domainCount] = append(nodeHashes[n%domainCount], rendezvous.Hash(fmt.Sprint("vm-", n)))
 	}
-	for n := range nodes {
-		d := n % domains
-		s := subset{cfg: withDefaults(Config{FailureDomain: fmt.Sprint("fd-", d)}), nodeHash: rendezvous.Hash(fmt.Sprint("vm-", n))}
+	for n := range nodeCount {
+		domain := n % domainCount
+		chooser := subsetChooser{cfg: withDefaults(Config{FailureDomain: fmt.Sprint("fd-", domain)}), nodeHash: rendezvous.Hash(fmt.Sprint("vm-", n))}
 		if knowPeers {
-			s.peerHashes = slices.DeleteFunc(slices.Clone(peers[d]), func(p uint64) bool { return p == s.nodeHash })
+			chooser.peerHashes = slices.DeleteFunc(slices.Clone(nodeHashes[domain]), func(hash uint64) bool { return hash == chooser.nodeHash })
 		}
-		if near[d] == nil { // the same for all nodes of a domain
-			near[d] = s.byNearness(all)
+		if replicasByNearness[domain] == nil { // the same for all nodes of a domain
+			replicasByNearness[domain] = chooser.groupByNearness(replicas)
 		}
-		chosen[n] = slices.Concat(s.chooseFromDomains(near[d]))
+		subsets[n] = slices.Concat(chooser.chooseFromDomains(replicasByNearness[domain]))
 	}
-	return chosen
+	return subsets
 }
 
 // coverStats returns the smallest, largest and mean number of nodes per replica.
-func coverStats(all []hashedReplica, chosen [][]hashedReplica) (least, most int, mean float64) {
-	nodes, sum := map[string]int{}, 0
-	for _, k := range slices.Concat(chosen...) {
-		nodes[k.ID]++
-		sum++
+func nodesPerReplicaStats(replicas []hashedReplica, subsets [][]hashedReplica) (fewest, most int, mean float64) {
+	nodesOfReplica, pairCount := map[string]int{}, 0
+	for _, r := range slices.Concat(subsets...) {
+		nodesOfReplica[r.ID]++
+		pairCount++
 	}
-	least = sum
-	for _, k := range all {
-		least, most = min(least, nodes[k.ID]), max(most, nodes[k.ID])
+	fewest = pairCount
+	for _, r := range replicas {
+		fewest, most = min(fewest, nodesOfReplica[r.ID]), max(most, nodesOfReplica[r.ID])
 	}
-	return least, most, float64(sum) / float64(len(all))
+	return fewest, most, float64(pairCount) / float64(len(replicas))
 }
 
 // A replica with many nodes gets too many requests and callers wait there; a
 // replica without any node is idle. If nodes choose without knowing their peers,
 // the number of nodes per replica is Poisson distributed.
-func TestSubsetsCoverReplicasEvenly(t *testing.T) {
+func TestSubsetsGiveReplicasEqualNodeCounts(t *testing.T) {
 	for _, c := range []struct {
 		nodes, replicas, domains int
-		maxOverMean              float64
+		maxToMeanRatio           float64
 	}{{9, 40, 3, 1}, {275, 1250, 23, 1.15}, {2200, 10000, 23, 1.15}} {
 		Convey(fmt.Sprintf("Given %d nodes and %d replicas", c.nodes, c.replicas), t, func() {
-			all := hashReplicas(makeReplicas(c.replicas, c.domains))
-			leastAlone, mostAlone, meanAlone := coverStats(all, subsets(c.nodes, c.domains, all, false))
-			withPeers := subsets(c.nodes, c.domains, all, true)
-			least, most, mean := coverStats(all, withPeers)
-			bySize := func(a, b []hashedReplica) int { return len(a) - len(b) }
+			replicas := hashReplicas(makeReplicas(c.replicas, c.domains))
+			fewestWithoutPeers, mostWithoutPeers, meanWithoutPeers := nodesPerReplicaStats(replicas, subsetsOfNodes(c.nodes, c.domains, replicas, false))
+			subsetsWithPeers := subsetsOfNodes(c.nodes, c.domains, replicas, true)
+			fewest, most, mean := nodesPerReplicaStats(replicas, subsetsWithPeers)
+			compareSizes := func(a, b []hashedReplica) int { return len(a) - len(b) }
 			t.Logf("nodes per replica: alone %d to %d, mean %.1f, max/mean %.2f; with peers %d to %d, mean %.1f, max/mean %.2f; subsets %d to %d",
-				leastAlone, mostAlone, meanAlone, float64(mostAlone)/meanAlone, least, most, mean, float64(most)/mean,
-				len(slices.MinFunc(withPeers, bySize)), len(slices.MaxFunc(withPeers, bySize)))
-			So(least, ShouldBeGreaterThan, 0)
-			So(float64(most)/mean, ShouldBeLessThanOrEqualTo, min(c.maxOverMean, float64(mostAlone)/meanAlone))
+				fewestWithoutPeers, mostWithoutPeers, meanWithoutPeers, float64(mostWithoutPeers)/meanWithoutPeers, fewest, most, mean, float64(most)/mean,
+				len(slices.MinFunc(subsetsWithPeers, compareSizes)), len(slices.MaxFunc(subsetsWithPeers, compareSizes)))
+			So(fewest, ShouldBeGreaterThan, 0)
+			So(float64(most)/mean, ShouldBeLessThanOrEqualTo, min(c.maxToMeanRatio, float64(mostWithoutPeers)/meanWithoutPeers))
 		})
 	}
 }
 
 // A changed subset loses connections and warm caches. Removing a node or replica
 // may change only its own edges; the edges of a removed node move to its peers.
-func TestSubsetChangesOnlyAffectedEdges(t *testing.T) {
+func TestSubsetChangesOnlyAffectedPairs(t *testing.T) {
 	const nodes, replicas = 96, 435
-	edges := func(nodes int, all []hashedReplica) map[string]bool {
-		found := map[string]bool{}
-		for n, chosen := range subsets(nodes, 1, all, true) {
-			for _, k := range chosen {
-				found[fmt.Sprint(n, " ", k.ID)] = true
+	pairsOf := func(nodeCount int, replicas []hashedReplica) map[string]bool {
+		pairs := map[string]bool{}
+		for node, subset := range subsetsOfNodes(nodeCount, 1, replicas, true) {
+			for _, r := range subset {
+				pairs[fmt.Sprint(node, " ", r.ID)] = true
 			}
 		}
-		return found
+		return pairs
 	}
-	missing := func(from, in map[string]bool) (n int) {
-		for e := range from {
-			if !in[e] {
-				n++
+	countMissing := func(pairs, otherPairs map[string]bool) (count int) {
+		for pair := range pairs {
+			if !otherPairs[pair] {
+				count++
 			}
 		}
-		return n
+		return count
 	}
 	Convey("Given 96 nodes and 435 replicas of one domain", t, func() {
 		all := hashReplicas(makeReplicas(replicas, 1))
-		before, noReplica, noNode := edges(nodes, all), edges(nodes, all[1:]), edges(nodes-1, all)
-		t.Logf("%d edges; without one replica %d removed and %d added; without one node %d removed and %d added", len(before),
-			missing(before, noReplica), missing(noReplica, before), missing(before, noNode), missing(noNode, before))
-		So(missing(before, noReplica), ShouldEqual, len(before)/replicas)
-		So(missing(noReplica, before), ShouldEqual, 0)
-		So(missing(before, noNode), ShouldEqual, missing(noNode, before))
-		So(missing(before, noNode), ShouldBeLessThan, 2*len(before)/nodes)
+		originalPairs, withoutReplica, withoutNode := pairsOf(nodes, all), pairsOf(nodes, all[1:]), pairsOf(nodes-1, all)
+		t.Logf("%d edges; without one replica %d removed and %d added; without one node %d removed and %d added", len(originalPairs),
+			countMissing(originalPairs, withoutReplica), countMissing(withoutReplica, originalPairs), countMissing(originalPairs, withoutNode), countMissing(withoutNode, originalPairs))
+		So(countMissing(originalPairs, withoutReplica), ShouldEqual, len(originalPairs)/replicas)
+		So(countMissing(withoutReplica, originalPairs), ShouldEqual, 0)
+		So(countMissing(originalPairs, withoutNode), ShouldEqual, countMissing(withoutNode, originalPairs))
+		So(countMissing(originalPairs, withoutNode), ShouldBeLessThan, 2*len(originalPairs)/nodes)
 	})
 }
 
 // busyBalancer returns a balancer whose replicas have load from this node and from
 // others.
-func busyBalancer(replicas int) *Balancer {
-	b := newBalancer(replicas, 23)
+func loadedBalancer(replicaCount int) *Balancer {
+	b := newBalancer(replicaCount, 23)
 	b.SetPeers(epoch, []string{"vm-1", "vm-2", "vm-3"})
 	for i, id := range b.Subset() {
-		b.Report(epoch, id, Load{Running: i % 60})
+		b.Report(epoch, id, LoadReport{RunningRequests: i % 60})
 		for range i % 9 {
 			b.Sent(epoch, id, 200)
 		}
@@ -350,7 +354,7 @@
 
 func TestPickAllocatesNothing(t *testing.T) {
 	Convey("Given 10,000 replicas, Pick does not allocate", t, func() {
-		b, i := busyBalancer(10000), 0
+		b, i := loadedBalancer(10000), 0
 		So(testing.AllocsPerRun(1000, func() {
 			i++
 			b.Pick(epoch.Add(time.Duration(i)*time.Millisecond), Query{Cost: 200, Prefix: uint64(i % 2 * i)})
@@ -359,24 +363,24 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	for _, n := range []int{10, 100, 1000, 10000} {
-		for _, prefixes := range []uint64{0, 1000} {
-			b.Run(fmt.Sprintf("%d replicas %d prefixes", n, prefixes), func(b *testing.B) {
-				bal, q, now := busyBalancer(n), Query{Cost: 200}, epoch
+	for _, replicaCount := range []int{10, 100, 1000, 10000} {
+		for _, prefixCount := range []uint64{0, 1000} {
+			b.Run(fmt.Sprintf("%d replicas %d prefixes", replicaCount, prefixCount), func(b *testing.B) {
+				balancer, query, now := loadedBalancer(replicaCount), Query{Cost: 200}, epoch
 				b.ReportAllocs()
 				for i := uint64(0); b.Loop(); i++ {
 					now = now.Add(time.Millisecond)
-					if prefixes > 0 {
-						q.Prefix = 1 + i%prefixes
+					if prefixCount > 0 {
+						query.Prefix = 1 + i%prefixCount
 					}
-					bal.Pick(now, q)
+					balancer.Pick(now, query)
 				}
 			})
 		}
 	}
 }
 
-var sink *Balancer
+var benchmarkedBalancer *Balancer
 
 func BenchmarkSetReplicas(b *testing.B) {
 	replicas := makeReplicas(10000, 23)
@@ -385,17 +389,17 @@
 		peers[i] = fmt.Sprint("vm-", i)
 	}
 	var before, after runtime.MemStats
-	sink = nil
+	benchmarkedBalancer = nil
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	sink = New(Config{Node: "vm-1", FailureDomain: "fd-0"})
-	sink.SetPeers(epoch, peers)
-	sink.SetReplicas(epoch, replicas)
+	benchmarkedBalancer = New(Config{Node: "vm-1", FailureDomain: "fd-0"})
+	benchmarkedBalancer.SetPeers(epoch, peers)
+	benchmarkedBalancer.SetReplicas(epoch, replicas)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	for b.Loop() {
-		sink.SetReplicas(epoch, replicas)
+		benchmarkedBalancer.SetReplicas(epoch, replicas)
 	}
 	b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/10000, "B/known")
-	b.ReportMetric(float64(len(sink.members)), "members")
+	b.ReportMetric(float64(len(benchmarkedBalancer.members)), "members")
 }
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -21,18 +21,18 @@
 
 const (
 	// nearShare is the share of the subset taken from the nearest failure domain.
-	nearShare = 0.75
+	nearSubsetShare = 0.75
 	// useAllFactor times the subset size is the number of replicas up to which a
 	// node uses all of them. Leaving out only a few saves little and makes the
 	// cover uneven.
 	useAllFactor = 2
 	// minRamp is the share of its capacity with which a new replica starts when
 	// most replicas are old.
-	minRamp = 0.1
+	minInitialFraction = 0.1
 	// maxDraws bounds the random draws for one candidate, so that the cost of Pick
 	// does not grow with the number of excluded replicas and replicas in backoff.
 	// After that many draws Pick scans the replicas.
-	maxDraws = 4
+	maxCandidateTries = 4
 	// maxRingReplicas bounds the replicas that are tried for one prefix.
 	maxRingReplicas = 4
 	// leavingRefusalTTL is how long an endpoint is avoided after it refused a
@@ -47,7 +47,7 @@
 	// spreads requests more evenly than choices made on noise.
 	switchMargin = 1.0
 	// averageGain is the gain of the moving averages of costs and times.
-	averageGain = 0.02
+	movingAverageGain = 0.02
 )
 
 // Config configures a Balancer. Zero values take the defaults.
@@ -86,15 +86,15 @@
 	Health health.Config
 }
 
-func withDefaults(c Config) Config {
-	c.SubsetSize = cmp.Or(c.SubsetSize, DefaultSubsetSize)
-	c.SpillDomains = cmp.Or(c.SpillDomains, DefaultSpillDomains)
-	c.SpillThreshold = cmp.Or(c.SpillThreshold, DefaultSpillThreshold)
-	c.SpillMargin = cmp.Or(c.SpillMargin, DefaultSpillMargin)
-	c.AffinityLoadFactor = cmp.Or(c.AffinityLoadFactor, DefaultAffinityLoadFactor)
-	c.AffinityFloor = cmp.Or(c.AffinityFloor, DefaultAffinityFloor)
-	c.SlowStart = cmp.Or(c.SlowStart, DefaultSlowStart)
-	c.Backoff = cmp.Or(c.Backoff, DefaultBackoff)
-	c.Health.Seed = cmp.Or(c.Health.Seed, c.Seed)
-	return c
+func withDefaults(cfg Config) Config {
+	cfg.SubsetSize = cmp.Or(cfg.SubsetSize, DefaultSubsetSize)
+	cfg.SpillDomains = cmp.Or(cfg.SpillDomains, DefaultSpillDomains)
+	cfg.SpillThreshold = cmp.Or(cfg.SpillThreshold, DefaultSpillThreshold)
+	cfg.SpillMargin = cmp.Or(cfg.SpillMargin, DefaultSpillMargin)
+	cfg.AffinityLoadFactor = cmp.Or(cfg.AffinityLoadFactor, DefaultAffinityLoadFactor)
+	cfg.AffinityFloor = cmp.Or(cfg.AffinityFloor, DefaultAffinityFloor)
+	cfg.SlowStart = cmp.Or(cfg.SlowStart, DefaultSlowStart)
+	cfg.Backoff = cmp.Or(cfg.Backoff, DefaultBackoff)
+	cfg.Health.Seed = cmp.Or(cfg.Health.Seed, cfg.Seed)
+	return cfg
 }
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -14,16 +14,16 @@
 // domains are examined, in round-robin order. More are examined only if none of
 // these is both allowed and outside backoff. Examining one takes about 25 ns, and a
 // node may use more than a hundred replicas.
-const maxFullScan = 16
+const maxScanWhenAllFull = 16
 
 // meanLoad returns the load per unit of capacity over all failure domains that the
 // node uses.
 func (b *Balancer) meanLoad() float64 {
-	near, spill := b.near.capacity(), b.spill.capacity()
-	if near+spill == 0 {
+	nearCapacity, spillCapacity := b.nearTier.capacity(), b.spillTier.capacity()
+	if nearCapacity+spillCapacity == 0 {
 		return 0
 	}
-	return (b.near.meanLoad()*near + b.spill.meanLoad()*spill) / (near + spill)
+	return (b.nearTier.meanLoad()*nearCapacity + b.spillTier.meanLoad()*spillCapacity) / (nearCapacity + spillCapacity)
 }
 
 // acceptsPrefixWhenFull reports whether a replica accepts a request for its prefix
@@ -35,9 +35,9 @@
 // are idle: three nodes with common replicas served 0.69 of the capacity when twice
 // the capacity was offered. A cached prompt saves less time than such a queue
 // costs, and with this bound a home replica still gets its share of the requests.
-func (b *Balancer) acceptsPrefixWhenFull(now time.Time, m *member) bool {
-	mean := (b.near.inflight + b.spill.inflight) / (b.near.capacity() + b.spill.capacity())
-	return b.rankWhenFull(now, m).load <= mean
+func (b *Balancer) acceptsPrefixWhenAllFull(now time.Time, m *member) bool {
+	meanOwnLoad := (b.nearTier.inflightRequests + b.spillTier.inflightRequests) / (b.nearTier.capacity() + b.spillTier.capacity())
+	return b.rankWhenAllFull(now, m).rank <= meanOwnLoad
 }
 
 // pickWhenFull picks the replica with the fewest of this node's requests relative
@@ -49,27 +49,27 @@
 // to correct the imbalance: some engines had idle slots while others had a queue.
 // If each node spreads its own requests evenly, their sum is even too. An excess of
 // other nodes' requests at a replica still counts if it is larger than noise.
-func (b *Balancer) pickWhenFull(now time.Time, q Query) (Choice, bool) {
-	var best, runnerUp fullCandidate
-	for _, t := range [...]*tier{&b.near, &b.spill} {
-		if len(t.usable) == 0 {
+func (b *Balancer) pickWhenAllFull(now time.Time, q Query) (Choice, bool) {
+	var best, runnerUp rankedMember
+	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
+		if len(t.usableMembers) == 0 {
 			continue
 		}
-		start := t.nextIndex() // ties are broken in round-robin order
-		for i := range t.usable {
-			if i >= maxFullScan && best.member != nil && !best.inBackoff {
+		startIndex := t.nextRoundRobinIndex() // ties are broken in round-robin order
+		for i := range t.usableMembers {
+			if i >= maxScanWhenAllFull && best.member != nil && !best.inBackoff {
 				break
 			}
-			m := t.usable[(start+i)%len(t.usable)]
+			m := t.usableMembers[(startIndex+i)%len(t.usableMembers)]
 			if excluded(q, m) {
 				continue
 			}
-			next := b.rankWhenFull(now, m)
-			if next.betterThan(best) {
-				next, best = best, next
+			candidate := b.rankWhenAllFull(now, m)
+			if candidate.betterThan(best) {
+				candidate, best = best, candidate
 			}
-			if next.betterThan(runnerUp) {
-				runnerUp = next
+			if candidate.betterThan(runnerUp) {
+				runnerUp = candidate
 			}
 		}
 	}
@@ -77,7 +77,7 @@
 		return Choice{}, false
 	}
 	c := b.newChoice(now, best.member, ReasonFewestOwn)
-	if best.member.tier == &b.spill {
+	if best.member.tier == &b.spillTier {
 		c.Reason = ReasonSpill
 	}
 	c.Alternatives[0] = b.newCandidate(now, runnerUp.member)
@@ -85,29 +85,29 @@
 }
 
 // fullCandidate is a replica with its rank for the time when all replicas are full.
-type fullCandidate struct {
+type rankedMember struct {
 	member    *member
 	inBackoff bool    // recently refused a request because it was full
-	load      float64 // per unit of effective capacity
+	rank      float64 // per unit of effective capacity
 }
 
-func (c fullCandidate) betterThan(other fullCandidate) bool {
+func (c rankedMember) betterThan(other rankedMember) bool {
 	if c.member == nil || other.member == nil {
 		return c.member != nil
 	}
 	if c.inBackoff != other.inBackoff {
 		return other.inBackoff
 	}
-	return c.load < other.load
+	return c.rank < other.rank
 }
 
 // rankWhenFull ranks a replica by this node's requests there and by the part of
 // other nodes' requests that is larger than noise.
-func (b *Balancer) rankWhenFull(now time.Time, m *member) fullCandidate {
-	expected := m.tier.meanOtherLoad() * m.capacity
-	noise := noiseDeviations * math.Sqrt(expected)
-	excess := b.estimatedOtherRequests(now, m) - expected
-	significant := max(excess-noise, min(excess+noise, 0))
-	load := (float64(m.inflight) + significant) / b.effectiveCapacity(now, m) * m.health.Slowness()
-	return fullCandidate{member: m, inBackoff: now.Before(m.backoffUntil), load: load}
+func (b *Balancer) rankWhenAllFull(now time.Time, m *member) rankedMember {
+	expectedRequests := m.tier.meanOtherNodeLoad() * m.capacity
+	noiseRequests := noiseDeviations * math.Sqrt(expectedRequests)
+	excessRequests := b.estimatedOtherNodeRequests(now, m) - expectedRequests
+	significantExcess := max(excessRequests-noiseRequests, min(excessRequests+noiseRequests, 0))
+	rank := (float64(m.inflightRequests) + significantExcess) / b.effectiveCapacity(now, m) * m.health.Slowness()
+	return rankedMember{member: m, inBackoff: now.Before(m.backoffUntil), rank: rank}
 }
--- a/decide/balance/full_test.go
+++ b/decide/balance/full_test.go
@@ -21,7 +21,7 @@
 		for range 4 {
 			b.Sent(epoch, r.ID, 1)
 		}
-		b.Report(seconds(1), r.ID, Load{Running: 16})
+		b.Report(epochPlus(1), r.ID, LoadReport{RunningRequests: 16})
 	}
 	return b
 }
@@ -34,29 +34,29 @@
 		b := fullBalancer()
 		Convey("the next request goes where one of this node's requests ended, in any failure domain", func() {
 			for _, id := range []string{"replica-2", "replica-3", "replica-1"} {
-				b.Finished(seconds(1.01), id, Result{Cost: 1, Started: true})
-				choice, ok := b.Pick(seconds(1.01), Query{Cost: 1})
+				b.Finished(epochPlus(1.01), id, Result{Cost: 1, Started: true})
+				choice, ok := b.Pick(epochPlus(1.01), Query{Cost: 1})
 				So(ok, ShouldBeTrue)
 				So(choice.Replica, ShouldEqual, id)
-				b.Sent(seconds(1.01), id, 1)
+				b.Sent(epochPlus(1.01), id, 1)
 			}
 		})
 		Convey("a cached prompt is not a reason to pick the most loaded replica", func() {
-			choice, _ := b.Pick(seconds(1.01), Query{Prefix: 7, Cost: 1})
-			home := choice.Replica
+			choice, _ := b.Pick(epochPlus(1.01), Query{Prefix: 7, Cost: 1})
+			owner := choice.Replica
 			for range 4 {
-				b.Sent(seconds(1.01), home, 1)
+				b.Sent(epochPlus(1.01), owner, 1)
 			}
-			choice, _ = b.Pick(seconds(1.01), Query{Prefix: 7, Cost: 1})
-			So(choice.Replica, ShouldNotEqual, home)
+			choice, _ = b.Pick(epochPlus(1.01), Query{Prefix: 7, Cost: 1})
+			So(choice.Replica, ShouldNotEqual, owner)
 		})
 		Convey("load of other nodes counts if it exceeds noise, and a refusal by a full replica counts at once", func() {
-			b.Report(seconds(1.2), "replica-0", Load{Running: 16, Waiting: 30})
-			b.Finished(seconds(1.2), "replica-0", Result{Cost: 1, Started: true})
-			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
-			b.Finished(seconds(1.2), "replica-1", Result{Cost: 1, Failure: health.Overloaded})
-			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-1"], ShouldEqual, 0)
-			So(pickCounts(b, seconds(1.2), 1, Query{Cost: 1, Exclude: []string{"replica-0", "replica-2", "replica-3"}})["replica-1"], ShouldEqual, 1)
+			b.Report(epochPlus(1.2), "replica-0", LoadReport{RunningRequests: 16, WaitingRequests: 30})
+			b.Finished(epochPlus(1.2), "replica-0", Result{Cost: 1, Started: true})
+			So(pickCounts(b, epochPlus(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
+			b.Finished(epochPlus(1.2), "replica-1", Result{Cost: 1, Failure: health.Overloaded})
+			So(pickCounts(b, epochPlus(1.2), 100, Query{Cost: 1})["replica-1"], ShouldEqual, 0)
+			So(pickCounts(b, epochPlus(1.2), 1, Query{Cost: 1, Exclude: []string{"replica-0", "replica-2", "replica-3"}})["replica-1"], ShouldEqual, 1)
 		})
 	})
 }
--- a/decide/balance/headroom.go
+++ b/decide/balance/headroom.go
@@ -11,7 +11,7 @@
 
 // SetNodeCount sets how many nodes, over all failure domains, share the service's
 // replicas. Until it is called, the node has no fair share of its own.
-func (b *Balancer) SetNodeCount(nodes int) { b.nodeCount = nodes }
+func (b *Balancer) SetNodeCount(nodeCount int) { b.nodeCount = nodeCount }
 
 // Headroom returns how many more requests the node may send to the replicas that
 // may receive requests. It is the larger of two numbers: the free slots there, and
@@ -33,17 +33,17 @@
 // free slots would remain: on a slow machine three nodes had up to 485 requests in
 // flight for 96 slots. A stuck replica offsets at most its own number of slots.
 func (b *Balancer) Headroom(now time.Time) int {
-	free, inflight, slots := 0.0, 0.0, 0.0
-	for _, m := range b.eligible {
-		usableSlots := float64(m.Slots) * b.ramp(now, m)
-		free += max(usableSlots-float64(m.inflight)-b.estimatedOtherRequests(now, m), -usableSlots)
-		inflight += float64(m.inflight)
-		slots += usableSlots
+	freeSlots, inflightRequests, totalSlots := 0.0, 0.0, 0.0
+	for _, m := range b.eligibleMembers {
+		usableSlots := float64(m.Slots) * b.slowStartFraction(now, m)
+		freeSlots += max(usableSlots-float64(m.inflightRequests)-b.estimatedOtherNodeRequests(now, m), -usableSlots)
+		inflightRequests += float64(m.inflightRequests)
+		totalSlots += usableSlots
 	}
 	if b.nodeCount > 1 {
-		free += overcommitFraction * slots
+		freeSlots += overcommitFraction * totalSlots
 	}
-	return int(max(free, b.fairShare()*slots-inflight))
+	return int(max(freeSlots, b.fairShare()*totalSlots-inflightRequests))
 }
 
 // fairShare returns the node's own share of the slots. It is an equal share,
@@ -57,6 +57,6 @@
 	if b.nodeCount == 0 || len(b.replicas) == 0 {
 		return 0
 	}
-	sharers := float64(b.nodeCount) * float64(len(b.members)) / float64(len(b.replicas))
-	return 1 / max(1, sharers)
+	nodesPerReplica := float64(b.nodeCount) * float64(len(b.members)) / float64(len(b.replicas))
+	return 1 / max(1, nodesPerReplica)
 }
--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -37,45 +37,45 @@
 	}
 }
 
-func (c *cacheEvents) page(now time.Time, after uint64) cacheindex.Page {
-	p := cacheindex.Page{Instance: fmt.Sprint(c.instance), Last: after}
-	for _, e := range c.published {
-		if e.Sequence > after && now.Sub(e.at) >= eventLag {
-			p.Events = append(p.Events, e.Event)
-			p.Last = e.Sequence
+func (c *cacheEvents) pageAfter(now time.Time, lastSequence uint64) cacheindex.Page {
+	page := cacheindex.Page{Instance: fmt.Sprint(c.instance), Last: lastSequence}
+	for _, event := range c.published {
+		if event.Sequence > lastSequence && now.Sub(event.at) >= eventLag {
+			page.Events = append(page.Events, event.Event)
+			page.Last = event.Sequence
 		}
 	}
-	return p
+	return page
 }
 
 // restart clears an endpoint's cache and starts a new sequence of events.
 func (e *engine) restart() {
-	e.cache = nil
-	e.events = cacheEvents{instance: e.events.instance + 1}
+	e.cachedPrefixes = nil
+	e.cacheEvents = cacheEvents{instance: e.cacheEvents.instance + 1}
 }
 
 // policyWithHints returns nodes that poll cache events.
 func policyWithHints(cfg Config) func(int) *policy {
 	return func(node int) *policy {
 		p := balancerPolicy(cfg)(node)
-		p.hints = cacheindex.New(cacheindex.Config{})
+		p.cacheIndex = cacheindex.New(cacheindex.Config{})
 		return p
 	}
 }
 
 func (s *simulation) pollEvents() {
 	for _, p := range s.policies {
-		if p.hints == nil {
+		if p.cacheIndex == nil {
 			continue
 		}
 		for _, e := range s.engines {
-			p.hints.Apply(s.now, e.ID, e.events.page(s.now, p.hints.After(e.ID)))
+			p.cacheIndex.Apply(s.now, e.ID, e.cacheEvents.pageAfter(s.now, p.cacheIndex.After(e.ID)))
 		}
 	}
 	s.schedule(eventPollInterval, s.pollEvents)
 }
 
-func (s *simulation) hitRate() float64 { return float64(s.cacheHits) / float64(s.cacheLookups) }
+func (s *simulation) cacheHitRatio() float64 { return float64(s.cacheHits) / float64(s.cacheLookups) }
 
 // A third of the calls has one prompt prefix, the others have one of sixty. The
 // load of the hot prefix exceeds the capacity of its home. With hashing alone, the
@@ -84,13 +84,13 @@
 // Endpoints that lose their caches twice during the run make the hints wrong, and
 // wrong hints must not cost more than right ones save.
 func TestCacheHintsBeatHashing(t *testing.T) {
-	prefix := func(r *rand.Rand) uint64 {
+	randomPrefix := func(r *rand.Rand) uint64 {
 		if r.Float64() < 0.33 {
 			return 1000
 		}
 		return 1 + r.Uint64N(60)
 	}
-	patterns := map[string]func(s *simulation){
+	disturbances := map[string]func(s *simulation){
 		"hot key": func(*simulation) {},
 		"hot key, cache loss": func(s *simulation) {
 			for i := range s.engines[:8] {
@@ -98,24 +98,24 @@
 			}
 		},
 	}
-	for name, disturb := range patterns {
+	for name, disturb := range disturbances {
 		Convey(name, t, func() {
-			pattern := func(s *simulation) {
-				s.prefill, s.cachedPrefill = 600*time.Millisecond, 60*time.Millisecond
+			loadPattern := func(s *simulation) {
+				s.prefillTime, s.cachedPrefillTime = 600*time.Millisecond, 60*time.Millisecond
 				disturb(s)
 				s.schedule(eventPollInterval, s.pollEvents)
-				s.run(constantRate(70), prefix)
+				s.runCalls(constantRate(70), randomPrefix)
 			}
 			for _, nodes := range []int{2, 9} {
-				hashOnlyRun := runPattern(t, fmt.Sprint("hash alone, nodes ", nodes), balancerPolicy(Config{}), nodes, pattern)
-				hintsRun := runPattern(t, fmt.Sprint("hints, nodes ", nodes), policyWithHints(Config{}), nodes, pattern)
-				t.Logf("hit rate %.3f by hash alone, %.3f by hints", hashOnlyRun.hitRate(), hintsRun.hitRate())
-				So(hintsRun.hitRate(), ShouldBeGreaterThan, hashOnlyRun.hitRate())
-				So(hintsRun.percentile(.95), ShouldBeLessThanOrEqualTo, hashOnlyRun.percentile(.95))
+				hashOnlyRun := runOn12Endpoints(t, fmt.Sprint("hash alone, nodes ", nodes), balancerPolicy(Config{}), nodes, loadPattern)
+				hintsRun := runOn12Endpoints(t, fmt.Sprint("hints, nodes ", nodes), policyWithHints(Config{}), nodes, loadPattern)
+				t.Logf("hit rate %.3f by hash alone, %.3f by hints", hashOnlyRun.cacheHitRatio(), hintsRun.cacheHitRatio())
+				So(hintsRun.cacheHitRatio(), ShouldBeGreaterThan, hashOnlyRun.cacheHitRatio())
+				So(hintsRun.delayPercentile(.95), ShouldBeLessThanOrEqualTo, hashOnlyRun.delayPercentile(.95))
 				if nodes == 2 {
-					So(hintsRun.hitRate(), ShouldBeGreaterThan, hashOnlyRun.hitRate()+.03)
+					So(hintsRun.cacheHitRatio(), ShouldBeGreaterThan, hashOnlyRun.cacheHitRatio()+.03)
 				} else {
-					So(hintsRun.percentile(.95), ShouldBeLessThan, hashOnlyRun.percentile(.95)*95/100)
+					So(hintsRun.delayPercentile(.95), ShouldBeLessThan, hashOnlyRun.delayPercentile(.95)*95/100)
 				}
 			}
 		})
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -38,7 +38,7 @@
 	if q.NoProbe {
 		return nil
 	}
-	for _, m := range b.probing {
+	for _, m := range b.probingMembers {
 		if m.health.WantsProbe() && !excluded(q, m) {
 			return m
 		}
@@ -54,9 +54,9 @@
 // report ages, the estimate moves to the mean: an old report no longer says how
 // replicas differ, and if all nodes acted on it they would all send to the replica
 // that was the least loaded then (herding).
-func (b *Balancer) estimatedOtherRequests(now time.Time, m *member) float64 {
-	weight := m.reportWeight(now, b.meanTime)
-	return weight*m.load.otherRequests + (1-weight)*m.tier.meanOtherLoad()*m.capacity
+func (b *Balancer) estimatedOtherNodeRequests(now time.Time, m *member) float64 {
+	reportWeight := m.reportWeight(now, b.meanAnswerSeconds)
+	return reportWeight*m.replicaLoad.reportedOtherNodeRequests + (1-reportWeight)*m.tier.meanOtherNodeLoad()*m.capacity
 }
 
 // estimatedLoad returns the replica's load in requests. While the replica has free
@@ -64,18 +64,18 @@
 // not wait for the others. Once the replica is full, the node's own requests are
 // weighted by cost.
 func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
-	other := b.estimatedOtherRequests(now, m)
-	count := float64(m.inflight) + other
-	if count < float64(m.Slots) {
-		return count
+	otherNodeRequests := b.estimatedOtherNodeRequests(now, m)
+	requestCount := float64(m.inflightRequests) + otherNodeRequests
+	if requestCount < float64(m.Slots) {
+		return requestCount
 	}
-	return max(count, m.costWeighted(b.meanCost)+other)
+	return max(requestCount, m.costWeightedRequests(b.meanCost)+otherNodeRequests)
 }
 
 // effectiveCapacity returns the capacity that may be used now, reduced during slow
 // start.
 func (b *Balancer) effectiveCapacity(now time.Time, m *member) float64 {
-	return m.capacity * b.ramp(now, m)
+	return m.capacity * b.slowStartFraction(now, m)
 }
 
 // score estimates how long one more request would take at the replica, relative to
@@ -93,47 +93,47 @@
 // provided that it accepts requests for a prefix. If none of them does, replicas
 // with shorter cached parts are considered.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
-	t := b.prefixTier()
-	var best, runnerUp holder
+	prefixTier := b.prefixTier()
+	var best, runnerUp rankedHolder
 	for _, h := range q.Holders {
-		if best.member != nil && h.Blocks < best.blocks {
+		if best.member != nil && h.Blocks < best.cachedBlocks {
 			break
 		}
 		m := b.members[h.Replica]
-		if m == nil || m.tier != t {
+		if m == nil || m.tier != prefixTier {
 			continue
 		}
-		next := holder{m, h.Blocks, b.holderRank(now, t, m, q.Prefix)}
+		candidate := rankedHolder{m, h.Blocks, b.holderRank(now, prefixTier, m, q.Prefix)}
 		switch {
-		case !b.acceptsPrefix(now, q, t, m) || best.member != nil && next.rank < best.rank:
-			runnerUp = next
+		case !b.acceptsPrefix(now, q, prefixTier, m) || best.member != nil && candidate.rank < best.rank:
+			runnerUp = candidate
 		default:
-			runnerUp, best = cmp.Or(best, runnerUp), next
+			runnerUp, best = cmp.Or(best, runnerUp), candidate
 		}
 	}
 	if best.member == nil {
 		return Choice{}, false
 	}
 	c := b.newChoice(now, best.member, ReasonHeld)
-	c.HeldBlocks = best.blocks
+	c.HeldBlocks = best.cachedBlocks
 	c.Alternatives[0] = b.newCandidate(now, runnerUp.member)
-	c.Alternatives[0].HeldBlocks = runnerUp.blocks
+	c.Alternatives[0].HeldBlocks = runnerUp.cachedBlocks
 	return c, true
 }
 
 // holder is a replica that probably has blocks of a prompt cached. The highest rank
 // is preferred.
-type holder struct {
-	member *member
-	blocks int
-	rank   float64
+type rankedHolder struct {
+	member       *member
+	cachedBlocks int
+	rank         float64
 }
 
 // holderRank ranks a replica that has a prefix cached. The home of the prefix ranks
 // first, so that copies on other replicas fall out of use; the others rank by
 // score.
 func (b *Balancer) holderRank(now time.Time, t *tier, m *member, prefix uint64) float64 {
-	if t.home(prefix) == m {
+	if t.prefixOwner(prefix) == m {
 		return math.Inf(1)
 	}
 	return -b.score(now, m)
@@ -141,31 +141,31 @@
 
 // home returns the replica that owns the prefix on the hash ring, where the search
 // for a replica begins.
-func (t *tier) home(prefix uint64) *member {
-	return t.ring[t.ringIndex(rendezvous.Score(prefix, 0))%len(t.ring)].member
+func (t *tier) prefixOwner(prefix uint64) *member {
+	return t.prefixRing[t.ringIndex(rendezvous.Score(prefix, 0))%len(t.prefixRing)].member
 }
 
 // prefixTier returns the tier on whose ring prefixes are placed: the nearest
 // replicas, unless none of them is usable.
 func (b *Balancer) prefixTier() *tier {
-	if len(b.near.usable) == 0 {
-		return &b.spill
+	if len(b.nearTier.usableMembers) == 0 {
+		return &b.spillTier
 	}
-	return &b.near
+	return &b.nearTier
 }
 
 // pickByPrefix follows the ring from the prefix to the first replica that accepts
 // the request (consistent hashing with bounded loads).
 func (b *Balancer) pickByPrefix(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
-	if len(t.usable) == 0 {
+	if len(t.usableMembers) == 0 {
 		return Choice{}, false
 	}
 	var rejected [maxRingReplicas]*member
 	rejectedCount := 0
-	start := t.ringIndex(rendezvous.Score(q.Prefix, 0))
-	for i := 0; i < len(t.ring) && i < maxRingReplicas*ringPointsPerReplica; i++ {
-		m := t.ring[(start+i)%len(t.ring)].member
+	startIndex := t.ringIndex(rendezvous.Score(q.Prefix, 0))
+	for i := 0; i < len(t.prefixRing) && i < maxRingReplicas*ringPointsPerReplica; i++ {
+		m := t.prefixRing[(startIndex+i)%len(t.prefixRing)].member
 		if slices.Contains(rejected[:rejectedCount], m) {
 			continue
 		}
@@ -183,20 +183,20 @@
 
 func (b *Balancer) prefixChoice(now time.Time, m *member, rejected []*member) Choice {
 	c := b.newChoice(now, m, ReasonPrefix)
-	for i, p := range rejected {
+	for i, rejectedMember := range rejected {
 		c.Reason = ReasonPrefixMoved
-		c.Alternatives[i] = b.newCandidate(now, p)
+		c.Alternatives[i] = b.newCandidate(now, rejectedMember)
 	}
 	return c
 }
 
 // ringIndex returns the index of the first point at or after the hash.
 func (t *tier) ringIndex(hash uint64) int {
-	i, _ := slices.BinarySearchFunc(t.ring, hash, func(p ringPoint, h uint64) int {
+	i, _ := slices.BinarySearchFunc(t.prefixRing, hash, func(point ringPoint, target uint64) int {
 		switch {
-		case p.hash < h:
+		case point.hash < target:
 			return -1
-		case p.hash > h:
+		case point.hash > target:
 			return 1
 		}
 		return 0
@@ -212,17 +212,17 @@
 		return false
 	}
 	if b.meanLoad() >= 1 {
-		return b.acceptsPrefixWhenFull(now, m)
+		return b.acceptsPrefixWhenAllFull(now, m)
 	}
-	bound := max(t.meanLoad()*b.cfg.AffinityLoadFactor, b.cfg.AffinityFloor)
-	if (b.estimatedLoad(now, m)+1)*m.health.Slowness() > math.Ceil(bound*b.effectiveCapacity(now, m)) {
+	loadBound := max(t.meanLoad()*b.cfg.AffinityLoadFactor, b.cfg.AffinityFloor)
+	if (b.estimatedLoad(now, m)+1)*m.health.Slowness() > math.Ceil(loadBound*b.effectiveCapacity(now, m)) {
 		return false
 	}
-	if t == &b.spill || len(b.spill.usable) == 0 {
+	if t == &b.spillTier || len(b.spillTier.usableMembers) == 0 {
 		return true
 	}
 	utilization := b.utilization(now, m)
-	return utilization < b.cfg.SpillThreshold || b.spill.meanLoad()+b.cfg.SpillMargin >= utilization
+	return utilization < b.cfg.SpillThreshold || b.spillTier.meanLoad()+b.cfg.SpillMargin >= utilization
 }
 
 // pickByLoad picks the better of two candidates from the nearest failure domain. If
@@ -231,40 +231,40 @@
 // of the subset reaches SpillThreshold, it calls pickWhenFull instead.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
 	if b.meanLoad() >= b.cfg.SpillThreshold {
-		return b.pickWhenFull(now, q)
+		return b.pickWhenAllFull(now, q)
 	}
-	near, nearOther := b.twoChoices(now, q, &b.near)
-	if near != nil && b.utilization(now, near) < b.cfg.SpillThreshold {
-		return b.loadChoice(now, near, nearOther), true
+	nearBetter, nearWorse := b.twoChoices(now, q, &b.nearTier)
+	if nearBetter != nil && b.utilization(now, nearBetter) < b.cfg.SpillThreshold {
+		return b.loadChoice(now, nearBetter, nearWorse), true
 	}
-	spill, spillOther := b.twoChoices(now, q, &b.spill)
+	spillBetter, spillWorse := b.twoChoices(now, q, &b.spillTier)
 	switch {
-	case near == nil && spill == nil:
+	case nearBetter == nil && spillBetter == nil:
 		return Choice{}, false
-	case spill == nil || near != nil && !b.worthSpilling(now, spill, near):
-		c := b.loadChoice(now, near, nearOther)
-		c.Alternatives[1] = b.newCandidate(now, spill)
+	case spillBetter == nil || nearBetter != nil && !b.worthSpilling(now, spillBetter, nearBetter):
+		c := b.loadChoice(now, nearBetter, nearWorse)
+		c.Alternatives[1] = b.newCandidate(now, spillBetter)
 		return c, true
 	}
-	c := b.loadChoice(now, spill, spillOther)
+	c := b.loadChoice(now, spillBetter, spillWorse)
 	c.Reason = ReasonSpill
-	c.Alternatives[1] = b.newCandidate(now, near)
-	c.Alternatives[2] = b.newCandidate(now, nearOther)
+	c.Alternatives[1] = b.newCandidate(now, nearBetter)
+	c.Alternatives[2] = b.newCandidate(now, nearWorse)
 	return c, true
 }
 
 // worthSpilling reports whether the score of the replica in another domain is lower
 // by more than SpillMargin.
-func (b *Balancer) worthSpilling(now time.Time, spill, near *member) bool {
-	return b.score(now, spill)+b.cfg.SpillMargin < b.score(now, near)
+func (b *Balancer) worthSpilling(now time.Time, spillMember, nearMember *member) bool {
+	return b.score(now, spillMember)+b.cfg.SpillMargin < b.score(now, nearMember)
 }
 
-func (b *Balancer) loadChoice(now time.Time, m, other *member) Choice {
-	if other == nil {
+func (b *Balancer) loadChoice(now time.Time, m, alternative *member) Choice {
+	if alternative == nil {
 		return b.newChoice(now, m, ReasonOnly)
 	}
 	c := b.newChoice(now, m, ReasonTwoChoices)
-	c.Alternatives[0] = b.newCandidate(now, other)
+	c.Alternatives[0] = b.newCandidate(now, alternative)
 	return c
 }
 
@@ -280,11 +280,11 @@
 // is drawn by round robin and the second at random; the second is preferred only if
 // it is less loaded by switchThreshold.
 func (b *Balancer) twoChoices(now time.Time, q Query, t *tier) (better, worse *member) {
-	first := b.drawCandidate(now, q, t, nil)
+	first := b.selectCandidate(now, q, t, nil)
 	if first == nil {
 		return nil, nil
 	}
-	second := b.drawCandidate(now, q, t, first)
+	second := b.selectCandidate(now, q, t, first)
 	if second == nil {
 		return first, nil
 	}
@@ -300,27 +300,27 @@
 // distributed, and the part of that variance which no recent report has measured
 // shows up as differences that do not exist.
 func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
-	weight := m.reportWeight(now, b.meanTime)
-	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherLoad()*m.capacity)
+	weight := m.reportWeight(now, b.meanAnswerSeconds)
+	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherNodeLoad()*m.capacity)
 }
 
 // drawCandidate draws the next replica by round robin or, if exclude is set, one at
 // random other than exclude. Replicas in backoff are drawn only if there is no
 // other.
-func (b *Balancer) drawCandidate(now time.Time, q Query, t *tier, exclude *member) *member {
-	if len(t.usable) == 0 || len(t.usable) == 1 && t.usable[0] == exclude {
+func (b *Balancer) selectCandidate(now time.Time, q Query, t *tier, exclude *member) *member {
+	if len(t.usableMembers) == 0 || len(t.usableMembers) == 1 && t.usableMembers[0] == exclude {
 		return nil
 	}
-	for range maxDraws {
-		m := b.draw(t, exclude == nil)
+	for range maxCandidateTries {
+		m := b.nextOrRandomMember(t, exclude == nil)
 		if m != exclude && !excluded(q, m) && !now.Before(m.backoffUntil) {
 			return m
 		}
 	}
-	return b.scanUsable(now, q, t, exclude)
+	return b.scanUsableMembers(now, q, t, exclude)
 }
 
-func (b *Balancer) draw(t *tier, roundRobin bool) *member {
+func (b *Balancer) nextOrRandomMember(t *tier, roundRobin bool) *member {
 	if roundRobin {
 		return t.nextRoundRobin()
 	}
@@ -328,15 +328,15 @@
 }
 
 // scanUsable scans the usable replicas, starting at a random one.
-func (b *Balancer) scanUsable(now time.Time, q Query, t *tier, exclude *member) *member {
-	var inBackoff *member
-	start := b.rng.IntN(len(t.usable))
-	for i := range t.usable {
-		m := t.usable[(start+i)%len(t.usable)]
+func (b *Balancer) scanUsableMembers(now time.Time, q Query, t *tier, exclude *member) *member {
+	var memberInBackoff *member
+	startIndex := b.rng.IntN(len(t.usableMembers))
+	for i := range t.usableMembers {
+		m := t.usableMembers[(startIndex+i)%len(t.usableMembers)]
 		switch {
 		case m == exclude || excluded(q, m):
 		case now.Before(m.backoffUntil):
-			inBackoff = m
+			memberInBackoff = m
 		default:
 			return m
 		}
@@ -344,25 +344,25 @@
 	if exclude != nil {
 		return nil // a replica in backoff is no alternative to a candidate outside backoff
 	}
-	return inBackoff
+	return memberInBackoff
 }
 
 // pickLastResort picks the ejected replica with the best score: trying a doubtful
 // replica is better than refusing the request. Leaving replicas are never picked.
 func (b *Balancer) pickLastResort(now time.Time, q Query) (Choice, bool) {
-	var best *member
-	for _, t := range [...]*tier{&b.near, &b.spill} {
+	var bestMember *member
+	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
 		for _, m := range t.members {
 			if m.leaving || excluded(q, m) {
 				continue
 			}
-			if best == nil || b.score(now, m) < b.score(now, best) {
-				best = m
+			if bestMember == nil || b.score(now, m) < b.score(now, bestMember) {
+				bestMember = m
 			}
 		}
 	}
-	if best == nil {
+	if bestMember == nil {
 		return Choice{}, false
 	}
-	return b.newChoice(now, best, ReasonLastResort), true
+	return b.newChoice(now, bestMember, ReasonLastResort), true
 }
--- a/decide/balance/pollschedule.go
+++ b/decide/balance/pollschedule.go
@@ -12,8 +12,8 @@
 // Polls for cache events are scheduled in the same way. The zero value holds no
 // endpoint.
 type PollSchedule struct {
-	byContact list.List // of *pollEntry, oldest contact first
-	elements  map[string]*list.Element
+	entriesByContact  list.List // of *pollEntry, oldest contact first
+	elementByEndpoint map[string]*list.Element
 }
 
 type pollEntry struct {
@@ -21,67 +21,67 @@
 	lastContact time.Time
 }
 
-func entryOf(e *list.Element) *pollEntry { return e.Value.(*pollEntry) }
+func entryOf(element *list.Element) *pollEntry { return element.Value.(*pollEntry) }
 
 // Set replaces the endpoints. Endpoints of the previous set keep their times; new
 // ones count as never contacted.
-func (s *PollSchedule) Set(endpoints []string) {
-	old := s.elements
-	s.elements = make(map[string]*list.Element, len(endpoints))
+func (s *PollSchedule) SetEndpoints(endpoints []string) {
+	oldElements := s.elementByEndpoint
+	s.elementByEndpoint = make(map[string]*list.Element, len(endpoints))
 	entries := make([]*pollEntry, 0, len(endpoints))
 	for _, endpoint := range endpoints {
-		if _, duplicate := s.elements[endpoint]; duplicate {
+		if _, duplicate := s.elementByEndpoint[endpoint]; duplicate {
 			continue
 		}
-		s.elements[endpoint] = nil
-		p := &pollEntry{endpoint: endpoint}
-		if previous := old[endpoint]; previous != nil {
-			p = entryOf(previous)
+		s.elementByEndpoint[endpoint] = nil
+		entry := &pollEntry{endpoint: endpoint}
+		if oldElement := oldElements[endpoint]; oldElement != nil {
+			entry = entryOf(oldElement)
 		}
-		entries = append(entries, p)
+		entries = append(entries, entry)
 	}
 	slices.SortStableFunc(entries, func(a, b *pollEntry) int { return a.lastContact.Compare(b.lastContact) })
-	s.byContact.Init()
-	for _, p := range entries {
-		s.elements[p.endpoint] = s.byContact.PushBack(p)
+	s.entriesByContact.Init()
+	for _, entry := range entries {
+		s.elementByEndpoint[entry.endpoint] = s.entriesByContact.PushBack(entry)
 	}
 }
 
 // Touch records that an endpoint reported its load or is being polled for it. Polls
 // count as contacts, so that an endpoint that does not answer is not polled
 // repeatedly before the others.
-func (s *PollSchedule) Touch(endpoint string, at time.Time) {
-	e := s.elements[endpoint]
-	if e == nil || at.Before(entryOf(e).lastContact) {
+func (s *PollSchedule) Touch(endpoint string, contactTime time.Time) {
+	element := s.elementByEndpoint[endpoint]
+	if element == nil || contactTime.Before(entryOf(element).lastContact) {
 		return
 	}
-	entryOf(e).lastContact = at
-	s.byContact.MoveToBack(e)
+	entryOf(element).lastContact = contactTime
+	s.entriesByContact.MoveToBack(element)
 	// Times arrive nearly in order, so this loop takes few steps, mostly none.
-	for previous := e.Prev(); previous != nil && entryOf(previous).lastContact.After(at); previous = e.Prev() {
-		s.byContact.MoveBefore(e, previous)
+	for previous := element.Prev(); previous != nil && entryOf(previous).lastContact.After(contactTime); previous = element.Prev() {
+		s.entriesByContact.MoveBefore(element, previous)
 	}
 }
 
 // Has reports whether an endpoint is in the current set.
-func (s *PollSchedule) Has(endpoint string) bool { return s.elements[endpoint] != nil }
+func (s *PollSchedule) Has(endpoint string) bool { return s.elementByEndpoint[endpoint] != nil }
 
 // HalfRoundElapsed reports whether the last contact with an endpoint was at least
 // half a round ago, where a round is one poll interval per endpoint. It is used for
 // polls that can be combined with another request at no cost.
 func (s *PollSchedule) HalfRoundElapsed(endpoint string, now time.Time, interval time.Duration) bool {
-	e := s.elements[endpoint]
+	e := s.elementByEndpoint[endpoint]
 	if e == nil {
 		return false
 	}
-	round := time.Duration(s.byContact.Len()) * interval
-	return now.Sub(entryOf(e).lastContact) >= round/2
+	roundDuration := time.Duration(s.entriesByContact.Len()) * interval
+	return now.Sub(entryOf(e).lastContact) >= roundDuration/2
 }
 
 // Oldest returns the endpoint whose last contact is the longest ago, and the time
 // of that contact; the zero time means never.
 func (s *PollSchedule) Oldest() (endpoint string, lastContact time.Time, ok bool) {
-	oldest := s.byContact.Front()
+	oldest := s.entriesByContact.Front()
 	if oldest == nil {
 		return "", time.Time{}, false
 	}
@@ -101,11 +101,11 @@
 // time, and the last one would wait for two rounds. Therefore each endpoint must
 // still be in time if the ones before it take the next poll opportunities.
 func (s *PollSchedule) Due(now time.Time, interval time.Duration) bool {
-	maxAge := time.Duration(s.byContact.Len()) * interval
+	maxAge := time.Duration(s.entriesByContact.Len()) * interval
 	// An answer takes some time, so that with a poll in every interval the contacts
 	// are a little less than a round apart.
 	maxAge += interval / 2
-	for e := s.byContact.Front(); e != nil; e = e.Next() {
+	for e := s.entriesByContact.Front(); e != nil; e = e.Next() {
 		maxAge -= interval
 		if now.Sub(entryOf(e).lastContact) > maxAge {
 			return true
--- a/decide/balance/pollschedule_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -14,24 +14,24 @@
 func TestOldestEndpointIsPolledFirst(t *testing.T) {
 	Convey("The endpoint with the oldest contact comes first", t, func() {
 		var s PollSchedule
-		first := func() string {
+		oldest := func() string {
 			e, _, _ := s.Oldest()
 			return e
 		}
-		So(first(), ShouldEqual, "")
-		s.Set([]string{"a", "b", "a"})
-		s.Touch("a", seconds(1))
-		So(first(), ShouldEqual, "b")
-		s.Touch("b", seconds(2))
-		So(first(), ShouldEqual, "a")
-		s.Touch("a", seconds(3))
-		s.Touch("a", seconds(1)) // an answer that arrives out of order
-		s.Touch("unknown", seconds(0))
-		So(first(), ShouldEqual, "b")
-		s.Set([]string{"a", "c"})
-		So(first(), ShouldEqual, "c")
-		s.Touch("c", seconds(4))
-		So(first(), ShouldEqual, "a")
+		So(oldest(), ShouldEqual, "")
+		s.SetEndpoints([]string{"a", "b", "a"})
+		s.Touch("a", epochPlus(1))
+		So(oldest(), ShouldEqual, "b")
+		s.Touch("b", epochPlus(2))
+		So(oldest(), ShouldEqual, "a")
+		s.Touch("a", epochPlus(3))
+		s.Touch("a", epochPlus(1)) // an answer that arrives out of order
+		s.Touch("unknown", epochPlus(0))
+		So(oldest(), ShouldEqual, "b")
+		s.SetEndpoints([]string{"a", "c"})
+		So(oldest(), ShouldEqual, "c")
+		s.Touch("c", epochPlus(4))
+		So(oldest(), ShouldEqual, "a")
 	})
 }
 
@@ -41,59 +41,59 @@
 // answers from all endpoints the last one must not wait for two rounds.
 func TestDue(t *testing.T) {
 	const interval = time.Second
-	names := []string{"a", "b", "c", "d"}
+	endpoints := []string{"a", "b", "c", "d"}
 	for _, c := range []struct {
-		name    string
-		answers func(tick int) []string
-		polls   int
+		name          string
+		answeringAt   func(tick int) []string
+		expectedPolls int
 	}{
 		{"no answers", func(int) []string { return nil }, 40},
-		{"answers provide half of the necessary contacts", func(tick int) []string { return names[tick%4 : tick%4+1-tick%2] }, 20},
+		{"answers provide half of the necessary contacts", func(tick int) []string { return endpoints[tick%4 : tick%4+1-tick%2] }, 20},
 		{"a burst of answers from all endpoints, then none", func(tick int) []string {
 			if tick > 0 {
 				return nil
 			}
-			return names
+			return endpoints
 		}, 39},
-		{"answers from all endpoints in every interval", func(int) []string { return names }, 0},
+		{"answers from all endpoints in every interval", func(int) []string { return endpoints }, 0},
 	} {
 		Convey(c.name, t, func() {
 			var s PollSchedule
-			s.Set(names)
+			s.SetEndpoints(endpoints)
 			now := epoch
 			So(s.Due(now, interval), ShouldBeTrue) // endpoints that were never contacted
-			for _, name := range names {
+			for _, name := range endpoints {
 				now = now.Add(interval)
 				s.Touch(name, now)
 			}
 			polls := 0
 			for tick := range 40 {
 				now = now.Add(interval)
-				for _, name := range c.answers(tick) {
+				for _, name := range c.answeringAt(tick) {
 					s.Touch(name, now)
 				}
-				first, lastContact, _ := s.Oldest()
-				So(now.Sub(lastContact), ShouldBeLessThanOrEqualTo, time.Duration(len(names))*interval)
+				oldest, lastContact, _ := s.Oldest()
+				So(now.Sub(lastContact), ShouldBeLessThanOrEqualTo, time.Duration(len(endpoints))*interval)
 				if !s.Due(now, interval) {
 					continue
 				}
-				s.Touch(first, now)
+				s.Touch(oldest, now)
 				polls++
 			}
-			So(polls, ShouldEqual, c.polls)
+			So(polls, ShouldEqual, c.expectedPolls)
 		})
 	}
 }
 
 func BenchmarkPollSchedule(b *testing.B) {
-	for _, n := range []int{10, 100, 1000, 10000} {
-		endpoints := make([]string, n)
+	for _, endpointCount := range []int{10, 100, 1000, 10000} {
+		endpoints := make([]string, endpointCount)
 		for i := range endpoints {
 			endpoints[i] = fmt.Sprint("endpoint-", i)
 		}
-		b.Run(fmt.Sprint("list ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("list ", endpointCount), func(b *testing.B) {
 			var s PollSchedule
-			s.Set(endpoints)
+			s.SetEndpoints(endpoints)
 			now := epoch
 			for b.Loop() {
 				now = now.Add(time.Millisecond)
@@ -101,7 +101,7 @@
 				s.Touch(e, now)
 			}
 		})
-		b.Run(fmt.Sprint("scan ", n), func(b *testing.B) {
+		b.Run(fmt.Sprint("scan ", endpointCount), func(b *testing.B) {
 			lastContact := map[string]time.Time{}
 			now := epoch
 			for b.Loop() {
--- a/decide/balance/rendezvous/rendezvous.go
+++ b/decide/balance/rendezvous/rendezvous.go
@@ -36,12 +36,12 @@
 	if weight <= 0 {
 		return 0
 	}
-	return -weight / math.Log(Unit(Score(key, candidate)))
+	return -weight / math.Log(ToUnitInterval(Score(key, candidate)))
 }
 
 // Unit maps a hash to the open interval between 0 and 1.
-func Unit(h uint64) float64 {
-	return (float64(h>>11) + 0.5) / (1 << 53)
+func ToUnitInterval(hash uint64) float64 {
+	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
 // mix is the finalizer of splitmix64.
--- a/decide/balance/status.go
+++ b/decide/balance/status.go
@@ -31,57 +31,57 @@
 	if len(b.changes) == maxChanges {
 		b.changes = b.changes[1:]
 	}
-	b.changes = append(b.changes, Change{At: now, Replica: m.ID, From: m.state, To: to, Cause: m.health.Cause()})
+	b.changes = append(b.changes, Change{At: now, Replica: m.ID, From: m.healthState, To: to, Cause: m.health.Cause()})
 }
 
 // Status is what the node knows of a replica in its subset.
 type Status struct {
 	Replica
 	// Near is set if the replica is in the nearest failure domain.
-	Near    bool
-	Leaving bool
-	State   health.State
-	Cause   health.Cause
+	InNearestDomain bool
+	Leaving         bool
+	State           health.State
+	Cause           health.Cause
 	// InFlight is the number of this node's requests. OtherRequests estimates those
 	// of other nodes from the last report, whose weight decays with its age.
-	InFlight      int
-	OtherRequests float64
+	InFlight          int
+	OtherNodeRequests float64
 	// ReportAge is the age of that report; negative if there is none.
 	ReportAge time.Duration
 	// Utilization is the load per unit of capacity, Slowness the delay relative to
 	// the median, and Ramp the share of its capacity that a new replica may use.
-	Utilization float64
-	Slowness    float64
-	Ramp        float64
+	Utilization       float64
+	Slowness          float64
+	SlowStartFraction float64
 }
 
 // Status returns what the node knows of its subset, for operators.
 func (b *Balancer) Status(now time.Time) []Status {
-	var all []Status
-	for _, t := range []*tier{&b.near, &b.spill} {
+	var statuses []Status
+	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
 		for _, m := range t.members {
-			all = append(all, b.statusOf(now, m))
+			statuses = append(statuses, b.statusOf(now, m))
 		}
 	}
-	return all
+	return statuses
 }
 
 func (b *Balancer) statusOf(now time.Time, m *member) Status {
 	s := Status{
-		Replica:       m.Replica,
-		Near:          m.tier == &b.near,
-		Leaving:       m.leaving,
-		State:         m.health.State(),
-		Cause:         m.health.Cause(),
-		InFlight:      int(m.inflight),
-		OtherRequests: b.estimatedOtherRequests(now, m),
-		ReportAge:     -1,
-		Utilization:   b.utilization(now, m),
-		Slowness:      m.health.Slowness(),
-		Ramp:          b.ramp(now, m),
+		Replica:           m.Replica,
+		InNearestDomain:   m.tier == &b.nearTier,
+		Leaving:           m.leaving,
+		State:             m.health.State(),
+		Cause:             m.health.Cause(),
+		InFlight:          int(m.inflightRequests),
+		OtherNodeRequests: b.estimatedOtherNodeRequests(now, m),
+		ReportAge:         -1,
+		Utilization:       b.utilization(now, m),
+		Slowness:          m.health.Slowness(),
+		SlowStartFraction: b.slowStartFraction(now, m),
 	}
-	if !m.measuredAt.IsZero() {
-		s.ReportAge = now.Sub(m.measuredAt)
+	if !m.lastReportMadeAt.IsZero() {
+		s.ReportAge = now.Sub(m.lastReportMadeAt)
 	}
 	return s
 }
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -11,19 +11,19 @@
 // tier is a part of the subset: either the replicas of the nearest failure domain,
 // or the replicas to which requests spill.
 type tier struct {
-	members []*member
-	ring    []ringPoint
-	usable  []*member
+	members       []*member
+	prefixRing    []ringPoint
+	usableMembers []*member
 	// cumulative holds the running sums of the capacities of the usable members,
 	// for draws in proportion to capacity.
-	cumulative []float64
+	cumulativeCapacity []float64
 
-	position      float64 // round-robin position, 0 to 1
-	equalCapacity bool    // all usable members have the same capacity
+	roundRobinPosition float64 // round-robin position, 0 to 1
+	equalCapacity      bool    // all usable members have the same capacity
 
-	inflight         float64 // this node's requests at the usable members
-	otherRequests    float64 // requests of other nodes at the usable members, as reported
-	reportedCapacity float64 // capacity of the usable members that have reported
+	inflightRequests          float64 // this node's requests at the usable members
+	reportedOtherNodeRequests float64 // requests of other nodes at the usable members, as reported
+	reportedCapacity          float64 // capacity of the usable members that have reported
 }
 
 // ringPoint is a point on the prefix hash ring.
@@ -34,11 +34,11 @@
 
 // newRing builds the ring from the replica IDs alone, so that nodes with the same
 // replicas send a prefix to the same one.
-func newRing(members []*member) []ringPoint {
+func newPrefixRing(members []*member) []ringPoint {
 	ring := make([]ringPoint, 0, len(members)*ringPointsPerReplica)
 	for _, m := range members {
 		for i := range uint64(ringPointsPerReplica) {
-			ring = append(ring, ringPoint{rendezvous.Score(m.hash, i<<1), m})
+			ring = append(ring, ringPoint{rendezvous.Score(m.idHash, i<<1), m})
 		}
 	}
 	slices.SortFunc(ring, func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) })
@@ -53,55 +53,55 @@
 	}
 }
 
-func (t *tier) reset() {
-	t.usable = t.usable[:0]
-	t.cumulative = t.cumulative[:0]
-	t.inflight, t.otherRequests, t.reportedCapacity = 0, 0, 0
+func (t *tier) clearUsableMembers() {
+	t.usableMembers = t.usableMembers[:0]
+	t.cumulativeCapacity = t.cumulativeCapacity[:0]
+	t.inflightRequests, t.reportedOtherNodeRequests, t.reportedCapacity = 0, 0, 0
 	t.equalCapacity = true
 }
 
 func (t *tier) addUsable(m *member) {
-	if len(t.usable) > 0 && m.capacity != t.usable[0].capacity {
+	if len(t.usableMembers) > 0 && m.capacity != t.usableMembers[0].capacity {
 		t.equalCapacity = false
 	}
-	t.usable = append(t.usable, m)
-	t.cumulative = append(t.cumulative, t.capacity()+m.capacity)
-	t.inflight += float64(m.inflight)
-	if !m.measuredAt.IsZero() {
-		t.otherRequests += m.otherRequests
+	t.usableMembers = append(t.usableMembers, m)
+	t.cumulativeCapacity = append(t.cumulativeCapacity, t.capacity()+m.capacity)
+	t.inflightRequests += float64(m.inflightRequests)
+	if !m.lastReportMadeAt.IsZero() {
+		t.reportedOtherNodeRequests += m.reportedOtherNodeRequests
 		t.reportedCapacity += m.capacity
 	}
 }
 
 func (t *tier) capacity() float64 {
-	if len(t.cumulative) == 0 {
+	if len(t.cumulativeCapacity) == 0 {
 		return 0
 	}
-	return t.cumulative[len(t.cumulative)-1]
+	return t.cumulativeCapacity[len(t.cumulativeCapacity)-1]
 }
 
-func (t *tier) addInflight(m *member, requests float64) {
+func (t *tier) changeInflight(m *member, change float64) {
 	if m.usable {
-		t.inflight += requests
+		t.inflightRequests += change
 	}
 }
 
-func (t *tier) addOtherRequests(m *member, requests float64, firstReport bool) {
+func (t *tier) changeOtherNodeRequests(m *member, change float64, firstReport bool) {
 	if !m.usable {
 		return
 	}
-	t.otherRequests += requests
+	t.reportedOtherNodeRequests += change
 	if firstReport {
 		t.reportedCapacity += m.capacity
 	}
 }
 
 // meanOtherLoad returns the load from other nodes per unit of capacity.
-func (t *tier) meanOtherLoad() float64 {
+func (t *tier) meanOtherNodeLoad() float64 {
 	if t.reportedCapacity == 0 {
 		return 0
 	}
-	return t.otherRequests / t.reportedCapacity
+	return t.reportedOtherNodeRequests / t.reportedCapacity
 }
 
 // meanLoad returns the load from all nodes per unit of capacity.
@@ -110,18 +110,18 @@
 	if capacity == 0 {
 		return 0
 	}
-	return t.inflight/capacity + t.meanOtherLoad()
+	return t.inflightRequests/capacity + t.meanOtherNodeLoad()
 }
 
 // nextRoundRobin returns the usable members in weighted round-robin order, each in
 // proportion to its capacity.
 func (t *tier) nextRoundRobin() *member {
-	return t.usable[t.nextIndex()]
+	return t.usableMembers[t.nextRoundRobinIndex()]
 }
 
-func (t *tier) nextIndex() int {
-	_, t.position = math.Modf(t.position + t.roundRobinStep())
-	return t.indexAt(t.position)
+func (t *tier) nextRoundRobinIndex() int {
+	_, t.roundRobinPosition = math.Modf(t.roundRobinPosition + t.roundRobinStep())
+	return t.indexAt(t.roundRobinPosition)
 }
 
 // roundRobinStep visits members of equal capacity one after the other. With unequal
@@ -129,7 +129,7 @@
 // golden-ratio steps spread the visits evenly for any capacities.
 func (t *tier) roundRobinStep() float64 {
 	if t.equalCapacity {
-		return 1 / float64(len(t.usable))
+		return 1 / float64(len(t.usableMembers))
 	}
 	return math.Phi - 1
 }
@@ -138,10 +138,10 @@
 // member covers an interval in proportion to its capacity. The tier must have a
 // usable member.
 func (t *tier) memberAt(position float64) *member {
-	return t.usable[t.indexAt(position)]
+	return t.usableMembers[t.indexAt(position)]
 }
 
 func (t *tier) indexAt(position float64) int {
-	i, _ := slices.BinarySearch(t.cumulative, position*t.capacity())
-	return min(i, len(t.usable)-1)
+	i, _ := slices.BinarySearch(t.cumulativeCapacity, position*t.capacity())
+	return min(i, len(t.usableMembers)-1)
 }
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -110,18 +110,18 @@
 	// FirstToken is the time from sending the request to the first part of the
 	// answer. It is zero for plain services and for attempts that failed before the
 	// first part. Total is the time from sending to the end or to the failure.
-	FirstToken time.Duration
-	Total      time.Duration
+	TimeToFirstToken time.Duration
+	TotalTime        time.Duration
 	// Started is set if Balancer.Started has been called for the attempt.
 	Started bool
 	Failure Failure
 }
 
 // Load is a load report made by an endpoint.
-type Load struct {
+type LoadReport struct {
 	// Running and Waiting count the endpoint's requests from all nodes.
-	Running int
-	Waiting int
+	RunningRequests int
+	WaitingRequests int
 	// Age is how old the figures were when the report arrived.
 	Age time.Duration
 	// Leaving is set if the endpoint reports that it is shutting down.
--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -120,7 +120,7 @@
 		if !m.usable() {
 			return 0
 		}
-		return rendezvous.Unit(rendezvous.Score(key, rendezvous.Hash(m.ID)))
+		return rendezvous.ToUnitInterval(rendezvous.Score(key, rendezvous.Hash(m.ID)))
 	})
 }
 
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -14,24 +14,24 @@
 	// head of the queue, which makes the baseline stronger.
 	DropExpired bool
 
-	running int
-	waiting []queuedRequest
+	runningRequests int
+	waitingRequests []queuedRequest
 }
 
 type queuedRequest struct {
 	admission.Request
-	arrived time.Time
+	arrivedAt time.Time
 }
 
 // Offer appends the request.
 func (f *FIFO) Offer(now time.Time, r admission.Request) []admission.Verdict {
-	f.waiting = append(f.waiting, queuedRequest{r, now})
+	f.waitingRequests = append(f.waitingRequests, queuedRequest{r, now})
 	return f.dispatch(now)
 }
 
 // Finish frees a slot.
 func (f *FIFO) Finish(now time.Time, _ uint64, _ float64) []admission.Verdict {
-	f.running--
+	f.runningRequests--
 	return f.dispatch(now)
 }
 
@@ -47,17 +47,17 @@
 // Tick does nothing.
 func (f *FIFO) Tick(time.Time) ([]admission.Verdict, time.Time) { return nil, time.Time{} }
 
-func (f *FIFO) dispatch(now time.Time) (out []admission.Verdict) {
-	for len(f.waiting) > 0 && f.running < f.Slots {
-		r := f.waiting[0]
-		f.waiting = f.waiting[1:]
-		v := admission.Verdict{ID: r.ID, Kind: admission.Run, Waited: now.Sub(r.arrived)}
+func (f *FIFO) dispatch(now time.Time) (verdicts []admission.Verdict) {
+	for len(f.waitingRequests) > 0 && f.runningRequests < f.Slots {
+		r := f.waitingRequests[0]
+		f.waitingRequests = f.waitingRequests[1:]
+		verdict := admission.Verdict{ID: r.ID, Kind: admission.Run, Waited: now.Sub(r.arrivedAt)}
 		if f.DropExpired && now.After(r.Deadline) {
-			v.Kind = admission.Refuse
+			verdict.Kind = admission.Refuse
 		} else {
-			f.running++
+			f.runningRequests++
 		}
-		out = append(out, v)
+		verdicts = append(verdicts, verdict)
 	}
-	return out
+	return verdicts
 }
--- a/decide/internal/sim/loop.go
+++ b/decide/internal/sim/loop.go
@@ -11,9 +11,9 @@
 var Start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
 type event struct {
-	at  time.Time
-	seq int
-	run func()
+	at       time.Time
+	sequence int
+	run      func()
 }
 
 type events []event
@@ -22,7 +22,7 @@
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e events) Less(i, j int) bool {
 	if e[i].at.Equal(e[j].at) {
-		return e[i].seq < e[j].seq
+		return e[i].sequence < e[j].sequence
 	}
 	return e[i].at.Before(e[j].at)
 }
@@ -35,9 +35,9 @@
 
 // Loop is an event loop that runs functions in the order of their scheduled times.
 type Loop struct {
-	Now    time.Time
-	events events
-	seq    int
+	Now          time.Time
+	events       events
+	lastSequence int
 }
 
 // NewLoop returns a loop whose time is Start.
@@ -46,8 +46,8 @@
 // Schedule adds a function that runs at time t. Functions of the same time run in
 // the order in which they were added.
 func (l *Loop) Schedule(t time.Time, run func()) {
-	l.seq++
-	heap.Push(&l.events, event{at: t, seq: l.seq, run: run})
+	l.lastSequence++
+	heap.Push(&l.events, event{at: t, sequence: l.lastSequence, run: run})
 }
 
 // Run runs the functions scheduled up to and including the given time.
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -19,93 +19,95 @@
 
 // Load is a stream of calls with Poisson arrivals.
 type Load struct {
-	Team          string
-	Class         admission.Class
-	Rate          float64       // calls per second
-	Cost          float64       // mean actual cost in tokens; each call 0.5 to 1.5 times that
-	DeclaredRatio float64       // expected over actual cost; zero means random, 0.7 to 1.3
-	StartTimeout  time.Duration // from a call until a start is no longer useful
-	From, To      time.Duration // zero To means the end of the run
-	RetryOnce     bool          // a refused caller retries once, after the time it was told
+	Team              string
+	Class             admission.Class
+	Rate              float64       // calls per second
+	MeanCost          float64       // mean actual cost in tokens; each call 0.5 to 1.5 times that
+	ExpectedCostRatio float64       // expected over actual cost; zero means random, 0.7 to 1.3
+	StartTimeout      time.Duration // from a call until a start is no longer useful
+	From, To          time.Duration // zero To means the end of the run
+	RetryOnce         bool          // a refused caller retries once, after the time it was told
 }
 
 // Scenario describes a run against one service.
 type Scenario struct {
-	SlotRate float64 // tokens per second per slot
-	Length   time.Duration
-	Loads    []Load
-	Capacity map[time.Duration]int // number of slots from each time on
-	StallAt  time.Duration         // from this time on no request finishes; zero means never
-	Seed     uint64                // of arrivals and costs
+	SlotRate      float64 // tokens per second per slot
+	Duration      time.Duration
+	Loads         []Load
+	SlotsFromTime map[time.Duration]int // number of slots from each time on
+	StallAt       time.Duration         // from this time on no request finishes; zero means never
+	Seed          uint64                // of arrivals and costs
 }
 
 // Call records what one caller saw. Times are measured from Start.
 type Call struct {
-	Load      int
-	Offered   time.Duration
-	Started   time.Duration // zero if it did not start
-	Finished  time.Duration // zero if it did not finish
-	RefusedAt time.Duration // zero if it was not refused
-	Deadline  time.Duration
-	Cost      float64 // actual
-	Verdict   admission.Verdict
-
-	Retry bool // the caller retried after a refusal
+	LoadIndex  int
+	OfferedAt  time.Duration
+	StartedAt  time.Duration // zero if it did not start
+	FinishedAt time.Duration // zero if it did not finish
+	RefusedAt  time.Duration // zero if it was not refused
+	Deadline   time.Duration
+	ActualCost float64 // actual
+	Verdict    admission.Verdict
+
+	IsRetry bool // the caller retried after a refusal
 }
 
 // InTime reports whether the call started by its deadline.
-func (c *Call) InTime() bool { return c.Verdict.Kind == admission.Run && c.Started <= c.Deadline }
+func (c *Call) StartedByDeadline() bool {
+	return c.Verdict.Kind == admission.Run && c.StartedAt <= c.Deadline
+}
 
 // Result holds the calls of a run.
 type Result struct{ Calls []*Call }
 
-type run struct {
+type scenarioRun struct {
 	Scenario
 	*Loop
-	policy   Policy
-	rng      *rand.Rand
-	calls    []*Call
-	nextTick time.Time
+	policy     Policy
+	rng        *rand.Rand
+	calls      []*Call
+	nextTickAt time.Time
 }
 
 // Run runs the scenario with the policy.
 func Run(s Scenario, policy Policy) *Result {
-	r := &run{Scenario: s, Loop: NewLoop(), policy: policy, rng: rand.New(rand.NewPCG(s.Seed, 2))}
+	r := &scenarioRun{Scenario: s, Loop: NewLoop(), policy: policy, rng: rand.New(rand.NewPCG(s.Seed, 2))}
 	for i, l := range s.Loads {
 		r.scheduleArrivals(i, l)
 	}
-	for at, slots := range s.Capacity {
+	for at, slots := range s.SlotsFromTime {
 		r.Schedule(Start.Add(at), func() { r.applyVerdicts(policy.SetCapacity(r.Now, slots)) })
 	}
-	r.Loop.Run(Start.Add(s.Length))
+	r.Loop.Run(Start.Add(s.Duration))
 	return &Result{Calls: r.calls}
 }
 
-func (r *run) scheduleArrivals(index int, l Load) {
+func (r *scenarioRun) scheduleArrivals(loadIndex int, l Load) {
 	end := l.To
 	if end == 0 {
-		end = r.Length
+		end = r.Duration
 	}
-	interarrival := func() time.Duration { return time.Duration(r.rng.ExpFloat64() / l.Rate * float64(time.Second)) }
-	for at := l.From + interarrival(); at < end; at += interarrival() {
-		cost := l.Cost * (0.5 + r.rng.Float64())
-		declared := l.DeclaredRatio
-		if declared == 0 {
-			declared = 0.7 + 0.6*r.rng.Float64()
+	interarrivalTime := func() time.Duration { return time.Duration(r.rng.ExpFloat64() / l.Rate * float64(time.Second)) }
+	for at := l.From + interarrivalTime(); at < end; at += interarrivalTime() {
+		cost := l.MeanCost * (0.5 + r.rng.Float64())
+		expectedCostRatio := l.ExpectedCostRatio
+		if expectedCostRatio == 0 {
+			expectedCostRatio = 0.7 + 0.6*r.rng.Float64()
 		}
-		r.Schedule(Start.Add(at), func() { r.offer(index, l, cost, cost*declared, false) })
+		r.Schedule(Start.Add(at), func() { r.offer(loadIndex, l, cost, cost*expectedCostRatio, false) })
 	}
 }
 
-func (r *run) offer(index int, l Load, cost, expected float64, retry bool) {
+func (r *scenarioRun) offer(loadIndex int, l Load, cost, expectedCost float64, isRetry bool) {
 	id := uint64(len(r.calls))
 	deadline := r.Now.Add(l.StartTimeout)
-	r.calls = append(r.calls, &Call{Load: index, Offered: r.Now.Sub(Start), Deadline: deadline.Sub(Start), Cost: cost, Retry: retry})
-	r.applyVerdicts(r.policy.Offer(r.Now, admission.Request{ID: id, Team: l.Team, Class: l.Class, Cost: expected, Deadline: deadline}))
+	r.calls = append(r.calls, &Call{LoadIndex: loadIndex, OfferedAt: r.Now.Sub(Start), Deadline: deadline.Sub(Start), ActualCost: cost, IsRetry: isRetry})
+	r.applyVerdicts(r.policy.Offer(r.Now, admission.Request{ID: id, Team: l.Team, Class: l.Class, Cost: expectedCost, Deadline: deadline}))
 	r.tick()
 }
 
-func (r *run) applyVerdicts(verdicts []admission.Verdict) {
+func (r *scenarioRun) applyVerdicts(verdicts []admission.Verdict) {
 	for _, v := range verdicts {
 		c := r.calls[v.ID]
 		c.Verdict = v
@@ -114,66 +116,66 @@
 			r.scheduleRetry(c)
 			continue
 		}
-		c.Started = r.Now.Sub(Start)
-		end := r.Now.Add(time.Duration(c.Cost / r.SlotRate * float64(time.Second)))
+		c.StartedAt = r.Now.Sub(Start)
+		end := r.Now.Add(time.Duration(c.ActualCost / r.SlotRate * float64(time.Second)))
 		if r.StallAt > 0 && end.Sub(Start) > r.StallAt {
 			continue
 		}
 		r.Schedule(end, func() {
-			c.Finished = r.Now.Sub(Start)
-			r.applyVerdicts(r.policy.Finish(r.Now, v.ID, c.Cost))
+			c.FinishedAt = r.Now.Sub(Start)
+			r.applyVerdicts(r.policy.Finish(r.Now, v.ID, c.ActualCost))
 		})
 	}
 }
 
-func (r *run) scheduleRetry(c *Call) {
-	l := r.Loads[c.Load]
-	if !l.RetryOnce || c.Retry || c.Verdict.RetryAfter == 0 {
+func (r *scenarioRun) scheduleRetry(c *Call) {
+	l := r.Loads[c.LoadIndex]
+	if !l.RetryOnce || c.IsRetry || c.Verdict.RetryAfter == 0 {
 		return
 	}
-	r.Schedule(r.Now.Add(c.Verdict.RetryAfter), func() { r.offer(c.Load, l, c.Cost, c.Cost, true) })
+	r.Schedule(r.Now.Add(c.Verdict.RetryAfter), func() { r.offer(c.LoadIndex, l, c.ActualCost, c.ActualCost, true) })
 }
 
-func (r *run) tick() {
-	if r.nextTick.After(r.Now) {
+func (r *scenarioRun) tick() {
+	if r.nextTickAt.After(r.Now) {
 		return
 	}
-	verdicts, next := r.policy.Tick(r.Now)
+	verdicts, nextTickAt := r.policy.Tick(r.Now)
 	r.applyVerdicts(verdicts)
-	if next.After(r.Now) {
-		r.nextTick = next
-		r.Schedule(next, r.tick)
+	if nextTickAt.After(r.Now) {
+		r.nextTickAt = nextTickAt
+		r.Schedule(nextTickAt, r.tick)
 	}
 }
 
 // Goodput returns the tokens per second of the calls that started in time, counted
 // by the slot time that they used between the two times.
 func (r *Result) Goodput(slotRate float64, from, to time.Duration, loads ...int) float64 {
-	sum := 0.0
+	tokens := 0.0
 	for _, c := range r.Calls {
-		if !c.InTime() || (len(loads) > 0 && !slices.Contains(loads, c.Load)) {
+		if !c.StartedByDeadline() || (len(loads) > 0 && !slices.Contains(loads, c.LoadIndex)) {
 			continue
 		}
-		end := c.Started + time.Duration(c.Cost/slotRate*float64(time.Second))
-		if slotTime := min(end, to) - max(c.Started, from); slotTime > 0 {
-			sum += slotTime.Seconds() * slotRate
+		end := c.StartedAt + time.Duration(c.ActualCost/slotRate*float64(time.Second))
+		if slotTime := min(end, to) - max(c.StartedAt, from); slotTime > 0 {
+			tokens += slotTime.Seconds() * slotRate
 		}
 	}
-	return sum / (to - from).Seconds()
+	return tokens / (to - from).Seconds()
 }
 
 // StartDelays returns, in ascending order, the delays until the start of the load's
 // calls that were offered between the two times. A call that did not start in time
 // counts with its whole StartTimeout.
-func (r *Result) StartDelays(load int, from, to time.Duration) []time.Duration {
+func (r *Result) StartDelays(loadIndex int, from, to time.Duration) []time.Duration {
 	var delays []time.Duration
 	for _, c := range r.Calls {
-		if c.Load != load || c.Offered < from || c.Offered >= to {
+		if c.LoadIndex != loadIndex || c.OfferedAt < from || c.OfferedAt >= to {
 			continue
 		}
-		delay := c.Deadline - c.Offered
-		if c.InTime() {
-			delay = c.Started - c.Offered
+		delay := c.Deadline - c.OfferedAt
+		if c.StartedByDeadline() {
+			delay = c.StartedAt - c.OfferedAt
 		}
 		delays = append(delays, delay)
 	}
@@ -182,20 +184,20 @@
 }
 
 // P95 returns the 95th percentile of sorted delays.
-func P95(sorted []time.Duration) time.Duration { return sorted[len(sorted)*95/100] }
+func P95(sortedDelays []time.Duration) time.Duration { return sortedDelays[len(sortedDelays)*95/100] }
 
 // StartedShare returns the share of the load's calls offered between the two times
 // that started in time.
-func (r *Result) StartedShare(load int, from, to time.Duration) float64 {
-	started, all := 0.0, 0.0
+func (r *Result) StartedShare(loadIndex int, from, to time.Duration) float64 {
+	startedCalls, offeredCalls := 0.0, 0.0
 	for _, c := range r.Calls {
-		if c.Load != load || c.Offered < from || c.Offered >= to {
+		if c.LoadIndex != loadIndex || c.OfferedAt < from || c.OfferedAt >= to {
 			continue
 		}
-		all++
-		if c.InTime() {
-			started++
+		offeredCalls++
+		if c.StartedByDeadline() {
+			startedCalls++
 		}
 	}
-	return started / all
+	return startedCalls / offeredCalls
 }
--- a/node/server/leaving_test.go
+++ b/node/server/leaving_test.go
@@ -35,7 +35,7 @@
 	chosen := map[string]bool{}
 	for range 200 {
 		if c, ok := s.Picker.Pick(balance.Query{Cost: 1}); ok {
-			s.Picker.Finished(c.Replica, balance.Result{Cost: 1, FirstToken: time.Millisecond})
+			s.Picker.Finished(c.Replica, balance.Result{Cost: 1, TimeToFirstToken: time.Millisecond})
 			chosen[c.Replica] = true
 		}
 	}
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -140,11 +140,11 @@
 	c.runs[r.Epoch-1].silent = r.Silent
 	mine := c.runs[r.Epoch-1]
 	c.answer.At.Picker.Finished(chain.Replica, balance.Result{
-		Cost:       c.answer.cost,
-		FirstToken: r.FirstToken,
-		Total:      c.answer.Now().Sub(mine.since),
-		Started:    mine.started,
-		Failure:    failureOf(r),
+		Cost:             c.answer.cost,
+		TimeToFirstToken: r.FirstToken,
+		TotalTime:        c.answer.Now().Sub(mine.since),
+		Started:          mine.started,
+		Failure:          failureOf(r),
 	})
 	if r.End == stream.EndMismatch || r.Reason == stream.OtherArtifact {
 		c.answer.server.Plans.Suspect(c.answer.Service.Name, chain.Replica)
--- a/route/plainservice/endpoints.go
+++ b/route/plainservice/endpoints.go
@@ -32,5 +32,5 @@
 
 // Ended implements targets.Targets.
 func (e endpoints) Ended(t targets.Target, r targets.Result) {
-	e.visit.At.Picker.Finished(t.Replica, balance.Result{Cost: callCost, Total: r.Took, Failure: r.Failure})
+	e.visit.At.Picker.Finished(t.Replica, balance.Result{Cost: callCost, TotalTime: r.Took, Failure: r.Failure})
 }
--- a/route/replicapicker/replicapicker.go
+++ b/route/replicapicker/replicapicker.go
@@ -70,7 +70,7 @@
 }
 
 // Report passes on the load that a replica told of itself.
-func (p *Picker) Report(replica string, l balance.Load) {
+func (p *Picker) Report(replica string, l balance.LoadReport) {
 	p.change(func(now time.Time, b *balance.Balancer) { b.Report(now, replica, l) })
 }
 
--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -29,11 +29,11 @@
 	s.Asked(endpoint, s.now())
 	s.learnPace(endpoint, time.Duration(l.StepMicros)*time.Microsecond)
 	for _, replica := range s.ReplicasOf(endpoint) {
-		s.Picker.Report(replica, balance.Load{
-			Running: l.Running,
-			Waiting: l.Waiting,
-			Age:     time.Duration(l.AgeMillis) * time.Millisecond,
-			Leaving: s.anyLeaving(replica, balance.SourceEndpoint),
+		s.Picker.Report(replica, balance.LoadReport{
+			RunningRequests: l.Running,
+			WaitingRequests: l.Waiting,
+			Age:             time.Duration(l.AgeMillis) * time.Millisecond,
+			Leaving:         s.anyLeaving(replica, balance.SourceEndpoint),
 		})
 	}
 }
@@ -60,7 +60,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.quietOf != version {
-		s.quiet.Set(s.endpointsOf(s.Picker.Subset()))
+		s.quiet.SetEndpoints(s.endpointsOf(s.Picker.Subset()))
 		s.quietOf = version
 	}
 	endpoint, heard, _ := s.quiet.Oldest()
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -49,7 +49,7 @@
 		if !ok {
 			continue
 		}
-		s.Picker.Finished(choice.Replica, balance.Result{Cost: 1, FirstToken: time.Millisecond})
+		s.Picker.Finished(choice.Replica, balance.Result{Cost: 1, TimeToFirstToken: time.Millisecond})
 		found = found || choice.Replica == replica
 	}
 	return found
--- a/route/service/prefixes.go
+++ b/route/service/prefixes.go
@@ -106,7 +106,7 @@
 	}
 	used := s.Picker.Subset()
 	p.index.Retain(used)
-	p.asked.Set(used)
+	p.asked.SetEndpoints(used)
 	p.askedOf = version
 }
 
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -74,10 +74,10 @@
 // Ended implements Targets.
 func (p *Plain) Ended(t Target, r Result) {
 	p.picker.Finished(t.Replica, balance.Result{
-		Cost: 1, FirstToken: r.Took, Total: r.Took, Started: r.Whole, Failure: r.Failure,
+		Cost: 1, TimeToFirstToken: r.Took, TotalTime: r.Took, Started: r.Whole, Failure: r.Failure,
 	})
 	if r.Load != nil {
-		p.picker.Report(t.Replica, balance.Load{Running: r.Load.Running, Waiting: r.Load.Waiting})
+		p.picker.Report(t.Replica, balance.LoadReport{RunningRequests: r.Load.Running, WaitingRequests: r.Load.Waiting})
 	}
 }
 
