--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -273,7 +273,7 @@
 	// then on serves only callers who have gone.
 	Convey("A third of the capacity is lost", t, func() {
 		s := scenario(calls("a", 0.5, 300), calls("b", 0.4, 300))
-		s.SlotsFromTime = map[time.Duration]int{seconds(50): slots * 2 / 3}
+		s.SlotsByStartTime = map[time.Duration]int{seconds(50): slots * 2 / 3}
 		good, base := sim.Run(s, queue()), sim.Run(s, fifo())
 		from, to := seconds(60), seconds(110)
 		g, b := good.Goodput(slotRate, from, to)/bound*1.5, base.Goodput(slotRate, from, to)/bound*1.5
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -9,8 +9,8 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Balancer places the requests of one service on one node. It is not safe for
-// concurrent use; the caller must lock.
+// Balancer picks replicas for the requests that one node sends to one service. It
+// is not safe for concurrent use; the caller must lock.
 type Balancer struct {
 	cfg           Config
 	chooser       subsetChooser
@@ -21,24 +21,24 @@
 	nearTier        tier
 	spillTier       tier
 	probingMembers  []*member
-	eligibleMembers []*member // may receive requests
+	eligibleMembers []*member // members that may receive requests
 	changes         []Change
 
 	detector             *health.Detector
-	nodeCount            int    // nodes that share the replicas; zero if unknown
+	nodeCount            int    // number of nodes that use the service; zero if unknown
 	subsetVersion        uint64 // number of times the subset was computed
-	groupedHealthVersion uint64 // version of health at the last refresh of the tiers
+	groupedHealthVersion uint64 // version of the detector at the last call of groupByHealthState
 	rng                  *rand.Rand
-	meanCost             float64 // moving average, tokens
-	meanAnswerSeconds    float64 // moving average of the duration of whole answers, seconds
-	initialFraction      float64 // share of its capacity with which a new replica starts
+	meanCost             float64 // moving average of the cost of requests, tokens
+	meanAnswerSeconds    float64 // moving average of the time to a whole answer, seconds
+	initialFraction      float64 // fraction of its capacity with which a new replica begins its slow start
 }
 
-// leavingState records which sources report that an endpoint is leaving.
+// leavingState records which sources report that a replica is leaving.
 type leavingState struct {
-	sources             uint8
-	refusedAt           time.Time // when the endpoint last refused a request because it is shutting down
-	leavingReportMadeAt time.Time // when the endpoint made the load report that says it is leaving
+	sources             uint8     // bit set, indexed by Source
+	refusedAt           time.Time // when the replica last refused a request because it is shutting down
+	leavingReportMadeAt time.Time // when the replica made its latest report that says that it is leaving
 }
 
 func (l leavingState) has(s Source) bool { return l.sources&(1<<s) != 0 }
@@ -47,14 +47,14 @@
 type member struct {
 	hashedReplica
 	replicaLoad
-	health        *health.Endpoint
-	tier          *tier
-	capacity      float64 // slots times weight
-	usable        bool
-	leaving       bool
-	healthState   health.State // at the last refresh
-	slowStartedAt time.Time    // start of the slow start; zero if there is none
-	backoffUntil  time.Time    // end of the backoff after a refusal
+	health           *health.Endpoint
+	tier             *tier
+	capacity         float64 // slots times weight
+	usable           bool
+	leaving          bool
+	healthState      health.State // health state at the last call of groupByHealthState
+	slowStartBeganAt time.Time    // when the slow start began; zero without slow start
+	backoffUntil     time.Time    // end of the backoff after a refusal because the replica was full
 }
 
 // New returns a Balancer without replicas.
@@ -71,7 +71,7 @@
 }
 
 // SetReplicas replaces the list of the service's replicas. Replicas that were in
-// the previous list keep their state. New ones get a slow start, unless the
+// the previous list keep their state. New replicas get a slow start, unless the
 // previous list was empty. The cost is one sort plus one rendezvous score per pair
 // of near replica and peer.
 func (b *Balancer) SetReplicas(now time.Time, replicas []Replica) {
@@ -89,7 +89,7 @@
 
 // SetPeers sets the live nodes of the node's own failure domain; the node itself
 // may be among them. Until SetPeers is called, the node chooses its subset without
-// knowing its peers, and the cover of the replicas is uneven.
+// knowing its peers, and replicas get unequal numbers of nodes.
 func (b *Balancer) SetPeers(now time.Time, nodeIDs []string) {
 	peerHashes := make([]uint64, 0, len(nodeIDs))
 	for _, nodeID := range nodeIDs {
@@ -105,7 +105,8 @@
 	b.updateSubset(now, func(hashedReplica) bool { return false })
 }
 
-// updateSubset recomputes the subset.
+// updateSubset recomputes the subset. Members that stay in the subset keep their
+// state; replicas for which isNew holds begin a slow start.
 func (b *Balancer) updateSubset(now time.Time, isNew func(hashedReplica) bool) {
 	b.subsetVersion++
 	nearReplicas, spillReplicas := b.chooser.choose(b.replicas)
@@ -120,7 +121,7 @@
 			b.detector.Forget(m.health)
 		}
 	}
-	b.regroupMembers(now)
+	b.groupByHealthState(now)
 }
 
 func (b *Balancer) newTier(now time.Time, replicas []hashedReplica, oldMembers map[string]*member, isNew func(hashedReplica) bool) tier {
@@ -130,7 +131,7 @@
 		if m == nil {
 			m = &member{health: b.detector.Track(r.FailureDomain)}
 			if isNew(r) {
-				m.slowStartedAt = now
+				m.slowStartBeganAt = now
 			}
 		}
 		m.hashedReplica = r
@@ -143,17 +144,17 @@
 	return t
 }
 
-// SetLeaving records whether the platform's list of VMs says that an endpoint is
+// SetLeaving records whether the platform's list of VMs says that a replica is
 // leaving.
 func (b *Balancer) SetLeaving(now time.Time, id string, leaving bool) {
 	b.MarkLeaving(now, id, SourcePlatform, leaving)
 }
 
-// MarkLeaving records whether one source says that an endpoint is leaving. An
-// endpoint gets no new requests while any source says so, and each source can
-// withdraw only its own statement. If the latest statement won regardless of its
-// source, a platform list that lags would send requests back to an endpoint that
-// has itself reported its shutdown.
+// MarkLeaving records whether one source says that a replica is leaving. A replica
+// gets no new requests while any source says so, and each source can withdraw only
+// its own statement. If the latest statement won regardless of its source, a
+// platform list that lags would send requests back to a replica that has itself
+// reported its shutdown.
 func (b *Balancer) MarkLeaving(now time.Time, id string, source Source, leaving bool) {
 	state := b.leavingStates[id]
 	state.sources &^= 1 << source
@@ -172,14 +173,14 @@
 	}
 	if m := b.members[id]; m != nil && m.leaving != leaving {
 		m.leaving = leaving
-		b.regroupMembers(now)
+		b.groupByHealthState(now)
 	}
 }
 
-// recordLeavingRefusal marks an endpoint as leaving because it refused a request
-// with that reason. A later load report does not withdraw the mark, because some
-// engines do not report their shutdown. The mark ends when the endpoint disappears
-// from the replica list, or after leavingRefusalTTL.
+// recordLeavingRefusal marks a replica as leaving because it refused a request with
+// that reason. A later load report does not withdraw the mark, because some engines
+// do not report their shutdown. The mark ends when the replica disappears from the
+// replica list, or after leavingRefusalTTL.
 func (b *Balancer) recordLeavingRefusal(now time.Time, id string) {
 	state := b.leavingStates[id]
 	state.sources |= 1 << sourceRefusal
@@ -195,7 +196,7 @@
 	}
 }
 
-// Sent records a request that was sent to the replica. The cost is in tokens; 0
+// Sent records that a request was sent to the replica. The cost is in tokens; 0
 // means unknown.
 func (b *Balancer) Sent(now time.Time, id string, cost float64) {
 	m := b.members[id]
@@ -206,7 +207,7 @@
 		b.meanCost = movingAverage(b.meanCost, cost)
 	}
 	m.recordSent(now, cost)
-	m.tier.changeInflight(m, 1)
+	m.tier.changeInflightRequests(m, 1)
 	b.detector.Sent(now, m.health)
 }
 
@@ -217,18 +218,17 @@
 	return average + (sample-average)*movingAverageGain
 }
 
-// Started records that the first part of an answer arrived firstToken after the
-// request was sent. The call is optional. It shows earlier than Finished that a
-// replica is not frozen.
-func (b *Balancer) Started(now time.Time, id string, firstToken time.Duration) {
+// Started records that the first part of an answer arrived. The call is optional.
+// It shows earlier than Finished that a replica is not frozen.
+func (b *Balancer) Started(now time.Time, id string, timeToFirstToken time.Duration) {
 	if m := b.members[id]; m != nil {
-		b.detector.Heard(now, m.health, firstToken)
+		b.detector.Heard(now, m.health, timeToFirstToken)
 	}
 }
 
-// Progress records the mean time between tokens of an unfinished answer. The call
-// is optional and meant to be made about once a second for each long answer. It
-// shows earlier than Finished that a replica is slow.
+// Progress records the mean time between the tokens of an unfinished answer. The
+// call is optional and meant to be made about once a second for each long answer.
+// It shows earlier than Finished that a replica is slow.
 func (b *Balancer) Progress(now time.Time, id string, timePerToken time.Duration) {
 	m := b.members[id]
 	if m == nil || b.meanCost == 0 {
@@ -238,14 +238,14 @@
 	b.regroupIfHealthChanged(now)
 }
 
-// Finished records the end of an attempt that was recorded by Sent.
+// Finished records the end of an attempt whose beginning was recorded by Sent.
 func (b *Balancer) Finished(now time.Time, id string, r Result) {
 	m := b.members[id]
 	if m == nil || m.inflightRequests == 0 {
 		return
 	}
 	m.recordFinished(now, r.Cost)
-	m.tier.changeInflight(m, -1)
+	m.tier.changeInflightRequests(m, -1)
 	b.observeOutcome(now, m, r)
 	switch r.Failure {
 	case health.Overloaded:
@@ -270,9 +270,9 @@
 
 // normalizedDecodeTime returns the time from the first part of the answer to its
 // end, in seconds, scaled to an answer of mean cost. The time to the first part is
-// excluded: it is ten times shorter if the prompt's prefix is cached. If it
-// counted, replicas with cold caches would be ejected as slow, and the replicas
-// that take over their prefixes would then have cold caches too.
+// excluded, because it is ten times shorter if the prompt's prefix is cached. If
+// that time counted, replicas with cold caches would be ejected as slow. The
+// replicas that take over their prefixes would then have cold caches too.
 func (b *Balancer) normalizedDecodeTime(r Result) float64 {
 	decodeTime := (r.TotalTime - r.TimeToFirstToken).Seconds()
 	if r.TimeToFirstToken > 0 && r.Cost > 0 {
@@ -281,8 +281,9 @@
 	return decodeTime
 }
 
-// weightAdjusted converts a delay to the one that a replica of weight 1 would have
-// had, so that a slower type of accelerator is not an outlier.
+// weightAdjusted converts a delay at this replica to the delay at a replica of
+// weight 1. Without this, a slower type of accelerator would be ejected as an
+// outlier.
 func (m *member) weightAdjusted(delaySeconds float64) time.Duration {
 	return time.Duration(delaySeconds * m.Weight * float64(time.Second))
 }
@@ -301,8 +302,8 @@
 }
 
 // updateLeavingFromReport applies the leaving flag of a load report. Only a report
-// made later can withdraw the flag, because reports from polls and from answers can
-// arrive out of order.
+// that was made after the flagged one can withdraw the flag, because reports from
+// polls and from answers can arrive out of order.
 func (b *Balancer) updateLeavingFromReport(now time.Time, id string, report LoadReport) {
 	state := b.leavingStates[id]
 	madeAt := now.Add(-report.Age)
@@ -318,8 +319,8 @@
 	b.setLeavingState(now, id, state)
 }
 
-// Capacity returns the number of slots of the replicas that may receive requests.
-// Replicas in slow start count with their current share.
+// Capacity returns the number of slots of the replicas that may receive requests. A
+// replica in slow start counts with the fraction of its slots that it may use now.
 func (b *Balancer) Capacity(now time.Time) int {
 	slots := 0.0
 	for _, m := range b.eligibleMembers {
@@ -328,15 +329,16 @@
 	return int(slots)
 }
 
-// ReplicaCount returns the number of replicas of the service. Subset returns those
-// that this node uses.
+// ReplicaCount returns the number of replicas of the service, including those
+// outside this node's subset.
 func (b *Balancer) ReplicaCount() int { return len(b.replicas) }
 
-// SubsetVersion changes whenever the result of Subset does.
+// SubsetVersion returns a number that changes whenever the result of Subset
+// changes.
 func (b *Balancer) SubsetVersion() uint64 { return b.subsetVersion }
 
-// Subset returns the IDs of the replicas that this node uses, nearest failure
-// domain first.
+// Subset returns the IDs of the replicas that this node uses. Replicas of the
+// nearest failure domain come first.
 func (b *Balancer) Subset() []string {
 	var ids []string
 	for _, m := range slices.Concat(b.nearTier.members, b.spillTier.members) {
@@ -351,32 +353,34 @@
 	if b.detector.Due(now) {
 		b.expireLeavingRefusals(now)
 		b.detector.Judge(now)
-		b.regroupMembers(now)
+		b.groupByHealthState(now)
 	}
 }
 
 func (b *Balancer) regroupIfHealthChanged(now time.Time) {
 	if b.detector.Version() != b.groupedHealthVersion {
-		b.regroupMembers(now)
+		b.groupByHealthState(now)
 	}
 }
 
-// refresh groups the members by health state. It takes one pass over the subset and
-// runs when a state changes and at each health evaluation, never per request.
-func (b *Balancer) regroupMembers(now time.Time) {
+// groupByHealthState groups the members by health state. It takes one pass over the
+// subset. It runs when a state or the subset changes and at each health evaluation,
+// never per request.
+func (b *Balancer) groupByHealthState(now time.Time) {
 	b.groupedHealthVersion = b.detector.Version()
 	b.probingMembers = b.probingMembers[:0]
-	b.regroupTier(now, &b.nearTier)
-	b.regroupTier(now, &b.spillTier)
+	b.groupTierByHealthState(now, &b.nearTier)
+	b.groupTierByHealthState(now, &b.spillTier)
 	b.updateEligibleMembers()
 	b.updateInitialFraction(now)
 }
 
-// refreshEligible finds the replicas that may receive requests: the usable ones or,
-// if there are none, the ejected ones, which Pick uses as a last resort.
+// updateEligibleMembers finds the replicas that may receive requests: the usable
+// ones or, if no replica is usable, the ejected ones, which Pick uses as a last
+// resort.
 //
-// If the ejected ones had no slots, a service whose other replicas are leaving
-// would refuse every request for good: an ejection ends only at a health
+// If ejected replicas had no slots, a service whose other replicas are leaving
+// would refuse every request for good. An ejection ends only at a health
 // evaluation, and health is evaluated only when a request arrives.
 func (b *Balancer) updateEligibleMembers() {
 	b.eligibleMembers = append(append(b.eligibleMembers[:0], b.nearTier.usableMembers...), b.spillTier.usableMembers...)
@@ -392,14 +396,14 @@
 	}
 }
 
-func (b *Balancer) regroupTier(now time.Time, t *tier) {
+func (b *Balancer) groupTierByHealthState(now time.Time, t *tier) {
 	t.clearUsableMembers()
 	for _, m := range t.members {
 		state := m.health.State()
 		if state != m.healthState {
 			b.recordChange(now, m, state)
 			if state == health.Healthy {
-				m.slowStartedAt = now
+				m.slowStartBeganAt = now
 			}
 			m.healthState = state
 		}
@@ -413,15 +417,16 @@
 	}
 }
 
-// setRampFloor raises the initial share of new replicas as their part of the total
-// capacity grows. If new replicas make up half or more of it, their capacity cannot
-// be withheld: when a service grows tenfold, the few old replicas would otherwise
-// be overloaded with all requests.
+// updateInitialFraction raises the fraction with which new replicas begin their
+// slow start as their part of the total capacity grows. If replicas in slow start
+// make up more than half of the total capacity, their capacity must not be
+// withheld. Otherwise, when a service grows tenfold, the few old replicas would be
+// overloaded with all requests.
 func (b *Balancer) updateInitialFraction(now time.Time) {
 	slowStartCapacity := 0.0
 	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
 		for _, m := range t.usableMembers {
-			if now.Sub(m.slowStartedAt) < b.cfg.SlowStart {
+			if now.Sub(m.slowStartBeganAt) < b.cfg.SlowStart {
 				slowStartCapacity += m.capacity
 			}
 		}
@@ -433,12 +438,12 @@
 	b.initialFraction = max(minInitialFraction, 2*slowStartShare-1)
 }
 
-// ramp returns the share of its capacity that a replica may use during its slow
-// start.
+// slowStartFraction returns the fraction of its capacity that a replica may use
+// now. It grows during the slow start and is 1 afterwards.
 func (b *Balancer) slowStartFraction(now time.Time, m *member) float64 {
-	if m.slowStartedAt.IsZero() {
+	if m.slowStartBeganAt.IsZero() {
 		return 1
 	}
-	elapsedFraction := float64(now.Sub(m.slowStartedAt)) / float64(b.cfg.SlowStart)
+	elapsedFraction := float64(now.Sub(m.slowStartBeganAt)) / float64(b.cfg.SlowStart)
 	return max(b.initialFraction, min(1, elapsedFraction))
 }
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -15,10 +15,13 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
+// epochPlus returns the time that is the given number of seconds after epoch.
 func epochPlus(seconds float64) time.Time {
 	return epoch.Add(time.Duration(seconds * float64(time.Second)))
 }
 
+// makeReplicas returns replicas of 64 slots, assigned to the failure domains by
+// round robin.
 func makeReplicas(replicaCount, domainCount int) []Replica {
 	replicas := make([]Replica, replicaCount)
 	for i := range replicas {
@@ -33,6 +36,7 @@
 	return b
 }
 
+// pickCounts returns how many of the given number of picks went to each replica.
 func pickCounts(b *Balancer, now time.Time, picks int, q Query) map[string]int {
 	counts := map[string]int{}
 	for range picks {
@@ -43,10 +47,10 @@
 	return counts
 }
 
-// Requests sent to a leaving endpoint are refused. A single source is enough to
-// mark an endpoint as leaving, and only the same source may withdraw the mark: the
-// platform's list lags and still reports an endpoint as live that has reported its
-// own shutdown.
+// If a leaving endpoint were picked, it would refuse the request. A statement by
+// any one source is enough to mark an endpoint as leaving, and only the same source
+// may withdraw the mark. The platform's list lags: it still shows an endpoint as
+// live that has already reported its own shutdown.
 func TestLeavingEndsOnlyBySameSource(t *testing.T) {
 	const id = "replica-0"
 	refusal := func(b *Balancer) {
@@ -68,7 +72,7 @@
 		{"removed from the list and added again", refusal, func(b *Balancer) {
 			b.SetReplicas(epoch, makeReplicas(4, 1)[1:])
 			b.SetReplicas(epoch, makeReplicas(4, 1))
-		}, true, 16}, // after the slow start of 15 s
+		}, true, 16}, // one second after the end of the slow start
 	} {
 		Convey("Given an endpoint marked as leaving by "+c.name, t, func() {
 			b := newBalancer(4, 1)
@@ -121,8 +125,8 @@
 		b.Sent(epoch, "replica-1", 10)
 		b.SetReplicas(epochPlus(1), makeReplicas(6, 1)[1:])
 		So(b.members["replica-1"].inflightRequests, ShouldEqual, 1)
-		So(b.members["replica-1"].slowStartedAt.IsZero(), ShouldBeTrue)
-		So(b.members["replica-5"].slowStartedAt, ShouldEqual, epochPlus(1))
+		So(b.members["replica-1"].slowStartBeganAt.IsZero(), ShouldBeTrue)
+		So(b.members["replica-5"].slowStartBeganAt, ShouldEqual, epochPlus(1))
 		So(b.members["replica-0"], ShouldBeNil)
 	})
 	Convey("Given a service that grows tenfold, the capacity of new replicas is not withheld", t, func() {
@@ -154,10 +158,11 @@
 	})
 }
 
-// A node without slots refuses callers on admission. One of two replicas is
-// ejected, then the other one leaves. The node must keep slots for the ejected one:
-// health is evaluated only when a request arrives, so without requests the ejection
-// would never end, and every caller would be refused until the document changes.
+// If a node counted no slots for an ejected replica, it could refuse every caller
+// until the environment document changes: one of two replicas is ejected, then the
+// other one leaves. A node without slots refuses callers on admission. Health is
+// evaluated only when a request arrives, so without requests the ejection would
+// never end.
 func TestEjectedReplicaKeepsCapacityWhenOthersLeave(t *testing.T) {
 	Convey("Given two replicas, one ejected and one leaving", t, func() {
 		b := newBalancer(2, 1)
@@ -176,8 +181,9 @@
 	})
 }
 
-// A report of 10 requests, made when 4 of them were this node's, means 6 requests
-// of other nodes, whatever this node has sent or finished since.
+// If a report shows 10 requests and 4 of them were this node's when the report was
+// made, 6 requests are from other nodes. Requests that this node has sent or
+// finished since the report must not change that number.
 func TestReportSubtractsOwnRequestsAtItsTime(t *testing.T) {
 	Convey("Given a report that was made a second ago", t, func() {
 		var loadState replicaLoad
@@ -195,8 +201,9 @@
 	})
 }
 
-// For any order of events, a leaving or excluded replica is never picked, and the
-// in-flight counts never fall below zero and return to zero.
+// For any order of events, Pick never returns a leaving or excluded replica. The
+// counts of in-flight requests and their costs return to zero once all requests
+// have ended.
 func TestBalancerInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBalancer(10, 2)
@@ -247,9 +254,9 @@
 	})
 }
 
-// subsets returns the replicas that each node uses. Nodes are assigned to the
-// failure domains by round robin.
-func subsetsOfNodes(nodeCount, domainCount int, replicas []hashedReplica, knowPeers bool) [][]hashedReplica {
+// subsetsOfNodes returns the subset of each node. Nodes are assigned to the failure
+// domains by round robin.
+func subsetsOfNodes(nodeCount, domainCount int, replicas []hashedReplica, peersKnown bool) [][]hashedReplica {
 	replicasByNearness, nodeHashes, subsets := make([][][]hashedReplica, domainCount), make([][]uint64, domainCount), make([][]hashedReplica, nodeCount)
 	for n := range nodeCount {
 		nodeHashes[n%domainCount] = append(nodeHashes[n%domainCount], rendezvous.Hash(fmt.Sprint("vm-", n)))
@@ -257,10 +264,10 @@
 	for n := range nodeCount {
 		domain := n % domainCount
 		chooser := subsetChooser{cfg: withDefaults(Config{FailureDomain: fmt.Sprint("fd-", domain)}), nodeHash: rendezvous.Hash(fmt.Sprint("vm-", n))}
-		if knowPeers {
+		if peersKnown {
 			chooser.peerHashes = slices.DeleteFunc(slices.Clone(nodeHashes[domain]), func(hash uint64) bool { return hash == chooser.nodeHash })
 		}
-		if replicasByNearness[domain] == nil { // the same for all nodes of a domain
+		if replicasByNearness[domain] == nil { // all nodes of a domain have the same order of domains
 			replicasByNearness[domain] = chooser.groupByNearness(replicas)
 		}
 		subsets[n] = slices.Concat(chooser.chooseFromDomains(replicasByNearness[domain]))
@@ -268,7 +275,8 @@
 	return subsets
 }
 
-// coverStats returns the smallest, largest and mean number of nodes per replica.
+// nodesPerReplicaStats returns the smallest, largest and mean number of nodes that
+// use a replica.
 func nodesPerReplicaStats(replicas []hashedReplica, subsets [][]hashedReplica) (fewest, most int, mean float64) {
 	nodesOfReplica, pairCount := map[string]int{}, 0
 	for _, r := range slices.Concat(subsets...) {
@@ -282,9 +290,9 @@
 	return fewest, most, float64(pairCount) / float64(len(replicas))
 }
 
-// A replica with many nodes gets too many requests and callers wait there; a
-// replica without any node is idle. If nodes choose without knowing their peers,
-// the number of nodes per replica is Poisson distributed.
+// If nodes choose their subsets without knowing their peers, the number of nodes
+// per replica is Poisson distributed. A replica with many nodes then gets too many
+// requests and callers wait there, while a replica without any node is idle.
 func TestSubsetsGiveReplicasEqualNodeCounts(t *testing.T) {
 	for _, c := range []struct {
 		nodes, replicas, domains int
@@ -296,7 +304,7 @@
 			subsetsWithPeers := subsetsOfNodes(c.nodes, c.domains, replicas, true)
 			fewest, most, mean := nodesPerReplicaStats(replicas, subsetsWithPeers)
 			compareSizes := func(a, b []hashedReplica) int { return len(a) - len(b) }
-			t.Logf("nodes per replica: alone %d to %d, mean %.1f, max/mean %.2f; with peers %d to %d, mean %.1f, max/mean %.2f; subsets %d to %d",
+			t.Logf("nodes per replica: without peers %d to %d, mean %.1f, max/mean %.2f; with peers %d to %d, mean %.1f, max/mean %.2f; subsets %d to %d",
 				fewestWithoutPeers, mostWithoutPeers, meanWithoutPeers, float64(mostWithoutPeers)/meanWithoutPeers, fewest, most, mean, float64(most)/mean,
 				len(slices.MinFunc(subsetsWithPeers, compareSizes)), len(slices.MaxFunc(subsetsWithPeers, compareSizes)))
 			So(fewest, ShouldBeGreaterThan, 0)
@@ -305,8 +313,10 @@
 	}
 }
 
-// A changed subset loses connections and warm caches. Removing a node or replica
-// may change only its own edges; the edges of a removed node move to its peers.
+// If a change of the lists moves more of a subset than it must, nodes lose
+// connections and replicas lose warm caches. Removing a node or replica may remove
+// only the pairs of a node and a replica to which it belongs. The pairs of a
+// removed node move to its peers.
 func TestSubsetChangesOnlyAffectedPairs(t *testing.T) {
 	const nodes, replicas = 96, 435
 	pairsOf := func(nodeCount int, replicas []hashedReplica) map[string]bool {
@@ -329,7 +339,7 @@
 	Convey("Given 96 nodes and 435 replicas of one domain", t, func() {
 		all := hashReplicas(makeReplicas(replicas, 1))
 		originalPairs, withoutReplica, withoutNode := pairsOf(nodes, all), pairsOf(nodes, all[1:]), pairsOf(nodes-1, all)
-		t.Logf("%d edges; without one replica %d removed and %d added; without one node %d removed and %d added", len(originalPairs),
+		t.Logf("%d node-replica pairs; without one replica %d removed and %d added; without one node %d removed and %d added", len(originalPairs),
 			countMissing(originalPairs, withoutReplica), countMissing(withoutReplica, originalPairs), countMissing(originalPairs, withoutNode), countMissing(withoutNode, originalPairs))
 		So(countMissing(originalPairs, withoutReplica), ShouldEqual, len(originalPairs)/replicas)
 		So(countMissing(withoutReplica, originalPairs), ShouldEqual, 0)
@@ -338,8 +348,8 @@
 	})
 }
 
-// busyBalancer returns a balancer whose replicas have load from this node and from
-// others.
+// loadedBalancer returns a balancer whose replicas have load from this node and
+// from other nodes.
 func loadedBalancer(replicaCount int) *Balancer {
 	b := newBalancer(replicaCount, 23)
 	b.SetPeers(epoch, []string{"vm-1", "vm-2", "vm-3"})
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -20,69 +20,74 @@
 )
 
 const (
-	// nearShare is the share of the subset taken from the nearest failure domain.
+	// nearSubsetShare is the share of the subset that is taken from the nearest
+	// failure domain.
 	nearSubsetShare = 0.75
 	// useAllFactor times the subset size is the number of replicas up to which a
-	// node uses all of them. Leaving out only a few saves little and makes the
-	// cover uneven.
+	// node uses all replicas of the service. Leaving out only a few replicas saves
+	// little and gives replicas unequal numbers of nodes.
 	useAllFactor = 2
-	// minRamp is the share of its capacity with which a new replica starts when
-	// most replicas are old.
+	// minInitialFraction is the fraction of its capacity with which a new replica
+	// begins its slow start while most replicas are old.
 	minInitialFraction = 0.1
-	// maxDraws bounds the random draws for one candidate, so that the cost of Pick
-	// does not grow with the number of excluded replicas and replicas in backoff.
-	// After that many draws Pick scans the replicas.
+	// maxCandidateTries bounds the tries to select one candidate, so that the cost
+	// of Pick does not grow with the number of excluded replicas and replicas in
+	// backoff. After maxCandidateTries tries, Pick scans the usable replicas.
 	maxCandidateTries = 4
-	// maxRingReplicas bounds the replicas that are tried for one prefix.
+	// maxRingReplicas bounds the number of replicas on the hash ring that are tried
+	// for one request.
 	maxRingReplicas = 4
-	// leavingRefusalTTL is how long an endpoint is avoided after it refused a
-	// request because it is shutting down. A shutdown that takes longer costs one
-	// refused request a minute.
+	// leavingRefusalTTL is how long a replica is avoided after it refused a request
+	// because it is shutting down. A shutdown that takes longer costs one refused
+	// request a minute.
 	leavingRefusalTTL = time.Minute
-	// ringPointsPerReplica gives each replica a nearly equal part of the prefix
-	// ring.
+	// ringPointsPerReplica is the number of points of each replica on the hash
+	// ring. With 32 points each replica owns a nearly equal part of the prefixes.
 	ringPointsPerReplica = 32
-	// switchMargin is the number of requests by which the second candidate must be
-	// less loaded than the first. Smaller differences are noise, and round robin
-	// spreads requests more evenly than choices made on noise.
+	// switchMargin is the number of requests by which the load of the second
+	// candidate must be lower for Pick to prefer it to the first. Smaller
+	// differences are noise, and round robin spreads requests more evenly than
+	// choices based on noise.
 	switchMargin = 1.0
-	// averageGain is the gain of the moving averages of costs and times.
+	// movingAverageGain is the weight of a new sample in the moving averages of
+	// request costs and answer times.
 	movingAverageGain = 0.02
 )
 
-// Config configures a Balancer. Zero values take the defaults.
+// Config configures a Balancer. A field that is zero takes its default.
 type Config struct {
 	// Node is the ID of the node on which the Balancer runs.
 	Node string
-	// FailureDomain is that of the node.
+	// FailureDomain is the failure domain of the node.
 	FailureDomain string
 	// NearDomains lists other failure domains, nearest first. Domains that are not
 	// listed follow in an order that depends on the node's own domain.
 	NearDomains []string
-	// Seed seeds the random choices. Each node needs a different one.
+	// Seed seeds the random choices. Each node needs a different seed.
 	Seed uint64
 	// SubsetSize is the approximate number of replicas that the node uses. The
-	// subset may be larger, so that every replica is used by at least one node.
+	// subset may be larger, so that at least one node uses each replica.
 	SubsetSize int
-	// SpillDomains is the number of other failure domains that the subset includes.
+	// SpillDomains is the number of failure domains in the subset besides the
+	// nearest one.
 	SpillDomains int
-	// SpillThreshold is the load per slot from which a request may leave the
-	// nearest failure domain. SpillMargin is by how much the score elsewhere must
+	// SpillThreshold is the utilization from which a request may spill. SpillMargin
+	// is the amount by which the score of a replica in another failure domain must
 	// be lower.
 	SpillThreshold float64
 	SpillMargin    float64
-	// AffinityLoadFactor and AffinityFloor bound the load up to which a replica
-	// accepts requests for its own prefixes: AffinityLoadFactor times the mean load
-	// or AffinityFloor of its slots, whichever is larger.
+	// AffinityLoadFactor and AffinityFloor bound the utilization up to which a
+	// replica accepts requests by their prefix: AffinityLoadFactor times the mean
+	// utilization or AffinityFloor, whichever is larger.
 	AffinityLoadFactor float64
 	AffinityFloor      float64
-	// SlowStart is how long the share of a new replica takes to grow to the full
-	// one.
+	// SlowStart is the time in which the usable fraction of a new replica's
+	// capacity grows to 1.
 	SlowStart time.Duration
 	// Backoff is how long a replica is avoided after it refused a request because
 	// it was full.
 	Backoff time.Duration
-	// Health configures the ejection of outliers.
+	// Health configures the ejection of slow and failing replicas.
 	Health health.Config
 }
 
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -6,18 +6,17 @@
 )
 
 // noiseDeviations is the number of standard deviations of a Poisson distribution by
-// which the load from other nodes may differ from the mean and still count as
-// noise.
+// which the requests from other nodes at a replica may differ from their mean and
+// still count as noise.
 const noiseDeviations = 2
 
-// maxFullScan bounds how many replicas of the nearest and of the other failure
-// domains are examined, in round-robin order. More are examined only if none of
-// these is both allowed and outside backoff. Examining one takes about 25 ns, and a
-// node may use more than a hundred replicas.
+// maxScanWhenAllFull bounds how many replicas of each tier are examined, in
+// round-robin order. More are examined only if all of these are excluded or in
+// backoff. Examining one replica takes about 25 ns, and a node may use more than a
+// hundred replicas.
 const maxScanWhenAllFull = 16
 
-// meanLoad returns the load per unit of capacity over all failure domains that the
-// node uses.
+// meanLoad returns the load per unit of capacity over both tiers.
 func (b *Balancer) meanLoad() float64 {
 	nearCapacity, spillCapacity := b.nearTier.capacity(), b.spillTier.capacity()
 	if nearCapacity+spillCapacity == 0 {
@@ -26,36 +25,39 @@
 	return (b.nearTier.meanLoad()*nearCapacity + b.spillTier.meanLoad()*spillCapacity) / (nearCapacity + spillCapacity)
 }
 
-// acceptsPrefixWhenFull reports whether a replica accepts a request for its prefix
-// while there are more requests than slots. It does if its rank is no worse than
-// the mean of the node's own requests per unit of capacity.
+// acceptsPrefixWhenAllFull reports whether a replica accepts a request by its
+// prefix while the service has more requests than slots. The replica accepts the
+// request if its rank is at most the mean of the node's own requests per unit of
+// capacity.
 //
-// With the normal bound of AffinityLoadFactor over the mean load, a prompt that all
-// callers share keeps a queue at its home replicas while slots of other replicas
-// are idle: three nodes with common replicas served 0.69 of the capacity when twice
-// the capacity was offered. A cached prompt saves less time than such a queue
-// costs, and with this bound a home replica still gets its share of the requests.
+// With the normal bound, AffinityLoadFactor times the mean load, a prompt that all
+// callers share keeps a queue at the owner of its prefix while slots of other
+// replicas are idle. Three nodes with common replicas then served 0.69 of the
+// capacity when twice the capacity was offered. A cached prompt saves less time
+// than such a queue costs. With the bound used here, an owner still gets its share
+// of the requests.
 func (b *Balancer) acceptsPrefixWhenAllFull(now time.Time, m *member) bool {
 	meanOwnLoad := (b.nearTier.inflightRequests + b.spillTier.inflightRequests) / (b.nearTier.capacity() + b.spillTier.capacity())
 	return b.rankWhenAllFull(now, m).rank <= meanOwnLoad
 }
 
-// pickWhenFull picks the replica with the fewest of this node's requests relative
-// to its capacity.
+// pickWhenAllFull picks the replica with the fewest of this node's requests
+// relative to its capacity.
 //
 // When all replicas are full, a node can send a request only when one of its own
-// ends, and it knows at once at which replica that was. With round robin the next
-// request would go to another replica, and the other nodes' load is known too late
-// to correct the imbalance: some engines had idle slots while others had a queue.
-// If each node spreads its own requests evenly, their sum is even too. An excess of
-// other nodes' requests at a replica still counts if it is larger than noise.
+// ends, and the node knows at once which replica served that request. With round
+// robin the next request would go to another replica. The load reports that would
+// show the imbalance arrive too late to correct it: some engines had idle slots
+// while others had a queue. If each node spreads its own requests evenly, the sum
+// over all nodes is even too. An excess of other nodes' requests at a replica still
+// counts if the excess is larger than noise.
 func (b *Balancer) pickWhenAllFull(now time.Time, q Query) (Choice, bool) {
 	var best, runnerUp rankedMember
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
 		if len(t.usableMembers) == 0 {
 			continue
 		}
-		startIndex := t.nextRoundRobinIndex() // ties are broken in round-robin order
+		startIndex := t.nextRoundRobinIndex() // replicas of equal rank are picked in round-robin order
 		for i := range t.usableMembers {
 			if i >= maxScanWhenAllFull && best.member != nil && !best.inBackoff {
 				break
@@ -84,25 +86,26 @@
 	return c, true
 }
 
-// fullCandidate is a replica with its rank for the time when all replicas are full.
+// rankedMember is a replica with its rank for the case that all replicas are full.
+// A lower rank is better.
 type rankedMember struct {
 	member    *member
-	inBackoff bool    // recently refused a request because it was full
-	rank      float64 // per unit of effective capacity
+	inBackoff bool    // the replica refused a request during the last Backoff because it was full
+	rank      float64 // requests per unit of effective capacity, multiplied by the slowness
 }
 
-func (c rankedMember) betterThan(other rankedMember) bool {
-	if c.member == nil || other.member == nil {
-		return c.member != nil
+func (r rankedMember) betterThan(other rankedMember) bool {
+	if r.member == nil || other.member == nil {
+		return r.member != nil
 	}
-	if c.inBackoff != other.inBackoff {
+	if r.inBackoff != other.inBackoff {
 		return other.inBackoff
 	}
-	return c.rank < other.rank
+	return r.rank < other.rank
 }
 
-// rankWhenFull ranks a replica by this node's requests there and by the part of
-// other nodes' requests that is larger than noise.
+// rankWhenAllFull ranks a replica by this node's requests there and by the part of
+// other nodes' requests that differs from their mean by more than noise.
 func (b *Balancer) rankWhenAllFull(now time.Time, m *member) rankedMember {
 	expectedRequests := m.tier.meanOtherNodeLoad() * m.capacity
 	noiseRequests := noiseDeviations * math.Sqrt(expectedRequests)
--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -12,20 +12,20 @@
 
 const (
 	eventLag        = 500 * time.Millisecond
-	eventLossPeriod = 20 // one event in this many is lost
-	// eventPollInterval is how often a node polls an endpoint for its events: 8
-	// polls a second over 12 endpoints.
+	eventLossPeriod = 20 // every 20th event is lost
+	// eventPollInterval is the time between two polls of the same endpoint for its
+	// cache events: a node sends 8 polls a second to 12 endpoints.
 	eventPollInterval = 1500 * time.Millisecond
 )
 
-// cacheEvents are the cache events that an endpoint publishes.
+// cacheEvents holds the cache events that an endpoint has published.
 type cacheEvents struct {
 	instance  int
 	sequence  uint64
-	published []timedEvent
+	published []publishedEvent
 }
 
-type timedEvent struct {
+type publishedEvent struct {
 	at time.Time
 	cacheindex.Event
 }
@@ -33,10 +33,12 @@
 func (c *cacheEvents) publish(now time.Time, prefix uint64, stored bool) {
 	c.sequence++
 	if c.sequence%eventLossPeriod != 0 {
-		c.published = append(c.published, timedEvent{now, cacheindex.Event{Sequence: c.sequence, Prefix: prefix, Stored: stored}})
+		c.published = append(c.published, publishedEvent{now, cacheindex.Event{Sequence: c.sequence, Prefix: prefix, Stored: stored}})
 	}
 }
 
+// pageAfter returns the events after lastSequence that are old enough to have
+// arrived.
 func (c *cacheEvents) pageAfter(now time.Time, lastSequence uint64) cacheindex.Page {
 	page := cacheindex.Page{Instance: fmt.Sprint(c.instance), Last: lastSequence}
 	for _, event := range c.published {
@@ -48,13 +50,13 @@
 	return page
 }
 
-// restart clears an endpoint's cache and starts a new sequence of events.
+// restart clears an endpoint's cache and begins a new sequence of events.
 func (e *engine) restart() {
 	e.cachedPrefixes = nil
 	e.cacheEvents = cacheEvents{instance: e.cacheEvents.instance + 1}
 }
 
-// policyWithHints returns nodes that poll cache events.
+// policyWithHints returns a constructor of policies that poll cache events.
 func policyWithHints(cfg Config) func(int) *policy {
 	return func(node int) *policy {
 		p := balancerPolicy(cfg)(node)
@@ -75,14 +77,18 @@
 	s.schedule(eventPollInterval, s.pollEvents)
 }
 
+// cacheHitRatio returns the share of prompts with a prefix whose prefix was cached.
 func (s *simulation) cacheHitRatio() float64 { return float64(s.cacheHits) / float64(s.cacheLookups) }
 
-// A third of the calls has one prompt prefix, the others have one of sixty. The
-// load of the hot prefix exceeds the capacity of its home. With hashing alone, the
-// surplus is placed by load on endpoints that must compute the prefix although
-// others have it cached. Cache events tell which ones do, late and with gaps.
-// Endpoints that lose their caches twice during the run make the hints wrong, and
-// wrong hints must not cost more than right ones save.
+// With hashing alone, the surplus of a hot prefix goes by load to endpoints that
+// must compute the prefix although other endpoints have it cached. Here a third of
+// the calls have the same prompt prefix, the other calls have one of sixty. The
+// load of the hot prefix exceeds the capacity of its owner.
+//
+// Cache events tell which endpoints have a prefix cached, but they arrive late and
+// some are lost. In the second pattern, four endpoints lose their caches at 20 s
+// and four at 40 s, which makes the hints wrong. Wrong hints must not cost more
+// than right hints save.
 func TestCacheHintsBeatHashing(t *testing.T) {
 	randomPrefix := func(r *rand.Rand) uint64 {
 		if r.Float64() < 0.33 {
@@ -109,7 +115,7 @@
 			for _, nodes := range []int{2, 9} {
 				hashOnlyRun := runOn12Endpoints(t, fmt.Sprint("hash alone, nodes ", nodes), balancerPolicy(Config{}), nodes, loadPattern)
 				hintsRun := runOn12Endpoints(t, fmt.Sprint("hints, nodes ", nodes), policyWithHints(Config{}), nodes, loadPattern)
-				t.Logf("hit rate %.3f by hash alone, %.3f by hints", hashOnlyRun.cacheHitRatio(), hintsRun.cacheHitRatio())
+				t.Logf("cache hit ratio %.3f by hash alone, %.3f by hints", hashOnlyRun.cacheHitRatio(), hintsRun.cacheHitRatio())
 				So(hintsRun.cacheHitRatio(), ShouldBeGreaterThan, hashOnlyRun.cacheHitRatio())
 				So(hintsRun.delayPercentile(.95), ShouldBeLessThanOrEqualTo, hashOnlyRun.delayPercentile(.95))
 				if nodes == 2 {
--- a/decide/balance/load.go
+++ b/decide/balance/load.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// historyStep and historyLen set how far back the number of in-flight requests
-	// is known: 3.2 s, more than three polls at one-second intervals.
+	// timeStepLength and historyTimeSteps set how far back the number of in-flight
+	// requests is known: 3.2 s, more than three polls at one-second intervals.
 	timeStepLength   = 100 * time.Millisecond
 	historyTimeSteps = 32
 )
 
-// inflightHistory records how many requests were in flight in the recent past.
+// inflightHistory records how many requests of this node were in flight at a
+// replica, for each recent time step.
 //
 // A load report is already old when it arrives. To get the load from other nodes,
 // the node's own requests must be subtracted as they were when the report was made.
-// If the current number were subtracted, the requests sent since then would reduce
-// the apparent load from other nodes, and a replica would look less loaded the more
-// requests it is sent.
+// If the current number were subtracted instead, requests sent since the report
+// would reduce the apparent load from other nodes. The more requests the node sends
+// to a replica, the less loaded the replica would look.
 type inflightHistory struct {
-	counts         [historyTimeSteps]int32
-	newestTimeStep int64 // step of the newest count
+	counts         [historyTimeSteps]int32 // indexed by the time step modulo historyTimeSteps
+	newestTimeStep int64                   // time step of the newest count
 }
 
+// timeStepOf returns the number of the time step that contains t.
 func timeStepOf(t time.Time) int64 {
 	return t.UnixNano() / int64(timeStepLength)
 }
 
-// set records the number of in-flight requests from now on.
+// recordCount records the number of in-flight requests from now on.
 func (h *inflightHistory) recordCount(now time.Time, count int32) {
 	timeStep := timeStepOf(now)
 	if timeStep-h.newestTimeStep >= historyTimeSteps {
@@ -49,20 +51,21 @@
 	h.newestTimeStep = timeStep
 }
 
-// at returns the number in flight at time t, or the oldest known number.
+// countAt returns the number of in-flight requests at time t, or the oldest known
+// number if t is before the recorded time steps.
 func (h *inflightHistory) countAt(t time.Time) int32 {
 	timeStep := min(timeStepOf(t), h.newestTimeStep)
 	timeStep = max(timeStep, h.newestTimeStep-historyTimeSteps+1, 0)
 	return h.counts[timeStep%historyTimeSteps]
 }
 
-// load is what the node knows of the load on one replica.
+// replicaLoad is what the node knows of the load on one replica.
 type replicaLoad struct {
 	inflightRequests          int32   // in-flight requests of this node
-	unknownCostRequests       int32   // those without a known cost
-	knownCost                 float64 // total known cost of the in-flight requests, tokens
+	unknownCostRequests       int32   // in-flight requests of this node without a known cost
+	knownCost                 float64 // total known cost of the in-flight requests of this node, tokens
 	history                   inflightHistory
-	reportedOtherNodeRequests float64   // requests of other nodes in the last report
+	reportedOtherNodeRequests float64   // number of requests of other nodes, from the last report
 	lastReportMadeAt          time.Time // when the last report was made; zero if there is none
 }
 
@@ -87,13 +90,14 @@
 	} else {
 		l.unknownCostRequests = max(0, l.unknownCostRequests-1)
 	}
-	if l.inflightRequests == 0 { // clears rounding errors
+	if l.inflightRequests == 0 { // removes accumulated rounding errors
 		l.knownCost, l.unknownCostRequests = 0, 0
 	}
 }
 
-// applyReport applies a report unless a newer one is known: reports from polls and
-// from answers can arrive out of order. It reports whether it applied the report.
+// applyReport applies a report unless a newer report is known: reports from polls
+// and from answers can arrive out of order. It returns whether it applied the
+// report.
 func (l *replicaLoad) applyReport(now time.Time, report LoadReport) bool {
 	madeAt := now.Add(-report.Age)
 	if madeAt.Before(l.lastReportMadeAt) {
@@ -104,7 +108,8 @@
 	return true
 }
 
-// costWeighted returns the node's own load on the replica in requests of mean cost.
+// costWeightedRequests returns the node's own requests at the replica, each counted
+// by its cost relative to the mean cost. A request of unknown cost counts as 1.
 func (l *replicaLoad) costWeightedRequests(meanCost float64) float64 {
 	if meanCost <= 0 {
 		return float64(l.inflightRequests)
@@ -112,9 +117,10 @@
 	return float64(l.unknownCostRequests) + l.knownCost/meanCost
 }
 
-// reportWeight returns the weight of the last report, 1 for one made just now. The
-// requests that it counted end after meanTime seconds on average, so the weight of
-// its difference from other replicas decays at that rate.
+// reportWeight returns the weight of the last report, which is 1 for a report made
+// just now. The requests that the report counted end after meanAnswerSeconds on
+// average. The weight of the report's difference from the mean of all replicas
+// therefore decays exponentially with that time constant.
 func (l *replicaLoad) reportWeight(now time.Time, meanAnswerSeconds float64) float64 {
 	if l.lastReportMadeAt.IsZero() {
 		return 0
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -10,13 +10,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Each test runs the same calls through the Balancer and through baselines, and
-// asserts a margin between them that the baseline itself would not meet.
-// `go test -v` prints the figures that docs/design/balance.md quotes.
+// Each test runs the same calls through the Balancer and through baselines. The
+// Balancer must be better by a margin, so that a baseline in its place would fail the
+// test. `go test -v` prints the figures that docs/design/balance.md quotes.
 
 const (
-	faultAt     = 20 * time.Second // start of the fault in a loadPattern
-	arrivalsEnd = time.Minute
+	faultAt     = 20 * time.Second // when the fault of a load pattern begins
+	arrivalsEnd = time.Minute      // when the last call arrives
 )
 
 func balancerPolicy(cfg Config) func(int) *policy {
@@ -30,13 +30,13 @@
 	return func(float64) float64 { return rate }
 }
 
-// runPattern runs a pattern with 12 endpoints, which together serve 96 requests per
-// second.
-func runOn12Endpoints(t *testing.T, name string, newPolicy func(int) *policy, nodes int, loadPattern func(*simulation), domains ...string) *simulation {
+// runOn12Endpoints runs a load pattern with 12 endpoints, which together serve 96
+// calls per second.
+func runOn12Endpoints(t *testing.T, name string, newPolicy func(int) *policy, nodeCount int, loadPattern func(*simulation), domains ...string) *simulation {
 	if len(domains) == 0 {
 		domains = []string{"bandung"}
 	}
-	return runLoadPattern(t, name, newSimulation(nodes, newPolicy, 12/len(domains), domains...), loadPattern)
+	return runLoadPattern(t, name, newSimulation(nodeCount, newPolicy, 12/len(domains), domains...), loadPattern)
 }
 
 func runLoadPattern(t *testing.T, name string, s *simulation, loadPattern func(*simulation)) *simulation {
@@ -46,8 +46,9 @@
 	return s
 }
 
-// Without a fault, round robin spreads requests evenly, and a balancer can only do
-// worse by acting on noise, most of all if many nodes have few requests each.
+// If a balancer acts on noise in the load reports, callers wait longer than with
+// round robin. Without a fault, round robin spreads requests evenly, and a balancer
+// can only do worse. The noise is largest if many nodes have few requests each.
 func TestEqualEndpointsWithoutFault(t *testing.T) {
 	Convey("Given equal endpoints without a fault", t, func() {
 		for _, c := range []struct {
@@ -63,9 +64,10 @@
 	})
 }
 
-// A twelfth of the callers waits tens of seconds. One endpoint becomes six times
-// slower at 20 s. With round robin it is sent more than it can serve, so its queue
-// grows for as long as it is slow.
+// With round robin, a twelfth of the callers waits tens of seconds if one of twelve
+// endpoints becomes six times slower. The endpoint gets more requests than it can
+// serve, so its queue grows for as long as it is slow. Here the endpoint becomes
+// slow at 20 s.
 func TestSlowEndpointGetsNoRequests(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom = faultAt
@@ -82,10 +84,11 @@
 	})
 }
 
-// A third of the calls has one prompt prefix, the others have one of sixty, and a
-// cached prefix saves 540 of 600 ms. With round robin each endpoint sees every
-// prefix, more than its cache holds. With unbounded hashing one endpoint gets all
-// requests of the hot prefix and is overloaded.
+// With round robin, each endpoint receives every prefix, more prefixes than its
+// cache holds. With hashing without a load bound, one endpoint receives all
+// requests of the hot prefix and is overloaded. Here a third of the calls have the
+// same prompt prefix, the other calls have one of sixty. A cached prefix saves 540
+// of the 600 ms before the first token.
 func TestHotPrefixIsSpread(t *testing.T) {
 	randomPrefix := func(r *rand.Rand) uint64 {
 		if r.Float64() < 0.33 {
@@ -107,10 +110,11 @@
 	})
 }
 
-// Callers wait tens of seconds at endpoints that were added to help. Six join
-// during a load peak, nine times slower at first and warm after 20 s. With round
-// robin they get a full share at once; without slow start they get too much because
-// their load shows too late.
+// If cold endpoints that join during a load peak get too many requests, callers
+// wait there for tens of seconds. Here six endpoints join, nine times slower at
+// first and warm after 20 s. With round robin they get as many requests as the
+// others at once. Without slow start they get too many requests because their load
+// reports show the load too late.
 func TestColdEndpointsJoinUnderLoad(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.measureUntil, s.coldSlowdown = faultAt, 2*faultAt, 8
@@ -131,9 +135,10 @@
 	})
 }
 
-// Callers get errors or wait for the timeout. Four of twelve endpoints are lost at
-// 20 s: two refuse connections, two freeze. With round robin a third of the
-// attempts goes there until the list is updated, and some calls meet three of them.
+// If lost endpoints are not ejected, callers get errors or wait for the timeout.
+// Here four of twelve endpoints are lost at 20 s: two refuse connections, two
+// freeze. With round robin, a third of the attempts go to lost endpoints until the
+// list of replicas is updated. Some calls then try three lost endpoints and fail.
 func TestThirdOfEndpointsLost(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom = faultAt
@@ -155,9 +160,10 @@
 	})
 }
 
-// Callers wait for seconds although half of the endpoints are idle. Eight nodes
-// learn the load two seconds late. If each sends to the replica with the lowest
-// reported load, all of them overload the same endpoint until the next report.
+// If each node sends to the replica with the lowest reported load, callers wait for
+// seconds although half of the endpoints are idle. Here eight nodes receive load
+// reports two seconds late. All nodes then overload the same endpoint until the
+// next report.
 func TestStaleReportsDoNotHerd(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.reportLag = 2 * time.Second
@@ -172,9 +178,10 @@
 	})
 }
 
-// Callers lose an attempt at an endpoint that refuses requests because it is
-// shutting down. With round robin it is sent a twelfth of all requests until the
-// list is updated. The first refusal must be enough for the node that received it.
+// If a node keeps sending to an endpoint that refuses requests because it is
+// shutting down, each such call loses an attempt. With round robin, a twelfth of
+// all requests go to that endpoint until the list of replicas is updated. The first
+// refusal must be enough for the node that received it to stop.
 func TestRefusalAsLeavingEndsRequests(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.schedule(faultAt, func() { s.engines[5].leaving = true })
@@ -189,17 +196,17 @@
 	})
 }
 
-// Calls that cross to the other domain take 80 ms longer. With round robin half of
-// the calls cross although the near endpoints have free slots. If the load exceeds
-// the near endpoints, using only these overloads them; only the surplus should
-// cross.
+// Requests to the other failure domain take 80 ms longer. With round robin, half of
+// the requests go there although the near endpoints have free slots. If the load
+// exceeds the capacity of the near endpoints, using only these overloads them. Only
+// the surplus should go to the other domain.
 func TestOnlySurplusSpills(t *testing.T) {
 	domains := []string{"bandung", "bekasi"}
-	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextOfFirst(6) })
+	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
 	for _, c := range []struct {
 		name            string
 		rate            float64
-		maxSpilledShare float64 // share that crosses
+		maxSpilledShare float64 // largest share of the requests that may go to the other domain
 	}{{"half the near capacity", 24, 0.01}, {"1.3 times the near capacity", 62, 0.4}} {
 		loadPattern := func(s *simulation) {
 			s.crossDomainDelay = 80 * time.Millisecond
@@ -210,7 +217,7 @@
 			nearOnlyRun := runOn12Endpoints(t, "near only", nearOnly, 2, loadPattern, domains...)
 			balancerRun := runOn12Endpoints(t, "balance", balancerPolicy(Config{}), 2, loadPattern, domains...)
 			spilledShare := float64(countReceived(0, arrivalsEnd, balancerRun.engines[6:]...)) / float64(balancerRun.measuredCalls)
-			t.Logf("share that crosses: %.3f", spilledShare)
+			t.Logf("share of the requests to the other domain: %.3f", spilledShare)
 			So(spilledShare, ShouldBeLessThan, c.maxSpilledShare)
 			So(slices.Max(balancerRun.firstTokenDelays), ShouldBeLessThanOrEqualTo, max(nearOnlyRun.delayPercentile(.99), roundRobinRun.delayPercentile(.99)))
 			So(balancerRun.delayPercentile(.5), ShouldBeLessThanOrEqualTo, 200*time.Millisecond)
@@ -218,9 +225,10 @@
 	}
 }
 
-// Callers get errors although another domain works. All near endpoints refuse
-// connections from 20 s on. Each must be found dead once; after that the requests
-// must cross without trying the near endpoints first.
+// If lost endpoints are not ejected, callers get errors although the other failure
+// domain works. Here all near endpoints refuse connections from 20 s on. Once a
+// node has found each near endpoint unreachable, its requests must go straight to
+// the other domain.
 func TestNearDomainLost(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.crossDomainDelay = faultAt, 80*time.Millisecond
@@ -241,10 +249,10 @@
 	})
 }
 
-// Callers wait if the subsets leave some replicas with more nodes than others. Here
-// 12 nodes share 52 replicas, and each node uses about 13 of them. A node that
-// knows its peers loses little compared to one that uses all replicas; without that
-// knowledge some replicas are overloaded.
+// If the subsets give some replicas more nodes than others, callers wait at the
+// replicas with more nodes. Here 12 nodes share 52 replicas, and each node uses
+// about 13 of them. With a list of its peers, a node must serve as well as a node
+// that uses all replicas. Without such a list, some replicas are overloaded.
 func TestSubsetServesLikeAllReplicas(t *testing.T) {
 	Convey("Given subsets of a quarter of the replicas", t, func() {
 		var peers []string
@@ -261,7 +269,7 @@
 			return runLoadPattern(t, name, s, func(s *simulation) { s.runCalls(constantRate(312), nil) }).delayPercentile(.95)
 		}
 		roundRobinP95, allReplicasP95 := p95("round robin", roundRobin), p95("balance, all", balancerPolicy(Config{}))
-		withoutPeersP95, withPeersP95 := p95("balance, alone", balancerPolicy(Config{SubsetSize: 16})), p95("balance, with peers", newPolicyWithPeers)
+		withoutPeersP95, withPeersP95 := p95("balance, without peers", balancerPolicy(Config{SubsetSize: 16})), p95("balance, with peers", newPolicyWithPeers)
 		So(withPeersP95, ShouldBeLessThan, roundRobinP95)
 		So(withPeersP95, ShouldBeLessThan, allReplicasP95)
 		So(withPeersP95, ShouldBeLessThan, withoutPeersP95*2/3)
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -10,7 +10,8 @@
 )
 
 // Pick chooses a replica for a request. It returns false if no replica may be used:
-// there is none, or all are leaving or excluded. It does not allocate.
+// the service has none in the subset, or all are leaving or excluded. Pick does not
+// allocate.
 func (b *Balancer) Pick(now time.Time, q Query) (Choice, bool) {
 	b.evaluateHealth(now)
 	if m := b.probeTarget(q); m != nil {
@@ -34,6 +35,8 @@
 	return Choice{Replica: m.ID, Reason: reason, Score: b.score(now, m)}
 }
 
+// probeTarget returns a replica that needs a probe, or nil if none does or the
+// request must not probe.
 func (b *Balancer) probeTarget(q Query) *member {
 	if q.NoProbe {
 		return nil
@@ -50,17 +53,18 @@
 	return len(q.Exclude) > 0 && slices.Contains(q.Exclude, m.ID)
 }
 
-// estimatedOtherRequests estimates the requests of other nodes at the replica. As a
-// report ages, the estimate moves to the mean: an old report no longer says how
-// replicas differ, and if all nodes acted on it they would all send to the replica
-// that was the least loaded then (herding).
+// estimatedOtherNodeRequests estimates the number of requests from other nodes at
+// the replica. The older the replica's last report, the closer the estimate is to
+// the mean load from other nodes in the tier. An old report no longer says how
+// replicas differ. If all nodes acted on old reports, they would all send to the
+// replica that had the least load when the reports were made (herding).
 func (b *Balancer) estimatedOtherNodeRequests(now time.Time, m *member) float64 {
 	reportWeight := m.reportWeight(now, b.meanAnswerSeconds)
 	return reportWeight*m.replicaLoad.reportedOtherNodeRequests + (1-reportWeight)*m.tier.meanOtherNodeLoad()*m.capacity
 }
 
 // estimatedLoad returns the replica's load in requests. While the replica has free
-// slots, requests are only counted, because a request with a slot of its own does
+// slots, each request counts as 1, because a request with a slot of its own does
 // not wait for the others. Once the replica is full, the node's own requests are
 // weighted by cost.
 func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
@@ -72,26 +76,27 @@
 	return max(requestCount, m.costWeightedRequests(b.meanCost)+otherNodeRequests)
 }
 
-// effectiveCapacity returns the capacity that may be used now, reduced during slow
-// start.
+// effectiveCapacity returns the capacity that the replica may use now, which slow
+// start reduces.
 func (b *Balancer) effectiveCapacity(now time.Time, m *member) float64 {
 	return m.capacity * b.slowStartFraction(now, m)
 }
 
 // score estimates how long one more request would take at the replica, relative to
-// the other replicas. Lower is better.
+// the other replicas. Lower scores are better.
 func (b *Balancer) score(now time.Time, m *member) float64 {
 	return (b.estimatedLoad(now, m) + 1) / b.effectiveCapacity(now, m) * m.health.Slowness()
 }
 
+// utilization returns the replica's load per unit of effective capacity.
 func (b *Balancer) utilization(now time.Time, m *member) float64 {
 	return b.estimatedLoad(now, m) / b.effectiveCapacity(now, m)
 }
 
 // pickFromHolders picks among the replicas that probably have the longest part of
-// the prompt cached: the home of the prefix or else the one with the lowest score,
-// provided that it accepts requests for a prefix. If none of them does, replicas
-// with shorter cached parts are considered.
+// the prompt cached and that accept the request. It prefers the owner of the
+// prefix, then the replica with the lowest score. If none of these replicas accepts
+// the request, pickFromHolders considers replicas with shorter cached parts.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
 	prefixTier := b.prefixTier()
 	var best, runnerUp rankedHolder
@@ -121,17 +126,17 @@
 	return c, true
 }
 
-// holder is a replica that probably has blocks of a prompt cached. The highest rank
-// is preferred.
+// rankedHolder is a replica that probably has blocks of a prompt cached. A higher
+// rank is better.
 type rankedHolder struct {
 	member       *member
 	cachedBlocks int
 	rank         float64
 }
 
-// holderRank ranks a replica that has a prefix cached. The home of the prefix ranks
-// first, so that copies on other replicas fall out of use; the others rank by
-// score.
+// holderRank ranks a replica that has a prefix cached. The owner of the prefix
+// ranks first, so that copies of the prefix on other replicas fall out of use. The
+// other replicas rank by score.
 func (b *Balancer) holderRank(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.prefixOwner(prefix) == m {
 		return math.Inf(1)
@@ -139,14 +144,13 @@
 	return -b.score(now, m)
 }
 
-// home returns the replica that owns the prefix on the hash ring, where the search
-// for a replica begins.
+// prefixOwner returns the replica to which the hash ring maps the prefix.
 func (t *tier) prefixOwner(prefix uint64) *member {
 	return t.prefixRing[t.ringIndex(rendezvous.Score(prefix, 0))%len(t.prefixRing)].member
 }
 
 // prefixTier returns the tier on whose ring prefixes are placed: the nearest
-// replicas, unless none of them is usable.
+// failure domain, or the other domains if no replica of the nearest is usable.
 func (b *Balancer) prefixTier() *tier {
 	if len(b.nearTier.usableMembers) == 0 {
 		return &b.spillTier
@@ -154,8 +158,8 @@
 	return &b.nearTier
 }
 
-// pickByPrefix follows the ring from the prefix to the first replica that accepts
-// the request (consistent hashing with bounded loads).
+// pickByPrefix searches the hash ring from the prefix on and picks the first
+// replica that accepts the request (consistent hashing with bounded loads).
 func (b *Balancer) pickByPrefix(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
 	if len(t.usableMembers) == 0 {
@@ -190,7 +194,8 @@
 	return c
 }
 
-// ringIndex returns the index of the first point at or after the hash.
+// ringIndex returns the index of the first ring point whose hash is not less than
+// the given hash.
 func (t *tier) ringIndex(hash uint64) int {
 	i, _ := slices.BinarySearchFunc(t.prefixRing, hash, func(point ringPoint, target uint64) int {
 		switch {
@@ -204,9 +209,10 @@
 	return i
 }
 
-// acceptsPrefix reports whether a replica accepts a request for its prefix. Its
-// load must be near the mean or below AffinityFloor, and it must not be full while
-// another failure domain has free slots.
+// acceptsPrefix reports whether a replica accepts a request by the request's
+// prefix. The replica's load must be near the mean load of its tier or below
+// AffinityFloor. The replica must not be full while another failure domain has free
+// slots.
 func (b *Balancer) acceptsPrefix(now time.Time, q Query, t *tier, m *member) bool {
 	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
@@ -225,10 +231,11 @@
 	return utilization < b.cfg.SpillThreshold || b.spillTier.meanLoad()+b.cfg.SpillMargin >= utilization
 }
 
-// pickByLoad picks the better of two candidates from the nearest failure domain. If
-// that one has reached SpillThreshold and the better of two candidates from other
-// domains has a score lower by SpillMargin, it picks the latter. Once the mean load
-// of the subset reaches SpillThreshold, it calls pickWhenFull instead.
+// pickByLoad picks the better of two candidates from the nearest failure domain.
+// Once that candidate has reached SpillThreshold, pickByLoad also selects two
+// candidates from other domains. It picks the better of these if that candidate's
+// score is lower by more than SpillMargin. Once the mean load of the subset reaches
+// SpillThreshold, pickByLoad calls pickWhenAllFull instead.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
 	if b.meanLoad() >= b.cfg.SpillThreshold {
 		return b.pickWhenAllFull(now, q)
@@ -254,7 +261,7 @@
 }
 
 // worthSpilling reports whether the score of the replica in another domain is lower
-// by more than SpillMargin.
+// than the score of the near replica by more than SpillMargin.
 func (b *Balancer) worthSpilling(now time.Time, spillMember, nearMember *member) bool {
 	return b.score(now, spillMember)+b.cfg.SpillMargin < b.score(now, nearMember)
 }
@@ -275,10 +282,10 @@
 	return Candidate{ID: m.ID, Score: b.score(now, m)}
 }
 
-// twoChoices draws two replicas and returns the better and the other one. The other
-// is nil if there is only one, both are nil if there is none. The first candidate
-// is drawn by round robin and the second at random; the second is preferred only if
-// it is less loaded by switchThreshold.
+// twoChoices selects two candidates and returns the better one and the worse one.
+// If there is only one candidate, worse is nil; if there is none, both are nil. The
+// first candidate is the next one by round robin, the second a random one. The
+// second is better only if its load is lower by switchThreshold requests.
 func (b *Balancer) twoChoices(now time.Time, q Query, t *tier) (better, worse *member) {
 	first := b.selectCandidate(now, q, t, nil)
 	if first == nil {
@@ -294,19 +301,20 @@
 	return first, second
 }
 
-// switchThreshold returns the number of requests by which the second candidate must
-// be less loaded: switchMargin plus the standard deviation of the load from other
-// nodes that its report does not show. Requests of many nodes are Poisson
-// distributed, and the part of that variance which no recent report has measured
-// shows up as differences that do not exist.
+// switchThreshold returns the number of requests by which the load of the second
+// candidate must be lower. It is switchMargin plus the standard deviation of the
+// load from other nodes that the candidate's last report does not show. The number
+// of requests from many nodes is Poisson distributed. The part of its variance that
+// no recent report has measured would otherwise count as a difference between
+// replicas.
 func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
 	weight := m.reportWeight(now, b.meanAnswerSeconds)
 	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherNodeLoad()*m.capacity)
 }
 
-// drawCandidate draws the next replica by round robin or, if exclude is set, one at
-// random other than exclude. Replicas in backoff are drawn only if there is no
-// other.
+// selectCandidate selects the next replica by round robin or, if exclude is set, a
+// random replica other than exclude. A replica in backoff is selected only as the
+// first candidate, and only if all others are in backoff or excluded.
 func (b *Balancer) selectCandidate(now time.Time, q Query, t *tier, exclude *member) *member {
 	if len(t.usableMembers) == 0 || len(t.usableMembers) == 1 && t.usableMembers[0] == exclude {
 		return nil
@@ -327,7 +335,9 @@
 	return t.memberAt(b.rng.Float64())
 }
 
-// scanUsable scans the usable replicas, starting at a random one.
+// scanUsableMembers returns the first usable replica that is neither excluded nor
+// in backoff, beginning at a random one. If exclude is nil and all remaining
+// replicas are in backoff, it returns one of those.
 func (b *Balancer) scanUsableMembers(now time.Time, q Query, t *tier, exclude *member) *member {
 	var memberInBackoff *member
 	startIndex := b.rng.IntN(len(t.usableMembers))
@@ -342,13 +352,14 @@
 		}
 	}
 	if exclude != nil {
-		return nil // a replica in backoff is no alternative to a candidate outside backoff
+		return nil // a replica in backoff is not compared with the first candidate
 	}
 	return memberInBackoff
 }
 
-// pickLastResort picks the ejected replica with the best score: trying a doubtful
-// replica is better than refusing the request. Leaving replicas are never picked.
+// pickLastResort picks the ejected replica with the best score. A request to an
+// ejected replica may fail, but without one the request would be refused. Leaving
+// replicas are never picked.
 func (b *Balancer) pickLastResort(now time.Time, q Query) (Choice, bool) {
 	var bestMember *member
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
--- a/decide/balance/pollschedule.go
+++ b/decide/balance/pollschedule.go
@@ -7,12 +7,16 @@
 )
 
 // PollSchedule orders endpoints by the time of their last contact, oldest first. A
-// node polls the oldest one for its load, 16 times a second; scanning all endpoints
-// for it made the processor time of an idle node grow with the number of replicas.
-// Polls for cache events are scheduled in the same way. The zero value holds no
-// endpoint.
+// contact is a load report that an endpoint made or a poll that is sent to it. A
+// round is the number of endpoints times the poll interval, which is the time that
+// polls of all endpoints take.
+//
+// A node polls the endpoint with the oldest contact for its load, 16 times a
+// second. Scanning all endpoints for the oldest contact made the processor time of
+// an idle node grow with the number of replicas. Polls for cache events are
+// scheduled in the same way. The zero value holds no endpoint.
 type PollSchedule struct {
-	entriesByContact  list.List // of *pollEntry, oldest contact first
+	entriesByContact  list.List // *pollEntry values, oldest contact first
 	elementByEndpoint map[string]*list.Element
 }
 
@@ -23,8 +27,8 @@
 
 func entryOf(element *list.Element) *pollEntry { return element.Value.(*pollEntry) }
 
-// Set replaces the endpoints. Endpoints of the previous set keep their times; new
-// ones count as never contacted.
+// SetEndpoints replaces the endpoints. Endpoints of the previous set keep the times
+// of their contacts; new ones count as never contacted.
 func (s *PollSchedule) SetEndpoints(endpoints []string) {
 	oldElements := s.elementByEndpoint
 	s.elementByEndpoint = make(map[string]*list.Element, len(endpoints))
@@ -47,9 +51,8 @@
 	}
 }
 
-// Touch records that an endpoint reported its load or is being polled for it. Polls
-// count as contacts, so that an endpoint that does not answer is not polled
-// repeatedly before the others.
+// Touch records a contact with an endpoint. Polls count as contacts, so that an
+// endpoint that does not answer is not polled repeatedly before the others.
 func (s *PollSchedule) Touch(endpoint string, contactTime time.Time) {
 	element := s.elementByEndpoint[endpoint]
 	if element == nil || contactTime.Before(entryOf(element).lastContact) {
@@ -57,18 +60,18 @@
 	}
 	entryOf(element).lastContact = contactTime
 	s.entriesByContact.MoveToBack(element)
-	// Times arrive nearly in order, so this loop takes few steps, mostly none.
+	// Contacts are recorded nearly in order of time, so this loop rarely iterates.
 	for previous := element.Prev(); previous != nil && entryOf(previous).lastContact.After(contactTime); previous = element.Prev() {
 		s.entriesByContact.MoveBefore(element, previous)
 	}
 }
 
-// Has reports whether an endpoint is in the current set.
+// Has reports whether the endpoint is in the current set.
 func (s *PollSchedule) Has(endpoint string) bool { return s.elementByEndpoint[endpoint] != nil }
 
 // HalfRoundElapsed reports whether the last contact with an endpoint was at least
-// half a round ago, where a round is one poll interval per endpoint. It is used for
-// polls that can be combined with another request at no cost.
+// half a round ago. Callers use it for polls that cost nothing because they are
+// combined with another request.
 func (s *PollSchedule) HalfRoundElapsed(endpoint string, now time.Time, interval time.Duration) bool {
 	e := s.elementByEndpoint[endpoint]
 	if e == nil {
@@ -78,8 +81,8 @@
 	return now.Sub(entryOf(e).lastContact) >= roundDuration/2
 }
 
-// Oldest returns the endpoint whose last contact is the longest ago, and the time
-// of that contact; the zero time means never.
+// Oldest returns the endpoint with the oldest contact and the time of that contact.
+// The zero time means that the endpoint was never contacted.
 func (s *PollSchedule) Oldest() (endpoint string, lastContact time.Time, ok bool) {
 	oldest := s.entriesByContact.Front()
 	if oldest == nil {
@@ -88,22 +91,24 @@
 	return entryOf(oldest).endpoint, entryOf(oldest).lastContact, true
 }
 
-// Due reports whether the oldest endpoint must be polled now, so that each endpoint
-// is contacted at least once per round. A round is one interval per endpoint, with
-// one poll opportunity per interval.
+// Due reports whether the endpoint with the oldest contact must be polled now, so
+// that each endpoint is contacted at least once per round. There is one opportunity
+// for a poll per interval.
 //
 // Load pattern answered: answers to requests and to polls for cache events carry
-// the load as well. Polling regardless of these brought no new information and took
-// the largest part of an idle node's processor time.
+// load reports as well. Polling regardless of these reports brought no new
+// information and took the largest part of an idle node's processor time.
 //
-// It would not be enough to skip a poll whenever the oldest contact is recent:
-// after a burst of answers from all endpoints all would become due at the same
-// time, and the last one would wait for two rounds. Therefore each endpoint must
-// still be in time if the ones before it take the next poll opportunities.
+// Skipping a poll whenever the oldest contact is recent would not be enough. After
+// a burst of answers from all endpoints, all endpoints would become due at the same
+// time, and the last of them would wait for two rounds. Due therefore checks for
+// each endpoint that it is still polled in time if the endpoints before it are
+// polled at the next opportunities.
 func (s *PollSchedule) Due(now time.Time, interval time.Duration) bool {
 	maxAge := time.Duration(s.entriesByContact.Len()) * interval
-	// An answer takes some time, so that with a poll in every interval the contacts
-	// are a little less than a round apart.
+	// The answer to a poll counts as a contact too and arrives a little after the
+	// poll. At the poll one round later, that contact is therefore a little less than
+	// one round old.
 	maxAge += interval / 2
 	for e := s.entriesByContact.Front(); e != nil; e = e.Next() {
 		maxAge -= interval
--- a/decide/balance/pollschedule_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -8,9 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The endpoint with the oldest contact is polled for its load. One that does not
-// answer must not be polled repeatedly before the others, a new one is polled
-// first, and a removed one is never polled.
+// If an endpoint that does not answer were polled repeatedly, the other endpoints
+// would not be polled. The endpoint with the oldest contact is polled first, a new
+// endpoint is polled before all others, and a removed endpoint is never polled.
 func TestOldestEndpointIsPolledFirst(t *testing.T) {
 	Convey("The endpoint with the oldest contact comes first", t, func() {
 		var s PollSchedule
@@ -35,10 +35,12 @@
 	})
 }
 
-// A leaving endpoint must be noticed within one round, which is one interval per
-// endpoint, whatever other contacts there were. Without other traffic only polls
-// show it, one per interval. Answers make some polls unnecessary. After a burst of
-// answers from all endpoints the last one must not wait for two rounds.
+// If an endpoint had no contact for more than a round, requests would go on to an
+// endpoint that is already shutting down. A round is one poll interval per
+// endpoint. Without other traffic, only polls show that an endpoint is leaving, and
+// there is one poll per interval. Answers to requests make some polls unnecessary.
+// After a burst of answers from all endpoints, no endpoint may wait two rounds for
+// its next contact.
 func TestDue(t *testing.T) {
 	const interval = time.Second
 	endpoints := []string{"a", "b", "c", "d"}
@@ -61,7 +63,7 @@
 			var s PollSchedule
 			s.SetEndpoints(endpoints)
 			now := epoch
-			So(s.Due(now, interval), ShouldBeTrue) // endpoints that were never contacted
+			So(s.Due(now, interval), ShouldBeTrue) // the endpoints were never contacted
 			for _, name := range endpoints {
 				now = now.Add(interval)
 				s.Touch(name, now)
--- a/decide/balance/rendezvous/rendezvous.go
+++ b/decide/balance/rendezvous/rendezvous.go
@@ -1,7 +1,7 @@
-// Package rendezvous implements rendezvous hashing, by which nodes make the same
-// choice without communicating: of the candidates, the one with the highest Score
-// wins. When a candidate is added or removed, only the keys that it wins or won
-// move; with `hash mod n` nearly all keys would move.
+// Package rendezvous implements rendezvous hashing, by which nodes map a key to the
+// same candidate without communicating: the candidate with the highest Score for the
+// key. When a candidate is added or removed, only the keys of this candidate move.
+// With `hash mod n` nearly all keys would move.
 //
 // Hash each name once and keep the result; Score takes a few multiplications.
 package rendezvous
@@ -13,8 +13,9 @@
 	fnvPrime  = 1099511628211
 )
 
-// Hash returns a well-mixed 64-bit hash of s. It must stay the same in every
-// process and release, as nodes of different releases have to agree.
+// Hash returns a well-mixed 64-bit hash of s. The result must stay the same in
+// every process and release, because nodes of different releases have to agree on
+// it.
 func Hash(s string) uint64 {
 	h := uint64(fnvOffset)
 	for i := 0; i < len(s); i++ {
@@ -24,14 +25,15 @@
 	return mix(h)
 }
 
-// Score returns the rank of candidate for key; both are results of Hash. The
-// arguments are not interchangeable.
+// Score returns the score of candidate for key; both arguments are results of Hash.
+// The arguments are not interchangeable.
 func Score(key, candidate uint64) uint64 {
 	return mix(key + 0x9e3779b97f4a7c15*(candidate|1))
 }
 
-// Weighted returns a rank by which candidates win in proportion to their weight
-// (weighted rendezvous hashing). A weight of zero or less never wins.
+// Weighted returns a score by which candidates have the highest score for a part of
+// the keys in proportion to their weight (weighted rendezvous hashing). A candidate
+// with a weight of zero or less never has the highest score.
 func Weighted(key, candidate uint64, weight float64) float64 {
 	if weight <= 0 {
 		return 0
@@ -39,12 +41,12 @@
 	return -weight / math.Log(ToUnitInterval(Score(key, candidate)))
 }
 
-// Unit maps a hash to the open interval between 0 and 1.
+// ToUnitInterval maps a hash to the open interval between 0 and 1.
 func ToUnitInterval(hash uint64) float64 {
 	return (float64(hash>>11) + 0.5) / (1 << 53)
 }
 
-// mix is the finalizer of splitmix64.
+// mix is the finalizer of the splitmix64 generator.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -11,53 +11,54 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// The simulator is an event loop over endpoints that have slots, a queue and a
-// prefix cache. It rates a policy by what callers see: the time to the first
-// token, and the requests that failed after all attempts.
+// The simulation is an event loop over endpoints that have slots, a queue and a
+// prefix cache. It measures what callers see of a policy: the time to the first
+// token, and the number of calls that failed after all attempts.
 
 var epoch = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
 const (
 	engineSlots    = 8
-	cacheCapacity  = 8 // prefixes
-	meanCost       = 100.0
+	cacheCapacity  = 8     // number of prefixes that an endpoint caches
+	meanCost       = 100.0 // tokens per call
 	timePerToken   = 8 * time.Millisecond
-	warmupTime     = 20 * time.Second
+	warmupTime     = 20 * time.Second // until a cold endpoint has its full speed
 	attemptTimeout = 8 * time.Second
 	maxAttempts    = 3
 )
 
-// policy is a Balancer, or a baseline that picks among all replicas by a fixed rule
-// regardless of their state.
+// policy picks endpoints for one node. It is a Balancer or, if pickRule is set,
+// a baseline that ignores the state of the endpoints.
 type policy struct {
 	*Balancer
-	rule         func(p *policy, q Query) Replica
+	pickRule     func(p *policy, q Query) Replica
 	replicas     []Replica
 	nextIndex    int
 	reportedLoad map[string]int
-	cacheIndex   *cacheindex.Index // nil: prefixes are placed by hash alone
+	cacheIndex   *cacheindex.Index // nil if prefixes are placed by hash alone
 }
 
-func fixedRulePolicy(rule func(p *policy, q Query) Replica) func(int) *policy {
+// fixedRulePolicy returns a constructor of policies with the given rule.
+func fixedRulePolicy(pickRule func(p *policy, q Query) Replica) func(int) *policy {
 	return func(node int) *policy {
-		return &policy{Balancer: New(Config{}), rule: rule, nextIndex: node * 5, reportedLoad: map[string]int{}}
+		return &policy{Balancer: New(Config{}), pickRule: pickRule, nextIndex: node * 5, reportedLoad: map[string]int{}}
 	}
 }
 
 func (p *policy) pick(now time.Time, q Query) (Choice, bool) {
-	if p.rule == nil {
+	if p.pickRule == nil {
 		return p.Pick(now, q)
 	}
-	return Choice{Replica: p.rule(p, q).ID}, true
+	return Choice{Replica: p.pickRule(p, q).ID}, true
 }
 
-func (p *policy) nextOfFirst(n int) Replica {
+func (p *policy) nextRoundRobinOfFirst(count int) Replica {
 	p.nextIndex++
-	return p.replicas[p.nextIndex%n]
+	return p.replicas[p.nextIndex%count]
 }
 
 var (
-	roundRobin        = fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextOfFirst(len(p.replicas)) })
+	roundRobin        = fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(len(p.replicas)) })
 	hashOnly          = fixedRulePolicy(func(p *policy, q Query) Replica { return p.replicas[q.Prefix%uint64(len(p.replicas))] })
 	leastReportedLoad = fixedRulePolicy(func(p *policy, _ Query) Replica {
 		return slices.MinFunc(p.replicas, func(x, y Replica) int { return p.reportedLoad[x.ID] - p.reportedLoad[y.ID] })
@@ -68,9 +69,11 @@
 	at  time.Time
 	run func()
 }
+
+// engine is an endpoint of the simulation.
 type engine struct {
 	Replica
-	slowdown                   float64 // factor on all service times
+	slowdown                   float64 // factor by which all service times are longer
 	coldUntil                  time.Time
 	dead, frozen, leaving      bool
 	waitingCalls, runningCalls []*call
@@ -82,9 +85,9 @@
 type call struct {
 	policy           *policy
 	arrivedAt        time.Time
-	sentAt           time.Time     // of the current attempt
-	timeToFirstToken time.Duration // time to the first token of the current attempt
-	started          bool          // the current attempt has produced its first token
+	sentAt           time.Time     // when the current attempt was sent
+	timeToFirstToken time.Duration // of the current attempt, measured from sentAt
+	started          bool          // the endpoint has produced the first token of the current attempt
 	answered         bool          // the caller has received its first token
 	query            Query
 	attempts         int
@@ -94,29 +97,29 @@
 type simulation struct {
 	now      time.Time
 	rng      *rand.Rand
-	events   []scheduledEvent // ordered by time
+	events   []scheduledEvent // in order of time
 	engines  []*engine
 	policies []*policy
 
 	prefillTime, cachedPrefillTime time.Duration
 	reportLag, crossDomainDelay    time.Duration
-	coldSlowdown                   float64
-	measureFrom, measureUntil      time.Duration // calls that arrive in this interval are measured
+	coldSlowdown                   float64       // added to the slowdown of a cold endpoint, falling to zero in warmupTime
+	measureFrom, measureUntil      time.Duration // interval of arrivals of the calls that are measured, since epoch
 	firstTokenDelays               []time.Duration
 	measuredCalls, failedCalls     int
-	cacheLookups, cacheHits        int // prompts with a prefix, and those whose prefix was cached
+	cacheLookups, cacheHits        int // number of prompts with a prefix, and of those whose prefix was cached
 }
 
-// newSimulation creates endpoints that serve a mean request in 1 s, so that each
-// serves 8 requests per second.
+// newSimulation creates endpoints that serve a call of mean cost in 1 s. With its 8
+// slots, each endpoint serves 8 calls per second.
 func newSimulation(nodeCount int, newPolicy func(int) *policy, enginesPerDomain int, domains ...string) *simulation {
 	s := &simulation{
 		now: epoch, rng: rand.New(rand.NewPCG(7, 11)), measureUntil: time.Hour,
 		prefillTime: 200 * time.Millisecond, cachedPrefillTime: 200 * time.Millisecond, reportLag: 200 * time.Millisecond,
 	}
-	for _, d := range domains {
+	for _, domain := range domains {
 		for i := range enginesPerDomain {
-			s.addEngine(fmt.Sprintf("%s-%d", d, i), d)
+			s.addEngine(fmt.Sprintf("%s-%d", domain, i), domain)
 		}
 	}
 	for i := range nodeCount {
@@ -146,13 +149,13 @@
 func (s *simulation) schedule(delay time.Duration, run func()) {
 	at := s.now.Add(delay)
 	i, _ := slices.BinarySearchFunc(s.events, at, func(e scheduledEvent, at time.Time) int {
-		return cmp.Or(e.at.Compare(at), -1) // after events of the same time
+		return cmp.Or(e.at.Compare(at), -1) // insert after events of the same time
 	})
 	s.events = slices.Insert(s.events, i, scheduledEvent{at, run})
 }
 
-// run generates calls with random arrivals for a minute, at a rate that may change
-// over time, and leaves two more minutes for the answers.
+// runCalls generates calls with random arrivals for a minute, at a rate that may
+// change over time. It then waits two more minutes for the answers.
 func (s *simulation) runCalls(callRate func(seconds float64) float64, randomPrefix func(*rand.Rand) uint64) {
 	s.schedule(0, func() { s.arrive(callRate, randomPrefix) })
 	s.schedule(0, s.reportLoads)
@@ -185,6 +188,7 @@
 	return at >= s.measureFrom && at < s.measureUntil
 }
 
+// reportLoads sends the load report of each endpoint to all nodes, once a second.
 func (s *simulation) reportLoads() {
 	for _, e := range s.engines {
 		if e.dead || e.frozen {
@@ -242,8 +246,8 @@
 	c.policy.Finished(s.now, e.ID, r)
 }
 
-// failEngine makes an endpoint fail: its calls break at once or, if it freezes, run
-// into their timeout.
+// failEngine makes an endpoint fail. Its calls break at once or, if the endpoint
+// freezes, end at the timeout of the attempt.
 func (s *simulation) failEngine(e *engine, freezes bool) {
 	e.dead, e.frozen = !freezes, freezes
 	for _, c := range slices.Concat(e.runningCalls, e.waitingCalls) {
@@ -318,7 +322,8 @@
 	return s.prefillTime
 }
 
-// percentile is taken over all measured calls; calls without an answer count as an
+// delayPercentile returns the given percentile of the time to first token over all
+// measured calls. The fraction is from 0 to 1. Calls without an answer count as an
 // hour.
 func (s *simulation) delayPercentile(fraction float64) time.Duration {
 	if i := int(fraction * float64(s.measuredCalls)); i < len(s.firstTokenDelays) {
@@ -327,7 +332,7 @@
 	return time.Hour
 }
 
-// receivedBetween counts the requests that the endpoints received.
+// countReceived returns how many requests the endpoints received in the interval.
 func countReceived(from, to time.Duration, engines ...*engine) int {
 	count := 0
 	for _, e := range engines {
@@ -340,9 +345,9 @@
 	return count
 }
 
-// lastRequestAfter returns how long after the fault the endpoints still received
-// requests. It stops at the first gap of three seconds, as caused by an ejection;
-// the probes that follow do not count.
+// timeToLastRequest returns how long after the fault the endpoints still received
+// requests. Requests after the first gap of three seconds do not count: an ejection
+// causes such a gap, and the requests after it are probes.
 func timeToLastRequest(faultAt time.Duration, engines ...*engine) time.Duration {
 	longest := time.Duration(0)
 	for _, e := range engines {
--- a/decide/balance/status.go
+++ b/decide/balance/status.go
@@ -6,8 +6,9 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// maxChanges bounds the changes kept if the caller does not fetch them.
-const maxChanges = 64
+// maxKeptChanges bounds the changes that are kept if the caller does not fetch them.
+// The oldest changes are dropped first.
+const maxKeptChanges = 64
 
 // Change records that a replica was ejected, is being probed or returned to use.
 // The caller logs it.
@@ -15,7 +16,7 @@
 	At       time.Time
 	Replica  string
 	From, To health.State
-	// Cause is the cause of the last ejection.
+	// Cause is the cause of the replica's last ejection.
 	Cause health.Cause
 }
 
@@ -28,7 +29,7 @@
 }
 
 func (b *Balancer) recordChange(now time.Time, m *member, to health.State) {
-	if len(b.changes) == maxChanges {
+	if len(b.changes) == maxKeptChanges {
 		b.changes = b.changes[1:]
 	}
 	b.changes = append(b.changes, Change{At: now, Replica: m.ID, From: m.healthState, To: to, Cause: m.health.Cause()})
@@ -37,25 +38,28 @@
 // Status is what the node knows of a replica in its subset.
 type Status struct {
 	Replica
-	// Near is set if the replica is in the nearest failure domain.
+	// InNearestDomain is set if the replica is in the nearest failure domain.
 	InNearestDomain bool
 	Leaving         bool
 	State           health.State
 	Cause           health.Cause
-	// InFlight is the number of this node's requests. OtherRequests estimates those
-	// of other nodes from the last report, whose weight decays with its age.
+	// InFlight is the number of this node's in-flight requests at the replica.
+	// OtherNodeRequests estimates the number of requests of other nodes there, from
+	// the last report and the mean load.
 	InFlight          int
 	OtherNodeRequests float64
-	// ReportAge is the age of that report; negative if there is none.
+	// ReportAge is the age of the last load report; it is negative without a
+	// report.
 	ReportAge time.Duration
-	// Utilization is the load per unit of capacity, Slowness the delay relative to
-	// the median, and Ramp the share of its capacity that a new replica may use.
+	// Utilization is the replica's load per unit of effective capacity. Slowness is
+	// its delay relative to the median delay of the replicas. SlowStartFraction is
+	// the fraction of its capacity that it may use now.
 	Utilization       float64
 	Slowness          float64
 	SlowStartFraction float64
 }
 
-// Status returns what the node knows of its subset, for operators.
+// Status returns, for operators, what the node knows of each replica in its subset.
 func (b *Balancer) Status(now time.Time) []Status {
 	var statuses []Status
 	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
--- a/decide/balance/subset.go
+++ b/decide/balance/subset.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// coverSalt makes the rounding of a replica's cover independent of the scores of
-// its nodes.
+// roundingSalt makes the rounding of the number of nodes per replica independent of
+// the scores by which replicas select nodes.
 const roundingSalt = 0x5bd1e995
 
 // hashedReplica is a replica of the service with the hash of its ID.
@@ -18,6 +18,8 @@
 	idHash uint64
 }
 
+// hashReplicas returns the replicas sorted by the hash of their ID, without
+// duplicates. Slots and weights that are not set become 1.
 func hashReplicas(replicas []Replica) []hashedReplica {
 	hashed := make([]hashedReplica, len(replicas))
 	for i, r := range replicas {
@@ -38,16 +40,16 @@
 	return found
 }
 
-// subset chooses the replicas that one node uses.
+// subsetChooser chooses the replicas that one node uses.
 type subsetChooser struct {
 	cfg        Config
 	nodeHash   uint64
-	peerHashes []uint64 // hashes of the other nodes of the domain; nil if unknown
+	peerHashes []uint64 // hashes of the IDs of the node's peers; nil if the peers are unknown
 }
 
-// choose returns the replicas of the nearest failure domain and those to which
-// requests spill.
-func (s *subsetChooser) choose(replicas []hashedReplica) (near, spill []hashedReplica) {
+// choose returns the replicas of the nearest failure domain and the replicas to
+// which requests spill.
+func (s *subsetChooser) choose(replicas []hashedReplica) (nearReplicas, spillReplicas []hashedReplica) {
 	replicasByDomain := s.groupByNearness(replicas)
 	if len(replicasByDomain) == 0 {
 		return nil, nil
@@ -55,8 +57,9 @@
 	return s.chooseFromDomains(replicasByDomain)
 }
 
-// chooseFromDomains expects the failure domains nearest first.
-func (s *subsetChooser) chooseFromDomains(replicasByDomain [][]hashedReplica) (near, spill []hashedReplica) {
+// chooseFromDomains does the same as choose. It expects the replicas grouped by
+// failure domain, nearest domain first.
+func (s *subsetChooser) chooseFromDomains(replicasByDomain [][]hashedReplica) (nearReplicas, spillReplicas []hashedReplica) {
 	replicaCount := 0
 	for _, domain := range replicasByDomain {
 		replicaCount += len(domain)
@@ -65,16 +68,16 @@
 		return replicasByDomain[0], slices.Concat(replicasByDomain[1:]...)
 	}
 	subsetSize := float64(s.cfg.SubsetSize)
-	near = s.chooseFromDomain(replicasByDomain[0], subsetSize*nearSubsetShare, true)
+	nearReplicas = s.chooseFromDomain(replicasByDomain[0], subsetSize*nearSubsetShare, true)
 	replicasBySpillDomain := replicasByDomain[1:min(len(replicasByDomain), 1+s.cfg.SpillDomains)]
 	spillSize := max(subsetSize*(1-nearSubsetShare), subsetSize-float64(len(replicasByDomain[0])))
 	for _, domain := range replicasBySpillDomain {
-		spill = append(spill, s.chooseFromDomain(domain, spillSize/float64(len(replicasBySpillDomain)), false)...)
+		spillReplicas = append(spillReplicas, s.chooseFromDomain(domain, spillSize/float64(len(replicasBySpillDomain)), false)...)
 	}
-	return near, spill
+	return nearReplicas, spillReplicas
 }
 
-// byNearness groups the replicas by failure domain, nearest first.
+// groupByNearness groups the replicas by failure domain, nearest domain first.
 func (s *subsetChooser) groupByNearness(replicas []hashedReplica) [][]hashedReplica {
 	byDomain := make(map[string][]hashedReplica)
 	for _, r := range replicas {
@@ -94,13 +97,15 @@
 	return replicasByDomain
 }
 
-// ringDistance orders domains of the same nearness. All domains have a position on
-// one ring, and a domain spills to the ones that follow it, so that each domain
-// receives the spill of equally many others.
+// domainRingDistance returns the distance by which domains of the same nearness are
+// ordered. All domains have a position on one ring, and the requests of a domain
+// spill to the domains that follow it. Therefore each domain receives spilled
+// requests from equally many other domains.
 func (s *subsetChooser) domainRingDistance(domain string) uint64 {
 	return rendezvous.Hash(domain) - rendezvous.Hash(s.cfg.FailureDomain)
 }
 
+// nearnessRank returns the rank of a failure domain: lower ranks are nearer.
 func (s *subsetChooser) nearnessRank(domain string) int {
 	if domain == s.cfg.FailureDomain {
 		return -1
@@ -111,8 +116,9 @@
 	return len(s.cfg.NearDomains)
 }
 
-// chooseFromDomain chooses about quota replicas of one domain. If coverAll is set,
-// every replica gets at least one node of this node's domain, so that none is idle.
+// chooseFromDomain chooses about targetCount replicas of one domain. If
+// atLeastOneNode is set, each of the domain's replicas is used by at least one of
+// the node and its peers, so that none is idle.
 func (s *subsetChooser) chooseFromDomain(replicas []hashedReplica, targetCount float64, atLeastOneNode bool) []hashedReplica {
 	if float64(len(replicas)) <= targetCount {
 		return replicas
@@ -133,8 +139,9 @@
 	return chosen
 }
 
-// roundCover rounds the cover, the number of nodes per replica, to an integer for
-// one replica. It rounds up for a share of the replicas equal to the fraction.
+// roundNodesPerReplica rounds the number of nodes per replica to an integer for one
+// replica. The fractional part is the share of the replicas for which the number is
+// rounded up.
 func roundNodesPerReplica(replicaHash uint64, nodesPerReplica float64) int {
 	rounded, fraction := math.Modf(nodesPerReplica)
 	if rendezvous.ToUnitInterval(rendezvous.Score(roundingSalt, replicaHash)) < fraction {
@@ -143,8 +150,8 @@
 	return int(rounded)
 }
 
-// inTopRanked reports whether this node is among the n nodes with the highest score
-// for the replica.
+// isAmongTopNodes reports whether this node is among the n nodes with the highest
+// score for the replica.
 func (s *subsetChooser) isAmongTopNodes(replicaHash uint64, n int) bool {
 	nodeScore := rendezvous.Score(replicaHash, s.nodeHash)
 	for _, peerHash := range s.peerHashes {
@@ -158,15 +165,16 @@
 	return n > 0
 }
 
-// topRanked is the choice of a node that does not know its peers.
+// topRankedReplicas returns the n replicas with the highest score for this node. A
+// node that does not know its peers uses them as its subset.
 func (s *subsetChooser) topRankedReplicas(replicas []hashedReplica, n int) []hashedReplica {
 	sorted := s.sortedByRank(replicas)
 	return sorted[:min(n, len(sorted))]
 }
 
 // sortedByRank returns the replicas by descending score for this node. If all nodes
-// had the same order, nodes that send round robin at the same rate would move
-// through it together and hit each replica in bursts.
+// had the same order, nodes that send round robin at the same rate would reach each
+// replica at the same time, in bursts.
 func (s *subsetChooser) sortedByRank(replicas []hashedReplica) []hashedReplica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b hashedReplica) int {
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -14,26 +14,26 @@
 	members       []*member
 	prefixRing    []ringPoint
 	usableMembers []*member
-	// cumulative holds the running sums of the capacities of the usable members,
-	// for draws in proportion to capacity.
+	// cumulativeCapacity holds the running sums of the capacities of the usable
+	// members. It is used to select members in proportion to their capacity.
 	cumulativeCapacity []float64
 
-	roundRobinPosition float64 // round-robin position, 0 to 1
+	roundRobinPosition float64 // position of the last round-robin pick; see memberAt
 	equalCapacity      bool    // all usable members have the same capacity
 
-	inflightRequests          float64 // this node's requests at the usable members
-	reportedOtherNodeRequests float64 // requests of other nodes at the usable members, as reported
-	reportedCapacity          float64 // capacity of the usable members that have reported
+	inflightRequests          float64 // number of this node's in-flight requests at the usable members
+	reportedOtherNodeRequests float64 // number of other nodes' requests at the usable members, from load reports
+	reportedCapacity          float64 // total capacity of the usable members that have reported their load
 }
 
-// ringPoint is a point on the prefix hash ring.
+// ringPoint is a point on the hash ring of prefixes.
 type ringPoint struct {
 	hash   uint64
 	member *member
 }
 
-// newRing builds the ring from the replica IDs alone, so that nodes with the same
-// replicas send a prefix to the same one.
+// newPrefixRing builds the hash ring from the replica IDs alone, so that nodes with
+// the same replicas send a prefix to the same replica.
 func newPrefixRing(members []*member) []ringPoint {
 	ring := make([]ringPoint, 0, len(members)*ringPointsPerReplica)
 	for _, m := range members {
@@ -45,8 +45,8 @@
 	return ring
 }
 
-// attachMembers sets the tier of each member. It is called once the tier has its
-// final address.
+// attachMembers sets the tier of each member. It must be called after the tier has
+// been copied to its final address.
 func (t *tier) attachMembers() {
 	for _, m := range t.members {
 		m.tier = t
@@ -80,7 +80,7 @@
 	return t.cumulativeCapacity[len(t.cumulativeCapacity)-1]
 }
 
-func (t *tier) changeInflight(m *member, change float64) {
+func (t *tier) changeInflightRequests(m *member, change float64) {
 	if m.usable {
 		t.inflightRequests += change
 	}
@@ -96,7 +96,8 @@
 	}
 }
 
-// meanOtherLoad returns the load from other nodes per unit of capacity.
+// meanOtherNodeLoad returns the load from other nodes per unit of capacity, over
+// the usable members that have reported their load.
 func (t *tier) meanOtherNodeLoad() float64 {
 	if t.reportedCapacity == 0 {
 		return 0
@@ -104,7 +105,8 @@
 	return t.reportedOtherNodeRequests / t.reportedCapacity
 }
 
-// meanLoad returns the load from all nodes per unit of capacity.
+// meanLoad returns the load from all nodes per unit of capacity, over the usable
+// members.
 func (t *tier) meanLoad() float64 {
 	capacity := t.capacity()
 	if capacity == 0 {
@@ -113,8 +115,8 @@
 	return t.inflightRequests/capacity + t.meanOtherNodeLoad()
 }
 
-// nextRoundRobin returns the usable members in weighted round-robin order, each in
-// proportion to its capacity.
+// nextRoundRobin returns the next usable member in weighted round-robin order.
+// Members are returned in proportion to their capacity.
 func (t *tier) nextRoundRobin() *member {
 	return t.usableMembers[t.nextRoundRobinIndex()]
 }
@@ -124,9 +126,10 @@
 	return t.indexAt(t.roundRobinPosition)
 }
 
-// roundRobinStep visits members of equal capacity one after the other. With unequal
-// capacities such a step would send a large member several requests in a row;
-// golden-ratio steps spread the visits evenly for any capacities.
+// roundRobinStep returns the distance between the positions of consecutive
+// round-robin picks. With equal capacities, each step moves to the next member.
+// With unequal capacities, such steps would send several requests in a row to a
+// large member. Golden-ratio steps spread the requests evenly for any capacities.
 func (t *tier) roundRobinStep() float64 {
 	if t.equalCapacity {
 		return 1 / float64(len(t.usableMembers))
@@ -134,9 +137,9 @@
 	return math.Phi - 1
 }
 
-// memberAt returns the usable member at a position from 0 to 1, on which each
-// member covers an interval in proportion to its capacity. The tier must have a
-// usable member.
+// memberAt returns the usable member at a position from 0 to 1. Each member has an
+// interval of positions in proportion to its capacity. The tier must have a usable
+// member.
 func (t *tier) memberAt(position float64) *member {
 	return t.usableMembers[t.indexAt(position)]
 }
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -7,56 +7,61 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Failure classifies how an attempt ended.
+// Failure classifies the end of an attempt; health.None means that it succeeded.
 type Failure = health.Failure
 
-// Replica is an endpoint that serves the service.
+// Replica is an endpoint of the service.
 type Replica struct {
 	ID            string
 	FailureDomain string
 	// Slots is the number of requests that the replica runs concurrently; zero
 	// counts as 1.
 	Slots int
-	// Weight is the replica's speed per slot relative to the other replicas; zero
-	// counts as 1.
+	// Weight is the speed of one of the replica's slots relative to the slots of
+	// other replicas; zero counts as 1.
 	Weight float64
 }
 
 // Query describes a request for which a replica is to be picked.
 type Query struct {
-	// Prefix is a hash of the prompt's prefix; 0 means none.
+	// Prefix is a hash of the prompt's prefix; 0 means that the request has none.
 	Prefix uint64
-	// Holders are replicas that probably have the beginning of the prompt cached,
-	// longest cached prefix first. They are hints and may be wrong.
+	// Holders lists the replicas that probably have the beginning of the prompt
+	// cached, the replica with the longest cached part first. The list is a hint
+	// and may be wrong.
 	Holders []cacheindex.Holder
-	// Cost is the expected work in tokens; 0 means unknown.
+	// Cost is the expected work for the request in tokens; 0 means unknown.
 	Cost float64
-	// Exclude lists endpoints that have already been tried for this request.
+	// Exclude lists the replicas on which this request has already been tried.
 	Exclude []string
-	// NoProbe keeps the request away from an endpoint that is being probed. It is
-	// set for requests that must not be retried.
+	// NoProbe keeps the request away from a replica that is being probed. Callers
+	// set NoProbe for requests that must not be retried.
 	NoProbe bool
 }
 
-// Candidate is an endpoint with its score; lower is better.
+// Candidate is a replica that was considered for a request. Lower scores are
+// better.
 type Candidate struct {
-	ID    string
+	ID string
+	// Score is the score of the picked replica; doc.go defines it.
 	Score float64
-	// HeldBlocks is the estimated number of the prompt's blocks in its cache.
+	// HeldBlocks is the estimated number of the prompt's blocks in the replica's
+	// cache.
 	HeldBlocks int
 }
 
-// Choice is the picked endpoint and the reason for it.
+// Choice is the picked replica and the reason for which it was picked.
 type Choice struct {
 	Replica string
 	Reason  Reason
 	// Score is the score of the picked endpoint: the expected load per unit of
 	// capacity.
 	Score float64
-	// HeldBlocks is the estimated number of the prompt's blocks in its cache.
+	// HeldBlocks is the estimated number of the prompt's blocks in the picked
+	// replica's cache. It is known only if Reason is ReasonHeld.
 	HeldBlocks int
-	// Alternatives are the endpoints that were considered and not picked, with
-	// their scores. Unused entries have an empty ID.
+	// Alternatives lists replicas that were considered and not picked, with their
+	// scores. Unused entries have an empty ID.
 	Alternatives [maxAlternatives]Candidate
 }
 
@@ -66,29 +71,28 @@
 type Reason uint8
 
 const (
-	// ReasonTwoChoices means that the replica was the better of two candidates
-	// drawn in the nearest failure domain.
+	// ReasonTwoChoices means that the replica was the better of two candidates from
+	// the nearest failure domain.
 	ReasonTwoChoices Reason = iota
-	// ReasonOnly means that no other candidate could be drawn.
+	// ReasonOnly means that the replica was the only candidate.
 	ReasonOnly
-	// ReasonPrefix means that the replica is the home of the prompt's prefix on the
-	// hash ring.
+	// ReasonPrefix means that the replica is the owner of the prompt's prefix.
 	ReasonPrefix
-	// ReasonPrefixMoved means that the home of the prefix was overloaded or
-	// unusable, and that this replica follows it on the hash ring.
+	// ReasonPrefixMoved means that the owner of the prefix was overloaded or
+	// unusable, and that this replica follows the owner on the hash ring.
 	ReasonPrefixMoved
-	// ReasonSpill means that the nearest failure domain was overloaded or had no
-	// usable replica.
+	// ReasonSpill means that the request spilled: the nearest failure domain was
+	// overloaded or had no usable replica.
 	ReasonSpill
-	// ReasonProbe means that the request probes an ejected endpoint.
+	// ReasonProbe means that the request probes an ejected replica.
 	ReasonProbe
-	// ReasonLastResort means that only ejected endpoints were left.
+	// ReasonLastResort means that no usable replica was left, only ejected ones.
 	ReasonLastResort
-	// ReasonHeld means that the replica probably has the longest part of the prompt
-	// cached.
+	// ReasonHeld means that the replica probably has the longest cached part of the
+	// prompt among the replicas that accept the request.
 	ReasonHeld
-	// ReasonFewestOwn means that all replicas are full and that this one has the
-	// fewest in-flight requests of this node.
+	// ReasonFewestOwn means that all replicas were full, and that this replica had
+	// the fewest in-flight requests of this node for its capacity.
 	ReasonFewestOwn
 )
 
@@ -103,13 +107,14 @@
 	return "invalid"
 }
 
-// Result describes how an attempt ended.
+// Result describes the end of an attempt.
 type Result struct {
 	// Cost is the cost that was passed to Sent.
 	Cost float64
-	// FirstToken is the time from sending the request to the first part of the
-	// answer. It is zero for plain services and for attempts that failed before the
-	// first part. Total is the time from sending to the end or to the failure.
+	// TimeToFirstToken is the time from sending the request to the first part of
+	// the answer. It is zero for plain services and for attempts that failed before
+	// the first part. TotalTime is the time from sending the request to the end of
+	// the answer or to the failure.
 	TimeToFirstToken time.Duration
 	TotalTime        time.Duration
 	// Started is set if Balancer.Started has been called for the attempt.
@@ -117,30 +122,32 @@
 	Failure Failure
 }
 
-// Load is a load report made by an endpoint.
+// LoadReport is a load report made by a replica.
 type LoadReport struct {
-	// Running and Waiting count the endpoint's requests from all nodes.
+	// RunningRequests and WaitingRequests count the requests of all nodes at the
+	// replica.
 	RunningRequests int
 	WaitingRequests int
-	// Age is how old the figures were when the report arrived.
+	// Age is the time from the making of the report to its arrival at this node.
 	Age time.Duration
-	// Leaving is set if the endpoint reports that it is shutting down.
+	// Leaving is set if the replica reports that it is shutting down.
 	Leaving bool
 }
 
-// Source identifies who reported that an endpoint is leaving.
+// Source identifies the origin of a statement that a replica is leaving.
 type Source uint8
 
 const (
-	// SourcePlatform is the platform's list of VMs, which lags behind.
+	// SourcePlatform is the platform's list of VMs. A shutdown shows there later
+	// than at the replica.
 	SourcePlatform Source = iota
-	// SourceEndpoint is the endpoint's own load report.
+	// SourceEndpoint is the load report of the replica itself.
 	SourceEndpoint
 	// SourcePeer is another node.
 	SourcePeer
 	// SourceOperator is the environment document or a drain command.
 	SourceOperator
-	// sourceRefusal is a request that the endpoint refused because it is shutting
+	// sourceRefusal is a refusal of a request by the replica because it is shutting
 	// down.
 	sourceRefusal
 )
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -6,12 +6,14 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// FIFO is a baseline: one queue in order of arrival, without shares, limits or
-// refusals.
+// FIFO is a baseline for the admission queue: it starts requests in order of
+// arrival, without shares of teams or limits. Unless DropExpired is set, it refuses
+// no request.
 type FIFO struct {
-	Slots int
-	// DropExpired refuses a request whose deadline has passed when it reaches the
-	// head of the queue, which makes the baseline stronger.
+	Slots int // number of requests that run at the same time
+	// DropExpired refuses a request whose deadline has passed when the request
+	// reaches the head of the queue. The baseline then wastes no slots on such
+	// requests.
 	DropExpired bool
 
 	runningRequests int
@@ -23,19 +25,19 @@
 	arrivedAt time.Time
 }
 
-// Offer appends the request.
+// Offer appends the request to the queue and starts it if a slot is free.
 func (f *FIFO) Offer(now time.Time, r admission.Request) []admission.Verdict {
 	f.waitingRequests = append(f.waitingRequests, queuedRequest{r, now})
 	return f.dispatch(now)
 }
 
-// Finish frees a slot.
+// Finish frees the slot of a request that has ended and starts the next request.
 func (f *FIFO) Finish(now time.Time, _ uint64, _ float64) []admission.Verdict {
 	f.runningRequests--
 	return f.dispatch(now)
 }
 
-// Abandon frees a slot.
+// Abandon frees the slot of a request whose caller has gone.
 func (f *FIFO) Abandon(now time.Time, id uint64) []admission.Verdict { return f.Finish(now, id, 0) }
 
 // SetCapacity changes the number of slots.
@@ -44,9 +46,11 @@
 	return f.dispatch(now)
 }
 
-// Tick does nothing.
+// Tick returns no verdicts and no next time: a FIFO acts only on arrivals and ends
+// of requests.
 func (f *FIFO) Tick(time.Time) ([]admission.Verdict, time.Time) { return nil, time.Time{} }
 
+// dispatch starts requests while slots are free and returns the verdicts.
 func (f *FIFO) dispatch(now time.Time) (verdicts []admission.Verdict) {
 	for len(f.waitingRequests) > 0 && f.runningRequests < f.Slots {
 		r := f.waitingRequests[0]
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -11,94 +11,99 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Fleet describes a run of several nodes, each with its own queue and balancer,
-// that share replicas. A node learns of the other nodes' requests only from the
+// Fleet describes a run of several nodes that share replicas. Each node has its own
+// queue and balancer, and learns of the other nodes' requests only from the
 // replicas' load reports.
 type Fleet struct {
-	// Nodes holds each node's share of the calls; the shares add up to 1. A call
-	// goes to its node regardless of the length of the queue there, because callers
-	// keep the addresses they were given.
+	// NodeShares holds each node's share of the calls; the shares add up to 1. A
+	// call goes to its node regardless of the length of the node's queue, because
+	// callers keep the node addresses that they were given.
 	NodeShares   []float64
 	ReplicaCount int
-	// Slots is the number of slots of each replica. A replica queues further
-	// requests.
+	// SlotsPerReplica is the number of slots of each replica. A replica queues
+	// requests beyond its slots.
 	SlotsPerReplica int
-	// TokenTime is the time per token, the same in every slot.
+	// TokenTime is the time that a slot takes for one token, the same in every
+	// slot.
 	TokenTime time.Duration
-	// Tokens is the length of each answer.
+	// TokensPerAnswer is the number of tokens of each answer.
 	TokensPerAnswer int
 	TeamCount       int
-	// OfferedLoad is the rate of calls over Capacity.
+	// OfferedLoad is the rate of calls divided by Capacity.
 	OfferedLoad float64
-	// Preload is a load that precedes the run's own.
+	// Preload is a load that precedes the load of the run.
 	Preload Preload
 	// CallerTimeout is how long a caller waits for its whole answer.
 	CallerTimeout time.Duration
-	// Length is that of the run. RunFleet returns only the calls sent after Warmup.
+	// Duration is the duration of the run. RunFleet returns only the calls sent
+	// after Warmup.
 	Duration, Warmup time.Duration
 	Seed             uint64
-	// RoundRobin sends the calls to the replicas by round robin, without nodes.
+	// RoundRobin sends the calls directly to the replicas by round robin, without
+	// nodes.
 	RoundRobin bool
-	// Domains is the number of failure domains; zero means one. Nodes and replicas
-	// are assigned to them by round robin.
+	// DomainCount is the number of failure domains; zero means one. Nodes and
+	// replicas are assigned to the domains by round robin.
 	DomainCount int
 	// SharedPrompt makes all callers send the same prompt, which every replica has
 	// cached.
 	SharedPrompt bool
-	// HideNodeCount withholds the number of nodes from the balancers, so that no
-	// node has a fair share of the slots.
+	// HideNodeCountFromBalancers withholds the number of nodes from the balancers,
+	// so that no node has a fair share of the slots.
 	HideNodeCountFromBalancers bool
 }
 
-// Preload is a load before that of the run, followed by a pause.
+// Preload is a load before the load of the run, followed by a pause.
 type Preload struct {
-	// OfferedLoad is the rate of calls over Capacity.
+	// OfferedLoad is the rate of calls divided by Capacity.
 	OfferedLoad     float64
 	Duration, Pause time.Duration
 }
 
 const (
 	// reportInterval is the shortest time between two load reports made by a
-	// replica; a report sent in between repeats the last one.
+	// replica. A report sent in between repeats the last report.
 	reportInterval = 100 * time.Millisecond
-	// tokensPerReport is the number of tokens of an answer between two load
-	// reports.
+	// tokensPerReport is the number of tokens of an answer between two load reports
+	// sent with the answer.
 	tokensPerReport = 8
-	// refreshInterval is how often a node recomputes its slots when nothing else
-	// happens.
+	// queueUpdateInterval is how often a node recomputes the number of slots of its
+	// queue when no report or answer causes it to.
 	queueUpdateInterval = time.Second
 	// sharedPrefix is the prefix hash of the prompt that all callers share.
 	sharedPrefix = 12345
 )
 
-// Capacity returns the calls per second that the replicas can answer.
+// Capacity returns the number of calls per second that the replicas can answer.
 func (f Fleet) Capacity() float64 {
 	return float64(f.ReplicaCount*f.SlotsPerReplica) / (float64(f.TokensPerAnswer) * f.TokenTime.Seconds())
 }
 
-// domain returns the failure domain of the i-th node or replica.
+// failureDomain returns the failure domain of the i-th node or replica.
 func (f Fleet) failureDomain(i int) string {
 	return fmt.Sprint("domain-", i%max(f.DomainCount, 1))
 }
 
 // Answer records what one caller of a Fleet received.
 type Answer struct {
-	SentAt time.Duration // since Start
-	// FirstToken and Total are measured from the call; FirstToken is zero if no
-	// token arrived.
+	SentAt time.Duration // when the caller sent the call, measured from Start
+	// TimeToFirstToken and TotalTime are measured from the sending of the call.
+	// TimeToFirstToken is zero if no token arrived.
 	TimeToFirstToken, TotalTime time.Duration
-	// Completed is set if the whole answer arrived before the caller's timeout,
-	// Refused if the request was refused. If neither is set, the caller timed out.
+	// Completed is set if the whole answer arrived before the caller's timeout.
+	// Refused is set if the node refused the call. If neither is set, the caller
+	// timed out.
 	Completed, Refused bool
 	RetryAfter         time.Duration
 	NodeIndex          int
 }
 
+// fleetRun is the state of one run of a Fleet.
 type fleetRun struct {
 	Fleet
 	*Loop
-	arrivalRNG       *rand.Rand // of the arrivals, which do not depend on how calls are served
-	assignmentRNG    *rand.Rand // of the nodes and teams of calls
+	arrivalRNG       *rand.Rand // random numbers of the arrivals, which do not depend on how calls are served
+	assignmentRNG    *rand.Rand // random numbers for the nodes and teams of calls
 	nodes            []*fleetNode
 	replicas         []*fleetReplica
 	nextReplicaIndex int
@@ -121,8 +126,8 @@
 	nextID         uint64
 	nextTickAt     time.Time
 	queueSlots     int
-	runningCalls   int
-	meanAnswerTime time.Duration // moving average
+	inflightCalls  int           // number of calls sent to replicas and not ended
+	meanAnswerTime time.Duration // moving average of the time from sending a request to the end of its answer
 }
 
 type fleetCall struct {
@@ -131,9 +136,9 @@
 	node             *fleetNode
 	replica          *fleetReplica
 	cost             float64
-	receivedTokens   float64 // tokens
-	sentAt           time.Time
-	timeToFirstToken time.Duration
+	receivedTokens   float64       // number of tokens that the caller received
+	sentAt           time.Time     // when the node sent the request to the replica
+	timeToFirstToken time.Duration // measured from sentAt
 	ended            bool
 }
 
@@ -175,9 +180,10 @@
 	r.Schedule(r.Now.Add(queueUpdateInterval), func() { r.updateQueueSlotsPeriodically(n) })
 }
 
-// updateShare sets the queue's slots to those that the balancer allows.
+// updateQueueSlots sets the number of slots of the node's queue to the requests
+// that the node has in flight plus the balancer's headroom.
 func (r *fleetRun) updateQueueSlots(n *fleetNode) {
-	slots := max(1, n.runningCalls+n.balancer.Headroom(r.Now))
+	slots := max(1, n.inflightCalls+n.balancer.Headroom(r.Now))
 	if slots == n.queueSlots {
 		return
 	}
@@ -196,7 +202,7 @@
 	})
 }
 
-// nextArrival draws the time of the next call.
+// nextArrival draws the time of the next call at random.
 func (r *fleetRun) nextArrival() time.Time {
 	preloadEnd, pauseEnd := Start.Add(r.Preload.Duration), Start.Add(r.Preload.Duration+r.Preload.Pause)
 	if r.Now.Before(preloadEnd) {
@@ -249,18 +255,19 @@
 	return r.nodes[len(r.nodes)-1]
 }
 
-// applyVerdicts carries out the queue's verdicts and schedules its next tick.
+// applyVerdicts carries out the queue's verdicts and schedules the next tick of the
+// queue.
 func (r *fleetRun) applyVerdicts(n *fleetNode, verdicts []admission.Verdict) {
-	r.carryOut(n, verdicts)
+	r.executeVerdicts(n, verdicts)
 	tickVerdicts, nextTickAt := n.queue.Tick(r.Now)
-	r.carryOut(n, tickVerdicts)
+	r.executeVerdicts(n, tickVerdicts)
 	if nextTickAt.After(r.Now) && !(n.nextTickAt.After(r.Now) && !nextTickAt.Before(n.nextTickAt)) {
 		n.nextTickAt = nextTickAt
 		r.Schedule(nextTickAt, func() { r.applyVerdicts(n, nil) })
 	}
 }
 
-func (r *fleetRun) carryOut(n *fleetNode, verdicts []admission.Verdict) {
+func (r *fleetRun) executeVerdicts(n *fleetNode, verdicts []admission.Verdict) {
 	for _, v := range verdicts {
 		c := n.waitingCalls[v.ID]
 		delete(n.waitingCalls, v.ID)
@@ -282,7 +289,7 @@
 	}
 	choice, _ := n.balancer.Pick(r.Now, query)
 	n.balancer.Sent(r.Now, choice.Replica, c.cost)
-	n.runningCalls++
+	n.inflightCalls++
 	c.replica = r.replicas[slices.IndexFunc(r.replicas, func(e *fleetReplica) bool { return e.id == choice.Replica })]
 	c.sentAt = r.Now
 	r.serveOrQueue(c)
@@ -298,8 +305,8 @@
 	r.Schedule(r.Now.Add(r.TokenTime), func() { r.emitToken(c, 0) })
 }
 
-// emitToken produces the token of the given number. If the caller has timed out, it
-// ends the call instead.
+// emitToken produces the token with the given index of an answer. If the caller has
+// timed out, emitToken ends the call instead.
 func (r *fleetRun) emitToken(c *fleetCall, tokenIndex int) {
 	if c.ended {
 		r.releaseSlot(c)
@@ -325,7 +332,8 @@
 	r.releaseSlot(c)
 }
 
-// releaseSlot frees the call's slot and records the end of the call at its node.
+// releaseSlot frees the call's slot at the replica and records the end of the call
+// at its node.
 func (r *fleetRun) releaseSlot(c *fleetCall) {
 	e := c.replica
 	e.runningCalls--
@@ -341,7 +349,7 @@
 	if !c.Completed {
 		result.Failure = health.Canceled
 	}
-	c.node.runningCalls--
+	c.node.inflightCalls--
 	c.node.balancer.Finished(r.Now, e.id, result)
 	r.deliverReport(c)
 	r.updateQueueSlots(c.node)
@@ -369,7 +377,8 @@
 	r.updateQueueSlots(c.node)
 }
 
-// expire ends a call at the caller's timeout.
+// timeOutCall ends a call whose answer is not complete when the caller's timeout
+// has passed.
 func (r *fleetRun) timeOutCall(c *fleetCall) {
 	if c.ended {
 		return
@@ -384,7 +393,7 @@
 	e := c.replica
 	if i := slices.Index(e.waitingCalls, c); i >= 0 {
 		e.waitingCalls = slices.Delete(e.waitingCalls, i, i+1)
-		e.runningCalls++ // releaseSlot subtracts it again
+		e.runningCalls++ // releaseSlot subtracts 1 again
 		r.releaseSlot(c)
 	}
 }
--- a/decide/internal/sim/loop.go
+++ b/decide/internal/sim/loop.go
@@ -1,5 +1,9 @@
-// Package sim runs decision modules against a small model of callers and one
-// service in simulated time. It is a test helper. The same seed gives the same run.
+// Package sim runs the admission queue and the balancer against a small model of
+// callers and one service in simulated time. Only tests use it. The same seed gives
+// the same run.
+//
+// A slot is room for one running request at a replica. The offered load is the rate of
+// calls divided by the rate that the replicas can answer.
 package sim
 
 import (
@@ -10,12 +14,15 @@
 // Start is the time at which every simulation begins.
 var Start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
+// event is a function with the time at which it runs. Events of the same time run
+// in order of their sequence number.
 type event struct {
 	at       time.Time
 	sequence int
 	run      func()
 }
 
+// events is a heap of events, the earliest first.
 type events []event
 
 func (e events) Len() int      { return len(e) }
@@ -33,24 +40,24 @@
 	return last
 }
 
-// Loop is an event loop that runs functions in the order of their scheduled times.
+// Loop runs functions at their scheduled times in simulated time.
 type Loop struct {
 	Now          time.Time
 	events       events
 	lastSequence int
 }
 
-// NewLoop returns a loop whose time is Start.
+// NewLoop returns a loop whose current time is Start.
 func NewLoop() *Loop { return &Loop{Now: Start} }
 
-// Schedule adds a function that runs at time t. Functions of the same time run in
+// Schedule adds a function that runs at time t. Functions with the same time run in
 // the order in which they were added.
 func (l *Loop) Schedule(t time.Time, run func()) {
 	l.lastSequence++
 	heap.Push(&l.events, event{at: t, sequence: l.lastSequence, run: run})
 }
 
-// Run runs the functions scheduled up to and including the given time.
+// Run runs the functions that are scheduled up to and including the given time.
 func (l *Loop) Run(until time.Time) {
 	for len(l.events) > 0 && !l.events[0].at.After(until) {
 		e := heap.Pop(&l.events).(event)
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -8,7 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// Policy decides which requests start: the admission queue or a baseline.
+// Policy decides which requests start. Implementations are the admission queue and
+// the baselines.
 type Policy interface {
 	Offer(now time.Time, r admission.Request) []admission.Verdict
 	Finish(now time.Time, id uint64, cost float64) []admission.Verdict
@@ -22,38 +23,38 @@
 	Team              string
 	Class             admission.Class
 	Rate              float64       // calls per second
-	MeanCost          float64       // mean actual cost in tokens; each call 0.5 to 1.5 times that
-	ExpectedCostRatio float64       // expected over actual cost; zero means random, 0.7 to 1.3
-	StartTimeout      time.Duration // from a call until a start is no longer useful
-	From, To          time.Duration // zero To means the end of the run
-	RetryOnce         bool          // a refused caller retries once, after the time it was told
+	MeanCost          float64       // mean cost of a call in tokens; each call costs 0.5 to 1.5 times the mean
+	ExpectedCostRatio float64       // cost expected at admission over actual cost; zero means random from 0.7 to 1.3
+	StartTimeout      time.Duration // time from the call to its deadline for starting
+	From, To          time.Duration // interval of arrivals, measured from Start; zero To means the end of the run
+	RetryOnce         bool          // a refused caller retries once, after the RetryAfter of the refusal
 }
 
 // Scenario describes a run against one service.
 type Scenario struct {
-	SlotRate      float64 // tokens per second per slot
-	Duration      time.Duration
-	Loads         []Load
-	SlotsFromTime map[time.Duration]int // number of slots from each time on
-	StallAt       time.Duration         // from this time on no request finishes; zero means never
-	Seed          uint64                // of arrivals and costs
+	SlotRate         float64 // tokens per second per slot
+	Duration         time.Duration
+	Loads            []Load
+	SlotsByStartTime map[time.Duration]int // number of slots from each time on, measured from Start
+	StallAt          time.Duration         // no request finishes after this time, measured from Start; zero means that all requests finish
+	Seed             uint64                // seed of arrivals and costs
 }
 
 // Call records what one caller saw. Times are measured from Start.
 type Call struct {
-	LoadIndex  int
+	LoadIndex  int // index of the call's load in Scenario.Loads
 	OfferedAt  time.Duration
-	StartedAt  time.Duration // zero if it did not start
-	FinishedAt time.Duration // zero if it did not finish
-	RefusedAt  time.Duration // zero if it was not refused
+	StartedAt  time.Duration // zero if the request did not start
+	FinishedAt time.Duration // zero if the request did not finish
+	RefusedAt  time.Duration // zero if the request was not refused
 	Deadline   time.Duration
-	ActualCost float64 // actual
+	ActualCost float64 // tokens that the answer took
 	Verdict    admission.Verdict
 
-	IsRetry bool // the caller retried after a refusal
+	IsRetry bool // the call is a retry after a refusal
 }
 
-// InTime reports whether the call started by its deadline.
+// StartedByDeadline reports whether the request started by its deadline.
 func (c *Call) StartedByDeadline() bool {
 	return c.Verdict.Kind == admission.Run && c.StartedAt <= c.Deadline
 }
@@ -61,6 +62,7 @@
 // Result holds the calls of a run.
 type Result struct{ Calls []*Call }
 
+// scenarioRun is the state of one run of a Scenario.
 type scenarioRun struct {
 	Scenario
 	*Loop
@@ -76,7 +78,7 @@
 	for i, l := range s.Loads {
 		r.scheduleArrivals(i, l)
 	}
-	for at, slots := range s.SlotsFromTime {
+	for at, slots := range s.SlotsByStartTime {
 		r.Schedule(Start.Add(at), func() { r.applyVerdicts(policy.SetCapacity(r.Now, slots)) })
 	}
 	r.Loop.Run(Start.Add(s.Duration))
@@ -148,12 +150,14 @@
 	}
 }
 
-// Goodput returns the tokens per second of the calls that started in time, counted
-// by the slot time that they used between the two times.
-func (r *Result) Goodput(slotRate float64, from, to time.Duration, loads ...int) float64 {
+// Goodput returns the tokens per second of the calls that started by their
+// deadline, in the interval between the two times. A call counts with the slot time
+// that it used in the interval. If loads are given, only calls of these loads
+// count.
+func (r *Result) Goodput(slotRate float64, from, to time.Duration, loadIndexes ...int) float64 {
 	tokens := 0.0
 	for _, c := range r.Calls {
-		if !c.StartedByDeadline() || (len(loads) > 0 && !slices.Contains(loads, c.LoadIndex)) {
+		if !c.StartedByDeadline() || (len(loadIndexes) > 0 && !slices.Contains(loadIndexes, c.LoadIndex)) {
 			continue
 		}
 		end := c.StartedAt + time.Duration(c.ActualCost/slotRate*float64(time.Second))
@@ -164,9 +168,9 @@
 	return tokens / (to - from).Seconds()
 }
 
-// StartDelays returns, in ascending order, the delays until the start of the load's
-// calls that were offered between the two times. A call that did not start in time
-// counts with its whole StartTimeout.
+// StartDelays returns, in ascending order, the times from call to start for the
+// calls of one load that were offered in the interval. A call that did not start by
+// its deadline counts with its whole StartTimeout.
 func (r *Result) StartDelays(loadIndex int, from, to time.Duration) []time.Duration {
 	var delays []time.Duration
 	for _, c := range r.Calls {
@@ -183,11 +187,11 @@
 	return delays
 }
 
-// P95 returns the 95th percentile of sorted delays.
+// P95 returns the 95th percentile of the given delays, which must be sorted.
 func P95(sortedDelays []time.Duration) time.Duration { return sortedDelays[len(sortedDelays)*95/100] }
 
-// StartedShare returns the share of the load's calls offered between the two times
-// that started in time.
+// StartedShare returns which share of one load's calls that were offered in the
+// interval started by their deadline.
 func (r *Result) StartedShare(loadIndex int, from, to time.Duration) float64 {
 	startedCalls, offeredCalls := 0.0, 0.0
 	for _, c := range r.Calls {
