--- a/decide/balance/full_test.go
+++ b/decide/balance/full_test.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// fullBalancer returns a balancer with four replicas of 16 slots. Their reports say
-// that they are full, each with four requests of this node.
+// fullBalancer returns a balancer with four replicas of 16 slots. Their load
+// reports say that all slots are taken, four of them by requests of this node.
 func fullBalancer() *Balancer {
 	b := New(Config{Node: "vm-1", FailureDomain: "fd-0", Seed: 1})
 	replicas := makeReplicas(4, 2)
@@ -21,42 +21,43 @@
 		for range 4 {
 			b.Sent(epoch, r.ID, 1)
 		}
-		b.Report(seconds(1), r.ID, Load{Running: 16})
+		b.Report(epochPlus(1), r.ID, LoadReport{RunningRequests: 16})
 	}
 	return b
 }
 
 func TestFullReplicas(t *testing.T) {
-	// An admitted request waits in an engine's queue while a slot that another
-	// request of its node has just freed is idle: with round robin the request goes
-	// to a different replica, and load reports show the free slot only later.
+	// Without this rule, an admitted request waits in an engine's queue while a
+	// slot that another request of its node has just freed is idle. With round
+	// robin the request goes to a different replica, and load reports show the free
+	// slot only later.
 	Convey("Given replicas that are all full", t, func() {
 		b := fullBalancer()
 		Convey("the next request goes where one of this node's requests ended, in any failure domain", func() {
 			for _, id := range []string{"replica-2", "replica-3", "replica-1"} {
-				b.Finished(seconds(1.01), id, Result{Cost: 1, Started: true})
-				choice, ok := b.Pick(seconds(1.01), Query{Cost: 1})
+				b.Finished(epochPlus(1.01), id, Result{Cost: 1, Started: true})
+				choice, ok := b.Pick(epochPlus(1.01), Query{Cost: 1})
 				So(ok, ShouldBeTrue)
 				So(choice.Replica, ShouldEqual, id)
-				b.Sent(seconds(1.01), id, 1)
+				b.Sent(epochPlus(1.01), id, 1)
 			}
 		})
 		Convey("a cached prompt is not a reason to pick the most loaded replica", func() {
-			choice, _ := b.Pick(seconds(1.01), Query{Prefix: 7, Cost: 1})
-			home := choice.Replica
+			choice, _ := b.Pick(epochPlus(1.01), Query{Prefix: 7, Cost: 1})
+			owner := choice.Replica
 			for range 4 {
-				b.Sent(seconds(1.01), home, 1)
+				b.Sent(epochPlus(1.01), owner, 1)
 			}
-			choice, _ = b.Pick(seconds(1.01), Query{Prefix: 7, Cost: 1})
-			So(choice.Replica, ShouldNotEqual, home)
+			choice, _ = b.Pick(epochPlus(1.01), Query{Prefix: 7, Cost: 1})
+			So(choice.Replica, ShouldNotEqual, owner)
 		})
 		Convey("load of other nodes counts if it exceeds noise, and a refusal by a full replica counts at once", func() {
-			b.Report(seconds(1.2), "replica-0", Load{Running: 16, Waiting: 30})
-			b.Finished(seconds(1.2), "replica-0", Result{Cost: 1, Started: true})
-			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
-			b.Finished(seconds(1.2), "replica-1", Result{Cost: 1, Failure: health.Overloaded})
-			So(pickCounts(b, seconds(1.2), 100, Query{Cost: 1})["replica-1"], ShouldEqual, 0)
-			So(pickCounts(b, seconds(1.2), 1, Query{Cost: 1, Exclude: []string{"replica-0", "replica-2", "replica-3"}})["replica-1"], ShouldEqual, 1)
+			b.Report(epochPlus(1.2), "replica-0", LoadReport{RunningRequests: 16, WaitingRequests: 30})
+			b.Finished(epochPlus(1.2), "replica-0", Result{Cost: 1, Started: true})
+			So(pickCounts(b, epochPlus(1.2), 100, Query{Cost: 1})["replica-0"], ShouldEqual, 0)
+			b.Finished(epochPlus(1.2), "replica-1", Result{Cost: 1, Failure: health.Overloaded})
+			So(pickCounts(b, epochPlus(1.2), 100, Query{Cost: 1})["replica-1"], ShouldEqual, 0)
+			So(pickCounts(b, epochPlus(1.2), 1, Query{Cost: 1, Exclude: []string{"replica-0", "replica-2", "replica-3"}})["replica-1"], ShouldEqual, 1)
 		})
 	})
 }
