--- a/node/server/server.go
+++ b/node/server/server.go
@@ -197,8 +197,8 @@
 		Plains: &plainservice.Server{
 			Desk: desk,
 			Path: &relay.Server{
-				Dialect: plainservice.Dialect{}, Pool: s.pool, Figures: s.metrics, Record: s.decisions, Log: s.log, Now: time.Now,
-				HoldBytes: plainservice.MaxAnswer,
+				Headers: plainservice.Dialect{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
+				MaxBufferedBytes: plainservice.MaxAnswer,
 			},
 			Claims:  s.orders,
 			Figures: s.metrics,
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -149,8 +149,8 @@
 	n.door = &ingress.Door{
 		Rules: n, Services: &n.services, Leaving: n.leavingFor,
 		Path: &relay.Server{
-			Dialect: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
-			Figures: n.metrics, Record: n.decisions, Log: log, Now: time.Now, Sample: successSample,
+			Headers: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
+			Metrics: n.metrics, Recorder: n.decisions, Log: log, Now: time.Now, SampleEvery: successSample,
 		},
 	}
 	return n, nil
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -180,8 +180,8 @@
 		Plains: &plainservice.Server{
 			Desk: desk, Claims: claims, Figures: noFigures{},
 			Path: &relay.Server{
-				Dialect: plainservice.Dialect{}, Pool: pool, Figures: noFigures{}, Record: record, Log: hclog.NewNullLogger(), Now: time.Now,
-				HoldBytes: plainservice.MaxAnswer,
+				Headers: plainservice.Dialect{}, Pool: pool, Metrics: noFigures{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
+				MaxBufferedBytes: plainservice.MaxAnswer,
 			},
 		},
 	}
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -22,7 +22,7 @@
 
 // Rules gives the configuration in force.
 type Rules interface {
-	relay.Proof
+	relay.ConfigFreshness
 	// Current returns the newest configuration, or nil if none is known yet.
 	Current() *ruleset.Ruleset
 	// First is closed once one is in force, with the endpoints of its services.
@@ -49,7 +49,7 @@
 // ServeHTTP answers one request of a caller.
 func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e := &entry{Door: d, w: w, r: r}
-	e.visit = &relay.Visit{Method: r.Method, Target: targetOf(r), Host: r.Host, Header: r.Header, Arrived: d.Path.Now()}
+	e.visit = &relay.Request{Method: r.Method, Target: targetOf(r), Host: r.Host, Header: r.Header, Arrived: d.Path.Now()}
 	if refusal := e.enter(); refusal != nil {
 		d.Path.Refuse(w, e.visit, refusal)
 		return
@@ -67,7 +67,7 @@
 	w     http.ResponseWriter
 	r     *http.Request
 	rules *ruleset.Ruleset
-	visit *relay.Visit
+	visit *relay.Request
 }
 
 // Reasons of refusals, for logs and metrics.
@@ -95,7 +95,7 @@
 func (e *entry) enter() *outcome.Refusal {
 	v := e.visit
 	var err error
-	if v.Call, err = e.Path.Dialect.Read(e.r.Header); err != nil {
+	if v.Call, err = e.Path.Headers.Read(e.r.Header); err != nil {
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, err.Error(), 0)
 	}
 	if e.rules = e.current(v.Call.Patience); e.rules == nil {
@@ -164,7 +164,7 @@
 	if v.Route.Public {
 		return nil
 	}
-	v.Proof = e.Rules
+	v.Freshness = e.Rules
 	if !e.Rules.Fresh() {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonStale, "keys can't be checked: the configuration store is out of reach", retryRules)
 	}
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -119,7 +119,7 @@
 		deadline = e.Now().Add(defaultTimeout)
 	}
 	timeout := deadline.Sub(e.Arrived)
-	answer, refusal := e.server.Path.Do(ctx, &relay.Visit{
+	answer, refusal := e.server.Path.Do(ctx, &relay.Request{
 		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -14,33 +14,33 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// leftMargin is taken off the time that is passed on, so that the endpoint's own
+// deadlineMargin is taken off the time that is passed on, so that the endpoint's own
 // timeout comes before this node's.
-const leftMargin = 5 * time.Millisecond
+const deadlineMargin = 5 * time.Millisecond
 
-// end says what a try came to.
-type end uint8
+// resultKind says what a try came to.
+type resultKind uint8
 
 const (
-	// endWhole has a whole answer, which the caller has if it was passed on as it came.
-	endWhole end = iota
-	// endNotSent and endNotRun provably did not run.
-	endNotSent
-	endNotRun
-	// endFailed is the endpoint's own failure, which ran.
-	endFailed
-	// endUnknown may have run.
-	endUnknown
-	// endCallerGone and endDeadline were ended from this side.
-	endCallerGone
-	endDeadline
+	// resultComplete has a whole answer, which the caller has if it was passed on as it came.
+	resultComplete resultKind = iota
+	// resultNotSent and endNotRun provably did not run.
+	resultNotSent
+	resultNotRun
+	// resultFailed is the endpoint's own failure, which ran.
+	resultFailed
+	// resultUnknown may have run.
+	resultUnknown
+	// resultCallerGone and endDeadline were ended from this side.
+	resultCallerGone
+	resultDeadline
 )
 
-// verdict is the end of one try.
-type verdict struct {
-	end    end
-	detail string // for the log
-	result targets.Result
+// attemptResult is the end of one try.
+type attemptResult struct {
+	kind     resultKind
+	detail   string // for the log
+	feedback targets.Result
 	// answer is a whole answer, or the endpoint's own failure, to be passed on if
 	// nothing better comes.
 	answer *Answer
@@ -49,123 +49,123 @@
 }
 
 // notRun says whether the try provably did not run.
-func (v verdict) notRun() bool { return v.end == endNotSent || v.end == endNotRun }
+func (res attemptResult) notRun() bool { return res.kind == resultNotSent || res.kind == resultNotRun }
 
 // attempt is one try of a request.
 type attempt struct {
-	q      *request
-	target targets.Target
-	begun  time.Time
-	// after is the event to go on after, for a stream.
-	after string
-	seen  headers.Answer
+	request   *requestState
+	target    targets.Target
+	startedAt time.Time
+	// resumeAfter is the event to go on resumeAfter, for a stream.
+	resumeAfter string
+	head        headers.Answer
 }
 
 // send sends the request to the attempt's target and checks the answer's head.
-func (a *attempt) send(ctx context.Context, within time.Duration) (*upstream.Exchange, *verdict) {
-	q := a.q
-	left := q.Deadline.Sub(q.s.Now())
-	if left <= leftMargin {
-		return nil, &verdict{end: endDeadline, detail: "no time left"}
+func (a *attempt) send(ctx context.Context, headTimeout time.Duration) (*upstream.Exchange, *attemptResult) {
+	req := a.request
+	remaining := req.Deadline.Sub(req.server.Now())
+	if remaining <= deadlineMargin {
+		return nil, &attemptResult{kind: resultDeadline, detail: "no time left"}
 	}
-	if q.Proof != nil && !q.Proof.Fresh() {
-		return nil, &verdict{end: endNotSent, detail: "the configuration is not proved any more"}
+	if req.Freshness != nil && !req.Freshness.Fresh() {
+		return nil, &attemptResult{kind: resultNotSent, detail: "the configuration is not proved any more"}
 	}
-	exchange, err := q.s.Pool.Send(ctx, upstream.Request{
+	exchange, err := req.server.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
-		Method:  q.Method, Target: q.Target, Host: cmp.Or(q.Host, a.target.Address), Body: q.Body,
-		Header: q.s.Dialect.Forward(q.Header, headers.Sending{
-			Replica: a.target.Replica, Team: q.Team, Left: left - leftMargin, After: a.after, Path: a.target.Path,
+		Method:  req.Method, Target: req.Target, Host: cmp.Or(req.Host, a.target.Address), Body: req.Body,
+		Header: req.server.Headers.Forward(req.Header, headers.Sending{
+			Replica: a.target.Replica, Team: req.Team, Left: remaining - deadlineMargin, After: a.resumeAfter, Path: a.target.Path,
 		}),
 		// A request that may not repeat gets a connection of its own: if it ends
 		// before an answer, no earlier request can be what ended it.
-		Fresh:        !q.Route.Idempotent(),
+		Fresh:        !req.Route.Idempotent(),
 		MostConns:    a.target.MostConns,
-		Belongs:      a.belongs,
-		AnswerWithin: min(left, within),
+		Belongs:      a.matchesRequest,
+		AnswerWithin: min(remaining, headTimeout),
 	})
 	if err != nil {
-		v := a.failed(err)
-		return nil, &v
+		res := a.resultOfError(err)
+		return nil, &res
 	}
-	a.seen = q.s.Dialect.Answer(exchange.StatusCode, exchange.Header)
+	a.head = req.server.Headers.Answer(exchange.StatusCode, exchange.Header)
 	return exchange, nil
 }
 
-// belongs says whether an answer's head is this request's. Refusals of requests
+// matchesRequest says whether an answer's head is this request's. Refusals of requests
 // that could not be read bear no id.
-func (a *attempt) belongs(h http.Header) bool {
-	id := a.q.s.Dialect.Answer(http.StatusOK, h).ID
-	return id == "" || id == a.q.Call.ID
+func (a *attempt) matchesRequest(h http.Header) bool {
+	id := a.request.server.Headers.Answer(http.StatusOK, h).ID
+	return id == "" || id == a.request.Call.ID
 }
 
-// failed judges a try without an answer.
-func (a *attempt) failed(err error) verdict {
-	if end, ok := a.ended(); ok {
-		return verdict{end: end, detail: err.Error(), result: targets.Result{Failure: a.blame(end)}}
+// resultOfError judges a try without an answer.
+func (a *attempt) resultOfError(err error) attemptResult {
+	if kind, ok := a.endedLocally(); ok {
+		return attemptResult{kind: kind, detail: err.Error(), feedback: targets.Result{Failure: a.endpointFailure(kind)}}
 	}
 	var f *upstream.Failure
-	v := verdict{end: endUnknown, detail: err.Error(), result: targets.Result{Failure: health.Broken}}
+	res := attemptResult{kind: resultUnknown, detail: err.Error(), feedback: targets.Result{Failure: health.Broken}}
 	if !errors.As(err, &f) {
-		return v
+		return res
 	}
 	switch {
 	case f.Full:
-		v.end, v.result.Failure, v.result.NoRoom = endNotSent, health.Canceled, true
+		res.kind, res.feedback.Failure, res.feedback.NoRoom = resultNotSent, health.Canceled, true
 	case f.Unreachable:
-		v.end, v.result.Failure, v.result.Gone = endNotSent, health.Unreachable, true
+		res.kind, res.feedback.Failure, res.feedback.Gone = resultNotSent, health.Unreachable, true
 	case f.NotSent:
-		v.end, v.result.Failure = endNotSent, health.Unreachable
+		res.kind, res.feedback.Failure = resultNotSent, health.Unreachable
 	case f.Silent:
-		v.result.Failure = health.Timeout
+		res.feedback.Failure = health.Timeout
 	}
-	return v
+	return res
 }
 
-// blame says what an attempt that was ended from this side tells of its endpoint:
+// endpointFailure says what an attempt that was ended from this side tells of its endpoint:
 // nothing, unless it had most of the time there was and let it pass. An endpoint that
 // hangs shows in no other way.
-func (a *attempt) blame(e end) health.Failure {
-	all := a.q.Deadline.Sub(a.q.Arrived)
-	if e == endDeadline && a.q.s.Now().Sub(a.begun) >= all/hangPart {
+func (a *attempt) endpointFailure(kind resultKind) health.Failure {
+	total := a.request.Deadline.Sub(a.request.Arrived)
+	if kind == resultDeadline && a.request.server.Now().Sub(a.startedAt) >= total/hangDivisor {
 		return health.Timeout
 	}
 	return health.Canceled
 }
 
-// hangPart: an endpoint that lets half of a request's whole time pass has hung; less may
+// hangDivisor: an endpoint that lets half of a request's whole time pass has hung; less may
 // be a caller who came with little time left.
-const hangPart = 2
+const hangDivisor = 2
 
-// ended says whether the request was ended from this side, by its caller or by its
+// endedLocally says whether the request was endedLocally from this side, by its caller or by its
 // deadline.
-func (a *attempt) ended() (end, bool) {
-	q := a.q
+func (a *attempt) endedLocally() (resultKind, bool) {
+	req := a.request
 	switch {
-	case q.caller.Err() != nil:
-		return endCallerGone, true
-	case !q.s.Now().Before(q.Deadline.Add(-leftMargin)):
-		return endDeadline, true
+	case req.callerCtx.Err() != nil:
+		return resultCallerGone, true
+	case !req.server.Now().Before(req.Deadline.Add(-deadlineMargin)):
+		return resultDeadline, true
 	}
 	return 0, false
 }
 
-// goneAfter tells a refusal for want of room, which comes at once, from one because a
+// suspectAfter tells a refusal for want of room, which comes at once, from one because a
 // part of the path did not answer, which comes after the engine's own timeout.
-const goneAfter = time.Second
-
-// refused judges an answer that says that the request did not run.
-func (a *attempt) refused(status int) verdict {
-	slow := a.q.s.Now().Sub(a.begun) > goneAfter
-	return verdict{
-		end:    endNotRun,
-		detail: fmt.Sprintf("%d from %s, at fault: %q", status, a.target.Address, a.seen.Fault),
-		result: targets.Result{
+const suspectAfter = time.Second
+
+// refusedResult judges an answer that says that the request did not run.
+func (a *attempt) refusedResult(status int) attemptResult {
+	slow := a.request.server.Now().Sub(a.startedAt) > suspectAfter
+	return attemptResult{
+		kind:   resultNotRun,
+		detail: fmt.Sprintf("%d from %s, at fault: %q", status, a.target.Address, a.head.Fault),
+		feedback: targets.Result{
 			Failure: upstream.RefusalFailure(status),
-			Fault:   a.seen.Fault,
-			Misheld: a.seen.Misdirected,
+			Fault:   a.head.Fault,
+			Misheld: a.head.Misdirected,
 			Gone:    slow,
-			NoRoom:  !a.seen.Misdirected && !slow,
+			NoRoom:  !a.head.Misdirected && !slow,
 		},
 	}
 }
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -14,16 +14,16 @@
 // An order whose fate is not known is sent nowhere else, however many replicas its
 // route allows; one that provably did not run is. What may repeat is sent again either
 // way, up to the route's number of replicas.
-func TestWhatIsSentAgain(t *testing.T) {
-	broken := verdict{end: endUnknown, result: targets.Result{Failure: health.Broken}}
-	refused := verdict{end: endNotRun, result: targets.Result{Failure: health.Unreachable}}
-	unsent := verdict{end: endNotSent, result: targets.Result{Failure: health.Unreachable}}
-	failed := verdict{end: endFailed, result: targets.Result{Failure: health.Internal}}
+func TestOnlySafeRetriesAreMade(t *testing.T) {
+	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.Broken}}
+	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
+	unsent := attemptResult{kind: resultNotSent, feedback: targets.Result{Failure: health.Unreachable}}
+	failed := attemptResult{kind: resultFailed, feedback: targets.Result{Failure: health.Internal}}
 	for _, c := range []struct {
 		name  string
 		kind  ruleset.Kind
 		ran   int
-		last  verdict
+		last  attemptResult
 		again bool
 	}{
 		{"order, unknown", ruleset.Once, 1, broken, false},
@@ -35,14 +35,14 @@
 		{"read, at as many as allowed", ruleset.Repeatable, 3, failed, false},
 	} {
 		now := time.Now()
-		q := &request{
-			Visit: &Visit{
+		req := &requestState{
+			Request: &Request{
 				Route:  &ruleset.Route{Kind: c.kind, MaxReplicas: 3},
 				Budget: retrybudget.New(retry.Config{}, func() time.Time { return now }), Deadline: now.Add(time.Minute),
 			},
-			s: &Server{Now: func() time.Time { return now }}, sends: 1, ran: make([]string, c.ran),
+			server: &Server{Now: func() time.Time { return now }}, attempts: 1, mayHaveRun: make([]string, c.ran),
 		}
-		if d := q.mayRetry(c.last); d.Retry != c.again {
+		if d := req.askBudget(c.last); d.Retry != c.again {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
--- /dev/null
+++ b/route/relay/buffered.go
@@ -0,0 +1,204 @@
+package relay
+
+import (
+	"cmp"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/cicadatack/cicadatack/decide/health"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/route/ruleset"
+	"github.com/cicadatack/cicadatack/route/targets"
+	"github.com/cicadatack/cicadatack/route/upstream"
+)
+
+const (
+	// DefaultMaxBufferedBytes is the longest answer that is held back until it is known to be
+	// whole. Longer ones are passed on as they come, and cut if they end early.
+	DefaultMaxBufferedBytes = 1 << 20
+	// headTimeoutFactor times the objective is how long an endpoint may leave a
+	// repeatable request unanswered before another one is asked. Below it the tail
+	// of usual work would be asked for twice.
+	headTimeoutFactor = 3
+	headerLength      = "Content-Length"
+)
+
+// Answer is an endpoint's answer, read to its end.
+type Answer struct {
+	Status int
+	Header http.Header
+	Body   []byte
+}
+
+// write passes the answer on as it is.
+func (req *requestState) write(a *Answer) {
+	length := len(a.Body)
+	if n, err := strconv.Atoi(a.Header.Get(headerLength)); err == nil && req.Method == http.MethodHead {
+		length = n // of the body that was not asked for
+	}
+	req.writeHead(a.Status, a.Header, length)
+	// The caller may have gone; there is nobody left to tell.
+	_, _ = req.w.Write(a.Body)
+	req.recordFinish(map[string]float64{"status": float64(a.Status)})
+}
+
+// writeHead begins the caller's answer; a negative length is not told.
+func (req *requestState) writeHead(status int, header http.Header, length int) {
+	h := req.w.Header()
+	for name, values := range req.server.Headers.Return(header) {
+		h[name] = values
+	}
+	if length >= 0 {
+		h.Set(headerLength, strconv.Itoa(length))
+	} else {
+		h.Del(headerLength)
+	}
+	req.w.WriteHeader(status)
+}
+
+// runBuffered makes an attempt whose answer is passed on only once it is runBuffered.
+func (a *attempt) runBuffered() attemptResult {
+	headTimeout := a.request.Deadline.Sub(a.request.server.Now())
+	if a.request.Route.Idempotent() && a.request.Route.MaxReplicas > 1 {
+		headTimeout = headTimeoutFactor * a.request.Route.Objective
+	}
+	exchange, failed := a.send(a.request.ctx, headTimeout)
+	if failed != nil {
+		return *failed
+	}
+	defer exchange.Close()
+	return a.readBuffered(exchange)
+}
+
+// readBuffered reads an answer whose head has come.
+func (a *attempt) readBuffered(e *upstream.Exchange) attemptResult {
+	if a.head.NotRun || a.head.Misdirected {
+		a.discardBody(e)
+		return a.refusedResult(e.StatusCode)
+	}
+	body, err := a.readAll(e)
+	if errors.Is(err, upstream.ErrLong) && a.request.w != nil {
+		return a.forwardUnbuffered(e, body)
+	}
+	if err != nil {
+		return a.resultOfError(err)
+	}
+	e.Keep(a.head.KeepFor)
+	answer := &Answer{Status: e.StatusCode, Header: e.Header, Body: body}
+	switch {
+	case answer.Status < http.StatusMultipleChoices:
+		if bad := a.invalidReason(); bad != "" {
+			return attemptResult{kind: resultUnknown, detail: bad, feedback: targets.Result{Failure: health.Internal}}
+		}
+	case answer.Status >= http.StatusInternalServerError:
+		return attemptResult{
+			kind: resultFailed, detail: fmt.Sprintf("the endpoint's own %d", answer.Status),
+			answer: answer, feedback: targets.Result{Failure: health.Internal},
+		}
+	}
+	return attemptResult{kind: resultComplete, answer: answer, feedback: targets.Result{Whole: true}}
+}
+
+// invalidReason says what keeps a success from being one: it must be the endpoint's own, to
+// this request, and as it was made.
+func (a *attempt) invalidReason() string {
+	if a.request.Call.Echoed && a.head.ID != a.request.Call.ID {
+		return "a success without the request's id"
+	}
+	return a.head.Unsound
+}
+
+// discardBody reads the rest of a refusal so that its connection can be kept.
+func (a *attempt) discardBody(e *upstream.Exchange) {
+	if _, err := a.readAll(e); err == nil {
+		e.Keep(a.head.KeepFor)
+	}
+}
+
+// readAll reads the body to its end, or up to what is held back.
+func (a *attempt) readAll(e *upstream.Exchange) ([]byte, error) {
+	return e.ReadAll(cmp.Or(a.request.server.MaxBufferedBytes, DefaultMaxBufferedBytes), a.request.Deadline.Sub(a.request.server.Now()))
+}
+
+// forwardUnbuffered gives a long answer to the caller as it comes.
+func (a *attempt) forwardUnbuffered(e *upstream.Exchange, first []byte) attemptResult {
+	req := a.request
+	if bad := a.invalidReason(); bad != "" && e.StatusCode < http.StatusMultipleChoices {
+		return attemptResult{kind: resultUnknown, detail: bad, feedback: targets.Result{Failure: health.Internal}}
+	}
+	req.writeHead(e.StatusCode, e.Header, int(e.ContentLength))
+	req.started = true
+	if _, err := req.w.Write(first); err != nil {
+		return attemptResult{kind: resultCallerGone, detail: err.Error()}
+	}
+	buffer := make([]byte, 32<<10)
+	for {
+		n, err := e.Read(buffer, req.Deadline.Sub(req.server.Now()))
+		if _, writeErr := req.w.Write(buffer[:n]); writeErr != nil {
+			return attemptResult{kind: resultCallerGone, detail: writeErr.Error()}
+		}
+		if errors.Is(err, io.EOF) {
+			e.Keep(a.head.KeepFor)
+			req.recordFinish(map[string]float64{"status": float64(e.StatusCode)})
+			return attemptResult{kind: resultComplete, feedback: targets.Result{Whole: true}}
+		}
+		if err != nil {
+			return a.resultOfError(err)
+		}
+	}
+}
+
+// recordFinish records the end of a request that was answered.
+func (req *requestState) recordFinish(figures map[string]float64) {
+	req.server.Metrics.Request(req.Service, req.Team, string(outcome.Done))
+	figures["sends"] = float64(req.attempts)
+	figures["took_ms"] = millis(req.server.Now().Sub(req.Arrived))
+	if req.late() {
+		req.addLateness(figures)
+	}
+	req.record(decisionlog.Decision{
+		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: string(outcome.Done),
+		Notes: req.withRoute(), Figures: figures,
+		Quiet: !req.sampled && req.attempts == 1 && !req.late(),
+	})
+}
+
+// addLateness adds what an answer was late by, and what it waited for.
+func (req *requestState) addLateness(figures map[string]float64) {
+	figures["late"] = 1
+	figures["objective_ms"] = millis(req.Route.Objective)
+	figures["waited_room_ms"] = millis(req.capacityWait)
+	figures["waited_budget_ms"] = millis(req.budgetWait)
+	if req.Route.Kind == ruleset.Stream {
+		figures["pause_limit_ms"] = millis(req.Route.MaxPause)
+	}
+	if flight := req.lastTarget.Flight; flight != nil {
+		figures["slowest_pace"] = flight.SlowestPace()
+	}
+}
+
+// late says whether the answer missed its route's objectives.
+func (req *requestState) late() bool {
+	if req.Route.Kind == ruleset.Stream {
+		return req.firstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
+	}
+	return req.server.Now().Sub(req.Arrived) > req.Route.Objective
+}
+
+// abort ends an answer that has begun and can't be completed. The connection ends
+// without the mark of a whole answer.
+func (req *requestState) abort(reason string) {
+	req.record(decisionlog.Decision{
+		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "answer cut: " + reason,
+		Notes: req.withRoute(decisionlog.Note{Name: "last_event", Text: req.lastEvent.String()}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
+		Figures: map[string]float64{
+			"sends": float64(req.attempts), "events": float64(req.events), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
+		},
+	})
+	req.server.Metrics.Request(req.Service, req.Team, "cut")
+	panic(http.ErrAbortHandler)
+}
--- a/route/relay/events.go
+++ b/route/relay/events.go
@@ -4,15 +4,15 @@
 	"bytes"
 )
 
-// maxEvent bounds one event of a stream.
-const maxEvent = 1 << 20
+// maxEventBytes bounds one event of a stream.
+const maxEventBytes = 1 << 20
 
-// splitter cuts a stream of events into whole ones. An event ends with an empty
+// eventSplitter cuts a stream of events into whole ones. An event ends with an empty
 // line.
-type splitter struct {
+type eventSplitter struct {
 	buffer []byte
-	// taken is how much of the buffer was given out.
-	taken int
+	// consumed is how much of the buffer was given out.
+	consumed int
 }
 
 // event is one whole event as it came, with its id; id is empty if it has none. Both are
@@ -22,41 +22,41 @@
 }
 
 // add takes more bytes of the stream.
-func (s *splitter) add(p []byte) {
-	if s.taken > 0 {
+func (s *eventSplitter) add(p []byte) {
+	if s.consumed > 0 {
 		s.buffer = s.buffer[:copy(s.buffer, s.pending())]
-		s.taken = 0
+		s.consumed = 0
 	}
 	s.buffer = append(s.buffer, p...)
 }
 
 // next returns the next whole event.
-func (s *splitter) next() (event, bool) {
+func (s *eventSplitter) next() (event, bool) {
 	length := eventLength(s.pending())
 	if length == 0 {
 		return event{}, false
 	}
 	data := s.pending()[:length]
-	s.taken += length
+	s.consumed += length
 	return event{data: data, id: idOf(data)}, true
 }
 
-func (s *splitter) pending() []byte { return s.buffer[s.taken:] }
+func (s *eventSplitter) pending() []byte { return s.buffer[s.consumed:] }
 
-// rest is what has come of an event that is not whole.
-func (s *splitter) rest() int { return len(bytes.TrimSpace(s.pending())) }
+// incompleteBytes is what has come of an event that is not whole.
+func (s *eventSplitter) incompleteBytes() int { return len(bytes.TrimSpace(s.pending())) }
 
 // eventLength is the length of the first whole event, 0 if there is none yet.
 func eventLength(p []byte) int {
-	for at := 0; ; {
-		end := bytes.IndexByte(p[at:], '\n')
+	for offset := 0; ; {
+		end := bytes.IndexByte(p[offset:], '\n')
 		if end < 0 {
 			return 0
 		}
-		line := bytes.TrimSuffix(p[at:at+end], []byte("\r"))
-		at += end + 1
+		line := bytes.TrimSuffix(p[offset:offset+end], []byte("\r"))
+		offset += end + 1
 		if len(line) == 0 {
-			return at
+			return offset
 		}
 	}
 }
@@ -77,33 +77,33 @@
 	return nil
 }
 
-// place is where a stream is: the id of its last event.
-type place struct {
+// eventPosition is where a stream is: the id of its last event.
+type eventPosition struct {
 	id []byte
 	// number is the id's, if it is one.
 	number   int64
-	numbered bool
+	isNumber bool
 }
 
 // String is the id as engines are told it.
-func (p *place) String() string { return string(p.id) }
+func (p *eventPosition) String() string { return string(p.id) }
 
 // set takes the id of an event that was passed on.
-func (p *place) set(id []byte) {
+func (p *eventPosition) set(id []byte) {
 	p.id = append(p.id[:0], id...)
-	p.number, p.numbered = parseNumber(id)
+	p.number, p.isNumber = parseNumber(id)
 }
 
-// before says whether an event comes after the place. One without an id, or with one that
+// precedes says whether an event comes after the place. One without an id, or with one that
 // is no number, always does.
-func (p *place) before(id []byte) bool {
-	number, numbered := parseNumber(id)
-	return !p.numbered || !numbered || number > p.number
+func (p *eventPosition) precedes(id []byte) bool {
+	number, isNumber := parseNumber(id)
+	return !p.isNumber || !isNumber || number > p.number
 }
 
 // parseNumber reads an id that is a whole number; it allocates nothing.
 func parseNumber(id []byte) (int64, bool) {
-	if len(id) == 0 || len(id) > mostDigits {
+	if len(id) == 0 || len(id) > maxDigits {
 		return 0, false
 	}
 	number := int64(0)
@@ -116,5 +116,5 @@
 	return number, true
 }
 
-// mostDigits is as many as fit into an int64 whatever they are.
-const mostDigits = 18
+// maxDigits is as many as fit into an int64 whatever they are.
+const maxDigits = 18
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -11,25 +11,25 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// sink takes an answer and keeps nothing of it.
-type sink struct{ header http.Header }
+// discardWriter takes an answer and keeps nothing of it.
+type discardWriter struct{ header http.Header }
 
-func (s sink) Header() http.Header              { return s.header }
-func (s sink) Write(p []byte) (int, error)      { return len(p), nil }
-func (s sink) WriteHeader(int)                  {}
-func (s sink) Flush()                           {}
-func (s sink) SetWriteDeadline(time.Time) error { return nil }
+func (s discardWriter) Header() http.Header              { return s.header }
+func (s discardWriter) Write(p []byte) (int, error)      { return len(p), nil }
+func (s discardWriter) WriteHeader(int)                  {}
+func (s discardWriter) Flush()                           {}
+func (s discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
 // BenchmarkPassEvent measures what the node itself does for an event of a stream: it is cut
 // from the bytes that come, checked against the one before and passed on.
 func BenchmarkPassEvent(b *testing.B) {
-	q := &request{
-		Visit: &Visit{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
-		s:     &Server{Now: time.Now}, w: sink{http.Header{}}, started: true,
+	req := &requestState{
+		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
+		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, started: true,
 	}
-	a := &attempt{q: q, begun: time.Now()}
-	w := &watch{a: a, ctx: context.Background()}
-	var split splitter
+	a := &attempt{request: req, startedAt: time.Now()}
+	monitor := &pathMonitor{attempt: a, ctx: context.Background()}
+	var split eventSplitter
 	events := make([][]byte, 1000)
 	for i := range events {
 		events[i] = fmt.Appendf(nil, "id: %d\ndata: a token of some eighty bytes, as the users' engines send it with all they say of it\n\n", i+1)
@@ -37,17 +37,17 @@
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		if i%len(events) == 0 {
-			q.forgetEvents()
+			req.resetPosition()
 		}
 		split.add(events[i%len(events)])
-		if err := a.passEvents(&upstream.Exchange{}, &split, w); err != nil {
+		if err := a.forwardEvents(&upstream.Exchange{}, &split, monitor); err != nil {
 			b.Fatal(err)
 		}
 	}
-	if q.events == 0 {
+	if req.events == 0 {
 		b.Fatal("nothing was passed on")
 	}
 }
 
-// forgetEvents lets a stream begin anew.
-func (q *request) forgetEvents() { q.at = place{} }
+// resetPosition lets a stream begin anew.
+func (req *requestState) resetPosition() { req.lastEvent = eventPosition{} }
--- a/route/relay/events_test.go
+++ b/route/relay/events_test.go
@@ -13,7 +13,7 @@
 	stream := "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\r\n\r\n: comment\n\nid: 3\nda"
 	want := []string{"1", "2", ""}
 	for size := 1; size <= len(stream); size++ {
-		var s splitter
+		var s eventSplitter
 		var ids []string
 		var data strings.Builder
 		for rest := []byte(stream); len(rest) > 0; {
@@ -28,7 +28,7 @@
 		if fmt.Sprint(ids) != fmt.Sprint(want) {
 			t.Errorf("in pieces of %d: ids %q", size, ids)
 		}
-		if data.String() != strings.TrimSuffix(stream, "id: 3\nda") || s.rest() == 0 {
+		if data.String() != strings.TrimSuffix(stream, "id: 3\nda") || s.incompleteBytes() == 0 {
 			t.Errorf("in pieces of %d: %q", size, data.String())
 		}
 	}
@@ -41,7 +41,7 @@
 		if size <= 0 {
 			return
 		}
-		var s splitter
+		var s eventSplitter
 		var out []byte
 		for rest := stream; len(rest) > 0; {
 			n := min(size, len(rest))
@@ -59,11 +59,11 @@
 
 // A replica that goes on with an answer may begin with the event that it was told, or
 // one before: the caller has those.
-func TestEventsThatTheCallerHasAreLeftOut(t *testing.T) {
-	var at place
+func TestRepeatedEventsAreDropped(t *testing.T) {
+	var at eventPosition
 	at.set([]byte("9"))
 	for id, want := range map[string]bool{"8": false, "9": false, "10": true, "": true, "x": true, "9223372036854775808": true} {
-		if got := at.before([]byte(id)); got != want {
+		if got := at.precedes([]byte(id)); got != want {
 			t.Errorf("%q after 9: %v", id, got)
 		}
 	}
--- /dev/null
+++ b/route/relay/final_answer.go
@@ -0,0 +1,92 @@
+package relay
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"github.com/cicadatack/cicadatack/decide/health"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/route/targets"
+)
+
+// finalAnswer is the final answer after a try that is not repeated.
+func (req *requestState) finalAnswer(res attemptResult) (*Answer, *outcome.Refusal) {
+	switch {
+	case res.kind == resultCallerGone:
+		return nil, req.callerGone()
+	case res.kind == resultDeadline:
+		return nil, req.expired()
+	case req.started:
+		req.abort(ReasonUnknown)
+	case res.answer != nil:
+		return res.answer, nil
+	case len(req.mayHaveRun) > 0:
+		return nil, noAnswer(res)
+	case res.feedback.Failure == health.Overloaded:
+		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
+	case res.feedback.NoRoom:
+		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "an endpoint had no room, and no further try is left: "+res.detail, retryAfterNoCapacity)
+	}
+	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint took the request: "+res.detail, retryAfterNoCapacity)
+}
+
+// callerGone ends a request whose caller has left. The answer reaches nobody but a
+// door that keeps it.
+func (req *requestState) callerGone() *outcome.Refusal {
+	req.record(decisionlog.Decision{
+		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
+		Figures: map[string]float64{
+			"sends": float64(req.attempts), "events": float64(req.events), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
+			"silent_ms": millis(req.silentFor()), "waited_room_ms": millis(req.capacityWait),
+		},
+	})
+	r := NotRun(statusCallerGone, ReasonCallerGone, "the caller left", 0)
+	if len(req.mayHaveRun) > 0 {
+		r.Outcome = outcome.Unknown
+	}
+	return r
+}
+
+// silentFor is how long the caller has been without anything new.
+func (req *requestState) silentFor() time.Duration {
+	if req.lastEventAt.IsZero() {
+		return req.server.Now().Sub(req.Arrived)
+	}
+	return req.server.Now().Sub(req.lastEventAt)
+}
+
+// expired is the answer to a request whose time is up.
+func (req *requestState) expired() *outcome.Refusal {
+	if req.started {
+		req.abort(ReasonTimeout)
+	}
+	if len(req.mayHaveRun) == 0 && req.attempts == 0 {
+		return NotRun(http.StatusServiceUnavailable, ReasonTimeout, "no endpoint had room in time", retryAfterNoCapacity)
+	}
+	return outcomeUnknown(http.StatusGatewayTimeout, ReasonTimeout, "no answer in time")
+}
+
+// answerWithoutTarget is the answer to a request for which there is no target.
+func (req *requestState) answerWithoutTarget(err error) (*Answer, *outcome.Refusal) {
+	switch {
+	case req.callerCtx.Err() != nil:
+		return nil, req.callerGone()
+	case req.started:
+		req.abort(ReasonNoEndpoint)
+	case req.lastResult.answer != nil:
+		return req.lastResult.answer, nil
+	case len(req.mayHaveRun) > 0:
+		return nil, noAnswer(req.lastResult)
+	case errors.Is(err, targets.ErrNoRoom):
+		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "all endpoints are full", retryAfterNoCapacity)
+	case errors.Is(err, targets.ErrNoEndpoint):
+		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint may be used now", retryAfterNoCapacity)
+	}
+	return nil, req.expired()
+}
+
+func noAnswer(res attemptResult) *outcome.Refusal {
+	return outcomeUnknown(http.StatusBadGateway, ReasonUnknown, "the endpoint that was given the request did not answer it: "+res.detail)
+}
--- a/route/relay/request_test.go
+++ b/route/relay/request_test.go
@@ -22,18 +22,18 @@
 // A node starts while a replica is dead, and the first replica of its paths refuses for
 // that. Taken for want of room, each request of the node would spend a try on the dead
 // one until its budget is gone.
-func TestDeadPartThatARefusalNamesIsLeftOut(t *testing.T) {
+func TestDeadStageNamedInRefusalIsExcluded(t *testing.T) {
 	for _, alive := range []bool{false, true} {
-		m := twoChains()
-		w, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 0)
+		m := twoReplicaModel()
+		monitor, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 0)
 		defer cancel()
-		q, target := w.a.q, w.a.target
-		q.ctx, q.log = w.ctx, hclog.NewNullLogger()
-		q.s.Prober = connprobe.New(reachable(alive), time.Now)
-		q.lookAtFault(target, target.Address)
+		req, target := monitor.attempt.request, monitor.attempt.target
+		req.ctx, req.log = monitor.ctx, hclog.NewNullLogger()
+		req.server.Prober = connprobe.New(reachable(alive), time.Now)
+		req.probeFault(target, target.Address)
 		if left := len(m.Suspects()) == 0; left != alive {
 			t.Errorf("alive %t: %d are left out", alive, len(m.Suspects()))
 		}
-		q.lookAtFault(target, "another's address")
+		req.probeFault(target, "another's address")
 	}
 }
--- a/route/relay/goon_test.go
+++ b/route/relay/reroute_test.go
@@ -13,8 +13,8 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// twoChains is a model that two replicas hold whole.
-func twoChains() *targets.Model {
+// twoReplicaModel is a model that two replicas hold whole.
+func twoReplicaModel() *targets.Model {
 	m := targets.NewModel("d", 1, time.Now)
 	model := &ruleset.Model{
 		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
@@ -29,22 +29,22 @@
 }
 
 // silentStream is a stream through a model that has been silent for some time.
-func silentStream(t *testing.T, m *targets.Model, tries *retrybudget.Budget, silent time.Duration) (*watch, func()) {
+func silentStream(t *testing.T, m *targets.Model, budget *retrybudget.Budget, silent time.Duration) (*pathMonitor, func()) {
 	t.Helper()
 	target, err := m.Choose(context.Background(), targets.Query{Tokens: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
-	q := &request{
-		Visit: &Visit{
+	req := &requestState{
+		Request: &Request{
 			Route:   &ruleset.Route{Kind: ruleset.Stream, Resumable: true, MaxReplicas: 2},
-			Targets: m, Budget: tries, Deadline: time.Now().Add(time.Minute),
+			Targets: m, Budget: budget, Deadline: time.Now().Add(time.Minute),
 		},
-		s: &Server{Now: time.Now},
+		server: &Server{Now: time.Now},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &watch{a: &attempt{q: q, target: target, begun: time.Now().Add(-silent)}, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1)}
-	return w, cancel
+	monitor := &pathMonitor{attempt: &attempt{request: req, target: target, startedAt: time.Now().Add(-silent)}, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1)}
+	return monitor, cancel
 }
 
 // The machine of a stream's first replica loses power. Nothing there goes on with the
@@ -53,15 +53,15 @@
 // One that refuses may only be leaving, with its streams still underway.
 func TestFirstReplicaWithoutPowerIsReplacedAtOnce(t *testing.T) {
 	for _, silent := range []bool{true, false} {
-		m := twoChains()
-		w, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 100*time.Millisecond)
+		m := twoReplicaModel()
+		monitor, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 100*time.Millisecond)
 		defer cancel()
-		w.permit(w.a.q)
-		m.Suspect(w.a.target.Replica, silent)
-		if moved := w.replaceFirst(w.a.target.Flight, "lost"); moved != silent {
+		monitor.setMigrationFilter(monitor.attempt.request)
+		m.Suspect(monitor.attempt.target.Replica, silent)
+		if moved := monitor.replaceFirst(monitor.attempt.target.Flight, "lost"); moved != silent {
 			t.Errorf("silent %t: moved %t", silent, moved)
 		}
-		w.stop()
+		monitor.stop()
 	}
 }
 
@@ -69,23 +69,23 @@
 // spent by the time that it is asked. The stream stays where it is, and the room that was
 // booked for it is given back: room that stays booked for nobody would add up until the
 // node refuses everyone.
-func TestRoomForAMoveThatIsNotMadeIsGivenBack(t *testing.T) {
-	m := twoChains()
-	spent := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
-	w, cancel := silentStream(t, m, spent, time.Minute)
+func TestReservationOfACancelledMigrationIsReleased(t *testing.T) {
+	m := twoReplicaModel()
+	budget := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
+	monitor, cancel := silentStream(t, m, budget, time.Minute)
 	defer cancel()
-	q, target, now := w.a.q, w.a.target, time.Now()
-	w.permit(q)
+	req, target, now := monitor.attempt.request, monitor.attempt.target, time.Now()
+	monitor.setMigrationFilter(req)
 	m.Suspect(target.Replica, false)
 
 	// Another request takes the last try between the look at the budget and the payment.
-	next, ok := target.Flight.Elsewhere(w.others)
+	next, ok := target.Flight.Elsewhere(monitor.filter)
 	if !ok {
 		t.Fatal("nobody could go on")
 	}
 	m.Ended(next, targets.Result{})
-	q.Deadline = now // too near for a further try: the payment fails, the look does not
-	if w.replaceFirst(target.Flight, "lost") {
+	req.Deadline = now // too near for a further try: the payment fails, the look does not
+	if monitor.replaceFirst(target.Flight, "lost") {
 		t.Error("the stream was moved without a try")
 	}
 	if _, underway := m.Waiting(); underway != 1 {
@@ -95,26 +95,26 @@
 
 // A stream is led away from a part that leaves, and another part dies meanwhile. That is
 // not to wait until the first is done with: the stream would pause for seconds.
-func TestLossWhileLedAwayIsNotForgotten(t *testing.T) {
-	w := &watch{wake: make(chan struct{}, 1)}
-	if !w.take("leaves", true) {
+func TestLossDuringDrainRerouteIsHandledAtOnce(t *testing.T) {
+	monitor := &pathMonitor{wake: make(chan struct{}, 1)}
+	if !monitor.beginReroute("leaves", true) {
 		t.Fatal("a request that nobody leads can't be led")
 	}
-	if w.take("leaves too", true) || w.lostMeanwhile() != "" {
+	if monitor.beginReroute("leaves too", true) || monitor.takePendingLoss() != "" {
 		t.Error("a second part that leaves is no loss")
 	}
-	if w.take("lost", false) {
+	if monitor.beginReroute("lost", false) {
 		t.Error("led twice at once")
 	}
 	select {
-	case <-w.wake:
+	case <-monitor.wake:
 	default:
 		t.Error("the pause between two tries goes on")
 	}
-	if why := w.lostMeanwhile(); why != "lost" {
-		t.Errorf("%q", why)
+	if reason := monitor.takePendingLoss(); reason != "lost" {
+		t.Errorf("%q", reason)
 	}
-	if w.lostMeanwhile() != "" {
+	if monitor.takePendingLoss() != "" {
 		t.Error("told twice")
 	}
 }
