--- a/node/server/polls.go
+++ b/node/server/polls.go
@@ -104,7 +104,7 @@
 func (s *Server) askLoad(ctx context.Context, address string) (engineapi.Load, error) {
 	var load engineapi.Load
 	answer, err := s.pool.Send(ctx, upstream.Request{
-		Address: address, Host: address, Method: http.MethodGet, Target: engineapi.PathLoad, AnswerWithin: pollTimeout,
+		Address: address, Host: address, Method: http.MethodGet, Target: engineapi.PathLoad, HeadTimeout: pollTimeout,
 	})
 	if err != nil {
 		return load, err
@@ -114,7 +114,7 @@
 	if err != nil {
 		return load, err
 	}
-	answer.Keep(0)
+	answer.KeepAlive(0)
 	return load, json.Unmarshal(body, &load)
 }
 
--- a/node/site/figures.go
+++ b/node/site/figures.go
@@ -83,7 +83,7 @@
 	for why, made := range n.prober.Made() {
 		n.connections.set("probe_"+string(why), made)
 	}
-	n.connections.set("all", n.pool.Opened())
+	n.connections.set("all", n.pool.OpenedConns())
 	n.tellGrown("store calls", &n.storeCalls, every)
 	n.tellGrown("connections opened to endpoints", &n.connections, every)
 }
@@ -109,7 +109,7 @@
 		n.metrics.Version(rules.Version)
 	}
 	n.metrics.Underway(n.underway.Load())
-	n.metrics.Connections(n.pool.Open())
+	n.metrics.Connections(n.pool.OpenConns())
 	n.metrics.Members("live", len(n.members.get()))
 	n.gaugeReplicas()
 	for service, model := range n.services.allModels() {
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -79,10 +79,10 @@
 		}),
 		// A request that may not repeat gets a connection of its own: if it ends
 		// before an answer, no earlier request can be what ended it.
-		Fresh:        !req.Route.Idempotent(),
-		MostConns:    a.target.MostConns,
-		Belongs:      a.matchesRequest,
-		AnswerWithin: min(remaining, headTimeout),
+		NewConn:     !req.Route.Idempotent(),
+		MaxConns:    a.target.MostConns,
+		Matches:     a.matchesRequest,
+		HeadTimeout: min(remaining, headTimeout),
 	})
 	if err != nil {
 		res := a.resultOfError(err)
@@ -110,13 +110,13 @@
 		return res
 	}
 	switch {
-	case f.Full:
+	case f.AtConnLimit:
 		res.kind, res.feedback.Failure, res.feedback.NoRoom = resultNotSent, health.Canceled, true
 	case f.Unreachable:
 		res.kind, res.feedback.Failure, res.feedback.Gone = resultNotSent, health.Unreachable, true
 	case f.NotSent:
 		res.kind, res.feedback.Failure = resultNotSent, health.Unreachable
-	case f.Silent:
+	case f.TimedOut:
 		res.feedback.Failure = health.Timeout
 	}
 	return res
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -81,13 +81,13 @@
 		return a.refusedResult(e.StatusCode)
 	}
 	body, err := a.readAll(e)
-	if errors.Is(err, upstream.ErrLong) && a.request.w != nil {
+	if errors.Is(err, upstream.ErrTooLong) && a.request.w != nil {
 		return a.forwardUnbuffered(e, body)
 	}
 	if err != nil {
 		return a.resultOfError(err)
 	}
-	e.Keep(a.head.KeepFor)
+	e.KeepAlive(a.head.KeepFor)
 	answer := &Answer{Status: e.StatusCode, Header: e.Header, Body: body}
 	switch {
 	case answer.Status < http.StatusMultipleChoices:
@@ -115,7 +115,7 @@
 // discardBody reads the rest of a refusal so that its connection can be kept.
 func (a *attempt) discardBody(e *upstream.Exchange) {
 	if _, err := a.readAll(e); err == nil {
-		e.Keep(a.head.KeepFor)
+		e.KeepAlive(a.head.KeepFor)
 	}
 }
 
@@ -142,7 +142,7 @@
 			return attemptResult{kind: resultCallerGone, detail: writeErr.Error()}
 		}
 		if errors.Is(err, io.EOF) {
-			e.Keep(a.head.KeepFor)
+			e.KeepAlive(a.head.KeepFor)
 			req.recordFinish(map[string]float64{"status": float64(e.StatusCode)})
 			return attemptResult{kind: resultComplete, feedback: targets.Result{Whole: true}}
 		}
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -147,7 +147,7 @@
 	}
 	req := a.request
 	req.beginStream(e)
-	e.Keep(a.head.KeepFor)
+	e.KeepAlive(a.head.KeepFor)
 	req.recordFinish(map[string]float64{
 		"events": float64(req.events), "parts": float64(len(a.target.Path)), "first_ms": millis(req.firstEvent),
 		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.longestPauseAfter),
--- a/route/upstream/conn.go
+++ b/route/upstream/conn.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// readBuffer holds the head of an answer and some events of a stream. Some hundred
+// readBufferBytes holds the head of an answer and some events of a stream. Some hundred
 // connections a node are open at once.
-const readBuffer = 4 << 10
+const readBufferBytes = 4 << 10
 
 // conn is one connection to an endpoint.
 type conn struct {
@@ -19,11 +19,11 @@
 	reader *bufio.Reader
 	// idleUntil is when the endpoint may close it.
 	idleUntil time.Time
-	once      sync.Once
+	closeOnce sync.Once
 }
 
 func newConn(c net.Conn) *conn {
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes)}
 }
 
 // clean says whether nothing has come on an idle connection: neither its end nor
@@ -40,12 +40,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = control.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, e := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(e, syscall.EAGAIN)
+		empty = errors.Is(e, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/route/upstream/exchange.go
+++ b/route/upstream/exchange.go
@@ -26,16 +26,16 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Fresh asks for a connection of its own, which can bring no other request's
+	// NewConn asks for a connection of its own, which can bring no other request's
 	// answer and whose end before an answer leaves no doubt about which request it
 	// ended.
-	Fresh bool
-	// MostConns bounds this node's connections to the endpoint; zero for no bound.
-	MostConns int
-	// Belongs says whether an answer's head belongs to this request.
-	Belongs func(h http.Header) bool
-	// AnswerWithin bounds the wait for the answer's head.
-	AnswerWithin time.Duration
+	NewConn bool
+	// MaxConns bounds this node's connections to the endpoint; zero for no bound.
+	MaxConns int
+	// Matches says whether an answer's head belongs to this request.
+	Matches func(h http.Header) bool
+	// HeadTimeout bounds the wait for the answer's head.
+	HeadTimeout time.Duration
 }
 
 // Failure is the error of a request without a whole answer.
@@ -45,11 +45,11 @@
 	NotSent bool
 	// Unreachable is set if no connection came about.
 	Unreachable bool
-	// Full is set if this node has as many connections open as it may.
-	Full bool
-	// Silent is set if the endpoint did not answer in time.
-	Silent bool
-	Cause  error
+	// AtConnLimit is set if this node has as many connections open as it may.
+	AtConnLimit bool
+	// TimedOut is set if the endpoint did not answer in time.
+	TimedOut bool
+	Cause    error
 }
 
 // Error names the endpoint, what is known, and the cause.
@@ -77,49 +77,49 @@
 }
 
 const (
-	// maxStrays bounds the answers to other requests that are passed over on one
+	// maxStrayAnswers bounds the answers to other requests that are passed over on one
 	// connection. An endpoint that answers twice sends one.
-	maxStrays = 2
+	maxStrayAnswers = 2
 	// maxStrayBytes bounds the length of one.
 	maxStrayBytes = 64 << 10
-	// writtenAtOnce is the body length up to which a request is written before its
+	// maxInlineWriteBytes is the body length up to which a request is written before its
 	// answer is read: it fits the socket's buffer, so that an endpoint which answers
 	// before it reads can't block the writer.
-	writtenAtOnce = 8 << 10
+	maxInlineWriteBytes = 8 << 10
 )
 
 // Exchange is an answer underway.
 type Exchange struct {
 	*http.Response
-	pool    *Pool
-	address string
-	conn    *conn
-	stop    func() bool
-	// unwritten is set while the rest of a long request is being written.
-	unwritten atomic.Bool
-	ended     bool // the whole body was read
-	closed    bool
+	pool       *Pool
+	address    string
+	conn       *conn
+	stopCancel func() bool
+	// writing is set while the rest of a long request is being written.
+	writing      atomic.Bool
+	bodyComplete bool // the whole body was read
+	closed       bool
 }
 
 // Send sends the request and waits for the head of its answer. Any error is a
 // *Failure, but for the context's own, which comes as the Failure's cause. The
 // connection is closed when ctx ends: endpoints take that for a cancellation.
 func (p *Pool) Send(ctx context.Context, r Request) (*Exchange, error) {
-	c, err := p.get(ctx, r.Address, r.Fresh, r.MostConns)
+	c, err := p.get(ctx, r.Address, r.NewConn, r.MaxConns)
 	if err != nil {
 		return nil, err
 	}
 	e := &Exchange{pool: p, address: r.Address, conn: c}
-	e.stop = context.AfterFunc(ctx, func() { p.discard(r.Address, c) })
-	if err := e.exchange(r); err != nil {
+	e.stopCancel = context.AfterFunc(ctx, func() { p.discard(r.Address, c) })
+	if err := e.roundTrip(r); err != nil {
 		e.Close()
 		return nil, err
 	}
 	return e, nil
 }
 
-func (e *Exchange) exchange(r Request) error {
-	if err := e.conn.SetDeadline(e.pool.now().Add(r.AnswerWithin)); err != nil {
+func (e *Exchange) roundTrip(r Request) error {
+	if err := e.conn.SetDeadline(e.pool.now().Add(r.HeadTimeout)); err != nil {
 		return &Failure{Address: r.Address, NotSent: true, Cause: Error.Wrap(err)}
 	}
 	if err := e.write(r); err != nil {
@@ -127,7 +127,7 @@
 	}
 	response, err := e.readHead(r)
 	if err != nil {
-		return &Failure{Address: r.Address, Silent: errors.Is(err, os.ErrDeadlineExceeded), Cause: Error.Wrap(err)}
+		return &Failure{Address: r.Address, TimedOut: errors.Is(err, os.ErrDeadlineExceeded), Cause: Error.Wrap(err)}
 	}
 	e.Response = response
 	return nil
@@ -136,15 +136,15 @@
 // write sends the request, the rest of a long body in the background.
 func (e *Exchange) write(r Request) error {
 	head := encodeHead(r)
-	if len(r.Body) <= writtenAtOnce {
+	if len(r.Body) <= maxInlineWriteBytes {
 		return e.writeAll(r, append(head, r.Body...))
 	}
-	e.unwritten.Store(true)
+	e.writing.Store(true)
 	go func() {
 		// An endpoint that has answered may read no further; the connection is not
 		// used again then, and the error has no other consequence.
 		if e.writeAll(r, append(head, r.Body...)) == nil {
-			e.unwritten.Store(false)
+			e.writing.Store(false)
 		}
 	}()
 	return nil
@@ -184,11 +184,11 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if r.Belongs == nil || r.Belongs(response.Header) {
+		if r.Matches == nil || r.Matches(response.Header) {
 			return response, nil
 		}
 		strays++
-		if strays > maxStrays || response.Close {
+		if strays > maxStrayAnswers || response.Close {
 			return nil, errors.New("the answer belongs to another request")
 		}
 		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil || n == maxStrayBytes {
@@ -199,8 +199,8 @@
 
 // Read reads the answer's body; it fails if nothing comes within the time. io.EOF
 // means that the answer is whole. Other errors are *Failure.
-func (e *Exchange) Read(p []byte, within time.Duration) (int, error) {
-	if err := e.conn.SetReadDeadline(e.pool.now().Add(within)); err != nil {
+func (e *Exchange) Read(p []byte, timeout time.Duration) (int, error) {
+	if err := e.conn.SetReadDeadline(e.pool.now().Add(timeout)); err != nil {
 		return 0, &Failure{Address: e.address, Cause: Error.Wrap(err)}
 	}
 	n, err := e.Body.Read(p)
@@ -208,23 +208,23 @@
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		e.ended = true
+		e.bodyComplete = true
 		return n, io.EOF
 	}
-	return n, &Failure{Address: e.address, Silent: errors.Is(err, os.ErrDeadlineExceeded), Cause: Error.Wrap(err)}
+	return n, &Failure{Address: e.address, TimedOut: errors.Is(err, os.ErrDeadlineExceeded), Cause: Error.Wrap(err)}
 }
 
-// ErrLong is the error of ReadAll for a body that does not end within its bound.
-var ErrLong = errors.New("the answer is longer than is held")
+// ErrTooLong is the error of ReadAll for a body that does not end within its bound.
+var ErrTooLong = errors.New("the answer is longer than is held")
 
 // ReadAll reads the body to its end. It fails if a part of it takes longer than the
 // time, and with ErrLong and what it has read if there are most bytes or more.
-func (e *Exchange) ReadAll(most int, within time.Duration) ([]byte, error) {
-	deadline := e.pool.now().Add(within)
-	body := make([]byte, 0, max(512, min(int(e.ContentLength), most)))
+func (e *Exchange) ReadAll(maxBytes int, timeout time.Duration) ([]byte, error) {
+	deadline := e.pool.now().Add(timeout)
+	body := make([]byte, 0, max(512, min(int(e.ContentLength), maxBytes)))
 	for {
-		if len(body) >= most {
-			return body, ErrLong
+		if len(body) >= maxBytes {
+			return body, ErrTooLong
 		}
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
@@ -240,17 +240,17 @@
 	}
 }
 
-// Keep ends the exchange; if the answer was read whole and nothing follows it, its
+// KeepAlive ends the exchange; if the answer was read whole and nothing follows it, its
 // connection is kept for the given time. Close must still be called.
-func (e *Exchange) Keep(keepFor time.Duration) {
-	if e.closed || !e.ended || e.Response.Close || e.unwritten.Load() || e.conn.reader.Buffered() > 0 {
+func (e *Exchange) KeepAlive(keepFor time.Duration) {
+	if e.closed || !e.bodyComplete || e.Response.Close || e.writing.Load() || e.conn.reader.Buffered() > 0 {
 		return
 	}
-	if !e.stop() {
+	if !e.stopCancel() {
 		return // the context has ended, and the connection with it
 	}
 	e.closed = true
-	e.pool.keep(e.address, e.conn, keepFor)
+	e.pool.putIdle(e.address, e.conn, keepFor)
 }
 
 // Close ends the exchange and, unless it was kept, its connection.
@@ -259,6 +259,6 @@
 		return
 	}
 	e.closed = true
-	e.stop()
+	e.stopCancel()
 	e.pool.discard(e.address, e.conn)
 }
--- a/route/upstream/once_test.go
+++ b/route/upstream/once_test.go
@@ -20,22 +20,22 @@
 	return errors.As(err, &f) && f.NotSent
 }
 
-// fickle is an endpoint that answers the first request, keeps the connection, and reads
+// closingEndpoint is an endpoint that answers the first request, keeps the connection, and reads
 // every order without answering it: it closes the connection instead. dies makes the
 // first order its last request: its address refuses from then on.
-type fickle struct {
+type closingEndpoint struct {
 	listener net.Listener
 	orders   atomic.Int64
 	dies     bool
 }
 
-func startFickle(t *testing.T, dies bool) *fickle {
+func startClosingEndpoint(t *testing.T, dies bool) *closingEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &fickle{listener: listener, dies: dies}
+	f := &closingEndpoint{listener: listener, dies: dies}
 	var accepting, serving sync.WaitGroup
 	var open []net.Conn
 	accepting.Go(func() {
@@ -59,7 +59,7 @@
 	return f
 }
 
-func (f *fickle) serve(conn net.Conn) {
+func (f *closingEndpoint) serve(conn net.Conn) {
 	defer conn.Close()
 	requests := bufio.NewReader(conn)
 	for {
@@ -78,8 +78,8 @@
 	}
 }
 
-// warm leaves a kept connection to the endpoint.
-func (f *fickle) warm(t *testing.T, pool *Pool) {
+// openKeptConn leaves a kept connection to the endpoint.
+func (f *closingEndpoint) openKeptConn(t *testing.T, pool *Pool) {
 	t.Helper()
 	e, err := pool.Send(context.Background(), request(f.listener.Addr().String(), "warm"))
 	if err != nil {
@@ -88,8 +88,8 @@
 	if _, err := body(e); err != nil {
 		t.Fatal(err)
 	}
-	e.Keep(time.Minute)
-	if pool.Open() != 1 {
+	e.KeepAlive(time.Minute)
+	if pool.OpenConns() != 1 {
 		t.Fatal("the connection was not kept")
 	}
 }
@@ -100,11 +100,11 @@
 // itself. Here it reaches the endpoint once, with a connection of its own or without.
 func TestOrderOnABrokenConnectionArrivesOnce(t *testing.T) {
 	for _, fresh := range []bool{true, false} {
-		f := startFickle(t, false)
+		f := startClosingEndpoint(t, false)
 		pool := New(time.Now)
-		f.warm(t, pool)
+		f.openKeptConn(t, pool)
 		r := request(f.listener.Addr().String(), "a")
-		r.Method, r.Body, r.Fresh = http.MethodPost, []byte("flour"), fresh
+		r.Method, r.Body, r.NewConn = http.MethodPost, []byte("flour"), fresh
 		r.Header.Set("Idempotency-Key", "tuesday")
 		if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
 			t.Errorf("fresh %t: got %v, want an error that does not claim not sent", fresh, err)
@@ -119,11 +119,11 @@
 // The caller must not be told "not run": an endpoint reads a request on a kept
 // connection, does its work and dies. Were the request sent again unseen, that second
 // try would end in a refused connection, which alone would prove that nothing ran.
-func TestDeathAfterReadingProvesNothing(t *testing.T) {
-	f := startFickle(t, true)
+func TestCloseAfterReadingIsNotReportedAsNotSent(t *testing.T) {
+	f := startClosingEndpoint(t, true)
 	pool := New(time.Now)
 	defer pool.Close()
-	f.warm(t, pool)
+	f.openKeptConn(t, pool)
 	r := request(f.listener.Addr().String(), "a")
 	r.Method, r.Body = http.MethodPost, []byte("flour")
 	if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
@@ -132,14 +132,14 @@
 }
 
 // A caller who had gone before is found gone; nothing reaches the endpoint.
-func TestCallerWhoHadGone(t *testing.T) {
-	f := startFickle(t, false)
+func TestCanceledContextSendsNothing(t *testing.T) {
+	f := startClosingEndpoint(t, false)
 	pool := New(time.Now)
 	defer pool.Close()
 	gone, cancel := context.WithCancel(context.Background())
 	cancel()
 	r := request(f.listener.Addr().String(), "a")
-	r.Method, r.Fresh = http.MethodPost, true
+	r.Method, r.NewConn = http.MethodPost, true
 	if _, err := pool.Send(gone, r); !errors.Is(err, context.Canceled) || f.orders.Load() != 0 {
 		t.Errorf("got %v; %d arrived", err, f.orders.Load())
 	}
@@ -147,16 +147,16 @@
 
 // Close leaves no connection behind, however long it was to be kept.
 func TestCloseEndsIdleConnections(t *testing.T) {
-	f := startFickle(t, false)
+	f := startClosingEndpoint(t, false)
 	pool := New(time.Now)
-	f.warm(t, pool)
+	f.openKeptConn(t, pool)
 	pool.Close()
-	if pool.Open() != 0 {
-		t.Errorf("%d connections left open", pool.Open())
+	if pool.OpenConns() != 0 {
+		t.Errorf("%d connections left open", pool.OpenConns())
 	}
 }
 
-func TestRefusalFailure(t *testing.T) {
+func TestOnly429CountsAsOverload(t *testing.T) {
 	for status, want := range map[int]health.Failure{429: health.Overloaded, 503: health.Unreachable, 421: health.Unreachable} {
 		if got := RefusalFailure(status); got != want {
 			t.Errorf("%d: %v, want %v", status, got, want)
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -17,10 +17,10 @@
 	// lost packet is sent again only after a second, and another endpoint is there
 	// sooner.
 	dialTimeout = 300 * time.Millisecond
-	// defaultKeep is how long an idle connection is kept if the endpoint does not
+	// defaultIdleTime is how long an idle connection is kept if the endpoint does not
 	// say, keepMargin how much sooner than it says.
-	defaultKeep = 4 * time.Second
-	keepMargin  = time.Second
+	defaultIdleTime = 4 * time.Second
+	idleTimeMargin  = time.Second
 )
 
 // Pool holds the connections of one node to endpoints. Safe for concurrent use.
@@ -28,13 +28,13 @@
 	now  func() time.Time
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu     sync.Mutex
-	hosts  map[string]*host
-	opened int64
+	mu        sync.Mutex
+	endpoints map[string]*endpointConns
+	opened    int64
 }
 
-// host is one endpoint's connections.
-type host struct {
+// endpointConns is one endpoint's connections.
+type endpointConns struct {
 	idle []*conn // the last used is taken first, so that spare ones grow old
 	open int
 }
@@ -42,18 +42,18 @@
 // New returns a Pool without connections. now is the steady clock.
 func New(now func() time.Time) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &Pool{now: now, dial: dialer.DialContext, hosts: map[string]*host{}}
+	return &Pool{now: now, dial: dialer.DialContext, endpoints: map[string]*endpointConns{}}
 }
 
 // get returns an idle connection, or a new one; fresh asks for a new one.
-func (p *Pool) get(ctx context.Context, address string, fresh bool, most int) (*conn, error) {
-	if !fresh {
+func (p *Pool) get(ctx context.Context, address string, newOnly bool, maxConns int) (*conn, error) {
+	if !newOnly {
 		if c := p.takeIdle(address); c != nil {
 			return c, nil
 		}
 	}
-	if !p.reserve(address, most) {
-		return nil, &Failure{Address: address, NotSent: true, Full: true, Cause: Error.New("%d connections are open", most)}
+	if !p.reserve(address, maxConns) {
+		return nil, &Failure{Address: address, NotSent: true, AtConnLimit: true, Cause: Error.New("%d connections are open", maxConns)}
 	}
 	raw, err := p.dial(ctx, "tcp", address)
 	if err != nil {
@@ -81,7 +81,7 @@
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	if h == nil || len(h.idle) == 0 {
 		return nil
 	}
@@ -93,28 +93,28 @@
 
 // reserve counts a connection that is about to be opened. Beyond the bound the
 // oldest idle one makes room.
-func (p *Pool) reserve(address string, most int) bool {
+func (p *Pool) reserve(address string, maxConns int) bool {
 	p.mu.Lock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	if h == nil {
-		h = &host{}
-		p.hosts[address] = h
+		h = &endpointConns{}
+		p.endpoints[address] = h
 	}
-	var spare *conn
-	if most > 0 && h.open >= most {
+	var oldest *conn
+	if maxConns > 0 && h.open >= maxConns {
 		if len(h.idle) == 0 {
 			p.mu.Unlock()
 			return false
 		}
-		spare = h.idle[0]
+		oldest = h.idle[0]
 		h.idle = h.idle[1:]
 		h.open--
 	}
 	h.open++
 	p.opened++
 	p.mu.Unlock()
-	if spare != nil {
-		spare.Close()
+	if oldest != nil {
+		oldest.Close()
 	}
 	return true
 }
@@ -122,34 +122,34 @@
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	h.open--
 	if h.open == 0 && len(h.idle) == 0 {
-		delete(p.hosts, address)
+		delete(p.endpoints, address)
 	}
 }
 
 // discard closes a connection for good. Only the first call counts.
 func (p *Pool) discard(address string, c *conn) {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.Close()
 		p.release(address)
 	})
 }
 
-// keep makes a connection idle.
-func (p *Pool) keep(address string, c *conn, keepFor time.Duration) {
+// putIdle makes a connection idle.
+func (p *Pool) putIdle(address string, c *conn, keepFor time.Duration) {
 	if keepFor <= 0 {
-		keepFor = defaultKeep
+		keepFor = defaultIdleTime
 	}
-	c.idleUntil = p.now().Add(max(0, keepFor-keepMargin))
+	c.idleUntil = p.now().Add(max(0, keepFor-idleTimeMargin))
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		p.discard(address, c)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	h.idle = append(h.idle, c)
 }
 
@@ -161,50 +161,50 @@
 
 // Close closes all idle connections.
 func (p *Pool) Close() {
-	p.closeIdle(p.now().Add(forever))
+	p.closeIdle(p.now().Add(beyondAnyIdleTime))
 }
 
-// forever is longer than any connection is kept.
-const forever = 24 * time.Hour
+// beyondAnyIdleTime is longer than any connection is kept.
+const beyondAnyIdleTime = 24 * time.Hour
 
 // closeIdle closes the idle connections whose time is past at a given one.
 func (p *Pool) closeIdle(at time.Time) {
-	for address, c := range p.expired(at) {
-		for _, each := range c {
-			p.discard(address, each)
+	for address, conns := range p.takeExpired(at) {
+		for _, c := range conns {
+			p.discard(address, c)
 		}
 	}
 }
 
-func (p *Pool) expired(now time.Time) map[string][]*conn {
+func (p *Pool) takeExpired(at time.Time) map[string][]*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := map[string][]*conn{}
-	for address, h := range p.hosts {
+	expired := map[string][]*conn{}
+	for address, h := range p.endpoints {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if now.Before(c.idleUntil) {
+			if at.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				old[address] = append(old[address], c)
+				expired[address] = append(expired[address], c)
 			}
 		}
 		h.idle = kept
 	}
-	return old
+	return expired
 }
 
 // Reachable opens a connection to an endpoint and keeps it idle. It says whether the
 // endpoint accepts it, and whether its machine answers at all, without asking the
 // endpoint for anything.
-func (p *Pool) Reachable(ctx context.Context, address string, within time.Duration) (accepts, answers bool) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+func (p *Pool) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, answers bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c, err := p.get(ctx, address, true, 0)
 	if err != nil {
 		return false, ctx.Err() == nil
 	}
-	p.keep(address, c, 0)
+	p.putIdle(address, c, 0)
 	return true, true
 }
 
@@ -212,22 +212,22 @@
 func (p *Pool) Connected(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hosts[address] != nil
+	return p.endpoints[address] != nil
 }
 
-// Opened is how many connections were begun in all, for metrics.
-func (p *Pool) Opened() int64 {
+// OpenedConns is how many connections were begun in all, for metrics.
+func (p *Pool) OpenedConns() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Open is the number of connections, for metrics.
-func (p *Pool) Open() int {
+// OpenConns is the number of connections, for metrics.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, h := range p.hosts {
+	for _, h := range p.endpoints {
 		n += h.open
 	}
 	return n
--- a/route/upstream/upstream_test.go
+++ b/route/upstream/upstream_test.go
@@ -55,8 +55,8 @@
 func request(address, id string) Request {
 	return Request{
 		Address: address, Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
-		Belongs:      func(h http.Header) bool { return h.Get("Id") == id },
-		AnswerWithin: 5 * time.Second,
+		Matches:     func(h http.Header) bool { return h.Get("Id") == id },
+		HeadTimeout: 5 * time.Second,
 	}
 }
 
@@ -77,7 +77,7 @@
 
 // An endpoint answers twice, and the second answer lies on the kept connection where
 // that of the next request is due. Each caller gets its own.
-func TestStrayAnswersArePassedOver(t *testing.T) {
+func TestStrayAnswersAreSkipped(t *testing.T) {
 	second := make(chan struct{})
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, _ int) {
 		for {
@@ -104,18 +104,18 @@
 		if got, err := body(e); err != nil || got != "answer "+id {
 			t.Errorf("request %s: %q, %v", id, got, err)
 		}
-		e.Keep(0)
+		e.KeepAlive(0)
 		e.Close()
 	}
 	<-second
-	if pool.Open() != 1 {
-		t.Errorf("%d connections", pool.Open())
+	if pool.OpenConns() != 1 {
+		t.Errorf("%d connections", pool.OpenConns())
 	}
 }
 
 // An idle connection that has ended, or on which bytes lie, is not used again.
 func TestUncleanConnectionsAreNotUsed(t *testing.T) {
-	said := make(chan struct{}, 10)
+	sent := make(chan struct{}, 10)
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, number int) {
 		r, err := http.ReadRequest(requests)
 		if err != nil {
@@ -124,12 +124,12 @@
 		respond(conn, r.Header.Get("Id"), fmt.Sprint("connection ", number))
 		if number == 1 {
 			fmt.Fprint(conn, "stray")
-			said <- struct{}{}
+			sent <- struct{}{}
 			_, _ = requests.ReadByte() // until it is closed
 			return
 		}
 		conn.Close()
-		said <- struct{}{}
+		sent <- struct{}{}
 	})
 	pool := New(time.Now)
 	for number := 1; number <= 3; number++ {
@@ -140,14 +140,14 @@
 		if got, err := body(e); err != nil || got != fmt.Sprint("connection ", number) {
 			t.Errorf("%q, %v", got, err)
 		}
-		e.Keep(time.Minute)
+		e.KeepAlive(time.Minute)
 		e.Close()
-		<-said
+		<-sent
 	}
 }
 
 // What is known of a failed request decides whether an order may be sent elsewhere.
-func TestWhatAFailureProves(t *testing.T) {
+func TestFailureSaysWhetherRequestWasSent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -166,21 +166,21 @@
 		{"does not answer", silent, false, true, false},
 	} {
 		r := request(c.address, "a")
-		r.AnswerWithin = 100 * time.Millisecond
+		r.HeadTimeout = 100 * time.Millisecond
 		_, err := pool.Send(context.Background(), r)
 		var f *Failure
-		if !errors.As(err, &f) || f.NotSent != c.notSent || f.Silent != c.silent || f.Unreachable != c.unreached || notSent(err) != c.notSent {
+		if !errors.As(err, &f) || f.NotSent != c.notSent || f.TimedOut != c.silent || f.Unreachable != c.unreached || notSent(err) != c.notSent {
 			t.Errorf("%s: %+v", c.name, err)
 		}
 	}
-	if pool.Open() != 0 {
-		t.Errorf("%d connections left open", pool.Open())
+	if pool.OpenConns() != 0 {
+		t.Errorf("%d connections left open", pool.OpenConns())
 	}
 }
 
 // An answer is whole only if all of it came: one that is shorter than it says, or whose
 // connection is reset where its end is that of the connection, is not.
-func TestOnlyWholeAnswersEnd(t *testing.T) {
+func TestIncompleteAnswersFail(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
 		reset      bool
@@ -222,7 +222,7 @@
 }
 
 // A caller leaves: the connection ends, which is how the endpoint learns of it.
-func TestEndOfTheContextEndsTheConnection(t *testing.T) {
+func TestCanceledContextClosesTheConnection(t *testing.T) {
 	ended, begun := make(chan struct{}), make(chan struct{})
 	address := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) {
 		if _, err := http.ReadRequest(requests); err != nil {
@@ -257,10 +257,10 @@
 	}
 	_, err = pool.get(context.Background(), address, false, 1)
 	var f *Failure
-	if !errors.As(err, &f) || !f.Full || !f.NotSent {
+	if !errors.As(err, &f) || !f.AtConnLimit || !f.NotSent {
 		t.Errorf("%v", err)
 	}
-	pool.keep(address, first, time.Minute)
+	pool.putIdle(address, first, time.Minute)
 	if fresh, err := pool.get(context.Background(), address, true, 1); err != nil || fresh == first {
 		t.Errorf("an idle one makes room: %v", err)
 	}
