--- a/node/site/figures.go
+++ b/node/site/figures.go
@@ -113,9 +113,9 @@
 	n.metrics.Members("live", len(n.members.get()))
 	n.gaugeReplicas()
 	for service, model := range n.services.allModels() {
-		waiting, underway := model.Waiting()
+		waiting, underway := model.RequestCounts()
 		n.metrics.Queue(service, waiting, underway)
-		for domain, used := range model.Used() {
+		for domain, used := range model.PeakUtilization() {
 			n.metrics.Room(service, domain, used)
 		}
 	}
@@ -146,7 +146,7 @@
 		}
 	}
 	for service, model := range n.services.allModels() {
-		if away := len(model.Away()); away > 0 && counts[service] != nil {
+		if away := len(model.BackedOff()); away > 0 && counts[service] != nil {
 			counts[service][stateAway] = away
 		}
 	}
--- a/node/site/peers.go
+++ b/node/site/peers.go
@@ -44,9 +44,9 @@
 			n.log.Warn("claims on replicas passed over", "claims", dropped)
 		}
 		for service, model := range n.services.allModels() {
-			model.SetOthers(held)
+			model.SetPeerReservations(held)
 			n.heed(ctx, service, model, claims)
-			n.tellAway(service, model.Away())
+			n.tellAway(service, model.BackedOff())
 		}
 	}
 }
@@ -64,9 +64,9 @@
 }
 
 // heed does what is to be done about what other nodes have seen of a model's replicas.
-func (n *Node) heed(ctx context.Context, service string, model *targets.Model, claims []peerreports.Claim) {
+func (n *Node) heed(ctx context.Context, service string, model *targets.ModelTargets, claims []peerreports.Claim) {
 	near, _ := n.peers(n.settings.Domain)
-	verdict := model.Judge(n.settings.Node, near, claims)
+	verdict := model.Evaluate(n.settings.Node, near, claims)
 	for _, c := range verdict.Believe {
 		if c.Lost {
 			n.log.Info("replica out of reach of other nodes", "service", service, "replica", c.Replica, "nodes", c.Nodes, "age_ms", c.Age.Milliseconds())
@@ -95,14 +95,14 @@
 }
 
 // lookAt finds out for itself what another node has seen.
-func (n *Node) lookAt(ctx context.Context, service string, model *targets.Model, c peerreports.Claim) {
+func (n *Node) lookAt(ctx context.Context, service string, model *targets.ModelTargets, c peerreports.Claim) {
 	r, ok := model.Replica(c.Replica)
 	if !ok {
 		return // it is no longer listed
 	}
 	if c.Lost {
 		for _, loss := range n.prober.Lost(ctx, connprobe.Told, []string{r.Address}) {
-			if model.Doubt(r.ID, loss.Silent) {
+			if model.SuspectOnReport(r.ID, loss.Silent) {
 				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.Silent, "told_by", c.Nodes)
 			}
 		}
@@ -112,7 +112,7 @@
 	if err != nil {
 		return // the next claim, or a request that meets it, tells
 	}
-	if model.SetPace(r.ID, account.Pace) {
+	if model.SetSlowdown(r.ID, account.Pace) {
 		n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace, "told_by", c.Nodes)
 	}
 }
@@ -121,7 +121,7 @@
 func (s *services) seen() []peerreports.Claim {
 	var all []peerreports.Claim
 	for _, model := range s.allModels() {
-		all = append(all, model.Seen()...)
+		all = append(all, model.Observations()...)
 	}
 	return all
 }
@@ -130,7 +130,7 @@
 func (s *services) booked() map[string]float64 {
 	all := map[string]float64{}
 	for _, model := range s.allModels() {
-		maps.Copy(all, model.Booked())
+		maps.Copy(all, model.Reserved())
 	}
 	return all
 }
--- a/node/site/services.go
+++ b/node/site/services.go
@@ -21,16 +21,16 @@
 	node *Node
 
 	mu      sync.Mutex
-	models  map[string]*targets.Model
-	plain   map[string]*targets.Plain
+	models  map[string]*targets.ModelTargets
+	plain   map[string]*targets.PlainTargets
 	keepers map[string]*layerorders.Keeper
 	budgets map[string]*retrybudget.Budget
 }
 
 func (s *services) init(n *Node) {
 	s.node = n
-	s.models = map[string]*targets.Model{}
-	s.plain = map[string]*targets.Plain{}
+	s.models = map[string]*targets.ModelTargets{}
+	s.plain = map[string]*targets.PlainTargets{}
 	s.keepers = map[string]*layerorders.Keeper{}
 	s.budgets = map[string]*retrybudget.Budget{}
 }
@@ -75,8 +75,8 @@
 	for _, service := range rules.Services() {
 		replicas := byService[service.Name]
 		if service.Model != nil {
-			s.model(service.Name).Update(service.Model, replicas, targets.Part{
-				Share: s.node.share, Conns: s.node.conns(service), Near: max(1, len(near)),
+			s.model(service.Name).Update(service.Model, replicas, targets.NodeShare{
+				CapacityShare: s.node.share, MaxConns: s.node.conns(service), DomainNodes: max(1, len(near)),
 			})
 			continue
 		}
@@ -94,23 +94,23 @@
 	}
 }
 
-func (s *services) model(name string) *targets.Model {
+func (s *services) model(name string) *targets.ModelTargets {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	m, ok := s.models[name]
 	if !ok {
-		m = targets.NewModel(s.node.settings.Domain, s.node.seed, time.Now)
+		m = targets.NewModelTargets(s.node.settings.Domain, s.node.seed, time.Now)
 		s.models[name] = m
 	}
 	return m
 }
 
-func (s *services) plainOf(name string) *targets.Plain {
+func (s *services) plainOf(name string) *targets.PlainTargets {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p, ok := s.plain[name]
 	if !ok {
-		p = targets.NewPlain(s.node.settings.Node, s.node.settings.Domain, s.node.seed, time.Now)
+		p = targets.NewPlainTargets(s.node.settings.Node, s.node.settings.Domain, s.node.seed, time.Now)
 		s.plain[name] = p
 	}
 	return p
@@ -173,8 +173,8 @@
 		for service, model := range n.services.allModels() {
 			for _, r := range model.Suspects() {
 				if !n.prober.Reachable(ctx, connprobe.Again, r.Address) {
-					model.StillLost(r.ID)
-				} else if model.Alive(r.ID) {
+					model.RecordUnreachable(r.ID)
+				} else if model.MarkAlive(r.ID) {
 					n.log.Info("replica reached again", "replica", r.ID, "service", service, "address", r.Address)
 				}
 			}
@@ -191,14 +191,14 @@
 	for wait.For(ctx, repaceEvery) {
 		for service, model := range n.services.allModels() {
 			for _, r := range model.Slow() {
-				if model.Followed(r.ID) {
+				if model.ReportedByPeers(r.ID) {
 					continue
 				}
 				account, _, err := n.reports.Ask(ctx, r.Address, r.ID)
 				if err != nil {
 					continue // the next request that meets it, or the list, tells
 				}
-				if model.SetPace(r.ID, account.Pace) {
+				if model.SetSlowdown(r.ID, account.Pace) {
 					n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace)
 				}
 			}
@@ -206,7 +206,7 @@
 	}
 }
 
-func (s *services) allModels() map[string]*targets.Model {
+func (s *services) allModels() map[string]*targets.ModelTargets {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.models)
@@ -247,7 +247,7 @@
 		model := n.services.model(service.Name)
 		for domain := range domains {
 			if n.keeps(domain) {
-				n.services.keeper(service.Name).Step(ctx, time.Now(), service.Model, domain, revision, own, model.Lost)
+				n.services.keeper(service.Name).Step(ctx, time.Now(), service.Model, domain, revision, own, model.LayersLost)
 			}
 		}
 	}
--- a/route/plainservice/endpoints.go
+++ b/route/plainservice/endpoints.go
@@ -16,7 +16,7 @@
 // Choose implements targets.Targets. It does not wait: the entrance has.
 func (e endpoints) Choose(_ context.Context, q targets.Query) (targets.Target, error) {
 	for exclude := q.Exclude; ; {
-		choice, ok := e.visit.At.Picker.Pick(balance.Query{Cost: callCost, Exclude: exclude, NoProbe: q.Once})
+		choice, ok := e.visit.At.Picker.Pick(balance.Query{Cost: callCost, Exclude: exclude, NoProbe: q.NonIdempotent})
 		if !ok {
 			return targets.Target{}, targets.ErrNoEndpoint
 		}
@@ -30,7 +30,7 @@
 	}
 }
 
-// Ended implements targets.Targets.
-func (e endpoints) Ended(t targets.Target, r targets.Result) {
-	e.visit.At.Picker.Finished(t.Replica, balance.Result{Cost: callCost, TotalTime: r.Took, Failure: r.Failure})
+// Finish implements targets.Targets.
+func (e endpoints) Finish(t targets.Target, r targets.Result) {
+	e.visit.At.Picker.Finished(t.Replica, balance.Result{Cost: callCost, TotalTime: r.Duration, Failure: r.Failure})
 }
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -80,7 +80,7 @@
 		// A request that may not repeat gets a connection of its own: if it ends
 		// before an answer, no earlier request can be what ended it.
 		NewConn:     !req.Route.Idempotent(),
-		MaxConns:    a.target.MostConns,
+		MaxConns:    a.target.MaxConns,
 		Matches:     a.matchesRequest,
 		HeadTimeout: min(remaining, headTimeout),
 	})
@@ -111,9 +111,9 @@
 	}
 	switch {
 	case f.AtConnLimit:
-		res.kind, res.feedback.Failure, res.feedback.NoRoom = resultNotSent, health.Canceled, true
+		res.kind, res.feedback.Failure, res.feedback.NoCapacity = resultNotSent, health.Canceled, true
 	case f.Unreachable:
-		res.kind, res.feedback.Failure, res.feedback.Gone = resultNotSent, health.Unreachable, true
+		res.kind, res.feedback.Failure, res.feedback.Suspected = resultNotSent, health.Unreachable, true
 	case f.NotSent:
 		res.kind, res.feedback.Failure = resultNotSent, health.Unreachable
 	case f.TimedOut:
@@ -161,11 +161,11 @@
 		kind:   resultNotRun,
 		detail: fmt.Sprintf("%d from %s, at fault: %q", status, a.target.Address, a.head.Fault),
 		feedback: targets.Result{
-			Failure: upstream.RefusalFailure(status),
-			Fault:   a.head.Fault,
-			Misheld: a.head.Misdirected,
-			Gone:    slow,
-			NoRoom:  !a.head.Misdirected && !slow,
+			Failure:       upstream.RefusalFailure(status),
+			FaultAddress:  a.head.Fault,
+			LayersMissing: a.head.Misdirected,
+			Suspected:     slow,
+			NoCapacity:    !a.head.Misdirected && !slow,
 		},
 	}
 }
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -100,7 +100,7 @@
 			answer: answer, feedback: targets.Result{Failure: health.Internal},
 		}
 	}
-	return attemptResult{kind: resultComplete, answer: answer, feedback: targets.Result{Whole: true}}
+	return attemptResult{kind: resultComplete, answer: answer, feedback: targets.Result{Complete: true}}
 }
 
 // invalidReason says what keeps a success from being one: it must be the endpoint's own, to
@@ -144,7 +144,7 @@
 		if errors.Is(err, io.EOF) {
 			e.KeepAlive(a.head.KeepFor)
 			req.recordFinish(map[string]float64{"status": float64(e.StatusCode)})
-			return attemptResult{kind: resultComplete, feedback: targets.Result{Whole: true}}
+			return attemptResult{kind: resultComplete, feedback: targets.Result{Complete: true}}
 		}
 		if err != nil {
 			return a.resultOfError(err)
@@ -176,8 +176,8 @@
 	if req.Route.Kind == ruleset.Stream {
 		figures["pause_limit_ms"] = millis(req.Route.MaxPause)
 	}
-	if flight := req.lastTarget.Flight; flight != nil {
-		figures["slowest_pace"] = flight.SlowestPace()
+	if active := req.lastTarget.Active; active != nil {
+		figures["slowest_pace"] = active.MaxSlowdown()
 	}
 }
 
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -26,7 +26,7 @@
 		return nil, noAnswer(res)
 	case res.feedback.Failure == health.Overloaded:
 		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
-	case res.feedback.NoRoom:
+	case res.feedback.NoCapacity:
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "an endpoint had no room, and no further try is left: "+res.detail, retryAfterNoCapacity)
 	}
 	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint took the request: "+res.detail, retryAfterNoCapacity)
@@ -79,7 +79,7 @@
 		return req.lastResult.answer, nil
 	case len(req.mayHaveRun) > 0:
 		return nil, noAnswer(req.lastResult)
-	case errors.Is(err, targets.ErrNoRoom):
+	case errors.Is(err, targets.ErrNoCapacity):
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "all endpoints are full", retryAfterNoCapacity)
 	case errors.Is(err, targets.ErrNoEndpoint):
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint may be used now", retryAfterNoCapacity)
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -44,7 +44,7 @@
 
 	// filter are the replicas that may go on with the request in place of the first:
 	// mayReplace if that is lost, mayMove also if it is only slower.
-	filter                 targets.Others
+	filter                 targets.MigrationFilter
 	mayReplace, mayMigrate bool
 
 	mu      sync.Mutex
@@ -63,12 +63,12 @@
 
 func (a *attempt) monitor(ctx context.Context, cancel context.CancelFunc) *pathMonitor {
 	m := &pathMonitor{attempt: a, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1)}
-	if a.target.Flight == nil {
+	if a.target.Active == nil {
 		return m
 	}
 	m.setMigrationFilter(a.request)
 	m.timer = time.AfterFunc(a.request.Route.Objective/firstCheckDivisor, m.checkPath)
-	a.target.Flight.Watch(
+	a.target.Active.SetCallbacks(
 		func(replica string) { m.reroute("a part of the path is lost: "+replica, false) },
 		func(replica string) { m.reroute("a part of the path leaves: "+replica, true) },
 	)
@@ -88,7 +88,7 @@
 		m.mayReplace, m.mayMigrate = true, req.attempts < maxAttempts
 		return
 	}
-	m.filter.FirstOf = slices.Clone(req.mayHaveRun)
+	m.filter.FirstReplicas = slices.Clone(req.mayHaveRun)
 	m.mayReplace = len(req.mayHaveRun) > 0
 }
 
@@ -104,7 +104,7 @@
 	if m.timer == nil {
 		return
 	}
-	m.attempt.target.Flight.Heard()
+	m.attempt.target.Active.RecordEvent()
 	timeout := m.detector.Patience(m.attempt.request.maxPause())
 	m.stallTimeout.Store(int64(timeout))
 	m.timer.Reset(timeout)
@@ -139,8 +139,8 @@
 	if m.ctx.Err() != nil {
 		return
 	}
-	path := m.attempt.target.Flight.Path()
-	unconfirmed := m.attempt.target.Flight.Unheard(aliveWindow)
+	path := m.attempt.target.Active.Path()
+	unconfirmed := m.attempt.target.Active.UnconfirmedStages(aliveWindow)
 	addresses := make([]string, len(unconfirmed))
 	replicas := make(map[string]string, len(unconfirmed))
 	for i, stage := range unconfirmed {
@@ -156,7 +156,7 @@
 	for _, loss := range lost {
 		replica := replicas[loss.Address]
 		// This leads all requests that run through it around.
-		if m.attempt.target.Flight.Suspect(replica, loss.Silent) {
+		if m.attempt.target.Active.Suspect(replica, loss.Silent) {
 			newlySuspected = true
 			m.attempt.request.log.Info("replica out of reach", "service", m.attempt.request.Service, "replica", replica, "address", loss.Address, "silent", loss.Silent)
 		}
@@ -189,7 +189,7 @@
 			if err != nil || !first {
 				return // another request has learned it, or there is nothing to learn
 			}
-			if m.attempt.target.Flight.SetPace(stage.Replica, report.Pace) {
+			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Pace) {
 				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Pace)
 			}
 		}()
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -55,14 +55,14 @@
 	} else {
 		res = a.runBuffered()
 	}
-	res.feedback.Took = req.server.Now().Sub(a.startedAt)
+	res.feedback.Duration = req.server.Now().Sub(a.startedAt)
 	if a.head.Load != nil {
 		res.feedback.Load = &targets.Load{Running: a.head.Load.Running, Waiting: a.head.Load.Waiting}
 	}
-	req.Targets.Ended(a.target, res.feedback)
+	req.Targets.Finish(a.target, res.feedback)
 	req.lastResult = res
-	if res.feedback.NoRoom && res.feedback.Fault != "" {
-		req.probeFault(target, res.feedback.Fault)
+	if res.feedback.NoCapacity && res.feedback.FaultAddress != "" {
+		req.probeFault(target, res.feedback.FaultAddress)
 	}
 	return res
 }
@@ -71,12 +71,12 @@
 // first replica can't tell one that has no room from one that is gone, and a node that
 // has just started has not met it yet.
 func (req *requestState) probeFault(target targets.Target, address string) {
-	replica := target.ReplicaAt(address)
+	replica := target.ReplicaByAddress(address)
 	if replica == "" {
 		return
 	}
 	lost := req.server.Prober.Lost(req.ctx, connprobe.Named, []string{address})
-	if len(lost) > 0 && target.Flight.Suspect(replica, lost[0].Silent) {
+	if len(lost) > 0 && target.Active.Suspect(replica, lost[0].Silent) {
 		req.log.Info("replica out of reach", "service", req.Service, "replica", replica, "address", address)
 	}
 }
@@ -103,14 +103,14 @@
 	}
 	begun := req.server.Now()
 	query := targets.Query{
-		Tokens: req.expectedTokens(), Read: req.prefillTokens(), Exclude: req.failed, Once: !req.Route.Idempotent(), Rank: req.Rank,
+		Tokens: req.expectedTokens(), PrefillTokens: req.prefillTokens(), Exclude: req.failed, NonIdempotent: !req.Route.Idempotent(), Rank: req.Rank,
 		OnTimeUntil: req.Arrived.Add(req.onTimeWait()), WaitUntil: req.Arrived.Add(maxWaitFactor * req.onTimeWait()),
 	}
 	if req.started {
 		query.WaitUntil = begun.Add(resumeTimeout)
 	}
 	if len(req.mayHaveRun) >= req.Route.MaxReplicas {
-		query.FirstOf, query.Exclude = req.mayHaveRun, nil
+		query.FirstReplicas, query.Exclude = req.mayHaveRun, nil
 	}
 	t, err := req.Targets.Choose(req.ctx, query)
 	if waited := req.server.Now().Sub(begun); waited > time.Millisecond {
@@ -215,8 +215,8 @@
 		return
 	}
 	failed := first
-	if res.feedback.Fault != "" {
-		failed = req.lastTarget.ReplicaAt(res.feedback.Fault)
+	if res.feedback.FaultAddress != "" {
+		failed = req.lastTarget.ReplicaByAddress(res.feedback.FaultAddress)
 	}
 	if failed != "" && !slices.Contains(req.failed, failed) {
 		req.failed = append(req.failed, failed)
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -38,17 +38,17 @@
 		return
 	}
 	defer m.endReroute()
-	flight := m.attempt.target.Flight
+	active := m.attempt.target.Active
 	for try := 0; try < maxRerouteTries && m.ctx.Err() == nil; try++ {
 		if lost := m.takePendingLoss(); lost != "" {
 			reason, draining, try = lost, false, 0
 		}
-		if m.rerouteOnce(flight, reason, draining) || !m.waitForNextTry() {
+		if m.rerouteOnce(active, reason, draining) || !m.waitForNextTry() {
 			return
 		}
 	}
 	if draining {
-		flight.StillLeaving()
+		active.RetryDrainCallback()
 	}
 }
 
@@ -67,27 +67,27 @@
 }
 
 // rerouteOnce tries once to have the request go on.
-func (m *pathMonitor) rerouteOnce(flight *targets.Flight, reason string, draining bool) bool {
+func (m *pathMonitor) rerouteOnce(active *targets.ActiveRequest, reason string, draining bool) bool {
 	if draining {
-		path := flight.Away()
+		path := active.BypassDraining()
 		return path != nil && m.sendBypass(path, reason)
 	}
-	if m.replaceFirst(flight, reason) {
+	if m.replaceFirst(active, reason) {
 		return true
 	}
 	// One that does not answer takes no order either.
-	_, hostUnreachable := flight.FirstLost()
-	return !hostUnreachable && m.recoverLostStage(flight, reason)
+	_, hostUnreachable := active.FirstReplicaState()
+	return !hostUnreachable && m.recoverLostStage(active, reason)
 }
 
 // replaceFirst has another replica go on if the first one looks dead and one can go on
 // now. Without one the answer would be lost for certain; as it is, the replica may yet
 // go on.
-func (m *pathMonitor) replaceFirst(flight *targets.Flight, reason string) bool {
-	if !m.mayReplace || !m.firstReplicaDead(flight) || !m.attempt.request.Budget.Left() {
+func (m *pathMonitor) replaceFirst(active *targets.ActiveRequest, reason string) bool {
+	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.request.Budget.Left() {
 		return false
 	}
-	next, ok := flight.Elsewhere(m.filter)
+	next, ok := active.ReserveMigration(m.filter)
 	if !ok {
 		return false
 	}
@@ -99,8 +99,8 @@
 }
 
 // firstReplicaDead says whether the first replica has gone, as far as can be told by now.
-func (m *pathMonitor) firstReplicaDead(flight *targets.Flight) bool {
-	suspected, hostUnreachable := flight.FirstLost()
+func (m *pathMonitor) firstReplicaDead(active *targets.ActiveRequest) bool {
+	suspected, hostUnreachable := active.FirstReplicaState()
 	if hostUnreachable {
 		return m.staysSilent()
 	}
@@ -118,10 +118,10 @@
 
 // recoverLostStage has the request go on around the lost part or, if that would take longer, at
 // another first replica.
-func (m *pathMonitor) recoverLostStage(flight *targets.Flight, reason string) bool {
+func (m *pathMonitor) recoverLostStage(active *targets.ActiveRequest, reason string) bool {
 	maxWait := time.Duration(float64(m.attempt.request.maxPause()) * bypassWaitShare)
-	way, path, next := flight.GoOn(m.mayMigrate && m.attempt.request.Budget.Left(), maxWait, m.filter)
-	if way == reroute.Migrate {
+	action, path, next := active.Recover(m.mayMigrate && m.attempt.request.Budget.Left(), maxWait, m.filter)
+	if action == reroute.Migrate {
 		if m.staysSilent() && m.migrate(next, reason+"; another failure domain goes on sooner") {
 			return true
 		}
@@ -129,7 +129,7 @@
 		if m.ctx.Err() != nil {
 			return true
 		}
-		_, path, _ = flight.GoOn(false, maxWait, m.filter)
+		_, path, _ = active.Recover(false, maxWait, m.filter)
 	}
 	return path != nil && m.sendBypass(path, reason)
 }
@@ -160,7 +160,7 @@
 
 // release gives back what was booked for a try that is not made.
 func (m *pathMonitor) release(next targets.Target) {
-	m.attempt.request.Targets.Ended(next, targets.Result{Failure: health.Canceled})
+	m.attempt.request.Targets.Finish(next, targets.Result{Failure: health.Canceled})
 }
 
 // sendBypass orders the first replica to go on along another path. It says whether the
@@ -170,14 +170,14 @@
 	err := req.server.Engines.Reroute(m.ctx, m.attempt.target.Address, req.Call.ID, path)
 	m.recordBypass(path, reason, err)
 	if err == nil {
-		m.attempt.target.Flight.Moved(path)
+		m.attempt.target.Active.SetPath(path)
 		req.server.Metrics.Resumed(req.Service, "detour")
 		m.timer.Reset(recheckInterval)
 		return true
 	}
 	var refused *RerouteRefused
 	if errors.As(err, &refused) {
-		m.attempt.target.Flight.Refused(path, refused.FaultAddress)
+		m.attempt.target.Active.RerouteRefused(path, refused.FaultAddress)
 	}
 	return false
 }
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -14,8 +14,8 @@
 )
 
 // twoReplicaModel is a model that two replicas hold whole.
-func twoReplicaModel() *targets.Model {
-	m := targets.NewModel("d", 1, time.Now)
+func twoReplicaModel() *targets.ModelTargets {
+	m := targets.NewModelTargets("d", 1, time.Now)
 	model := &ruleset.Model{
 		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
 		Cards: map[string]ruleset.Card{"h100": {MemoryMB: 2000, Pace: 1}},
@@ -24,12 +24,12 @@
 	for _, id := range []string{"a", "b"} {
 		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "h100", Holds: layers.Span{To: 8}})
 	}
-	m.Update(model, list, targets.Part{Share: func(string) float64 { return 1 }, Conns: 10, Near: 1})
+	m.Update(model, list, targets.NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: 10, DomainNodes: 1})
 	return m
 }
 
 // silentStream is a stream through a model that has been silent for some time.
-func silentStream(t *testing.T, m *targets.Model, budget *retrybudget.Budget, silent time.Duration) (*pathMonitor, func()) {
+func silentStream(t *testing.T, m *targets.ModelTargets, budget *retrybudget.Budget, silent time.Duration) (*pathMonitor, func()) {
 	t.Helper()
 	target, err := m.Choose(context.Background(), targets.Query{Tokens: 100})
 	if err != nil {
@@ -58,7 +58,7 @@
 		defer cancel()
 		monitor.setMigrationFilter(monitor.attempt.request)
 		m.Suspect(monitor.attempt.target.Replica, silent)
-		if moved := monitor.replaceFirst(monitor.attempt.target.Flight, "lost"); moved != silent {
+		if moved := monitor.replaceFirst(monitor.attempt.target.Active, "lost"); moved != silent {
 			t.Errorf("silent %t: moved %t", silent, moved)
 		}
 		monitor.stop()
@@ -79,16 +79,16 @@
 	m.Suspect(target.Replica, false)
 
 	// Another request takes the last try between the look at the budget and the payment.
-	next, ok := target.Flight.Elsewhere(monitor.filter)
+	next, ok := target.Active.ReserveMigration(monitor.filter)
 	if !ok {
 		t.Fatal("nobody could go on")
 	}
-	m.Ended(next, targets.Result{})
+	m.Finish(next, targets.Result{})
 	req.Deadline = now // too near for a further try: the payment fails, the look does not
-	if monitor.replaceFirst(target.Flight, "lost") {
+	if monitor.replaceFirst(target.Active, "lost") {
 		t.Error("the stream was moved without a try")
 	}
-	if _, underway := m.Waiting(); underway != 1 {
+	if _, underway := m.RequestCounts(); underway != 1 {
 		t.Errorf("%d requests are booked, want the one that is underway", underway)
 	}
 }
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -152,5 +152,5 @@
 		"events": float64(req.events), "parts": float64(len(a.target.Path)), "first_ms": millis(req.firstEvent),
 		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.longestPauseAfter),
 	})
-	return attemptResult{kind: resultComplete, feedback: targets.Result{Whole: true}}
+	return attemptResult{kind: resultComplete, feedback: targets.Result{Complete: true}}
 }
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -15,138 +15,138 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-// retryRoom is how often one who waits for room looks again without a sign: a
+// capacityPollInterval is how often one who waits for room looks again without a sign: a
 // replica that was suspected is used again by time alone.
-const retryRoom = 50 * time.Millisecond
+const capacityPollInterval = 50 * time.Millisecond
 
-// Model chooses paths through the replicas that hold a model's layers. Safe for
+// ModelTargets chooses paths through the replicas that hold a model's layers. Safe for
 // concurrent use.
-type Model struct {
-	domain string
-	now    func() time.Time
-	begun  time.Time
-
-	mu     sync.Mutex
-	layers int
-	part   Part
-	book   *paths.Selector
-	// links is what this node's detours have sent between failure domains; a token
+type ModelTargets struct {
+	domain    string
+	now       func() time.Time
+	startedAt time.Time
+
+	mu       sync.Mutex
+	layers   int
+	share    NodeShare
+	selector *paths.Selector
+	// linkBacklog is what this node's detours have sent between failure domains; a token
 	// sends crossBytes each time, of crossPerSecond that all share.
-	links                      reroute.LinkBacklog
-	crossBytes, crossPerSecond float64
+	linkBacklog                       reroute.LinkBacklog
+	crossingBytes, linkBytesPerSecond float64
 
-	knowledge knowledge
+	observed observations
 
-	flights map[*Flight]struct{}
+	active  map[*ActiveRequest]struct{}
 	waiting waitqueue.Queue
 	// wakes are the channels of those who wait, by the number of their request.
-	wakes  map[uint64]chan struct{}
-	number uint64
+	wakes        map[uint64]chan struct{}
+	lastWaiterID uint64
 }
 
-// Flight is a request underway along a path.
-type Flight struct {
-	model  *Model
-	path   paths.Path
-	tokens float64
-	lost   func(replica string)
-	leave  func(replica string)
-	told   bool // that a part of the path leaves
-	// heard is when an event came last, counted from the model's beginning; 0 for never.
-	heard atomic.Int64
+// ActiveRequest is a request underway along a path.
+type ActiveRequest struct {
+	model         *ModelTargets
+	path          paths.Path
+	tokens        float64
+	onLost        func(replica string)
+	onDraining    func(replica string)
+	drainNotified bool // that a part of the path leaves
+	// lastEventAt is when an event came last, counted from the model's beginning; 0 for never.
+	lastEventAt atomic.Int64
 }
 
-// NewModel returns a Model without replicas for a node in a failure domain.
-func NewModel(domain string, seed uint64, now func() time.Time) *Model {
-	return &Model{
+// NewModelTargets returns a Model without replicas for a node in a failure domain.
+func NewModelTargets(domain string, seed uint64, now func() time.Time) *ModelTargets {
+	return &ModelTargets{
 		domain:    domain,
 		now:       now,
-		begun:     now(),
-		book:      paths.New(seed),
-		knowledge: newKnowledge(),
-		flights:   map[*Flight]struct{}{},
+		startedAt: now(),
+		selector:  paths.New(seed),
+		observed:  newObservations(),
+		active:    map[*ActiveRequest]struct{}{},
 		wakes:     map[uint64]chan struct{}{},
 	}
 }
 
-// Part is this node's part of what all nodes use.
-type Part struct {
-	// Share is of a failure domain's room.
-	Share func(domain string) float64
-	// Conns bounds this node's connections to each replica; zero for no bound.
-	Conns int
-	// Near is how many nodes there are in its failure domain.
-	Near int
+// NodeShare is this node's part of what all nodes use.
+type NodeShare struct {
+	// CapacityShare is of a failure domain's room.
+	CapacityShare func(domain string) float64
+	// MaxConns bounds this node's connections to each replica; zero for no bound.
+	MaxConns int
+	// DomainNodes is how many nodes there are in its failure domain.
+	DomainNodes int
 }
 
 // Update puts a new list in force.
-func (m *Model) Update(model *ruleset.Model, list []*replicalist.Replica, part Part) {
+func (m *ModelTargets) Update(model *ruleset.Model, list []*replicalist.Replica, share NodeShare) {
 	replicas := make([]paths.Replica, 0, len(list))
 	for _, r := range list {
 		replicas = append(replicas, pathReplica(model, r))
 	}
 	m.mu.Lock()
-	m.layers, m.part = model.Layers, part
-	m.crossBytes, m.crossPerSecond = model.CrossBytes, model.LinkBytesPerSecond
-	m.book.Update(replicas)
+	m.layers, m.share = model.Layers, share
+	m.crossingBytes, m.linkBytesPerSecond = model.CrossBytes, model.LinkBytesPerSecond
+	m.selector.Update(replicas)
 	for _, r := range list {
-		m.book.SetShare(r.Domain, part.Share(r.Domain))
+		m.selector.SetShare(r.Domain, share.CapacityShare(r.Domain))
 	}
 	m.wakeOne()
-	leaving := m.leaving()
+	callbacks := m.drainCallbacks()
 	m.mu.Unlock()
-	tellSlowly(leaving)
+	runCallbacksPaced(callbacks)
 }
 
 func pathReplica(model *ruleset.Model, r *replicalist.Replica) paths.Replica {
-	card := model.Cards[r.Kind]
-	room := max(0, card.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.TokenLayerMB()
+	accelerator := model.Cards[r.Kind]
+	capacity := max(0, accelerator.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.TokenLayerMB()
 	return paths.Replica{
 		ID: r.ID, Incarnation: r.Born, Address: r.Address, Domain: r.Domain, Holds: r.Holds,
-		Capacity:      room,
-		LayerMillis:   model.StepMillis * card.Pace / float64(model.Layers),
-		PrefillMillis: model.ReadMillis(card),
+		Capacity:      capacity,
+		LayerMillis:   model.StepMillis * accelerator.Pace / float64(model.Layers),
+		PrefillMillis: model.ReadMillis(accelerator),
 		Draining:      r.Draining, Revision: r.Revision,
 	}
 }
 
 // Choose implements Targets.
-func (m *Model) Choose(ctx context.Context, q Query) (Target, error) {
-	w, wake := m.newcomer(q)
-	for first := true; ; first = false {
-		t, reason, ok := m.try(q, w, first)
+func (m *ModelTargets) Choose(ctx context.Context, q Query) (Target, error) {
+	w, wake := m.newWaiter(q)
+	for firstTry := true; ; firstTry = false {
+		t, reason, ok := m.reserve(q, w, firstTry)
 		if ok {
 			return t, nil
 		}
-		left := q.WaitUntil.Sub(m.now())
-		if left <= 0 {
-			m.leave(w)
+		remaining := q.WaitUntil.Sub(m.now())
+		if remaining <= 0 {
+			m.stopWaiting(w)
 			return Target{}, errorOf(reason)
 		}
-		if err := pause(ctx, wake, min(left, retryRoom)); err != nil {
-			m.leave(w)
+		if err := waitForWake(ctx, wake, min(remaining, capacityPollInterval)); err != nil {
+			m.stopWaiting(w)
 			return Target{}, err
 		}
 	}
 }
 
-func (m *Model) newcomer(q Query) (waitqueue.Request, <-chan struct{}) {
+func (m *ModelTargets) newWaiter(q Query) (waitqueue.Request, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.number++
+	m.lastWaiterID++
 	wake := make(chan struct{}, 1)
-	m.wakes[m.number] = wake
-	return waitqueue.Request{ID: m.number, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
+	m.wakes[m.lastWaiterID] = wake
+	return waitqueue.Request{ID: m.lastWaiterID, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
 }
 
 func errorOf(reason paths.Reason) error {
 	if reason == paths.NoCapacity {
-		return ErrNoRoom
+		return ErrNoCapacity
 	}
 	return ErrNoEndpoint
 }
 
-func pause(ctx context.Context, wake <-chan struct{}, d time.Duration) error {
+func waitForWake(ctx context.Context, wake <-chan struct{}, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -158,55 +158,55 @@
 	return nil
 }
 
-// try books a path, unless others wait who come first. One who finds none waits.
-func (m *Model) try(q Query, w waitqueue.Request, first bool) (Target, paths.Reason, bool) {
+// reserve books a path, unless others wait who come first. One who finds none waits.
+func (m *ModelTargets) reserve(q Query, w waitqueue.Request, firstTry bool) (Target, paths.Reason, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	if first && m.waiting.Before(now, w) {
+	if firstTry && m.waiting.Before(now, w) {
 		m.waiting.Add(now, w)
 		return Target{}, paths.NoCapacity, false
 	}
-	path, reason := m.book.Choose(now, paths.Query{
-		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.FirstOf,
+	path, reason := m.selector.Choose(now, paths.Query{
+		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.FirstReplicas,
 	})
 	if reason != paths.Found || !path.Covers(layers.Span{To: m.layers}) {
-		if first {
+		if firstTry {
 			m.waiting.Add(now, w)
 		}
 		return Target{}, reason, false
 	}
-	m.forget(w)
-	m.book.AddPrefill(now, path, nil, q.Read, m.part.Near)
+	m.removeWaiter(w)
+	m.selector.AddPrefill(now, path, nil, q.PrefillTokens, m.share.DomainNodes)
 	m.wakeOne() // there may be room for the next as well
-	return m.begin(path, q.Tokens), paths.Found, true
+	return m.start(path, q.Tokens), paths.Found, true
 }
 
-func (m *Model) begin(path paths.Path, tokens float64) Target {
-	f := &Flight{model: m, path: path, tokens: tokens}
-	m.book.Reserve(path, tokens)
-	m.flights[f] = struct{}{}
+func (m *ModelTargets) start(path paths.Path, tokens float64) Target {
+	active := &ActiveRequest{model: m, path: path, tokens: tokens}
+	m.selector.Reserve(path, tokens)
+	m.active[active] = struct{}{}
 	return Target{
 		Replica: path[0].Replica, Address: path[0].Address, Domain: path[0].Domain,
-		Path: path, MostConns: m.part.Conns, Flight: f,
+		Path: path, MaxConns: m.share.MaxConns, Active: active,
 	}
 }
 
-// forget takes out one who waits no longer. The caller holds the lock.
-func (m *Model) forget(w waitqueue.Request) {
+// removeWaiter takes out one who waits no longer. The caller holds the lock.
+func (m *ModelTargets) removeWaiter(w waitqueue.Request) {
 	m.waiting.Remove(w.ID)
 	delete(m.wakes, w.ID)
 }
 
-func (m *Model) leave(w waitqueue.Request) {
+func (m *ModelTargets) stopWaiting(w waitqueue.Request) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.forget(w)
+	m.removeWaiter(w)
 	m.wakeOne()
 }
 
 // wakeOne lets the first who waits look again.
-func (m *Model) wakeOne() {
+func (m *ModelTargets) wakeOne() {
 	id, ok := m.waiting.First(m.now())
 	if !ok {
 		return
@@ -217,37 +217,37 @@
 	}
 }
 
-// Ended implements Targets.
-func (m *Model) Ended(t Target, r Result) {
+// Finish implements Targets.
+func (m *ModelTargets) Finish(t Target, r Result) {
 	m.mu.Lock()
-	f := t.Flight
-	delete(m.flights, f)
-	m.book.Release(f.path, f.tokens)
-	lost := m.learn(t, r)
+	active := t.Active
+	delete(m.active, active)
+	m.selector.Release(active.path, active.tokens)
+	callbacks := m.applyResult(t, r)
 	m.wakeOne()
 	m.mu.Unlock()
-	tell(lost)
+	runCallbacks(callbacks)
 }
 
-func (m *Model) learn(t Target, r Result) []notice {
-	fault := t.Replica
-	if r.Fault != "" {
-		fault = m.book.ByAddress(r.Fault)
+func (m *ModelTargets) applyResult(t Target, r Result) []callback {
+	faulty := t.Replica
+	if r.FaultAddress != "" {
+		faulty = m.selector.ByAddress(r.FaultAddress)
 	}
 	switch {
-	case fault == "":
+	case faulty == "":
 		return nil
-	case r.Misheld:
-		m.book.MarkLayersMissing(fault)
-		m.knowledge.seen[fault] = sight{at: m.now(), away: true}
-	case r.Gone:
-		m.knowledge.seen[fault] = sight{at: m.now(), lost: true}
-		if m.book.Suspect(m.now(), fault, false) {
-			return m.through(fault)
+	case r.LayersMissing:
+		m.selector.MarkLayersMissing(faulty)
+		m.observed.own[faulty] = observation{at: m.now(), refusing: true}
+	case r.Suspected:
+		m.observed.own[faulty] = observation{at: m.now(), unreachable: true}
+		if m.selector.Suspect(m.now(), faulty, false) {
+			return m.lossCallbacks(faulty)
 		}
-	case r.NoRoom:
-		if m.book.RecordRefusal(m.now(), fault) {
-			m.knowledge.seen[fault] = sight{at: m.now(), away: true}
+	case r.NoCapacity:
+		if m.selector.RecordRefusal(m.now(), faulty) {
+			m.observed.own[faulty] = observation{at: m.now(), refusing: true}
 		}
 	}
 	return nil
@@ -255,145 +255,145 @@
 
 // Suspect notes that a replica looks dead, silent that its machine does not answer
 // either; the requests that run through it are told. It says whether that is new.
-func (m *Model) Suspect(replica string, silent bool) bool {
-	fresh, lost := m.suspect(replica, silent)
-	tell(lost)
-	return fresh
+func (m *ModelTargets) Suspect(replica string, hostUnreachable bool) bool {
+	changed, callbacks := m.suspect(replica, hostUnreachable)
+	runCallbacks(callbacks)
+	return changed
 }
 
 // suspect notes that a replica looks dead, and returns the requests that run through it.
-func (m *Model) suspect(replica string, silent bool) (fresh bool, through []notice) {
+func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.knowledge.seen[replica] = sight{at: m.now(), lost: true}
-	if !m.book.Suspect(m.now(), replica, silent) {
+	m.observed.own[replica] = observation{at: m.now(), unreachable: true}
+	if !m.selector.Suspect(m.now(), replica, hostUnreachable) {
 		return false, nil
 	}
-	return true, m.through(replica)
+	return true, m.lossCallbacks(replica)
 }
 
-// Doubt notes that a replica accepts no connection which other nodes have lost. It gets no
+// SuspectOnReport notes that a replica accepts no connection which other nodes have lost. It gets no
 // new requests. Those that run through it are told only if its machine does not answer
 // either: one that leaves refuses connections, and goes on with what it has. It says
 // whether the suspicion is new.
-func (m *Model) Doubt(replica string, silent bool) bool {
-	fresh, lost := m.doubt(replica, silent)
-	tell(lost)
-	return fresh
+func (m *ModelTargets) SuspectOnReport(replica string, hostUnreachable bool) bool {
+	changed, callbacks := m.suspectOnReport(replica, hostUnreachable)
+	runCallbacks(callbacks)
+	return changed
 }
 
-func (m *Model) doubt(replica string, silent bool) (fresh bool, lost []notice) {
-	fresh, through := m.suspect(replica, silent)
-	if !silent {
-		return fresh, nil
+func (m *ModelTargets) suspectOnReport(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
+	changed, ifUnreachable := m.suspect(replica, hostUnreachable)
+	if !hostUnreachable {
+		return changed, nil
 	}
-	return fresh, through
+	return changed, ifUnreachable
 }
 
-// Alive notes that a suspected replica lives. It says whether it was suspected.
-func (m *Model) Alive(replica string) bool {
+// MarkAlive notes that a suspected replica lives. It says whether it was suspected.
+func (m *ModelTargets) MarkAlive(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.knowledge.seen[replica] = sight{at: m.now()}
-	was := m.book.MarkAlive(replica)
+	m.observed.own[replica] = observation{at: m.now()}
+	wasSuspected := m.selector.MarkAlive(replica)
 	m.wakeOne()
-	return was
+	return wasSuspected
 }
 
 // Replica returns a replica that is listed.
-func (m *Model) Replica(id string) (paths.Replica, bool) {
+func (m *ModelTargets) Replica(id string) (paths.Replica, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Replica(id)
+	return m.selector.Replica(id)
 }
 
 // Suspects returns the replicas that are suspected.
-func (m *Model) Suspects() []paths.Replica {
+func (m *ModelTargets) Suspects() []paths.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Suspects()
+	return m.selector.Suspects()
 }
 
-// SetPace notes how much slower than its kind a replica says it is. It says whether
+// SetSlowdown notes how much slower than its kind a replica says it is. It says whether
 // that is news.
-func (m *Model) SetPace(replica string, pace float64) bool {
+func (m *ModelTargets) SetSlowdown(replica string, slowdown float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if max(pace, m.book.Slowdown(replica)) >= paths.SlowThreshold {
+	if max(slowdown, m.selector.Slowdown(replica)) >= paths.SlowThreshold {
 		// One that is as fast as it was is no news to anybody.
-		m.knowledge.seen[replica] = sight{at: m.now(), pace: max(1, pace)}
+		m.observed.own[replica] = observation{at: m.now(), slowdown: max(1, slowdown)}
 	}
-	return m.book.SetSlowdown(replica, pace)
+	return m.selector.SetSlowdown(replica, slowdown)
 }
 
-// Away returns the replicas that turn requests away although they have room.
-func (m *Model) Away() []string {
+// BackedOff returns the replicas that turn requests away although they have room.
+func (m *ModelTargets) BackedOff() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.BackedOff(m.now())
+	return m.selector.BackedOff(m.now())
 }
 
 // Slow returns the replicas that are slower than their kind.
-func (m *Model) Slow() []paths.Replica {
+func (m *ModelTargets) Slow() []paths.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Slow()
+	return m.selector.Slow()
 }
 
-// lostAfter is how long a replica is suspected before its layers count as lost: the
+// layersLostAfter is how long a replica is suspected before its layers count as lost: the
 // time of some tries to reach it.
-const lostAfter = 600 * time.Millisecond
+const layersLostAfter = 600 * time.Millisecond
 
-// Lost says whether a replica has been out of reach for so long that others should
+// LayersLost says whether a replica has been out of reach for so long that others should
 // take its layers.
-func (m *Model) Lost(replica string) bool {
+func (m *ModelTargets) LayersLost(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.SuspectedFor(m.now(), replica, lostAfter)
+	return m.selector.SuspectedFor(m.now(), replica, layersLostAfter)
 }
 
-// Refused notes an order to go around that an engine did not take. fault is the
+// RerouteRefused notes an order to go around that an engine did not take. fault is the
 // address of the part that is not there, "" if one has no room.
-func (m *Model) Refused(path paths.Path, fault string) {
+func (m *ModelTargets) RerouteRefused(path paths.Path, faultAddress string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	if id := m.book.ByAddress(fault); id != "" {
-		m.book.MarkLayersMissing(id)
+	if id := m.selector.ByAddress(faultAddress); id != "" {
+		m.selector.MarkLayersMissing(id)
 		return
 	}
-	for _, part := range path[1:] {
-		m.book.Avoid(now, part.Replica)
+	for _, stage := range path[1:] {
+		m.selector.Avoid(now, stage.Replica)
 	}
 }
 
-// Booked is what this node has booked on each replica, in tokens times layers.
-func (m *Model) Booked() map[string]float64 {
+// Reserved is what this node has booked on each replica, in tokens times layers.
+func (m *ModelTargets) Reserved() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.Reserved()
+	return m.selector.Reserved()
 }
 
-// SetOthers notes what the other nodes of this one's failure domain have booked, as far
+// SetPeerReservations notes what the other nodes of this one's failure domain have booked, as far
 // as it is known.
-func (m *Model) SetOthers(held reservations.Held) {
+func (m *ModelTargets) SetPeerReservations(reserved reservations.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.book.SetPeerReservations(m.domain, held.Nodes, held.Amounts)
+	m.selector.SetPeerReservations(m.domain, reserved.Nodes, reserved.Amounts)
 	m.wakeOne()
 }
 
-// Used is the part of the room that is booked on the fullest replica of each failure
+// PeakUtilization is the part of the room that is booked on the fullest replica of each failure
 // domain, for metrics.
-func (m *Model) Used() map[string]float64 {
+func (m *ModelTargets) PeakUtilization() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.book.PeakUtilization(m.now())
+	return m.selector.PeakUtilization(m.now())
 }
 
-// Waiting is how many requests wait for room, and Underway how many run.
-func (m *Model) Waiting() (waiting, underway int) {
+// RequestCounts is how many requests wait for room, and Underway how many run.
+func (m *ModelTargets) RequestCounts() (waiting, active int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.waiting.Len(), len(m.flights)
+	return m.waiting.Len(), len(m.active)
 }
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -10,18 +10,18 @@
 	"github.com/cicadatack/cicadatack/route/replicapicker"
 )
 
-// Plain chooses among the replicas of a service that each serve a request alone.
+// PlainTargets chooses among the replicas of a service that each serve a request alone.
 // Safe for concurrent use.
-type Plain struct {
+type PlainTargets struct {
 	picker *replicapicker.Picker
 	// addresses and conns change with the list only.
-	state *plainState
+	replicas *replicaTable
 }
 
-// plainHealth ejects sooner and for shorter than the defaults, which are for
+// healthConfig ejects sooner and for shorter than the defaults, which are for
 // services of many replicas: of three, one that fails takes a third of all requests
 // until it is out, and one that is well again is missed.
-var plainHealth = health.Config{
+var healthConfig = health.Config{
 	BaseEjection: time.Second,
 	MaxEjection:  8 * time.Second,
 	// With three replicas one may always be out.
@@ -29,23 +29,23 @@
 	MaxLostShare:    0.75,
 }
 
-// NewPlain returns a Plain without replicas for a node in a failure domain.
-func NewPlain(node, domain string, seed uint64, now func() time.Time) *Plain {
+// NewPlainTargets returns a Plain without replicas for a node in a failure domain.
+func NewPlainTargets(node, domain string, seed uint64, now func() time.Time) *PlainTargets {
 	balancer := balance.New(balance.Config{
-		Node: node, FailureDomain: domain, Seed: seed, Health: plainHealth,
+		Node: node, FailureDomain: domain, Seed: seed, Health: healthConfig,
 		SlowStart: time.Second,
 	})
-	return &Plain{
-		picker: replicapicker.New(balancer, now, func() {}),
-		state:  newPlainState(),
+	return &PlainTargets{
+		picker:   replicapicker.New(balancer, now, func() {}),
+		replicas: newReplicaTable(),
 	}
 }
 
 // Update puts a new list in force. conns bounds this node's connections to each
 // replica; nodes are all that send here.
-func (p *Plain) Update(list []*replicalist.Replica, conns int, near []string, nodes int) {
-	p.state.set(list, conns)
-	p.picker.SetPeers(near, nodes)
+func (p *PlainTargets) Update(list []*replicalist.Replica, maxConns int, domainNodes []string, nodes int) {
+	p.replicas.set(list, maxConns)
+	p.picker.SetPeers(domainNodes, nodes)
 	replicas := make([]balance.Replica, 0, len(list))
 	for _, r := range list {
 		replicas = append(replicas, balance.Replica{ID: r.ID, FailureDomain: r.Domain, Slots: r.Slots})
@@ -58,23 +58,23 @@
 
 // Choose implements Targets. It does not wait: plain services queue by themselves
 // and say when they are full.
-func (p *Plain) Choose(_ context.Context, q Query) (Target, error) {
-	choice, ok := p.picker.Pick(balance.Query{Cost: 1, Exclude: q.Exclude, NoProbe: q.Once})
+func (p *PlainTargets) Choose(_ context.Context, q Query) (Target, error) {
+	choice, ok := p.picker.Pick(balance.Query{Cost: 1, Exclude: q.Exclude, NoProbe: q.NonIdempotent})
 	if !ok {
 		return Target{}, ErrNoEndpoint
 	}
-	r, conns := p.state.get(choice.Replica)
+	r, maxConns := p.replicas.get(choice.Replica)
 	if r == nil {
 		p.picker.Finished(choice.Replica, balance.Result{Cost: 1, Failure: health.Canceled})
 		return Target{}, ErrNoEndpoint
 	}
-	return Target{Replica: r.ID, Address: r.Address, Domain: r.Domain, MostConns: conns, Choice: &choice}, nil
+	return Target{Replica: r.ID, Address: r.Address, Domain: r.Domain, MaxConns: maxConns, Choice: &choice}, nil
 }
 
-// Ended implements Targets.
-func (p *Plain) Ended(t Target, r Result) {
+// Finish implements Targets.
+func (p *PlainTargets) Finish(t Target, r Result) {
 	p.picker.Finished(t.Replica, balance.Result{
-		Cost: 1, TimeToFirstToken: r.Took, TotalTime: r.Took, Started: r.Whole, Failure: r.Failure,
+		Cost: 1, TimeToFirstToken: r.Duration, TotalTime: r.Duration, Started: r.Complete, Failure: r.Failure,
 	})
 	if r.Load != nil {
 		p.picker.Report(t.Replica, balance.LoadReport{RunningRequests: r.Load.Running, WaitingRequests: r.Load.Waiting})
@@ -83,4 +83,4 @@
 
 // Changes returns the replicas that were left out or have returned since the last
 // call, for the log.
-func (p *Plain) Changes() []balance.Change { return p.picker.Changes() }
+func (p *PlainTargets) Changes() []balance.Change { return p.picker.Changes() }
--- /dev/null
+++ b/route/targets/replica_table.go
@@ -0,0 +1,34 @@
+package targets
+
+import (
+	"sync"
+
+	"github.com/cicadatack/cicadatack/route/replicalist"
+)
+
+// replicaTable is the list that a Plain resolves choices with.
+type replicaTable struct {
+	mu       sync.Mutex
+	replicas map[string]*replicalist.Replica
+	maxConns int
+}
+
+func newReplicaTable() *replicaTable {
+	return &replicaTable{replicas: map[string]*replicalist.Replica{}}
+}
+
+func (s *replicaTable) set(list []*replicalist.Replica, maxConns int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.maxConns = maxConns
+	s.replicas = make(map[string]*replicalist.Replica, len(list))
+	for _, r := range list {
+		s.replicas[r.ID] = r
+	}
+}
+
+func (s *replicaTable) get(id string) (*replicalist.Replica, int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.replicas[id], s.maxConns
+}
--- a/route/targets/targets.go
+++ b/route/targets/targets.go
@@ -14,26 +14,26 @@
 	"github.com/cicadatack/cicadatack/decide/paths"
 )
 
-// ErrNoEndpoint means that no endpoint may be used now, ErrNoRoom that those there
+// ErrNoEndpoint means that no endpoint may be used now, ErrNoCapacity that those there
 // are have no room.
 var (
 	ErrNoEndpoint = errors.New("no endpoint may be used now")
-	ErrNoRoom     = errors.New("no endpoint has room")
+	ErrNoCapacity = errors.New("no endpoint has room")
 )
 
 // Query asks for a target.
 type Query struct {
 	// Tokens is the most memory that the request is expected to need.
 	Tokens float64
-	// Read is the tokens that are read before the first event.
-	Read float64
+	// PrefillTokens is the tokens that are read before the first event.
+	PrefillTokens float64
 	// Exclude names replicas that have failed this request.
 	Exclude []string
-	// FirstOf, if not empty, names the only replicas that may be handed the request.
-	FirstOf []string
-	// Once is set for requests that must not run twice: they are not used to try
+	// FirstReplicas, if not empty, names the only replicas that may be handed the request.
+	FirstReplicas []string
+	// NonIdempotent is set for requests that must not run twice: they are not used to try
 	// endpoints that failed of late.
-	Once bool
+	NonIdempotent bool
 	// Rank orders those who wait for room, 0 first.
 	Rank int
 	// OnTimeUntil is up to when an answer that begins is on time. Those who wait beyond
@@ -50,19 +50,19 @@
 	Domain  string
 	// Path is empty for plain services.
 	Path paths.Path
-	// MostConns bounds this node's connections to the endpoint.
-	MostConns int
-	// Flight is set for paths.
-	Flight *Flight
+	// MaxConns bounds this node's connections to the endpoint.
+	MaxConns int
+	// Active is set for paths.
+	Active *ActiveRequest
 	// Choice is what a balancer weighed; nil for paths.
 	Choice *balance.Choice
 }
 
-// ReplicaAt is the replica of the target's path at an address, or "".
-func (t Target) ReplicaAt(address string) string {
-	for _, part := range t.Path {
-		if part.Address == address {
-			return part.Replica
+// ReplicaByAddress is the replica of the target's path at an address, or "".
+func (t Target) ReplicaByAddress(address string) string {
+	for _, stage := range t.Path {
+		if stage.Address == address {
+			return stage.Replica
 		}
 	}
 	return ""
@@ -71,19 +71,19 @@
 // Result is how an attempt ended.
 type Result struct {
 	Failure health.Failure
-	// Whole is set if the whole answer came.
-	Whole bool
-	// NoRoom is set if the endpoint refused for want of room.
-	NoRoom bool
-	// Fault is the address of the part of the path at fault, if the answer named it.
-	Fault string
-	// Misheld says that the part at fault does not hold the layers that it is listed
+	// Complete is set if the whole answer came.
+	Complete bool
+	// NoCapacity is set if the endpoint refused for want of room.
+	NoCapacity bool
+	// FaultAddress is the address of the part of the path at fault, if the answer named it.
+	FaultAddress string
+	// LayersMissing says that the part at fault does not hold the layers that it is listed
 	// with.
-	Misheld bool
-	// Gone says that the part at fault, the first if none is named, looks dead.
-	Gone bool
-	// Took is the time of the attempt.
-	Took time.Duration
+	LayersMissing bool
+	// Suspected says that the part at fault, the first if none is named, looks dead.
+	Suspected bool
+	// Duration is the time of the attempt.
+	Duration time.Duration
 	// Load is what the endpoint said, if it did.
 	Load *Load
 }
@@ -96,6 +96,6 @@
 	// Choose returns a target, waiting for room if it must. It fails with
 	// ErrNoEndpoint, ErrNoRoom or the context's error. Each target needs one Ended.
 	Choose(ctx context.Context, q Query) (Target, error)
-	// Ended tells how the attempt went.
-	Ended(t Target, r Result)
+	// Finish tells how the attempt went.
+	Finish(t Target, r Result)
 }
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -16,30 +16,30 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-var llm = &ruleset.Model{
+var testModel = &ruleset.Model{
 	Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
 	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, Pace: 1}},
 }
 
-func part(id string, from, to int) *replicalist.Replica {
+func replica(id string, from, to int) *replicalist.Replica {
 	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
-// all is the part of a node that is alone.
-func all(conns int) Part {
-	return Part{Share: func(string) float64 { return 1 }, Conns: conns, Near: 1}
+// soleNode is the part of a node that is alone.
+func soleNode(maxConns int) NodeShare {
+	return NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: maxConns, DomainNodes: 1}
 }
 
-// halves is a model whose two halves are held twice each. A half has room for 25,000
+// twoStageModel is a model whose two twoStageModel are held twice each. A half has room for 25,000
 // tokens: 100 MB beside four layers, at 4,000 bytes a token.
-func halves() *Model {
-	m := NewModel("d", 1, time.Now)
-	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)},
-		all(10))
+func twoStageModel() *ModelTargets {
+	m := NewModelTargets("d", 1, time.Now)
+	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)},
+		soleNode(10))
 	return m
 }
 
-func take(t *testing.T, m *Model, tokens float64) Target {
+func choose(t *testing.T, m *ModelTargets, tokens float64) Target {
 	t.Helper()
 	target, err := m.Choose(context.Background(), Query{Tokens: tokens})
 	if err != nil {
@@ -50,11 +50,11 @@
 
 // Two streams fill the model. The next caller waits, and goes on as soon as one of
 // them ends; one who can't wait is told at once.
-func TestRoomIsWaitedFor(t *testing.T) {
-	m := halves()
-	first := take(t, m, 25000)
-	take(t, m, 25000)
-	if _, err := m.Choose(context.Background(), Query{Tokens: 25000}); !errors.Is(err, ErrNoRoom) {
+func TestRequestWaitsForCapacity(t *testing.T) {
+	m := twoStageModel()
+	first := choose(t, m, 25000)
+	choose(t, m, 25000)
+	if _, err := m.Choose(context.Background(), Query{Tokens: 25000}); !errors.Is(err, ErrNoCapacity) {
 		t.Fatalf("%v", err)
 	}
 	got := make(chan error)
@@ -62,10 +62,10 @@
 		_, err := m.Choose(context.Background(), Query{Tokens: 25000, WaitUntil: time.Now().Add(time.Minute)})
 		got <- err
 	}()
-	for waiting, _ := m.Waiting(); waiting == 0; waiting, _ = m.Waiting() {
+	for waiting, _ := m.RequestCounts(); waiting == 0; waiting, _ = m.RequestCounts() {
 		time.Sleep(time.Millisecond)
 	}
-	m.Ended(first, Result{Whole: true})
+	m.Finish(first, Result{Complete: true})
 	if err := <-got; err != nil {
 		t.Error(err)
 	}
@@ -73,29 +73,29 @@
 
 // One waits for room, and a second comes for whom there would be some: it does not go
 // before the first if that is of its rank, and does if that is of a lower one.
-func TestNewcomersDoNotOvertake(t *testing.T) {
+func TestWaitingRequestsComeFirst(t *testing.T) {
 	for _, c := range []struct {
-		rank  int
-		waits bool
+		rank    int
+		refused bool
 	}{{1, true}, {0, false}} {
-		m := halves()
+		m := twoStageModel()
 		ctx, cancel := context.WithCancel(context.Background())
-		gone := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(gone)
+			defer close(done)
 			// 50,000 tokens never fit.
 			_, _ = m.Choose(ctx, Query{Tokens: 50000, Rank: 1, WaitUntil: time.Now().Add(time.Minute)})
 		}()
-		for waiting, _ := m.Waiting(); waiting == 0; waiting, _ = m.Waiting() {
+		for waiting, _ := m.RequestCounts(); waiting == 0; waiting, _ = m.RequestCounts() {
 			time.Sleep(time.Millisecond)
 		}
 		_, err := m.Choose(context.Background(), Query{Tokens: 100, Rank: c.rank})
-		if errors.Is(err, ErrNoRoom) != c.waits {
+		if errors.Is(err, ErrNoCapacity) != c.refused {
 			t.Errorf("rank %d: %v", c.rank, err)
 		}
 		cancel()
-		<-gone
-		if waiting, _ := m.Waiting(); waiting != 0 || len(m.wakes) != 0 {
+		<-done
+		if waiting, _ := m.RequestCounts(); waiting != 0 || len(m.wakes) != 0 {
 			t.Errorf("%d wait, %d channels are left", waiting, len(m.wakes))
 		}
 	}
@@ -103,109 +103,109 @@
 
 // A replica is found lost by one request. All others through it are told at once, so
 // that they need not find out for themselves; those elsewhere are not.
-func TestLossIsToldToAllThatRunThroughIt(t *testing.T) {
-	m := halves()
-	told := make(chan string, 20)
+func TestLostReplicaNotifiesAllItsRequests(t *testing.T) {
+	m := twoStageModel()
+	notified := make(chan string, 20)
 	through := 0
 	for i := range 10 {
-		target := take(t, m, 100)
+		target := choose(t, m, 100)
 		for _, p := range target.Path {
 			if p.Replica == "b1" {
 				through++
 			}
 		}
-		target.Flight.Watch(func(replica string) { told <- fmt.Sprint(i, replica) }, func(string) {})
+		target.Active.SetCallbacks(func(replica string) { notified <- fmt.Sprint(i, replica) }, func(string) {})
 	}
 	if !m.Suspect("b1", false) || m.Suspect("b1", false) {
 		t.Error("only the first sign is news")
 	}
 	for range through {
-		<-told
+		<-notified
 	}
 	select {
-	case extra := <-told:
+	case extra := <-notified:
 		t.Errorf("told in vain: %s", extra)
 	default:
 	}
 	for range 20 {
-		for _, p := range take(t, m, 100).Path {
+		for _, p := range choose(t, m, 100).Path {
 			if p.Replica == "b1" {
 				t.Fatal("a new request goes through the lost replica")
 			}
 		}
 	}
-	if !m.Alive("b1") || len(m.Suspects()) != 0 {
+	if !m.MarkAlive("b1") || len(m.Suspects()) != 0 {
 		t.Error("it does not come back")
 	}
 }
 
 // A request is led around a lost part: the first part stays, the rest is chosen anew,
 // and what is booked follows.
-func TestDetour(t *testing.T) {
-	m := halves()
-	target := take(t, m, 100)
+func TestBypassMovesReservation(t *testing.T) {
+	m := twoStageModel()
+	target := choose(t, m, 100)
 	lost := target.Path[1].Replica
 	m.Suspect(lost, false)
-	path := target.Flight.Away()
+	path := target.Active.BypassDraining()
 	if len(path) != 2 || path[0] != target.Path[0] || path[1].Replica == lost {
 		t.Fatalf("%v around %s", path, lost)
 	}
-	target.Flight.Moved(path)
-	m.Ended(target, Result{Whole: true})
+	target.Active.SetPath(path)
+	m.Finish(target, Result{Complete: true})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if booked := m.book.Reserved(); len(booked) > 0 {
+	if booked := m.selector.Reserved(); len(booked) > 0 {
 		t.Errorf("still booked: %v", booked)
 	}
 }
 
 // A first replica looks dead. Its request is given up only if another can take it now:
 // it may yet go on, and given up for nothing its answer is lost.
-func TestElsewhere(t *testing.T) {
-	m := halves()
-	target := take(t, m, 20000)
-	next, ok := target.Flight.Elsewhere(Others{})
+func TestMigrationNeedsFreeCapacity(t *testing.T) {
+	m := twoStageModel()
+	target := choose(t, m, 20000)
+	next, ok := target.Active.ReserveMigration(MigrationFilter{})
 	if !ok || next.Replica == target.Replica {
 		t.Fatalf("%v, %t: the other half is free", next, ok)
 	}
-	if _, ok := target.Flight.Elsewhere(Others{}); ok {
+	if _, ok := target.Active.ReserveMigration(MigrationFilter{}); ok {
 		t.Error("the other half is booked, and given to two")
 	}
-	m.Ended(next, Result{Failure: health.Canceled})
-	if _, ok := target.Flight.Elsewhere(Others{Exclude: []string{next.Replica}}); ok {
+	m.Finish(next, Result{Failure: health.Canceled})
+	if _, ok := target.Active.ReserveMigration(MigrationFilter{Exclude: []string{next.Replica}}); ok {
 		t.Error("the other half has failed this request")
 	}
 	other := map[string]string{"a1": "a2", "a2": "a1"}[target.Replica]
 	m.Suspect(other, false)
-	if _, ok := target.Flight.Elsewhere(Others{}); ok {
+	if _, ok := target.Active.ReserveMigration(MigrationFilter{}); ok {
 		t.Error("the only other first replica is out of reach")
 	}
 }
 
 // Those that run through a replica that leaves are told once each time the list says
 // so, while they still do.
-func TestLeavingIsTold(t *testing.T) {
-	m := halves()
-	target := take(t, m, 100)
-	told := make(chan string, 4)
-	target.Flight.Watch(func(string) {}, func(replica string) { told <- replica })
-	leaving := target.Path[1].Replica
-	list := []*replicalist.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)}
+func TestDrainingReplicaNotifiesItsRequests(t *testing.T) {
+	m := twoStageModel()
+	target := choose(t, m, 100)
+	notified := make(chan string, 4)
+	target.Active.SetCallbacks(func(string) {}, func(replica string) { notified <- replica })
+	draining := target.Path[1].Replica
+	list := []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)}
 	for _, r := range list {
-		r.Draining = r.ID == leaving
+		r.Draining = r.ID == draining
 	}
-	update := func() { m.Update(llm, list, all(10)) }
+	update := func() { m.Update(testModel, list, soleNode(10)) }
 	update()
-	if got := <-told; got != leaving {
+	if got := <-notified; got != draining {
 		t.Errorf("told of %s", got)
 	}
 	update()
-	target.Flight.StillLeaving()
+	target.Active.RetryDrainCallback()
 	update()
-	if got := <-told; got != leaving {
+	if got := <-notified; got != draining {
 		t.Errorf("told of %s", got)
 	}
-	if len(told) != 0 {
+	if len(notified) != 0 {
 		t.Error("told again without having come back")
 	}
 }
@@ -213,20 +213,20 @@
 // A replica leaves without saying so: its entry is gone from the list, and it serves on.
 // Its streams are led away in time; told that it is lost, all would cross the links at
 // once and pause for a second.
-func TestReplicaThatIsNoLongerListedLeaves(t *testing.T) {
-	m := halves()
-	target := take(t, m, 100)
-	told := make(chan string, 4)
-	target.Flight.Watch(func(replica string) { t.Errorf("%s counts as lost", replica) }, func(replica string) { told <- replica })
-	left := target.Path[1].Replica
+func TestUnlistedReplicaCountsAsDraining(t *testing.T) {
+	m := twoStageModel()
+	target := choose(t, m, 100)
+	notified := make(chan string, 4)
+	target.Active.SetCallbacks(func(replica string) { t.Errorf("%s counts as lost", replica) }, func(replica string) { notified <- replica })
+	unlisted := target.Path[1].Replica
 	var list []*replicalist.Replica
-	for _, r := range []*replicalist.Replica{part("a1", 0, 4), part("a2", 0, 4), part("b1", 4, 8), part("b2", 4, 8)} {
-		if r.ID != left {
+	for _, r := range []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)} {
+		if r.ID != unlisted {
 			list = append(list, r)
 		}
 	}
-	m.Update(llm, list, all(10))
-	if got := <-told; got != left {
+	m.Update(testModel, list, soleNode(10))
+	if got := <-notified; got != unlisted {
 		t.Errorf("told of %s", got)
 	}
 }
@@ -234,28 +234,28 @@
 // The only holder of some layers of a failure domain dies under six streams. Led around
 // through the other domain, each would send its prompt over the links, one behind the
 // other: the first two may, the others go on whole in the other domain.
-func TestStreamsGoOnElsewhereWhenLinksAreBusy(t *testing.T) {
-	far := func(id string, from, to int) *replicalist.Replica {
-		r := part(id, from, to)
+func TestStreamsMigrateWhenLinksAreBusy(t *testing.T) {
+	remote := func(id string, from, to int) *replicalist.Replica {
+		r := replica(id, from, to)
 		r.Domain = "far"
 		return r
 	}
-	crossing := *llm
+	model := *testModel
 	// A stream of 1,000 tokens takes 50 ms to cross.
-	crossing.CrossBytes, crossing.LinkBytesPerSecond = 1000, 2e7
-	m := NewModel("d", 1, time.Now)
-	list := []*replicalist.Replica{part("a", 0, 4), part("b", 4, 8), far("x", 0, 4), far("y", 4, 8)}
-	m.Update(&crossing, list, all(10))
-	var flights []Target
+	model.CrossBytes, model.LinkBytesPerSecond = 1000, 2e7
+	m := NewModelTargets("d", 1, time.Now)
+	list := []*replicalist.Replica{replica("a", 0, 4), replica("b", 4, 8), remote("x", 0, 4), remote("y", 4, 8)}
+	m.Update(&model, list, soleNode(10))
+	var streams []Target
 	for range 6 {
-		flights = append(flights, take(t, m, 1000))
+		streams = append(streams, choose(t, m, 1000))
 	}
 	m.Suspect("b", false)
-	var ways []reroute.Action
-	for _, target := range flights {
-		way, path, next := target.Flight.GoOn(true, 120*time.Millisecond, Others{})
-		ways = append(ways, way)
-		if way == reroute.Bypass {
+	var actions []reroute.Action
+	for _, target := range streams {
+		action, path, next := target.Active.Recover(true, 120*time.Millisecond, MigrationFilter{})
+		actions = append(actions, action)
+		if action == reroute.Bypass {
 			if path == nil {
 				t.Error("no path")
 			}
@@ -266,25 +266,25 @@
 		}
 	}
 	want := []reroute.Action{reroute.Bypass, reroute.Bypass, reroute.Migrate, reroute.Migrate, reroute.Migrate, reroute.Migrate}
-	if !slices.Equal(ways, want) {
-		t.Errorf("%v, want %v", ways, want)
+	if !slices.Equal(actions, want) {
+		t.Errorf("%v, want %v", actions, want)
 	}
-	if way, path, _ := flights[1].Flight.GoOn(false, 120*time.Millisecond, Others{}); way != reroute.Bypass || path == nil {
-		t.Errorf("one that may not be moved: %v %v", way, path)
+	if action, path, _ := streams[1].Active.Recover(false, 120*time.Millisecond, MigrationFilter{}); action != reroute.Bypass || path == nil {
+		t.Errorf("one that may not be moved: %v %v", action, path)
 	}
 }
 
 // Guards against a connection to each part of a path whenever one of many streams goes
 // silent: the parts through which another stream has just had an event live. One that was
 // led elsewhere since says nothing of its new parts.
-func TestPartsThatOthersHear(t *testing.T) {
+func TestStagesConfirmedByOtherStreams(t *testing.T) {
 	now := time.Now()
-	m := NewModel("d", 1, func() time.Time { return now })
-	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8), part("b2", 4, 8)}, all(10))
-	silent, other := take(t, m, 10), take(t, m, 10)
-	ids := func(within time.Duration) string {
+	m := NewModelTargets("d", 1, func() time.Time { return now })
+	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)}, soleNode(10))
+	silent, other := choose(t, m, 10), choose(t, m, 10)
+	ids := func(window time.Duration) string {
 		text := ""
-		for _, p := range silent.Flight.Unheard(within) {
+		for _, p := range silent.Active.UnconfirmedStages(window) {
 			text += p.Replica + " "
 		}
 		return text
@@ -293,11 +293,11 @@
 		t.Fatalf("before any event: %s", got)
 	}
 	now = now.Add(time.Second)
-	silent.Flight.Heard()
+	silent.Active.RecordEvent()
 	if got := ids(time.Hour); len(got) != len("a1 b1 ") {
 		t.Errorf("its own events count: %s", got)
 	}
-	other.Flight.Heard()
+	other.Active.RecordEvent()
 	now = now.Add(20 * time.Millisecond)
 	got := ids(30 * time.Millisecond)
 	shared := other.Path[1].Replica == silent.Path[1].Replica
@@ -307,7 +307,7 @@
 	if got := ids(10 * time.Millisecond); len(got) != len("a1 b1 ") {
 		t.Errorf("what was heard long ago counts: %s", got)
 	}
-	other.Flight.Moved(other.Path)
+	other.Active.SetPath(other.Path)
 	if got := ids(time.Hour); len(got) != len("a1 b1 ") {
 		t.Errorf("what was heard along another path counts: %s", got)
 	}
@@ -316,80 +316,80 @@
 // Three nodes have lost a replica. A fourth takes their word and sends it nothing new, but
 // does not pass that on as its own view until it has tried for itself: a rumor that is
 // passed on would keep itself alive.
-func TestWordOfOthersIsNotPassedOn(t *testing.T) {
-	m := halves()
-	claims := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
-	near := []string{"n1", "n2", "n3", "n4", "n5"}
-	verdict := m.Judge("n4", near, claims)
-	if len(verdict.Believe) != 2 || len(m.Suspects()) != 1 || !m.Followed("b1") || len(m.Slow()) != 1 {
-		t.Fatalf("%+v", verdict)
-	}
-	if seen := m.Seen(); len(seen) != 0 {
+func TestPeerReportsAreNotForwarded(t *testing.T) {
+	m := twoStageModel()
+	reports := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
+	domainNodes := []string{"n1", "n2", "n3", "n4", "n5"}
+	decision := m.Evaluate("n4", domainNodes, reports)
+	if len(decision.Believe) != 2 || len(m.Suspects()) != 1 || !m.ReportedByPeers("b1") || len(m.Slow()) != 1 {
+		t.Fatalf("%+v", decision)
+	}
+	if seen := m.Observations(); len(seen) != 0 {
 		t.Errorf("passed on: %+v", seen)
 	}
-	if target := take(t, m, 10); target.Replica != "a2" {
+	if target := choose(t, m, 10); target.Replica != "a2" {
 		t.Errorf("sent to %s", target.Replica)
 	}
-	m.StillLost("a1")
-	if seen := m.Seen(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Nodes != 1 {
+	m.RecordUnreachable("a1")
+	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Nodes != 1 {
 		t.Errorf("tried in vain: %+v", seen)
 	}
-	m.Alive("a1")
-	if seen := m.Seen(); len(seen) != 0 || len(m.Suspects()) != 0 {
+	m.MarkAlive("a1")
+	if seen := m.Observations(); len(seen) != 0 || len(m.Suspects()) != 0 {
 		t.Errorf("reached again: %+v", seen)
 	}
-	claims[0].Age = 400 * time.Millisecond
-	if m.Judge("n4", near, claims[:1]); len(m.Suspects()) != 0 {
+	reports[0].Age = 400 * time.Millisecond
+	if m.Evaluate("n4", domainNodes, reports[:1]); len(m.Suspects()) != 0 {
 		t.Error("an older word of others goes before what was seen since")
 	}
 }
 
 // Guards against a node that asks the same replica at each exchange while one other node
 // goes on claiming that it is lost.
-func TestLooksOnTheWordOfOthersAreBounded(t *testing.T) {
+func TestVerificationsPerReportAreBounded(t *testing.T) {
 	now := time.Now()
-	m := NewModel("d", 1, func() time.Time { return now })
-	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
-	looks := 0
+	m := NewModelTargets("d", 1, func() time.Time { return now })
+	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("b1", 4, 8)}, soleNode(10))
+	verifications := 0
 	for range 20 {
-		looks += len(m.Judge("n1", []string{"n1"}, []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
-		now = now.Add(lookAgain / 10)
+		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
+		now = now.Add(verifyInterval / 10)
 	}
-	if looks != 2 {
-		t.Errorf("%d looks in two seconds", looks)
+	if verifications != 2 {
+		t.Errorf("%d looks in two seconds", verifications)
 	}
 }
 
 // Guards against nodes that ask the same replicas for ever on each other's word: what one
 // node learns by looking is a reason for the next to look only if it is news.
-func TestLooksDoNotGoRound(t *testing.T) {
+func TestVerificationDoesNotTriggerAnother(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
-	nodes := []*Model{NewModel("d", 1, clock), NewModel("d", 2, clock)}
+	nodes := []*ModelTargets{NewModelTargets("d", 1, clock), NewModelTargets("d", 2, clock)}
 	names := []string{"n1", "n2"}
 	for _, m := range nodes {
-		m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
+		m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("b1", 4, 8)}, soleNode(10))
 	}
-	nodes[0].SetPace("a1", 1)
-	looks := 0
+	nodes[0].SetSlowdown("a1", 1)
+	verifications := 0
 	for range 40 {
 		for i, m := range nodes {
-			for _, c := range m.Judge(names[i], names, nodes[1-i].Seen()).Look {
-				looks++
-				m.SetPace(c.Replica, 1)
+			for _, c := range m.Evaluate(names[i], names, nodes[1-i].Observations()).Look {
+				verifications++
+				m.SetSlowdown(c.Replica, 1)
 			}
 		}
 		now = now.Add(300 * time.Millisecond)
 	}
-	if looks > 0 {
-		t.Errorf("%d looks at a replica that never was slow", looks)
+	if verifications > 0 {
+		t.Errorf("%d looks at a replica that never was slow", verifications)
 	}
-	nodes[0].SetPace("a1", 5)
-	if look := nodes[1].Judge("n2", names, nodes[0].Seen()).Look; len(look) != 1 {
-		t.Errorf("a slow one is not looked at: %+v", look)
+	nodes[0].SetSlowdown("a1", 5)
+	if verify := nodes[1].Evaluate("n2", names, nodes[0].Observations()).Look; len(verify) != 1 {
+		t.Errorf("a slow one is not looked at: %+v", verify)
 	}
-	nodes[0].SetPace("a1", 1)
-	if seen := nodes[0].Seen(); len(seen) != 1 || seen[0].Pace != 1 {
+	nodes[0].SetSlowdown("a1", 1)
+	if seen := nodes[0].Observations(); len(seen) != 1 || seen[0].Pace != 1 {
 		t.Errorf("that it is well again is not told: %+v", seen)
 	}
 }
@@ -397,42 +397,42 @@
 // A replica that leaves refuses connections and goes on with what it has. Other nodes say
 // that it is lost; the requests that run through it here stay where they are, unless its
 // machine does not answer either.
-func TestDoubtLeavesRequestsInPeace(t *testing.T) {
-	m := halves()
-	target := take(t, m, 10)
-	target.Flight.Watch(func(string) {}, func(string) {})
+func TestReportedLossKeepsActiveRequests(t *testing.T) {
+	m := twoStageModel()
+	target := choose(t, m, 10)
+	target.Active.SetCallbacks(func(string) {}, func(string) {})
 	first := target.Path[0].Replica
-	if fresh, told := m.doubt(first, false); !fresh || len(told) != 0 {
-		t.Errorf("news %v, %d requests are told", fresh, len(told))
+	if changed, callbacks := m.suspectOnReport(first, false); !changed || len(callbacks) != 0 {
+		t.Errorf("news %v, %d requests are told", changed, len(callbacks))
 	}
-	if next := take(t, m, 10); next.Path[0].Replica == first {
+	if next := choose(t, m, 10); next.Path[0].Replica == first {
 		t.Error("a new request was sent there")
 	}
-	m.Alive(first)
-	if fresh, told := m.doubt(first, true); !fresh || len(told) != 1 {
-		t.Errorf("its machine is silent: news %v, %d requests are told", fresh, len(told))
+	m.MarkAlive(first)
+	if changed, callbacks := m.suspectOnReport(first, true); !changed || len(callbacks) != 1 {
+		t.Errorf("its machine is silent: news %v, %d requests are told", changed, len(callbacks))
 	}
 }
 
 // Three nodes were refused by a replica that has room. A fourth sends it nothing new, and
 // tells others only what it was refused itself.
-func TestRefusalsOfOthersAreHeeded(t *testing.T) {
-	m := halves()
-	near := []string{"n1", "n2", "n3", "n4"}
-	claims := []peerreports.Claim{{Replica: "a1", TurnsAway: true, Nodes: peerreports.Enough}, {Replica: "b1", TurnsAway: true, Nodes: 1}}
-	verdict := m.Judge("n4", near, claims)
-	if len(verdict.Believe) != 1 || len(verdict.Look) != 0 || len(m.Suspects()) != 0 {
-		t.Fatalf("%+v", verdict)
-	}
-	target := take(t, m, 10)
+func TestReportedRefusalsBackOff(t *testing.T) {
+	m := twoStageModel()
+	domainNodes := []string{"n1", "n2", "n3", "n4"}
+	reports := []peerreports.Claim{{Replica: "a1", TurnsAway: true, Nodes: peerreports.Enough}, {Replica: "b1", TurnsAway: true, Nodes: 1}}
+	decision := m.Evaluate("n4", domainNodes, reports)
+	if len(decision.Believe) != 1 || len(decision.Look) != 0 || len(m.Suspects()) != 0 {
+		t.Fatalf("%+v", decision)
+	}
+	target := choose(t, m, 10)
 	if target.Replica != "a2" {
 		t.Errorf("sent to %s", target.Replica)
 	}
-	if seen := m.Seen(); len(seen) != 0 {
+	if seen := m.Observations(); len(seen) != 0 {
 		t.Errorf("passed on: %+v", seen)
 	}
-	m.Ended(target, Result{Fault: "a2", NoRoom: true})
-	if seen := m.Seen(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].TurnsAway {
+	m.Finish(target, Result{FaultAddress: "a2", NoCapacity: true})
+	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].TurnsAway {
 		t.Errorf("what this node was refused: %+v", seen)
 	}
 }
