--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -14,62 +14,64 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// deadlineMargin is taken off the time that is passed on, so that the endpoint's own
-// timeout comes before this node's.
+// deadlineMargin is subtracted from the time that is passed on to the endpoint, so that the
+// endpoint's own timeout comes before this node's.
 const deadlineMargin = 5 * time.Millisecond
 
-// resultKind says what a try came to.
+// resultKind classifies how an attempt ended.
 type resultKind uint8
 
 const (
-	// resultComplete has a whole answer, which the caller has if it was passed on as it came.
+	// resultComplete is a complete answer. The caller already has it if it was streamed.
 	resultComplete resultKind = iota
-	// resultNotSent and endNotRun provably did not run.
+	// resultNotSent and resultNotRun provably did not run.
 	resultNotSent
 	resultNotRun
-	// resultFailed is the endpoint's own failure, which ran.
+	// resultFailed is the endpoint's own failure; the request ran.
 	resultFailed
 	// resultUnknown may have run.
 	resultUnknown
-	// resultCallerGone and endDeadline were ended from this side.
+	// resultCallerGone and resultDeadline were ended by this node.
 	resultCallerGone
 	resultDeadline
 )
 
-// attemptResult is the end of one try.
+// attemptResult describes how one attempt ended.
 type attemptResult struct {
-	kind     resultKind
-	detail   string // for the log
+	kind   resultKind
+	detail string // for the log
+	// feedback is reported to the targets.
 	feedback targets.Result
-	// answer is a whole answer, or the endpoint's own failure, to be passed on if
-	// nothing better comes.
+	// answer is a complete answer, or the endpoint's own failure, which is passed on if no
+	// later attempt succeeds.
 	answer *Answer
-	// next is where the request goes on, if that is booked and paid for.
+	// next is where the request migrates to. Its capacity is reserved and the retry budget is
+	// charged.
 	next *targets.Target
 }
 
-// notRun says whether the try provably did not run.
+// notRun reports whether the attempt provably did not run.
 func (res attemptResult) notRun() bool { return res.kind == resultNotSent || res.kind == resultNotRun }
 
-// attempt is one try of a request.
+// attempt is one attempt to serve a request.
 type attempt struct {
-	request   *requestState
+	req       *requestState
 	target    targets.Target
 	startedAt time.Time
-	// resumeAfter is the event to go on resumeAfter, for a stream.
+	// resumeAfter is the last event that the caller has, for a stream that is resumed.
 	resumeAfter string
 	head        headers.Answer
 }
 
-// send sends the request to the attempt's target and checks the answer's head.
+// send sends the request to the attempt's target and decodes the head of the answer.
 func (a *attempt) send(ctx context.Context, headTimeout time.Duration) (*upstream.Exchange, *attemptResult) {
-	req := a.request
+	req := a.req
 	remaining := req.Deadline.Sub(req.server.Now())
 	if remaining <= deadlineMargin {
-		return nil, &attemptResult{kind: resultDeadline, detail: "no time left"}
+		return nil, &attemptResult{kind: resultDeadline, detail: "deadline too near to send the request"}
 	}
 	if req.Freshness != nil && !req.Freshness.Fresh() {
-		return nil, &attemptResult{kind: resultNotSent, detail: "the configuration is not proved any more"}
+		return nil, &attemptResult{kind: resultNotSent, detail: "the configuration is not proved recent any more"}
 	}
 	exchange, err := req.server.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
@@ -77,8 +79,8 @@
 		Header: req.server.Headers.Forward(req.Header, headers.Sending{
 			Replica: a.target.Replica, Team: req.Team, Left: remaining - deadlineMargin, After: a.resumeAfter, Path: a.target.Path,
 		}),
-		// A request that may not repeat gets a connection of its own: if it ends
-		// before an answer, no earlier request can be what ended it.
+		// A non-idempotent request gets a new connection. If that closes before an
+		// answer, an earlier request can't be the cause.
 		NewConn:     !req.Route.Idempotent(),
 		MaxConns:    a.target.MaxConns,
 		Matches:     a.matchesRequest,
@@ -92,14 +94,14 @@
 	return exchange, nil
 }
 
-// matchesRequest says whether an answer's head is this request's. Refusals of requests
-// that could not be read bear no id.
+// matchesRequest reports whether the head of an answer belongs to this request. An endpoint
+// that could not parse the request refuses it without an id.
 func (a *attempt) matchesRequest(h http.Header) bool {
-	id := a.request.server.Headers.Answer(http.StatusOK, h).ID
-	return id == "" || id == a.request.Call.ID
+	id := a.req.server.Headers.Answer(http.StatusOK, h).ID
+	return id == "" || id == a.req.Call.ID
 }
 
-// resultOfError judges a try without an answer.
+// resultOfError classifies an attempt that got no answer.
 func (a *attempt) resultOfError(err error) attemptResult {
 	if kind, ok := a.endedLocally(); ok {
 		return attemptResult{kind: kind, detail: err.Error(), feedback: targets.Result{Failure: a.endpointFailure(kind)}}
@@ -122,25 +124,25 @@
 	return res
 }
 
-// endpointFailure says what an attempt that was ended from this side tells of its endpoint:
-// nothing, unless it had most of the time there was and let it pass. An endpoint that
-// hangs shows in no other way.
+// endpointFailure is the failure to report of the endpoint when this node ended the attempt. It
+// is Canceled, which says nothing about the endpoint, unless the endpoint had most of the
+// request's time: an endpoint that hangs shows in no other way.
 func (a *attempt) endpointFailure(kind resultKind) health.Failure {
-	total := a.request.Deadline.Sub(a.request.Arrived)
-	if kind == resultDeadline && a.request.server.Now().Sub(a.startedAt) >= total/hangDivisor {
+	total := a.req.Deadline.Sub(a.req.Arrived)
+	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangDivisor {
 		return health.Timeout
 	}
 	return health.Canceled
 }
 
-// hangDivisor: an endpoint that lets half of a request's whole time pass has hung; less may
-// be a caller who came with little time left.
+// hangDivisor: an endpoint that uses up half of the request's total time counts as hung. Less
+// may be due to a caller with a short deadline.
 const hangDivisor = 2
 
-// endedLocally says whether the request was endedLocally from this side, by its caller or by its
-// deadline.
+// endedLocally reports whether this node ended the request: the caller left or the deadline is
+// reached.
 func (a *attempt) endedLocally() (resultKind, bool) {
-	req := a.request
+	req := a.req
 	switch {
 	case req.callerCtx.Err() != nil:
 		return resultCallerGone, true
@@ -150,13 +152,13 @@
 	return 0, false
 }
 
-// suspectAfter tells a refusal for want of room, which comes at once, from one because a
-// part of the path did not answer, which comes after the engine's own timeout.
+// suspectAfter separates two kinds of refusals. One for lack of capacity comes at once. One
+// because a stage of the path did not answer comes after the engine's own timeout.
 const suspectAfter = time.Second
 
-// refusedResult judges an answer that says that the request did not run.
+// refusedResult classifies an answer that says that the request did not run.
 func (a *attempt) refusedResult(status int) attemptResult {
-	slow := a.request.server.Now().Sub(a.startedAt) > suspectAfter
+	slow := a.req.server.Now().Sub(a.startedAt) > suspectAfter
 	return attemptResult{
 		kind:   resultNotRun,
 		detail: fmt.Sprintf("%d from %s, at fault: %q", status, a.target.Address, a.head.Fault),
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -11,9 +11,9 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// An order whose fate is not known is sent nowhere else, however many replicas its
-// route allows; one that provably did not run is. What may repeat is sent again either
-// way, up to the route's number of replicas.
+// A non-idempotent request that may have run is not retried, however many replicas its route
+// allows; one that provably did not run is. An idempotent request is retried either way, up to
+// the route's number of replicas.
 func TestOnlySafeRetriesAreMade(t *testing.T) {
 	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.Broken}}
 	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
@@ -32,7 +32,7 @@
 		{"order, not sent", ruleset.Once, 0, unsent, true},
 		{"read, unknown", ruleset.Repeatable, 1, broken, true},
 		{"read, failed", ruleset.Repeatable, 2, failed, true},
-		{"read, at as many as allowed", ruleset.Repeatable, 3, failed, false},
+		{"read, replica limit reached", ruleset.Repeatable, 3, failed, false},
 	} {
 		now := time.Now()
 		req := &requestState{
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -17,36 +17,36 @@
 )
 
 const (
-	// DefaultMaxBufferedBytes is the longest answer that is held back until it is known to be
-	// whole. Longer ones are passed on as they come, and cut if they end early.
+	// DefaultMaxBufferedBytes bounds the answers that are buffered until they are complete.
+	// Longer answers are passed on as they arrive, and aborted if they end early.
 	DefaultMaxBufferedBytes = 1 << 20
-	// headTimeoutFactor times the objective is how long an endpoint may leave a
-	// repeatable request unanswered before another one is asked. Below it the tail
-	// of usual work would be asked for twice.
+	// headTimeoutFactor times the objective is how long an endpoint may leave an idempotent
+	// request unanswered before another endpoint is asked. A lower factor would retry slow but
+	// usual requests too.
 	headTimeoutFactor = 3
 	headerLength      = "Content-Length"
 )
 
-// Answer is an endpoint's answer, read to its end.
+// Answer is an endpoint's complete answer.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// write passes the answer on as it is.
+// write writes a complete answer to the caller.
 func (req *requestState) write(a *Answer) {
 	length := len(a.Body)
 	if n, err := strconv.Atoi(a.Header.Get(headerLength)); err == nil && req.Method == http.MethodHead {
-		length = n // of the body that was not asked for
+		length = n // HEAD: the length of the body that is not sent
 	}
 	req.writeHead(a.Status, a.Header, length)
-	// The caller may have gone; there is nobody left to tell.
+	// A write fails only if the caller has left, so the error is ignored.
 	_, _ = req.w.Write(a.Body)
 	req.recordFinish(map[string]float64{"status": float64(a.Status)})
 }
 
-// writeHead begins the caller's answer; a negative length is not told.
+// writeHead writes the status and headers; a negative length is omitted.
 func (req *requestState) writeHead(status int, header http.Header, length int) {
 	h := req.w.Header()
 	for name, values := range req.server.Headers.Return(header) {
@@ -60,13 +60,13 @@
 	req.w.WriteHeader(status)
 }
 
-// runBuffered makes an attempt whose answer is passed on only once it is runBuffered.
+// runBuffered makes an attempt whose answer is passed on only once it is complete.
 func (a *attempt) runBuffered() attemptResult {
-	headTimeout := a.request.Deadline.Sub(a.request.server.Now())
-	if a.request.Route.Idempotent() && a.request.Route.MaxReplicas > 1 {
-		headTimeout = headTimeoutFactor * a.request.Route.Objective
+	headTimeout := a.req.Deadline.Sub(a.req.server.Now())
+	if a.req.Route.Idempotent() && a.req.Route.MaxReplicas > 1 {
+		headTimeout = headTimeoutFactor * a.req.Route.Objective
 	}
-	exchange, failed := a.send(a.request.ctx, headTimeout)
+	exchange, failed := a.send(a.req.ctx, headTimeout)
 	if failed != nil {
 		return *failed
 	}
@@ -74,14 +74,14 @@
 	return a.readBuffered(exchange)
 }
 
-// readBuffered reads an answer whose head has come.
+// readBuffered reads the body of an answer.
 func (a *attempt) readBuffered(e *upstream.Exchange) attemptResult {
 	if a.head.NotRun || a.head.Misdirected {
 		a.discardBody(e)
 		return a.refusedResult(e.StatusCode)
 	}
 	body, err := a.readAll(e)
-	if errors.Is(err, upstream.ErrTooLong) && a.request.w != nil {
+	if errors.Is(err, upstream.ErrTooLong) && a.req.w != nil {
 		return a.forwardUnbuffered(e, body)
 	}
 	if err != nil {
@@ -96,37 +96,37 @@
 		}
 	case answer.Status >= http.StatusInternalServerError:
 		return attemptResult{
-			kind: resultFailed, detail: fmt.Sprintf("the endpoint's own %d", answer.Status),
+			kind: resultFailed, detail: fmt.Sprintf("the endpoint's own status %d", answer.Status),
 			answer: answer, feedback: targets.Result{Failure: health.Internal},
 		}
 	}
 	return attemptResult{kind: resultComplete, answer: answer, feedback: targets.Result{Complete: true}}
 }
 
-// invalidReason says what keeps a success from being one: it must be the endpoint's own, to
-// this request, and as it was made.
+// invalidReason says why a successful answer must not be passed on, "" if it may. It must come
+// from the endpoint itself, answer this request and be unmodified.
 func (a *attempt) invalidReason() string {
-	if a.request.Call.Echoed && a.head.ID != a.request.Call.ID {
-		return "a success without the request's id"
+	if a.req.Call.Echoed && a.head.ID != a.req.Call.ID {
+		return "the answer does not carry the request's id"
 	}
 	return a.head.Unsound
 }
 
-// discardBody reads the rest of a refusal so that its connection can be kept.
+// discardBody reads the rest of a refusal so that its connection can be reused.
 func (a *attempt) discardBody(e *upstream.Exchange) {
 	if _, err := a.readAll(e); err == nil {
 		e.KeepAlive(a.head.KeepFor)
 	}
 }
 
-// readAll reads the body to its end, or up to what is held back.
+// readAll reads the body to its end, or up to the buffer limit.
 func (a *attempt) readAll(e *upstream.Exchange) ([]byte, error) {
-	return e.ReadAll(cmp.Or(a.request.server.MaxBufferedBytes, DefaultMaxBufferedBytes), a.request.Deadline.Sub(a.request.server.Now()))
+	return e.ReadAll(cmp.Or(a.req.server.MaxBufferedBytes, DefaultMaxBufferedBytes), a.req.Deadline.Sub(a.req.server.Now()))
 }
 
-// forwardUnbuffered gives a long answer to the caller as it comes.
+// forwardUnbuffered passes a long answer to the caller as it arrives.
 func (a *attempt) forwardUnbuffered(e *upstream.Exchange, first []byte) attemptResult {
-	req := a.request
+	req := a.req
 	if bad := a.invalidReason(); bad != "" && e.StatusCode < http.StatusMultipleChoices {
 		return attemptResult{kind: resultUnknown, detail: bad, feedback: targets.Result{Failure: health.Internal}}
 	}
@@ -152,7 +152,7 @@
 	}
 }
 
-// recordFinish records the end of a request that was answered.
+// recordFinish records that a request was answered.
 func (req *requestState) recordFinish(figures map[string]float64) {
 	req.server.Metrics.Request(req.Service, req.Team, string(outcome.Done))
 	figures["sends"] = float64(req.attempts)
@@ -167,7 +167,7 @@
 	})
 }
 
-// addLateness adds what an answer was late by, and what it waited for.
+// addLateness adds the objective that the answer missed and the times that it waited.
 func (req *requestState) addLateness(figures map[string]float64) {
 	figures["late"] = 1
 	figures["objective_ms"] = millis(req.Route.Objective)
@@ -181,7 +181,7 @@
 	}
 }
 
-// late says whether the answer missed its route's objectives.
+// late reports whether the answer missed its route's objectives.
 func (req *requestState) late() bool {
 	if req.Route.Kind == ruleset.Stream {
 		return req.firstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
@@ -189,8 +189,8 @@
 	return req.server.Now().Sub(req.Arrived) > req.Route.Objective
 }
 
-// abort ends an answer that has begun and can't be completed. The connection ends
-// without the mark of a whole answer.
+// abort ends an answer that has begun and can't be completed. The connection is closed so that
+// the caller sees an incomplete answer.
 func (req *requestState) abort(reason string) {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "answer cut: " + reason,
--- a/route/relay/doc.go
+++ b/route/relay/doc.go
@@ -1,21 +1,21 @@
-// Package relay is the data path of one request that its door has let in: an endpoint or
-// a path is chosen, the request is sent, the answer is checked against it and passed on.
-// Both doors use it: the users' platform's (route/ingress) with streams and plain services,
-// the product's own (route/plainservice) with plain services.
+// Package relay is the data path of an admitted request: it chooses an endpoint or a path of
+// replicas, sends the request, checks the answer and passes it on. Two listeners use it: the
+// one for the platform's callers (route/ingress), with streams and plain services, and the
+// product's own (route/plainservice), with plain services only.
 //
-//	door (Visit) -> choice (targets) -> send (upstream) -> check (verdict)
-//	    -> answer (Serve passes it on, Do hands it back)
+//	listener (Request) -> choice (targets) -> send (upstream) -> check (attemptResult)
+//	    -> answer (Serve passes it on, Do returns it)
 //
-// # What must hold
+// # Guarantees
 //
-//   - A request that must not run twice is sent again only if the last try provably
-//     did not run: it was not sent, or the endpoint says so.
-//   - "Not run" (429, 503) is answered only where that is known of every try.
-//   - An answer reaches its caller only if it bears the request's id, the endpoint's
-//     proof and its whole length; a stream that ends early is cut, not closed.
-//   - Of a stream only whole events are passed on, so that another replica can go on
-//     after the last one.
+//   - A request that must not run twice is retried only if the last attempt provably did
+//     not run: it was not sent, or the endpoint says that it did not run.
+//   - "Not run" (429, 503) is answered only if it is known of every attempt.
+//   - An answer reaches its caller only if it carries the request's id, passes the
+//     endpoint's own integrity checks and is complete. A stream that ends early is aborted,
+//     not closed.
+//   - Only complete events of a stream are passed on, so that another replica can resume
+//     the stream after the last one.
 //
-// Which header carries what is the dialect's to know; which endpoint is to be used,
-// that of targets.
+// Package headers knows which header carries what; package targets chooses the endpoint.
 package relay
--- a/route/relay/events.go
+++ b/route/relay/events.go
@@ -7,21 +7,20 @@
 // maxEventBytes bounds one event of a stream.
 const maxEventBytes = 1 << 20
 
-// eventSplitter cuts a stream of events into whole ones. An event ends with an empty
-// line.
+// eventSplitter splits the bytes of a stream into complete events. An empty line ends an event.
 type eventSplitter struct {
 	buffer []byte
-	// consumed is how much of the buffer was given out.
+	// consumed is the length of the buffer's prefix that next has returned.
 	consumed int
 }
 
-// event is one whole event as it came, with its id; id is empty if it has none. Both are
-// valid until the next add.
+// event is one complete event as received, with its id, which is empty if there is none. Both
+// are valid until the next call of add.
 type event struct {
 	data, id []byte
 }
 
-// add takes more bytes of the stream.
+// add appends received bytes.
 func (s *eventSplitter) add(p []byte) {
 	if s.consumed > 0 {
 		s.buffer = s.buffer[:copy(s.buffer, s.pending())]
@@ -30,7 +29,7 @@
 	s.buffer = append(s.buffer, p...)
 }
 
-// next returns the next whole event.
+// next returns the next complete event.
 func (s *eventSplitter) next() (event, bool) {
 	length := eventLength(s.pending())
 	if length == 0 {
@@ -43,10 +42,11 @@
 
 func (s *eventSplitter) pending() []byte { return s.buffer[s.consumed:] }
 
-// incompleteBytes is what has come of an event that is not whole.
+// incompleteBytes is the length of the incomplete event at the end of the buffer, without white
+// space around it.
 func (s *eventSplitter) incompleteBytes() int { return len(bytes.TrimSpace(s.pending())) }
 
-// eventLength is the length of the first whole event, 0 if there is none yet.
+// eventLength is the length of the first complete event, 0 if there is none yet.
 func eventLength(p []byte) int {
 	for offset := 0; ; {
 		end := bytes.IndexByte(p[offset:], '\n')
@@ -77,31 +77,31 @@
 	return nil
 }
 
-// eventPosition is where a stream is: the id of its last event.
+// eventPosition is the position in a stream: the id of the last event.
 type eventPosition struct {
 	id []byte
-	// number is the id's, if it is one.
+	// number is the id as a number, if isNumber is set.
 	number   int64
 	isNumber bool
 }
 
-// String is the id as engines are told it.
+// String returns the id as it is sent to engines.
 func (p *eventPosition) String() string { return string(p.id) }
 
-// set takes the id of an event that was passed on.
+// set records the id of an event that was passed on.
 func (p *eventPosition) set(id []byte) {
 	p.id = append(p.id[:0], id...)
 	p.number, p.isNumber = parseNumber(id)
 }
 
-// precedes says whether an event comes after the place. One without an id, or with one that
-// is no number, always does.
+// precedes reports whether the event with this id comes after the position. An event without an
+// id, or with one that is not a number, always does.
 func (p *eventPosition) precedes(id []byte) bool {
 	number, isNumber := parseNumber(id)
 	return !p.isNumber || !isNumber || number > p.number
 }
 
-// parseNumber reads an id that is a whole number; it allocates nothing.
+// parseNumber parses an id that is a whole number. It allocates nothing.
 func parseNumber(id []byte) (int64, bool) {
 	if len(id) == 0 || len(id) > maxDigits {
 		return 0, false
@@ -116,5 +116,5 @@
 	return number, true
 }
 
-// maxDigits is as many as fit into an int64 whatever they are.
+// maxDigits is the number of decimal digits that always fit into an int64.
 const maxDigits = 18
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// discardWriter takes an answer and keeps nothing of it.
+// discardWriter discards the answer.
 type discardWriter struct{ header http.Header }
 
 func (s discardWriter) Header() http.Header              { return s.header }
@@ -20,19 +20,19 @@
 func (s discardWriter) Flush()                           {}
 func (s discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
-// BenchmarkPassEvent measures what the node itself does for an event of a stream: it is cut
-// from the bytes that come, checked against the one before and passed on.
+// BenchmarkPassEvent measures the node's own work for one event of a stream: it splits the
+// event from the received bytes, compares it with the last one and passes it on.
 func BenchmarkPassEvent(b *testing.B) {
 	req := &requestState{
 		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
 		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, started: true,
 	}
-	a := &attempt{request: req, startedAt: time.Now()}
+	a := &attempt{req: req, startedAt: time.Now()}
 	monitor := &pathMonitor{attempt: a, ctx: context.Background()}
 	var split eventSplitter
 	events := make([][]byte, 1000)
 	for i := range events {
-		events[i] = fmt.Appendf(nil, "id: %d\ndata: a token of some eighty bytes, as the users' engines send it with all they say of it\n\n", i+1)
+		events[i] = fmt.Appendf(nil, "id: %d\ndata: a token of some eighty bytes, the usual size of an event with all of its fields\n\n", i+1)
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -45,9 +45,9 @@
 		}
 	}
 	if req.events == 0 {
-		b.Fatal("nothing was passed on")
+		b.Fatal("no event was passed on")
 	}
 }
 
-// resetPosition lets a stream begin anew.
+// resetPosition makes the stream begin again.
 func (req *requestState) resetPosition() { req.lastEvent = eventPosition{} }
--- a/route/relay/events_test.go
+++ b/route/relay/events_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A caller gets whole events only, however the stream's bytes arrive, and nothing of
-// one that does not end.
+// The splitter returns only complete events, however the bytes of the stream are divided into
+// reads, and nothing of an event that does not end.
 func TestSplitterGivesWholeEvents(t *testing.T) {
 	stream := "id: 1\ndata: a\n\nweight-versions: 2\nid: 2\ndata: b\r\n\r\n: comment\n\nid: 3\nda"
 	want := []string{"1", "2", ""}
@@ -34,7 +34,7 @@
 	}
 }
 
-// No bytes of a replica are lost, invented or reordered by the cutting.
+// The splitter loses, invents and reorders no bytes.
 func FuzzSplitter(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: x\n\n\n\nid:2\r\n\r\n"), 3)
 	f.Fuzz(func(t *testing.T, stream []byte, size int) {
@@ -57,8 +57,8 @@
 	})
 }
 
-// A replica that goes on with an answer may begin with the event that it was told, or
-// one before: the caller has those.
+// A replica that resumes a stream may begin with the event that it was sent as the last one, or
+// one before. The caller already has those events.
 func TestRepeatedEventsAreDropped(t *testing.T) {
 	var at eventPosition
 	at.set([]byte("9"))
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -11,7 +11,7 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// finalAnswer is the final answer after a try that is not repeated.
+// finalAnswer returns the final answer after an attempt that is not retried.
 func (req *requestState) finalAnswer(res attemptResult) (*Answer, *outcome.Refusal) {
 	switch {
 	case res.kind == resultCallerGone:
@@ -27,13 +27,13 @@
 	case res.feedback.Failure == health.Overloaded:
 		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
 	case res.feedback.NoCapacity:
-		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "an endpoint had no room, and no further try is left: "+res.detail, retryAfterNoCapacity)
+		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "the endpoint had no capacity and no retry is left: "+res.detail, retryAfterNoCapacity)
 	}
-	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint took the request: "+res.detail, retryAfterNoCapacity)
+	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint accepted the request: "+res.detail, retryAfterNoCapacity)
 }
 
-// callerGone ends a request whose caller has left. The answer reaches nobody but a
-// door that keeps it.
+// callerGone ends a request whose caller has left. Only a listener that stores answers uses the
+// refusal.
 func (req *requestState) callerGone() *outcome.Refusal {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
@@ -49,7 +49,7 @@
 	return r
 }
 
-// silentFor is how long the caller has been without anything new.
+// silentFor is the time since the caller last received anything.
 func (req *requestState) silentFor() time.Duration {
 	if req.lastEventAt.IsZero() {
 		return req.server.Now().Sub(req.Arrived)
@@ -57,18 +57,18 @@
 	return req.server.Now().Sub(req.lastEventAt)
 }
 
-// expired is the answer to a request whose time is up.
+// expired returns the answer to a request whose deadline is reached.
 func (req *requestState) expired() *outcome.Refusal {
 	if req.started {
 		req.abort(ReasonTimeout)
 	}
 	if len(req.mayHaveRun) == 0 && req.attempts == 0 {
-		return NotRun(http.StatusServiceUnavailable, ReasonTimeout, "no endpoint had room in time", retryAfterNoCapacity)
+		return NotRun(http.StatusServiceUnavailable, ReasonTimeout, "no endpoint had capacity before the deadline", retryAfterNoCapacity)
 	}
-	return outcomeUnknown(http.StatusGatewayTimeout, ReasonTimeout, "no answer in time")
+	return outcomeUnknown(http.StatusGatewayTimeout, ReasonTimeout, "no answer before the deadline")
 }
 
-// answerWithoutTarget is the answer to a request for which there is no target.
+// answerWithoutTarget returns the final answer if no target is available.
 func (req *requestState) answerWithoutTarget(err error) (*Answer, *outcome.Refusal) {
 	switch {
 	case req.callerCtx.Err() != nil:
@@ -80,13 +80,13 @@
 	case len(req.mayHaveRun) > 0:
 		return nil, noAnswer(req.lastResult)
 	case errors.Is(err, targets.ErrNoCapacity):
-		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "all endpoints are full", retryAfterNoCapacity)
+		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "no endpoint has capacity", retryAfterNoCapacity)
 	case errors.Is(err, targets.ErrNoEndpoint):
-		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint may be used now", retryAfterNoCapacity)
+		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint is available", retryAfterNoCapacity)
 	}
 	return nil, req.expired()
 }
 
 func noAnswer(res attemptResult) *outcome.Refusal {
-	return outcomeUnknown(http.StatusBadGateway, ReasonUnknown, "the endpoint that was given the request did not answer it: "+res.detail)
+	return outcomeUnknown(http.StatusBadGateway, ReasonUnknown, "the endpoint received the request and did not answer it: "+res.detail)
 }
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -15,48 +15,51 @@
 )
 
 const (
-	// firstCheckDivisor: a path is looked at when half of the time has passed in which the first
-	// event is on time.
+	// firstCheckDivisor: the path is first checked when half of the time objective for the
+	// first event has passed.
 	firstCheckDivisor = 2
-	// defaultMaxPause is the pause that is on time where the route does not say.
+	// defaultMaxPause is the longest on-time pause for routes that set none.
 	defaultMaxPause = 200 * time.Millisecond
-	// aliveWindow is how long a part counts as living through which another request has had an
-	// event: about the time of one event, less than the shortest silence that is looked at.
+	// aliveWindow is how long a stage counts as alive after another request through it had an
+	// event: about the interval between events, and less than the shortest silence that starts
+	// a check.
 	aliveWindow = 30 * time.Millisecond
-	// recheckInterval is between two looks at a path that stays silent.
+	// recheckInterval is the time between two checks of a path that stays silent.
 	recheckInterval = 400 * time.Millisecond
 )
 
-// pathMonitor looks after the path of one attempt: when it has gone silent, or one of its
-// replicas is found lost by another request, the request is led around.
+// pathMonitor watches the path of one attempt. It reroutes the request if the path goes silent
+// and a replica is lost, or if another request finds one of its replicas lost.
 type pathMonitor struct {
 	attempt *attempt
 	ctx     context.Context
 	cancel  context.CancelFunc
 	timer   *time.Timer
-	// lastEventAt is when events lastEventAt came, counted from the attempt's beginning; pace how they
-	// usually do, and patience the silence after which the path is looked at.
+	// lastEventAt is the time of the last events, since the beginning of the attempt. detector
+	// learns the usual gap between events; after stallTimeout without events the path is
+	// checked.
 	lastEventAt  atomic.Int64
 	detector     stall.Pace
 	stallTimeout atomic.Int64
-	// checkedSilence is the silence of the last look that found nothing, until the next event.
+	// checkedSilence is how long the stream had been silent at the last check that found
+	// nothing. The next event resets it.
 	checkedSilence atomic.Int64
 
-	// filter are the replicas that may go on with the request in place of the first:
-	// mayReplace if that is lost, mayMove also if it is only slower.
+	// filter selects the replicas that may replace the first one: mayReplace if that is lost,
+	// mayMigrate also if a bypass would only be slower.
 	filter                 targets.MigrationFilter
 	mayReplace, mayMigrate bool
 
 	mu      sync.Mutex
 	stopped bool
-	// rerouting is set while the request is led, draining while that is away from a part that
-	// leaves; lost is why it must go on at once all the same.
+	// rerouting is set while the request is being rerouted, draining if that is because of a
+	// draining stage. pendingLoss is the reason of a loss that occurred meanwhile.
 	rerouting, draining bool
 	pendingLoss         string
-	// wake ends a pause between two tries to lead it.
+	// wake ends the wait between two tries to reroute.
 	wake chan struct{}
-	// migrateTo, if set, is booked for the try after this one, which was ended from here;
-	// why says for what reason.
+	// migrateTo, if set, is reserved for the next attempt after this one was canceled for a
+	// migration; migrateReason is the reason.
 	migrateTo     *targets.Target
 	migrateReason string
 }
@@ -66,19 +69,19 @@
 	if a.target.Active == nil {
 		return m
 	}
-	m.setMigrationFilter(a.request)
-	m.timer = time.AfterFunc(a.request.Route.Objective/firstCheckDivisor, m.checkPath)
+	m.setMigrationFilter(a.req)
+	m.timer = time.AfterFunc(a.req.Route.Objective/firstCheckDivisor, m.checkPath)
 	a.target.Active.SetCallbacks(
 		func(replica string) { m.reroute("a part of the path is lost: "+replica, false) },
-		func(replica string) { m.reroute("a part of the path leaves: "+replica, true) },
+		func(replica string) { m.reroute("a part of the path is draining: "+replica, true) },
 	)
 	return m
 }
 
-// setMigrationFilter says who may go on with the request after the attempt that is about to begin.
-// A stream that can't be resumed stays where it is. One that was handed to as many
-// replicas as its route allows may go back to one of those, if its present first replica
-// is lost; speed alone is no reason then.
+// setMigrationFilter decides which replicas may continue the request after this attempt. A
+// stream that can't be resumed stays where it is. Once a stream was given to as many replicas
+// as its route allows, it may return to one of those, but only if its present first replica is
+// lost and not for speed.
 func (m *pathMonitor) setMigrationFilter(req *requestState) {
 	if !req.Route.Idempotent() {
 		return
@@ -92,9 +95,9 @@
 	m.mayReplace = len(req.mayHaveRun) > 0
 }
 
-// recordEvents notes that events have come.
+// recordEvents records that events have arrived and restarts the stall timeout.
 func (m *pathMonitor) recordEvents() {
-	now := m.attempt.request.server.Now().Sub(m.attempt.startedAt)
+	now := m.attempt.req.server.Now().Sub(m.attempt.startedAt)
 	if silence := m.checkedSilence.Swap(0); silence > 0 {
 		m.detector.Vain(time.Duration(silence))
 	}
@@ -105,19 +108,19 @@
 		return
 	}
 	m.attempt.target.Active.RecordEvent()
-	timeout := m.detector.Patience(m.attempt.request.maxPause())
+	timeout := m.detector.Patience(m.attempt.req.maxPause())
 	m.stallTimeout.Store(int64(timeout))
 	m.timer.Reset(timeout)
 }
 
-// maxPause is the longest pause between two events that is on time.
+// maxPause is the longest on-time pause between two events.
 func (req *requestState) maxPause() time.Duration {
 	return cmp.Or(req.Route.MaxPause, defaultMaxPause)
 }
 
-// silentFor is how long no event has come in this attempt.
+// silentFor is the time since the last event of this attempt.
 func (m *pathMonitor) silentFor() time.Duration {
-	return m.attempt.request.server.Now().Sub(m.attempt.startedAt) - time.Duration(m.lastEventAt.Load())
+	return m.attempt.req.server.Now().Sub(m.attempt.startedAt) - time.Duration(m.lastEventAt.Load())
 }
 
 func (m *pathMonitor) stop() {
@@ -134,7 +137,7 @@
 	}
 }
 
-// checkPath finds out which replicas of the path no longer answer.
+// checkPath probes the replicas of a silent path and suspects those that don't answer.
 func (m *pathMonitor) checkPath() {
 	if m.ctx.Err() != nil {
 		return
@@ -147,7 +150,7 @@
 		addresses[i] = stage.Address
 		replicas[stage.Address] = stage.Replica
 	}
-	lost := m.attempt.request.server.Prober.Lost(m.ctx, connprobe.Silence, addresses)
+	lost := m.attempt.req.server.Prober.Lost(m.ctx, connprobe.Silence, addresses)
 	if len(lost) == 0 {
 		m.recheckLater(path)
 		return
@@ -155,10 +158,10 @@
 	newlySuspected := false
 	for _, loss := range lost {
 		replica := replicas[loss.Address]
-		// This leads all requests that run through it around.
+		// Suspecting the replica reroutes all requests that run through it.
 		if m.attempt.target.Active.Suspect(replica, loss.Silent) {
 			newlySuspected = true
-			m.attempt.request.log.Info("replica out of reach", "service", m.attempt.request.Service, "replica", replica, "address", loss.Address, "silent", loss.Silent)
+			m.attempt.req.log.Info("replica out of reach", "service", m.attempt.req.Service, "replica", replica, "address", loss.Address, "silent", loss.Silent)
 		}
 	}
 	if !newlySuspected {
@@ -166,11 +169,12 @@
 	}
 }
 
-// recheckLater looks at a path that is silent although all of it can be reached: again when
-// it has been silent for twice as long, and once the pause is late its replicas are asked
-// for their pace, which is paid for.
+// recheckLater schedules the next check of a silent path whose replicas can all be reached:
+// when the silence has doubled or, once the pause is late, after recheckInterval. In the late
+// case the replicas are also asked for their slowdown. Asking has a cost, so it is not done
+// earlier.
 func (m *pathMonitor) recheckLater(path paths.Path) {
-	silent, maxPause := m.silentFor(), m.attempt.request.maxPause()
+	silent, maxPause := m.silentFor(), m.attempt.req.maxPause()
 	m.checkedSilence.Store(int64(silent))
 	if silent < maxPause {
 		m.timer.Reset(stall.Again(silent, maxPause))
@@ -180,14 +184,14 @@
 	m.querySlowdown(path)
 }
 
-// querySlowdown asks the parts of a path that all can be reached how fast they are.
+// querySlowdown asks the reachable replicas of a path for their slowdown.
 func (m *pathMonitor) querySlowdown(path paths.Path) {
-	req := m.attempt.request
+	req := m.attempt.req
 	for _, stage := range path {
 		go func() {
-			report, first, err := req.server.Reports.Ask(m.ctx, stage.Address, stage.Replica)
-			if err != nil || !first {
-				return // another request has learned it, or there is nothing to learn
+			report, asked, err := req.server.Reports.Ask(m.ctx, stage.Address, stage.Replica)
+			if err != nil || !asked {
+				return // another request already asked, or the replica gave no report
 			}
 			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Pace) {
 				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Pace)
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxAttempts bounds the tries of one request, those that did not run included.
+	// maxAttempts bounds the attempts of one request, including those that did not run.
 	maxAttempts = 5
-	// defaultAnswerTokens is the answer's length in tokens where the caller gave no
-	// estimate and no bound.
+	// defaultAnswerTokens is the assumed length of the answer if the caller gave neither an
+	// estimate nor a limit.
 	defaultAnswerTokens = 200
 )
 
-// run tries until there is an answer or a reason to give up. It returns neither if
-// the answer was passed on as it came.
+// run makes attempts until there is an answer or a reason to give up. It returns neither if the
+// answer was passed on as it arrived.
 func (req *requestState) run() (*Answer, *outcome.Refusal) {
 	var res attemptResult
 	for {
@@ -43,9 +43,9 @@
 	}
 }
 
-// attempt makes one attempt and tells the targets how it ended.
+// attempt makes one attempt and reports its result to the targets.
 func (req *requestState) attempt(target targets.Target) attemptResult {
-	a := &attempt{request: req, target: target, startedAt: req.server.Now()}
+	a := &attempt{req: req, target: target, startedAt: req.server.Now()}
 	req.attempts++
 	req.lastTarget = target
 	req.recordRoute(target)
@@ -67,9 +67,9 @@
 	return res
 }
 
-// probeFault finds out whether the part that a refusal names accepts connections: the
-// first replica can't tell one that has no room from one that is gone, and a node that
-// has just started has not met it yet.
+// probeFault probes the stage that a refusal names. The first replica can't tell a stage
+// without capacity from a dead one, and a node that has just started has not found out yet
+// which replicas are dead.
 func (req *requestState) probeFault(target targets.Target, address string) {
 	replica := target.ReplicaByAddress(address)
 	if replica == "" {
@@ -81,7 +81,7 @@
 	}
 }
 
-// recordRoute records where the request is sent and why.
+// recordRoute records the chosen target and the reason for the choice.
 func (req *requestState) recordRoute(target targets.Target) {
 	d := decisionlog.Weighed(target.Choice)
 	d.Kind, d.Chosen = decisionlog.Route, target.Replica
@@ -95,8 +95,8 @@
 	req.record(d)
 }
 
-// choose takes the target that is booked, or asks for one. A stream goes on at as many replicas as its route allows;
-// after that at those that it has been at.
+// choose returns the reserved target, or asks for a new one. Once the request has been given to
+// as many replicas as its route allows, only those may get it again.
 func (req *requestState) choose(reserved *targets.Target) (targets.Target, error) {
 	if reserved != nil {
 		return *reserved, nil
@@ -120,21 +120,21 @@
 	return t, err
 }
 
-// resumeTimeout is how long a stream that has begun waits for a path to go on: as
-// long as its caller does for the next event.
+// resumeTimeout is how long a stream that has begun waits for a path to continue on. Callers
+// wait as long for the next event.
 const resumeTimeout = 1500 * time.Millisecond
 
-// onTimeWait is how long a request may wait for room and its answer still be on time.
+// onTimeWait is how long a request can wait for capacity and still be answered on time.
 func (req *requestState) onTimeWait() time.Duration {
 	return req.Route.Objective * 6 / 10
 }
 
-// maxWaitFactor times its patience is how long a request waits for room at all. A late
-// answer is worth a part of one on time, a refusal nothing; callers leave a little
-// later.
+// maxWaitFactor times onTimeWait is the longest wait for capacity. A late answer has part of
+// the value of one on time, a refusal has none; callers leave a little later than this.
 const maxWaitFactor = 2
 
-// expectedTokens is the memory that the request is expected to need at its end.
+// expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
+// end.
 func (req *requestState) expectedTokens() float64 {
 	answer := req.Call.Expected
 	if answer == 0 {
@@ -149,8 +149,8 @@
 	return float64(req.Call.Prompt) + reservedAnswerShare*float64(answer)
 }
 
-// prefillTokens is what replicas read before the next event: the prompt, and of an answer that goes
-// on what the caller has of it.
+// prefillTokens is the number of tokens to prefill before the next event: the prompt and, for a
+// resumed stream, the part of the answer that the caller has.
 func (req *requestState) prefillTokens() float64 {
 	if req.started || req.Call.After != "" {
 		return req.expectedTokens()
@@ -158,12 +158,13 @@
 	return float64(req.Call.Prompt)
 }
 
-// reservedAnswerShare of an answer's length is booked: requests underway are at all points of
-// their answers and hold half of it on the mean; a little more allows for answers that
-// are longer than foreseen.
+// reservedAnswerShare of an answer's length is reserved. Requests in progress are spread over
+// all points of their answers and hold half of the length on average; the rest is a margin for
+// answers that are longer than estimated.
 const reservedAnswerShare = 0.6
 
-// decideRetry says whether to try once more.
+// decideRetry decides whether to make another attempt. It waits while the retry budget is
+// spent.
 func (req *requestState) decideRetry(res attemptResult) bool {
 	req.recordFailure(res)
 	if res.kind == resultCallerGone || res.kind == resultDeadline {
@@ -172,7 +173,7 @@
 	d := req.askBudget(res)
 	waitStart := req.server.Now()
 	for d.Reason == retry.BudgetSpent && req.server.Now().Before(req.budgetWaitUntil()) && wait.For(req.ctx, budgetPollInterval) {
-		d = req.askBudget(res) // the budget is earned again with the time
+		d = req.askBudget(res) // the budget refills over time
 	}
 	req.budgetWait += req.server.Now().Sub(waitStart)
 	req.record(decisionlog.Decision{
@@ -188,8 +189,9 @@
 	return d.Retry
 }
 
-// budgetWaitUntil is up to when the request waits for the budget: what the caller has of a
-// stream is lost if it is given up, and one that has not begun waits as for room.
+// budgetWaitUntil is how long the request may wait for the retry budget. Giving up a stream
+// that has begun loses what the caller has of it, so it waits as long as its caller does. Other
+// requests wait as long as for capacity.
 func (req *requestState) budgetWaitUntil() time.Time {
 	if req.started {
 		return req.lastEventAt.Add(resumeTimeout)
@@ -197,7 +199,7 @@
 	return req.Arrived.Add(maxWaitFactor * req.onTimeWait())
 }
 
-// budgetPollInterval is between two questions to a budget that is spent.
+// budgetPollInterval is the time between two checks of a spent retry budget.
 const budgetPollInterval = 100 * time.Millisecond
 
 func lastOf(list []string) string {
@@ -207,8 +209,8 @@
 	return list[len(list)-1]
 }
 
-// recordFailure remembers which replica failed, and which may have run the request. Where an
-// answer names the part of the path at fault, the first part did not fail.
+// recordFailure records which replica failed and which may have run the request. If the answer
+// names the faulty stage of the path, the first replica did not fail.
 func (req *requestState) recordFailure(res attemptResult) {
 	first := req.lastTarget.Replica
 	if first == "" {
@@ -226,7 +228,8 @@
 	}
 }
 
-// askBudget asks the budget. Tries that were not sent cost the endpoints nothing.
+// askBudget decides on a retry by the limits of the route and the retry budget. A retry of an
+// attempt that was not sent costs the endpoints nothing and is not charged.
 func (req *requestState) askBudget(res attemptResult) retry.Decision {
 	switch {
 	case res.next != nil:
--- a/route/relay/request_test.go
+++ b/route/relay/request_test.go
@@ -12,28 +12,28 @@
 	"github.com/cicadatack/cicadatack/route/retrybudget"
 )
 
-// reachable is what a dialer finds at every address.
+// reachable is a dialer that finds every address up, or every address down.
 type reachable bool
 
 func (r reachable) Reachable(context.Context, string, time.Duration) (accepts, answers bool) {
 	return bool(r), bool(r)
 }
 
-// A node starts while a replica is dead, and the first replica of its paths refuses for
-// that. Taken for want of room, each request of the node would spend a try on the dead
-// one until its budget is gone.
+// A node starts while a replica is dead, and the first replica of its paths refuses requests
+// because of that. If the refusal counted as lack of capacity, each request of the node would
+// spend an attempt on the dead replica until the retry budget is spent.
 func TestDeadStageNamedInRefusalIsExcluded(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		m := twoReplicaModel()
 		monitor, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 0)
 		defer cancel()
-		req, target := monitor.attempt.request, monitor.attempt.target
+		req, target := monitor.attempt.req, monitor.attempt.target
 		req.ctx, req.log = monitor.ctx, hclog.NewNullLogger()
 		req.server.Prober = connprobe.New(reachable(alive), time.Now)
 		req.probeFault(target, target.Address)
 		if left := len(m.Suspects()) == 0; left != alive {
-			t.Errorf("alive %t: %d are left out", alive, len(m.Suspects()))
+			t.Errorf("alive %t: %d replicas are excluded", alive, len(m.Suspects()))
 		}
-		req.probeFault(target, "another's address")
+		req.probeFault(target, "unknown address")
 	}
 }
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -15,24 +15,25 @@
 )
 
 const (
-	// maxRerouteTries bounds the orders for one part: with the pauses they last a little longer
-	// than an engine waits for a part that is silent, or serves on when it leaves.
+	// maxRerouteTries bounds the tries to route around one stage. With the intervals between
+	// them they last a little longer than an engine waits for a silent stage, or than a
+	// draining replica continues to serve.
 	maxRerouteTries = 20
-	// rerouteRetryInterval is between two tries to find a way around: room is given back with
-	// each stream that ends.
+	// rerouteRetryInterval is the time between two tries to route around a stage. Each stream
+	// that ends meanwhile frees capacity.
 	rerouteRetryInterval = 150 * time.Millisecond
-	// refusingDeadAfter is the silence after which a first replica that refuses connections is
-	// taken for dead. One that leaves refuses them too, and goes on with what it has, in
-	// its time: a part further on may be what holds it up. Where nothing answers at all,
-	// nothing goes on, and movedAfter is enough.
+	// refusingDeadAfter is the silence after which a first replica that refuses connections
+	// counts as dead. A draining replica refuses connections too and continues its streams, and
+	// a later stage may be what delays them. If the host does not answer at all, nothing runs
+	// there, and minSilenceBeforeMigration is enough.
 	refusingDeadAfter = 700 * time.Millisecond
 )
 
-// reroute has the request go on although a part of its path is lost or leaves. While there
-// is no way, the request stays where it is: the first replica still has it, and to end
-// the answer from here would lose what may yet go on. The attempt is ended only where
-// another first replica has been booked to go on with it. A part that is only about to
-// leave is worth a way around in the same failure domains.
+// reroute routes the request around a stage that is lost or draining. As long as no other path
+// is available the request stays where it is: the first replica still holds it, and ending the
+// attempt would lose an answer that may yet continue. The attempt is ended only once capacity
+// is reserved at another first replica. For a stage that is only draining, a bypass must not
+// add crossings between failure domains unless their links are idle.
 func (m *pathMonitor) reroute(reason string, draining bool) {
 	if !m.beginReroute(reason, draining) {
 		return
@@ -52,7 +53,7 @@
 	}
 }
 
-// waitForNextTry waits before the next try, until something is lost at the longest. It returns
+// waitForNextTry waits for rerouteRetryInterval, or until another stage is lost. It returns
 // false if the attempt has ended.
 func (m *pathMonitor) waitForNextTry() bool {
 	timer := time.NewTimer(rerouteRetryInterval)
@@ -66,7 +67,8 @@
 	return true
 }
 
-// rerouteOnce tries once to have the request go on.
+// rerouteOnce tries once to route the request around the stage. It reports whether the request
+// needs no further try.
 func (m *pathMonitor) rerouteOnce(active *targets.ActiveRequest, reason string, draining bool) bool {
 	if draining {
 		path := active.BypassDraining()
@@ -75,16 +77,16 @@
 	if m.replaceFirst(active, reason) {
 		return true
 	}
-	// One that does not answer takes no order either.
+	// A first replica whose host is unreachable can't be sent a reroute command.
 	_, hostUnreachable := active.FirstReplicaState()
 	return !hostUnreachable && m.recoverLostStage(active, reason)
 }
 
-// replaceFirst has another replica go on if the first one looks dead and one can go on
-// now. Without one the answer would be lost for certain; as it is, the replica may yet
-// go on.
+// replaceFirst migrates the request if its first replica looks dead and another one has
+// capacity now. If none has, the request stays: ending it would certainly lose the answer,
+// while the replica may yet continue.
 func (m *pathMonitor) replaceFirst(active *targets.ActiveRequest, reason string) bool {
-	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.request.Budget.Left() {
+	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.req.Budget.Left() {
 		return false
 	}
 	next, ok := active.ReserveMigration(m.filter)
@@ -98,7 +100,7 @@
 	return false
 }
 
-// firstReplicaDead says whether the first replica has gone, as far as can be told by now.
+// firstReplicaDead reports whether the first replica looks dead at this point.
 func (m *pathMonitor) firstReplicaDead(active *targets.ActiveRequest) bool {
 	suspected, hostUnreachable := active.FirstReplicaState()
 	if hostUnreachable {
@@ -107,20 +109,20 @@
 	return suspected && m.silentFor() >= refusingDeadAfter
 }
 
-// minSilenceBeforeMigration is the silence after which a request is moved away from a first replica
-// that lives, where its own pace is not known yet: above the usual pause between events,
-// so that where the part was not lost after all the request is left in peace.
+// minSilenceBeforeMigration is the silence after which a request is migrated away from a first
+// replica that is alive, if the stream's usual gap between events is not known yet. It is above
+// the usual gap, so that a request whose stage was not lost after all stays in place.
 const minSilenceBeforeMigration = 70 * time.Millisecond
 
-// bypassWaitShare of the pause that is on time is left once a lost part is known and the order
-// to go around is given.
+// bypassWaitShare is the part of the longest on-time pause that is still left for the bypass
+// when the lost stage has been detected and the reroute command sent.
 const bypassWaitShare = 0.4
 
-// recoverLostStage has the request go on around the lost part or, if that would take longer, at
-// another first replica.
+// recoverLostStage routes the request around the lost stage or, if that would take longer,
+// migrates it to another first replica.
 func (m *pathMonitor) recoverLostStage(active *targets.ActiveRequest, reason string) bool {
-	maxWait := time.Duration(float64(m.attempt.request.maxPause()) * bypassWaitShare)
-	action, path, next := active.Recover(m.mayMigrate && m.attempt.request.Budget.Left(), maxWait, m.filter)
+	maxWait := time.Duration(float64(m.attempt.req.maxPause()) * bypassWaitShare)
+	action, path, next := active.Recover(m.mayMigrate && m.attempt.req.Budget.Left(), maxWait, m.filter)
 	if action == reroute.Migrate {
 		if m.staysSilent() && m.migrate(next, reason+"; another failure domain goes on sooner") {
 			return true
@@ -134,8 +136,9 @@
 	return path != nil && m.sendBypass(path, reason)
 }
 
-// staysSilent waits until the stream has been silent for movedAfter. It returns false if
-// events have come meanwhile, or the attempt has ended.
+// staysSilent waits until the stream has been silent for minSilenceBeforeMigration, or for its
+// stall timeout if that is shorter. It returns false if events arrive meanwhile or the attempt
+// ends.
 func (m *pathMonitor) staysSilent() bool {
 	before := m.lastEventAt.Load()
 	threshold := min(minSilenceBeforeMigration, cmp.Or(time.Duration(m.stallTimeout.Load()), minSilenceBeforeMigration))
@@ -145,11 +148,11 @@
 	return m.lastEventAt.Load() == before
 }
 
-// migrate pays for a further try and ends the attempt in favour of the next target. It
+// migrate charges the retry budget and ends the attempt in favour of the next target. It
 // returns false if the budget is spent.
 func (m *pathMonitor) migrate(next targets.Target, reason string) bool {
-	decision := m.attempt.request.Budget.Allow(retry.Attempt{
-		Made: 1, Failure: health.Broken, Repeatable: true, Deadline: m.attempt.request.Deadline, Alternatives: 1,
+	decision := m.attempt.req.Budget.Allow(retry.Attempt{
+		Made: 1, Failure: health.Broken, Repeatable: true, Deadline: m.attempt.req.Deadline, Alternatives: 1,
 	})
 	if !decision.Retry {
 		return false
@@ -158,15 +161,15 @@
 	return true
 }
 
-// release gives back what was booked for a try that is not made.
+// release gives back the capacity reserved for a migration that does not happen.
 func (m *pathMonitor) release(next targets.Target) {
-	m.attempt.request.Targets.Finish(next, targets.Result{Failure: health.Canceled})
+	m.attempt.req.Targets.Finish(next, targets.Result{Failure: health.Canceled})
 }
 
-// sendBypass orders the first replica to go on along another path. It says whether the
-// order was taken.
+// sendBypass commands the first replica to continue along another path. It reports whether the
+// replica accepted the command.
 func (m *pathMonitor) sendBypass(path paths.Path, reason string) bool {
-	req := m.attempt.request
+	req := m.attempt.req
 	err := req.server.Engines.Reroute(m.ctx, m.attempt.target.Address, req.Call.ID, path)
 	m.recordBypass(path, reason, err)
 	if err == nil {
@@ -187,7 +190,7 @@
 	if err != nil {
 		notes = append(notes, decisionlog.Note{Name: "error", Text: err.Error()})
 	}
-	m.attempt.request.record(decisionlog.Decision{
+	m.attempt.req.record(decisionlog.Decision{
 		Kind: decisionlog.Detour, Chosen: m.attempt.target.Replica, Reason: reason, Notes: notes,
 		Figures: map[string]float64{
 			"taken": boolFigure(err == nil), "silent_ms": millis(m.silentFor()), "crossings": float64(path.Crossings()),
@@ -195,8 +198,9 @@
 	})
 }
 
-// beginReroute begins to lead the request. While it is led away from a part that leaves, one that
-// is lost is remembered for lostMeanwhile.
+// beginReroute marks the request as being rerouted; only one goroutine does so at a time. A
+// stage that is lost while the request is routed around a draining one is kept for
+// takePendingLoss.
 func (m *pathMonitor) beginReroute(reason string, draining bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,7 +212,7 @@
 			m.pendingLoss = reason
 			select {
 			case m.wake <- struct{}{}:
-			default: // it is about to look
+			default: // the loop already has a wake-up pending
 			}
 		}
 		return false
@@ -217,8 +221,8 @@
 	return true
 }
 
-// takePendingLoss says why the request must go on at once although it was led away from a
-// part that leaves, "" if nothing was lost.
+// takePendingLoss returns the reason of a loss that occurred while the request was routed
+// around a draining stage, "" if there is none. A loss must be handled at once.
 func (m *pathMonitor) takePendingLoss() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -235,7 +239,7 @@
 	m.rerouting = false
 }
 
-// cancelForMigration ends the attempt from this side in favour of the next target.
+// cancelForMigration cancels the attempt so that the request continues at the next target.
 func (m *pathMonitor) cancelForMigration(reason string, next targets.Target) {
 	m.mu.Lock()
 	stopped := m.stopped
@@ -250,12 +254,13 @@
 	m.cancel()
 }
 
-// applyMigration corrects the verdict of an attempt that was ended from here: neither its
-// caller nor its deadline ended it, and the next target is booked and paid for.
+// applyMigration replaces the result of an attempt that cancelForMigration ended: neither the
+// caller nor the deadline ended it, and the next target is reserved and charged to the retry
+// budget.
 func (m *pathMonitor) applyMigration(res attemptResult) attemptResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.migrateTo == nil || res.kind == resultComplete || m.attempt.request.ctx.Err() != nil {
+	if m.migrateTo == nil || res.kind == resultComplete || m.attempt.req.ctx.Err() != nil {
 		return res
 	}
 	next := m.migrateTo
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -13,7 +13,7 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// twoReplicaModel is a model that two replicas hold whole.
+// twoReplicaModel is a model with two replicas that hold all layers.
 func twoReplicaModel() *targets.ModelTargets {
 	m := targets.NewModelTargets("d", 1, time.Now)
 	model := &ruleset.Model{
@@ -28,8 +28,8 @@
 	return m
 }
 
-// silentStream is a stream through a model that has been silent for some time.
-func silentStream(t *testing.T, m *targets.ModelTargets, budget *retrybudget.Budget, silent time.Duration) (*pathMonitor, func()) {
+// silentStream is a stream of the model that has been silent for the given time.
+func silentStream(t *testing.T, m *targets.ModelTargets, budget *retrybudget.Budget, silentFor time.Duration) (*pathMonitor, func()) {
 	t.Helper()
 	target, err := m.Choose(context.Background(), targets.Query{Tokens: 100})
 	if err != nil {
@@ -43,78 +43,77 @@
 		server: &Server{Now: time.Now},
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	monitor := &pathMonitor{attempt: &attempt{request: req, target: target, startedAt: time.Now().Add(-silent)}, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1)}
+	monitor := &pathMonitor{attempt: &attempt{req: req, target: target, startedAt: time.Now().Add(-silentFor)}, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1)}
 	return monitor, cancel
 }
 
-// The machine of a stream's first replica loses power. Nothing there goes on with the
-// stream, so another replica does at once; after the time for which one that refuses
-// connections is let alone, the caller has been without an event for most of a second.
-// One that refuses may only be leaving, with its streams still underway.
+// The VM of a stream's first replica loses power. Nothing there continues the stream, so it
+// must migrate at once: after refusingDeadAfter the caller would have waited for an event for
+// most of a second. A replica that refuses connections may only be draining and still serve its
+// streams, so its streams stay for that time.
 func TestFirstReplicaWithoutPowerIsReplacedAtOnce(t *testing.T) {
-	for _, silent := range []bool{true, false} {
+	for _, hostUnreachable := range []bool{true, false} {
 		m := twoReplicaModel()
 		monitor, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 100*time.Millisecond)
 		defer cancel()
-		monitor.setMigrationFilter(monitor.attempt.request)
-		m.Suspect(monitor.attempt.target.Replica, silent)
-		if moved := monitor.replaceFirst(monitor.attempt.target.Active, "lost"); moved != silent {
-			t.Errorf("silent %t: moved %t", silent, moved)
+		monitor.setMigrationFilter(monitor.attempt.req)
+		m.Suspect(monitor.attempt.target.Replica, hostUnreachable)
+		if migrated := monitor.replaceFirst(monitor.attempt.target.Active, "lost"); migrated != hostUnreachable {
+			t.Errorf("silent %t: migrated %t", hostUnreachable, migrated)
 		}
 		monitor.stop()
 	}
 }
 
-// The first replica of a stream dies, another could go on, and the budget of tries is
-// spent by the time that it is asked. The stream stays where it is, and the room that was
-// booked for it is given back: room that stays booked for nobody would add up until the
-// node refuses everyone.
+// The first replica of a stream dies, another one has capacity, and the retry budget is spent
+// when it is charged. The stream stays where it is and the reserved capacity is released.
+// Reservations that leak would add up until the node refuses every request.
 func TestReservationOfACancelledMigrationIsReleased(t *testing.T) {
 	m := twoReplicaModel()
 	budget := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
 	monitor, cancel := silentStream(t, m, budget, time.Minute)
 	defer cancel()
-	req, target, now := monitor.attempt.request, monitor.attempt.target, time.Now()
+	req, target, now := monitor.attempt.req, monitor.attempt.target, time.Now()
 	monitor.setMigrationFilter(req)
 	m.Suspect(target.Replica, false)
 
-	// Another request takes the last try between the look at the budget and the payment.
+	// Another request spends the rest of the budget between the check and the charge.
 	next, ok := target.Active.ReserveMigration(monitor.filter)
 	if !ok {
-		t.Fatal("nobody could go on")
+		t.Fatal("no other replica could continue the stream")
 	}
 	m.Finish(next, targets.Result{})
-	req.Deadline = now // too near for a further try: the payment fails, the look does not
+	req.Deadline = now // too near for a retry: the check passes, the charge fails
 	if monitor.replaceFirst(target.Active, "lost") {
-		t.Error("the stream was moved without a try")
+		t.Error("the stream migrated without a charge to the budget")
 	}
-	if _, underway := m.RequestCounts(); underway != 1 {
-		t.Errorf("%d requests are booked, want the one that is underway", underway)
+	if _, active := m.RequestCounts(); active != 1 {
+		t.Errorf("%d requests hold reservations, want only the active one", active)
 	}
 }
 
-// A stream is led away from a part that leaves, and another part dies meanwhile. That is
-// not to wait until the first is done with: the stream would pause for seconds.
+// A stream is being routed around a draining stage when another stage dies. The loss must not
+// wait until the reroute has ended, or the stream would pause for seconds.
 func TestLossDuringDrainRerouteIsHandledAtOnce(t *testing.T) {
 	monitor := &pathMonitor{wake: make(chan struct{}, 1)}
 	if !monitor.beginReroute("leaves", true) {
-		t.Fatal("a request that nobody leads can't be led")
+		t.Fatal("the first reroute could not begin")
 	}
 	if monitor.beginReroute("leaves too", true) || monitor.takePendingLoss() != "" {
-		t.Error("a second part that leaves is no loss")
+		t.Error("a second draining stage counts as a loss")
 	}
 	if monitor.beginReroute("lost", false) {
-		t.Error("led twice at once")
+		t.Error("two reroutes at the same time")
 	}
 	select {
 	case <-monitor.wake:
 	default:
-		t.Error("the pause between two tries goes on")
+		t.Error("the wait between two tries was not ended")
 	}
 	if reason := monitor.takePendingLoss(); reason != "lost" {
 		t.Errorf("%q", reason)
 	}
 	if monitor.takePendingLoss() != "" {
-		t.Error("told twice")
+		t.Error("the same loss was returned twice")
 	}
 }
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -21,28 +21,29 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// Error is the class of this layer's errors.
+// Error is the class of the errors of this package.
 var Error = errs.Class("relay")
 
-// ConfigFreshness says how young the configuration is that let a request in.
+// ConfigFreshness tells how old the configuration is that admitted a request.
 type ConfigFreshness interface {
-	// Fresh says whether it is proved young enough to serve requests with keys.
+	// Fresh reports whether the configuration is confirmed to be recent enough to serve
+	// requests with keys.
 	Fresh() bool
-	// Age is the age of the proof, for the log.
+	// Age is the time since the last confirmation, for the log.
 	Age() time.Duration
 }
 
-// EngineClient gives orders to model engines.
+// EngineClient sends commands to model engines.
 type EngineClient interface {
-	// Reroute makes a request that is underway at its first replica go on along
-	// another path with the same first part. It fails with a *DetourRefused if the
-	// engine did not take the order.
+	// Reroute moves a request that runs at its first replica to another path with the same
+	// first stage. It fails with a *RerouteRefused if the engine refused the command.
 	Reroute(ctx context.Context, address, request string, path paths.Path) error
 }
 
-// RerouteRefused is the error of an order that an engine did not take.
+// RerouteRefused is the error of a reroute command that an engine refused.
 type RerouteRefused struct {
-	// FaultAddress is the address of the part that is not there; "" if one has no room.
+	// FaultAddress is the address of the stage that could not be reached; "" if a stage has no
+	// capacity.
 	FaultAddress string
 	Cause        error
 }
@@ -53,7 +54,7 @@
 // Unwrap returns the cause.
 func (r *RerouteRefused) Unwrap() error { return r.Cause }
 
-// Metrics is told what became of requests; metrics implement it.
+// Metrics records the outcomes of requests.
 type Metrics interface {
 	Request(service, team, outcome string)
 	Refused(service, reason string)
@@ -63,28 +64,28 @@
 	Retried(service, reason string)
 }
 
-// Request is a request that its door has let in: whose it is, where it goes and within
-// which bounds. The data path reads nothing else of what the caller sent.
+// Request is a request that a listener has admitted: its caller's team, its destination and its
+// limits. The data path reads nothing else of what the caller sent.
 type Request struct {
 	Call headers.Call
-	// Team is the caller's; "" if its route is open to all.
+	// Team is the caller's team; "" if the route is open to all.
 	Team    string
 	Service string
 	Route   *ruleset.Route
-	// Rank orders those who wait for room, 0 first.
+	// Rank orders the requests that wait for capacity, 0 first.
 	Rank int
-	// Revision is the version of the document or configuration that let it in.
+	// Revision is the version of the document or configuration that admitted the request.
 	Revision int64
-	// Freshness is asked again before each send, as a key that was taken away meanwhile
-	// must run nothing; nil where no key let the request in, or keys are not taken away
-	// within a bound.
+	// Freshness is checked again before each attempt, so that a request with a key that was
+	// revoked meanwhile does not run. It is nil if no key admitted the request, or if no bound
+	// applies to the revocation of keys.
 	Freshness ConfigFreshness
 
 	Targets targets.Targets
 	Budget  *retrybudget.Budget
 
-	// Method, Target (path and query), Host and Header are as the endpoint is to see
-	// them; Host is the endpoint's own address if it is "".
+	// Method, Target (path and query), Host and Header are sent to the endpoint. An empty Host
+	// stands for the endpoint's own address.
 	Method string
 	Target string
 	Host   string
@@ -92,14 +93,13 @@
 	Body   []byte
 
 	Arrived time.Time
-	// Deadline is up to when an answer is of use: the caller's or the route's,
-	// whichever is sooner.
+	// Deadline is the caller's or the route's, whichever is sooner. A later answer is of no
+	// use.
 	Deadline time.Time
 }
 
-// Server answers requests that a door has let in. Safe for concurrent use; the fields
-// are set before use. Engines, Prober and Reports are needed for paths through layers
-// only.
+// Server serves requests that a listener has admitted. It is safe for concurrent use; the
+// fields are set before use. Engines, Prober and Reports are needed only for model services.
 type Server struct {
 	Headers  headers.Dialect
 	Engines  EngineClient
@@ -110,54 +110,53 @@
 	Recorder decisionlog.Recorder
 	Log      hclog.Logger
 	Now      func() time.Time
-	// MaxBufferedBytes is the longest answer that is held back until it is known to be whole;
-	// zero: DefaultHoldBytes.
+	// MaxBufferedBytes bounds the answers that are buffered until they are complete. Zero
+	// stands for DefaultMaxBufferedBytes.
 	MaxBufferedBytes int
-	// SampleEvery: of the requests that go well one in so many is logged; the others are
-	// remembered only. Zero logs all.
+	// SampleEvery is N if one of N successful requests is logged; the others are only kept in
+	// memory. Zero logs all.
 	SampleEvery uint64
 
 	requestCount atomic.Uint64
 }
 
-// requestState is one caller's requestState underway. It is used by one goroutine.
+// requestState is the state of one request in progress. Only one goroutine uses it.
 type requestState struct {
 	*Request
 	server *Server
-	// w takes the answer as it comes; nil where it is handed back whole.
+	// w receives the answer as it arrives; nil if the answer is returned as a whole.
 	w http.ResponseWriter
-	// callerCtx ends when the callerCtx leaves, ctx also at the deadline.
+	// callerCtx ends when the caller leaves, ctx also at the deadline.
 	callerCtx context.Context
 	ctx       context.Context
 	log       hclog.Logger
-	// sampled requests are logged although nothing goes wrong.
+	// sampled requests are logged even if they succeed.
 	sampled bool
 
-	// failed are the replicas that failed this request; ran those of them that may
-	// have begun it. sends counts the tries.
+	// failed are the replicas that failed this request, mayHaveRun those of them that may have
+	// begun it. attempts is the number of attempts so far.
 	failed     []string
 	mayHaveRun []string
 	attempts   int
 	lastResult attemptResult
-	// lastTarget is where the last try went.
 	lastTarget targets.Target
 
-	// started is set once the caller has a part of the answer; events and at say
-	// which.
+	// started is set once the caller has received a part of the answer; events is the number of
+	// events it has, lastEvent the last of them.
 	started   bool
 	events    int
 	lastEvent eventPosition
-	// firstEvent is the time to the firstEvent event; longest the longest pause after it, which
-	// began after pausedAt events.
+	// firstEvent is the time to the first event. longestPause is the longest pause after it,
+	// which began after longestPauseAfter events.
 	firstEvent        time.Duration
 	longestPause      time.Duration
 	longestPauseAfter int
 	lastEventAt       time.Time
-	// capacityWait is how long it waited for room, budgetWait for the budget of tries.
+	// capacityWait is the time spent waiting for capacity, budgetWait for the retry budget.
 	capacityWait, budgetWait time.Duration
 }
 
-// Serve answers one request. ctx ends when its caller leaves.
+// Serve serves one request. ctx ends when the caller leaves.
 func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, r *Request) {
 	state, cancel := s.newRequestState(ctx, w, r)
 	defer cancel()
@@ -173,16 +172,16 @@
 	}
 }
 
-// Do gets the whole answer to a request for a door that writes it itself. What failed
-// for good comes as a refusal, which says what became of the request. Streams can't be
-// had this way.
+// Do returns the complete answer to a request, for a listener that writes it itself. A final
+// failure is returned as a refusal, which carries the outcome of the request. Do does not
+// support streams.
 func (s *Server) Do(ctx context.Context, r *Request) (*Answer, *outcome.Refusal) {
 	state, cancel := s.newRequestState(ctx, nil, r)
 	defer cancel()
 	return state.run()
 }
 
-// Refuse answers a request that its door does not let in.
+// Refuse answers a request that its listener does not admit.
 func (s *Server) Refuse(w http.ResponseWriter, req *Request, refusal *outcome.Refusal) {
 	state := &requestState{Request: req, server: s, w: w}
 	state.refuse(refusal)
@@ -207,24 +206,24 @@
 )
 
 const (
-	// retryAfterNoCapacity is told when there is no room: about the time in which a tenth of
-	// the streams of some seconds end.
+	// retryAfterNoCapacity is the Retry-After of refusals for lack of capacity: about the time
+	// in which a tenth of the streams end, which last some seconds.
 	retryAfterNoCapacity = 400 * time.Millisecond
-	// statusCallerGone is logged only; nobody is left to read it.
+	// statusCallerGone is only logged; the caller has left.
 	statusCallerGone = 499
 )
 
-// NotRun is an answer to a request that did not run.
+// NotRun returns a refusal of a request that did not run.
 func NotRun(status int, code, message string, retryAfter time.Duration) *outcome.Refusal {
 	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.NotRun, RetryAfter: retryAfter}
 }
 
-// outcomeUnknown is an answer to a request that may have run.
+// outcomeUnknown returns a refusal of a request that may have run.
 func outcomeUnknown(status int, code, message string) *outcome.Refusal {
 	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.Unknown}
 }
 
-// refuse gives the final answer at once, with the reason in the log.
+// refuse writes the final answer and records the reason.
 func (req *requestState) refuse(r *outcome.Refusal) {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Refuse, Reason: r.Code,
@@ -238,7 +237,7 @@
 	req.server.Headers.Refuse(req.w, req.Call, r)
 }
 
-// record completes a decision about the request with what it is about.
+// record adds the request's fields to a decision and records it.
 func (req *requestState) record(d decisionlog.Decision) {
 	d.At, d.Request, d.Team, d.Service, d.Revision = req.server.Now(), req.Call.ID, req.Team, req.Service, req.Revision
 	if req.Freshness != nil && d.Figures != nil {
@@ -247,7 +246,7 @@
 	req.server.Recorder.Record(d)
 }
 
-// withRoute adds the route to what else is to be said.
+// withRoute appends the name of the route to the notes.
 func (req *requestState) withRoute(list ...decisionlog.Note) []decisionlog.Note {
 	if req.Route != nil {
 		list = append(list, decisionlog.Note{Name: "route", Text: req.Route.Name})
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -14,13 +14,13 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// streamIdleTimeout is the pause after which a stream is given up although all of its path
-// can be reached: longer than engines themselves wait for a part.
+// streamIdleTimeout is the pause after which a stream is given up although its whole path can
+// be reached. It is longer than engines wait for a stage.
 const streamIdleTimeout = 4 * time.Second
 
-// runStream makes an attempt whose events are passed on as they come.
+// runStream makes an attempt whose events are passed on as they arrive.
 func (a *attempt) runStream() attemptResult {
-	req := a.request
+	req := a.req
 	if req.started {
 		a.resumeAfter = req.lastEvent.String()
 	}
@@ -50,21 +50,21 @@
 	return err == nil && kind == "text/event-stream" && e.StatusCode == http.StatusOK
 }
 
-// unexpected judges an answer to a resumed stream that is none.
+// unexpected classifies an answer to a resumed stream that is not a stream.
 func (a *attempt) unexpected(e *upstream.Exchange) attemptResult {
 	if a.head.NotRun || a.head.Misdirected {
 		a.discardBody(e)
 		return a.refusedResult(e.StatusCode)
 	}
 	return attemptResult{
-		kind: resultUnknown, detail: fmt.Sprintf("%d to a stream that goes on", e.StatusCode),
+		kind: resultUnknown, detail: fmt.Sprintf("status %d instead of a resumed stream", e.StatusCode),
 		feedback: targets.Result{Failure: health.Internal},
 	}
 }
 
-// forwardStream passes whole events on until the stream ends.
+// forwardStream passes complete events on until the stream ends.
 func (a *attempt) forwardStream(e *upstream.Exchange, monitor *pathMonitor) attemptResult {
-	req := a.request
+	req := a.req
 	var split eventSplitter
 	buffer := make([]byte, 2<<10)
 	for {
@@ -79,15 +79,15 @@
 		case err != nil:
 			return a.resultOfError(err)
 		case split.incompleteBytes() > maxEventBytes:
-			return attemptResult{kind: resultUnknown, detail: "an event without an end", feedback: targets.Result{Failure: health.Internal}}
+			return attemptResult{kind: resultUnknown, detail: "an event exceeds the size limit", feedback: targets.Result{Failure: health.Internal}}
 		}
 	}
 }
 
-// forwardEvents gives the whole events that have come to the caller. It fails if the
-// caller has gone.
+// forwardEvents writes the complete events received so far to the caller. It fails if the
+// caller has left.
 func (a *attempt) forwardEvents(e *upstream.Exchange, split *eventSplitter, monitor *pathMonitor) error {
-	req := a.request
+	req := a.req
 	forwarded := false
 	for {
 		ev, ok := split.next()
@@ -126,26 +126,26 @@
 	req.lastEventAt = now
 }
 
-// beginStream writes the head with the first event. Until then another replica's
-// answer can take its place.
+// beginStream writes the head of the answer before the first event. Until then the request can
+// be retried and answered by another replica.
 func (req *requestState) beginStream(e *upstream.Exchange) {
 	if req.started {
 		return
 	}
 	req.started = true
 	if err := http.NewResponseController(req.w).SetWriteDeadline(req.Deadline); err != nil {
-		req.log.Debug("write deadline", "error", err)
+		req.log.Debug("setting the write deadline failed", "error", err)
 	}
 	req.writeHead(e.StatusCode, e.Header, -1)
 	req.server.Metrics.FirstToken(req.Service, req.server.Now().Sub(req.Arrived))
 }
 
-// finish judges a stream that has ended as whole.
+// finish checks that a stream that has ended is complete.
 func (a *attempt) finish(e *upstream.Exchange, split *eventSplitter) attemptResult {
 	if split.incompleteBytes() > 0 {
-		return attemptResult{kind: resultUnknown, detail: "the stream ended within an event", feedback: targets.Result{Failure: health.Broken}}
+		return attemptResult{kind: resultUnknown, detail: "the stream ended in the middle of an event", feedback: targets.Result{Failure: health.Broken}}
 	}
-	req := a.request
+	req := a.req
 	req.beginStream(e)
 	e.KeepAlive(a.head.KeepFor)
 	req.recordFinish(map[string]float64{
