--- a/route/targets/active_request.go
+++ b/route/targets/active_request.go
@@ -9,7 +9,7 @@
 	"github.com/cicadatack/cicadatack/decide/reroute"
 )
 
-// callback is a request that must be told that a replica of its path is lost.
+// callback is a call of a request's callback that is due, with the replica that it is about.
 type callback struct {
 	call    func(replica string)
 	replica string
@@ -21,9 +21,9 @@
 	}
 }
 
-// drainCallbackInterval is between two requests that are led away from a replica that leaves: the
-// replicas that take them read their prompts, some milliseconds each, between the
-// steps of all others.
+// drainCallbackInterval is the time between two requests that are rerouted away from a draining
+// replica. The replicas that take them over must prefill their prompts, some milliseconds each,
+// between the steps of all other requests.
 const drainCallbackInterval = 15 * time.Millisecond
 
 func runCallbacksPaced(callbacks []callback) {
@@ -38,11 +38,11 @@
 	}()
 }
 
-// drainCallbacks lists the requests that run through a replica which may end, or give up the
-// layers, before they do, each once. One that the list no longer holds has left without
-// a word and serves on for a while, as one that says so does; if it died instead, the
-// silence of its streams tells sooner. The first part can't be replaced. The caller holds
-// the lock.
+// drainCallbacks lists, once each, the requests that run through a replica that may stop, or
+// give up the layers, before they end. A replica that is no longer listed left without
+// announcing it and counts as draining: it usually serves on for a while, and if it died
+// instead, the silence of its streams shows that sooner. The first stage is left out because it
+// can't be replaced. The caller holds the lock.
 func (m *ModelTargets) drainCallbacks() []callback {
 	var list []callback
 	for r := range m.active {
@@ -60,7 +60,7 @@
 	return list
 }
 
-// lossCallbacks lists the requests that run lossCallbacks a replica. The caller holds the lock.
+// lossCallbacks lists the requests that run through a replica. The caller holds the lock.
 func (m *ModelTargets) lossCallbacks(replica string) []callback {
 	var list []callback
 	for r := range m.active {
@@ -80,17 +80,16 @@
 	return false
 }
 
-// SetCallbacks sets what is called, in a goroutine of its own, when a replica of the path
-// turns out to be lost, and when one is about to leave. Each may be called more than
-// once.
+// SetCallbacks sets the functions that are called, in a goroutine of their own, when a replica
+// of the path is lost and when one is draining. Each may be called more than once.
 func (r *ActiveRequest) SetCallbacks(onLost, onDraining func(replica string)) {
 	r.model.mu.Lock()
 	defer r.model.mu.Unlock()
 	r.onLost, r.onDraining = onLost, onDraining
 }
 
-// FirstReplicaState says whether the replica that was handed the request is suspected, and
-// whether its machine does not answer either.
+// FirstReplicaState reports whether the replica that received the request is suspected, and
+// whether its host is unreachable.
 func (r *ActiveRequest) FirstReplicaState() (suspected, hostUnreachable bool) {
 	r.model.mu.Lock()
 	defer r.model.mu.Unlock()
@@ -98,16 +97,16 @@
 	return r.model.selector.Suspected(first), r.model.selector.HostUnreachable(first)
 }
 
-// MigrationFilter says which replicas may be handed a request that is underway.
+// MigrationFilter selects the replicas that may take over a request in progress.
 type MigrationFilter struct {
-	// Exclude names replicas that failed it.
+	// Exclude lists replicas that failed the request.
 	Exclude []string
-	// FirstReplicas, if not empty, names the only ones that may.
+	// FirstReplicas, if not empty, lists the only replicas that may take the request over.
 	FirstReplicas []string
 }
 
-// ReserveMigration books a path for the request that begins at another first replica, if it
-// could go on there now. The target needs one Ended.
+// ReserveMigration reserves a path that begins at another first replica, if one has capacity
+// now. The target must be released with Finish.
 func (r *ActiveRequest) ReserveMigration(filter MigrationFilter) (Target, bool) {
 	m := r.model
 	m.mu.Lock()
@@ -119,7 +118,7 @@
 	return m.start(path, r.tokens), true
 }
 
-// findMigration is a path that begins at another first replica, or nil. The caller holds
+// findMigration returns a path that begins at another first replica, or nil. The caller holds
 // the lock.
 func (r *ActiveRequest) findMigration(now time.Time, filter MigrationFilter) paths.Path {
 	m := r.model
@@ -134,10 +133,10 @@
 	return path
 }
 
-// Recover chooses how the request goes on after a part of its path was lost: around it,
-// along the path, or at another first replica, for which the target is booked and needs
-// one Ended. elsewhere says whether another may go on with it, free up to which wait it
-// is on time.
+// Recover decides how the request continues after a stage of its path is lost: on the returned
+// path, which bypasses the stage, or at another first replica. In the second case the target is
+// reserved and must be released with Finish. mayMigrate allows the second case; maxWait is the
+// wait up to which the request is still on time.
 func (r *ActiveRequest) Recover(mayMigrate bool, maxWait time.Duration, filter MigrationFilter) (reroute.Action, paths.Path, Target) {
 	m := r.model
 	m.mu.Lock()
@@ -152,8 +151,8 @@
 		estimate.MigratePrefill = m.selector.PrefillWait(now, migration, nil, r.tokens, m.share.DomainNodes)
 	}
 	action := m.linkBacklog.Decide(now, bypass != nil, estimate, migration != nil && migration.Crossings() == 0)
-	// Noted now and not once the order is taken: those that lose their part together decide
-	// together.
+	// Recorded before the reroute command is accepted, because the requests that lost the same
+	// stage decide at the same time.
 	switch action {
 	case reroute.Migrate:
 		m.selector.AddPrefill(now, migration, nil, r.tokens, m.share.DomainNodes)
@@ -167,8 +166,8 @@
 	return action, bypass, Target{}
 }
 
-// estimateBypass is what a way around sends over the links between failure domains. The caller
-// holds the lock.
+// estimateBypass estimates what a bypass transfers over the links between failure domains. The
+// caller holds the lock.
 func (r *ActiveRequest) estimateBypass(bypass paths.Path) reroute.Estimate {
 	m := r.model
 	added := max(0, bypass.Crossings()-r.path.Crossings())
@@ -177,21 +176,22 @@
 	}
 }
 
-// RetryDrainCallback notes that no way was found around a part that leaves: the next list
-// asks again.
+// RetryDrainCallback records that no bypass of a draining stage was found. The next update of
+// the list calls the callback again.
 func (r *ActiveRequest) RetryDrainCallback() {
 	r.model.mu.Lock()
 	defer r.model.mu.Unlock()
 	r.drainNotified = false
 }
 
-// RecordEvent notes that an event of the request has come: all parts of its path live.
+// RecordEvent records that an event of the request arrived, so all stages of its path are
+// alive.
 func (r *ActiveRequest) RecordEvent() {
 	r.lastEventAt.Store(max(1, int64(r.model.now().Sub(r.model.startedAt))))
 }
 
-// UnconfirmedStages returns the parts of the path through which no other request has had an event
-// within some time.
+// UnconfirmedStages returns the stages of the path through which no other request had an event
+// within the window.
 func (r *ActiveRequest) UnconfirmedStages(window time.Duration) paths.Path {
 	m := r.model
 	m.mu.Lock()
@@ -209,16 +209,16 @@
 	return slices.DeleteFunc(slices.Clone(r.path), func(p paths.Stage) bool { return alive[p.Replica] })
 }
 
-// Path is the path that the request runs along now.
+// Path returns the current path of the request.
 func (r *ActiveRequest) Path() paths.Path {
 	r.model.mu.Lock()
 	defer r.model.mu.Unlock()
 	return r.path
 }
 
-// BypassDraining chooses a path around a part that leaves, which has time: one that crosses
-// failure domains more often than the present one only while the links are idle. It
-// returns nil if there is none now.
+// BypassDraining chooses a path around a draining stage. This is not urgent, so a path that
+// crosses failure domains more often than the present one is chosen only while the links are
+// idle. BypassDraining returns nil if there is no path now.
 func (r *ActiveRequest) BypassDraining() paths.Path {
 	m := r.model
 	m.mu.Lock()
@@ -232,8 +232,8 @@
 	return path
 }
 
-// findBypass is a path that begins as the present one does and avoids what can't be used,
-// or nil. The caller holds the lock.
+// findBypass returns a path that keeps the first stage and avoids unusable replicas, or nil.
+// The caller holds the lock.
 func (r *ActiveRequest) findBypass(now time.Time) paths.Path {
 	m := r.model
 	first := r.path[0]
@@ -254,7 +254,7 @@
 	return path
 }
 
-// SetPath notes that the request now runs along another path.
+// SetPath records that the request now runs along another path, and moves its reservation.
 func (r *ActiveRequest) SetPath(path paths.Path) {
 	m := r.model
 	m.mu.Lock()
@@ -268,13 +268,14 @@
 	r.lastEventAt.Store(0)
 }
 
-// Suspect notes that a replica looks dead, silent that its machine does not answer
-// either. It says whether that is new.
+// Suspect records that a replica looks dead, and whether its host is unreachable. It reports
+// whether the suspicion is new.
 func (r *ActiveRequest) Suspect(replica string, hostUnreachable bool) bool {
 	return r.model.Suspect(replica, hostUnreachable)
 }
 
-// MaxSlowdown is the pace of the path's slowest replica, 1 for one as fast as its kind.
+// MaxSlowdown is the slowdown of the slowest replica of the path, 1 for one as fast as its
+// kind.
 func (r *ActiveRequest) MaxSlowdown() float64 {
 	m := r.model
 	m.mu.Lock()
@@ -286,12 +287,12 @@
 	return slowest
 }
 
-// SetSlowdown notes a replica's pace. It says whether that is news.
+// SetSlowdown records a replica's slowdown. It reports whether the value is news.
 func (r *ActiveRequest) SetSlowdown(replica string, slowdown float64) bool {
 	return r.model.SetSlowdown(replica, slowdown)
 }
 
-// RerouteRefused notes an order to go around that was not taken.
+// RerouteRefused records that an engine refused a reroute command.
 func (r *ActiveRequest) RerouteRefused(path paths.Path, faultAddress string) {
 	r.model.RerouteRefused(path, faultAddress)
 }
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -15,11 +15,11 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-// capacityPollInterval is how often one who waits for room looks again without a sign: a
-// replica that was suspected is used again by time alone.
+// capacityPollInterval is how often a waiting request checks for capacity without being woken.
+// A suspected replica becomes usable again after some time, which wakes nobody.
 const capacityPollInterval = 50 * time.Millisecond
 
-// ModelTargets chooses paths through the replicas that hold a model's layers. Safe for
+// ModelTargets chooses paths through the replicas that hold a model's layers. It is safe for
 // concurrent use.
 type ModelTargets struct {
 	domain    string
@@ -30,8 +30,8 @@
 	layers   int
 	share    NodeShare
 	selector *paths.Selector
-	// linkBacklog is what this node's detours have sent between failure domains; a token
-	// sends crossBytes each time, of crossPerSecond that all share.
+	// linkBacklog is what the bypasses of this node have transferred between failure domains. A
+	// token transfers crossingBytes at each crossing; all domains share linkBytesPerSecond.
 	linkBacklog                       reroute.LinkBacklog
 	crossingBytes, linkBytesPerSecond float64
 
@@ -39,24 +39,24 @@
 
 	active  map[*ActiveRequest]struct{}
 	waiting waitqueue.Queue
-	// wakes are the channels of those who wait, by the number of their request.
+	// wakes are the channels of the waiting requests, by waiter id.
 	wakes        map[uint64]chan struct{}
 	lastWaiterID uint64
 }
 
-// ActiveRequest is a request underway along a path.
+// ActiveRequest is a request that runs along a path and holds its reservation.
 type ActiveRequest struct {
 	model         *ModelTargets
 	path          paths.Path
 	tokens        float64
 	onLost        func(replica string)
 	onDraining    func(replica string)
-	drainNotified bool // that a part of the path leaves
-	// lastEventAt is when an event came last, counted from the model's beginning; 0 for never.
+	drainNotified bool // onDraining was called for the current path
+	// lastEventAt is the time of the last event since startedAt of the model; 0 for none.
 	lastEventAt atomic.Int64
 }
 
-// NewModelTargets returns a Model without replicas for a node in a failure domain.
+// NewModelTargets returns ModelTargets without replicas, for a node in a failure domain.
 func NewModelTargets(domain string, seed uint64, now func() time.Time) *ModelTargets {
 	return &ModelTargets{
 		domain:    domain,
@@ -69,17 +69,17 @@
 	}
 }
 
-// NodeShare is this node's part of what all nodes use.
+// NodeShare is this node's share of the resources that all nodes use.
 type NodeShare struct {
-	// CapacityShare is of a failure domain's room.
+	// CapacityShare is the share of a failure domain's capacity.
 	CapacityShare func(domain string) float64
 	// MaxConns bounds this node's connections to each replica; zero for no bound.
 	MaxConns int
-	// DomainNodes is how many nodes there are in its failure domain.
+	// DomainNodes is the number of nodes in this node's failure domain.
 	DomainNodes int
 }
 
-// Update puts a new list in force.
+// Update replaces the list of replicas.
 func (m *ModelTargets) Update(model *ruleset.Model, list []*replicalist.Replica, share NodeShare) {
 	replicas := make([]paths.Replica, 0, len(list))
 	for _, r := range list {
@@ -158,7 +158,8 @@
 	return nil
 }
 
-// reserve books a path, unless others wait who come first. One who finds none waits.
+// reserve reserves a path, unless other requests wait that come first. A request that gets no
+// path at its first try is queued.
 func (m *ModelTargets) reserve(q Query, w waitqueue.Request, firstTry bool) (Target, paths.Reason, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,7 +179,7 @@
 	}
 	m.removeWaiter(w)
 	m.selector.AddPrefill(now, path, nil, q.PrefillTokens, m.share.DomainNodes)
-	m.wakeOne() // there may be room for the next as well
+	m.wakeOne() // there may be capacity for the next request as well
 	return m.start(path, q.Tokens), paths.Found, true
 }
 
@@ -192,7 +193,7 @@
 	}
 }
 
-// removeWaiter takes out one who waits no longer. The caller holds the lock.
+// removeWaiter removes a request that waits no longer. The caller holds the lock.
 func (m *ModelTargets) removeWaiter(w waitqueue.Request) {
 	m.waiting.Remove(w.ID)
 	delete(m.wakes, w.ID)
@@ -205,7 +206,7 @@
 	m.wakeOne()
 }
 
-// wakeOne lets the first who waits look again.
+// wakeOne wakes the first waiting request, which then tries again.
 func (m *ModelTargets) wakeOne() {
 	id, ok := m.waiting.First(m.now())
 	if !ok {
@@ -213,7 +214,7 @@
 	}
 	select {
 	case m.wakes[id] <- struct{}{}:
-	default: // it is about to look anyway
+	default: // a wake-up is already pending
 	}
 }
 
@@ -253,15 +254,15 @@
 	return nil
 }
 
-// Suspect notes that a replica looks dead, silent that its machine does not answer
-// either; the requests that run through it are told. It says whether that is new.
+// Suspect records that a replica looks dead, and whether its host is unreachable, and notifies
+// the requests that run through it. It reports whether the suspicion is new.
 func (m *ModelTargets) Suspect(replica string, hostUnreachable bool) bool {
 	changed, callbacks := m.suspect(replica, hostUnreachable)
 	runCallbacks(callbacks)
 	return changed
 }
 
-// suspect notes that a replica looks dead, and returns the requests that run through it.
+// suspect records that a replica looks dead and returns the callbacks of its requests.
 func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -272,10 +273,10 @@
 	return true, m.lossCallbacks(replica)
 }
 
-// SuspectOnReport notes that a replica accepts no connection which other nodes have lost. It gets no
-// new requests. Those that run through it are told only if its machine does not answer
-// either: one that leaves refuses connections, and goes on with what it has. It says
-// whether the suspicion is new.
+// SuspectOnReport records that a replica which other nodes reported as lost accepts no
+// connection. The replica gets no new requests. The requests that run through it are notified
+// only if its host is unreachable: a draining replica refuses connections too and continues its
+// requests. SuspectOnReport reports whether the suspicion is new.
 func (m *ModelTargets) SuspectOnReport(replica string, hostUnreachable bool) bool {
 	changed, callbacks := m.suspectOnReport(replica, hostUnreachable)
 	runCallbacks(callbacks)
@@ -283,14 +284,14 @@
 }
 
 func (m *ModelTargets) suspectOnReport(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
-	changed, ifUnreachable := m.suspect(replica, hostUnreachable)
+	changed, lossCallbacks := m.suspect(replica, hostUnreachable)
 	if !hostUnreachable {
 		return changed, nil
 	}
-	return changed, ifUnreachable
+	return changed, lossCallbacks
 }
 
-// MarkAlive notes that a suspected replica lives. It says whether it was suspected.
+// MarkAlive records that a replica is alive. It reports whether the replica was suspected.
 func (m *ModelTargets) MarkAlive(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -300,33 +301,33 @@
 	return wasSuspected
 }
 
-// Replica returns a replica that is listed.
+// Replica returns a listed replica.
 func (m *ModelTargets) Replica(id string) (paths.Replica, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.Replica(id)
 }
 
-// Suspects returns the replicas that are suspected.
+// Suspects returns the suspected replicas.
 func (m *ModelTargets) Suspects() []paths.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.Suspects()
 }
 
-// SetSlowdown notes how much slower than its kind a replica says it is. It says whether
-// that is news.
+// SetSlowdown records how much slower than its kind a replica reports to be. It reports whether
+// the value is news.
 func (m *ModelTargets) SetSlowdown(replica string, slowdown float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if max(slowdown, m.selector.Slowdown(replica)) >= paths.SlowThreshold {
-		// One that is as fast as it was is no news to anybody.
+		// A replica that is and was at normal speed is not worth reporting to other nodes.
 		m.observed.own[replica] = observation{at: m.now(), slowdown: max(1, slowdown)}
 	}
 	return m.selector.SetSlowdown(replica, slowdown)
 }
 
-// BackedOff returns the replicas that turn requests away although they have room.
+// BackedOff returns the replicas that refuse requests although they have capacity.
 func (m *ModelTargets) BackedOff() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -340,20 +341,20 @@
 	return m.selector.Slow()
 }
 
-// layersLostAfter is how long a replica is suspected before its layers count as lost: the
-// time of some tries to reach it.
+// layersLostAfter is how long a replica must be suspected before its layers count as lost. It
+// allows for some tries to reach the replica.
 const layersLostAfter = 600 * time.Millisecond
 
-// LayersLost says whether a replica has been out of reach for so long that others should
-// take its layers.
+// LayersLost reports whether a replica has been unreachable for so long that other replicas
+// should take over its layers.
 func (m *ModelTargets) LayersLost(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.SuspectedFor(m.now(), replica, layersLostAfter)
 }
 
-// RerouteRefused notes an order to go around that an engine did not take. fault is the
-// address of the part that is not there, "" if one has no room.
+// RerouteRefused records that an engine refused a reroute command. faultAddress is the address
+// of the stage that could not be reached, "" if a stage has no capacity.
 func (m *ModelTargets) RerouteRefused(path paths.Path, faultAddress string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -367,15 +368,15 @@
 	}
 }
 
-// Reserved is what this node has booked on each replica, in tokens times layers.
+// Reserved is what this node has reserved on each replica, in tokens times layers.
 func (m *ModelTargets) Reserved() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.Reserved()
 }
 
-// SetPeerReservations notes what the other nodes of this one's failure domain have booked, as far
-// as it is known.
+// SetPeerReservations records what the other nodes of the failure domain have reserved, as far
+// as known.
 func (m *ModelTargets) SetPeerReservations(reserved reservations.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -383,7 +384,7 @@
 	m.wakeOne()
 }
 
-// PeakUtilization is the part of the room that is booked on the fullest replica of each failure
+// PeakUtilization is the reserved share of the capacity of the fullest replica in each failure
 // domain, for metrics.
 func (m *ModelTargets) PeakUtilization() map[string]float64 {
 	m.mu.Lock()
@@ -391,7 +392,7 @@
 	return m.selector.PeakUtilization(m.now())
 }
 
-// RequestCounts is how many requests wait for room, and Underway how many run.
+// RequestCounts returns how many requests wait for capacity and how many are active.
 func (m *ModelTargets) RequestCounts() (waiting, active int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/route/targets/observations.go
+++ b/route/targets/observations.go
@@ -6,25 +6,26 @@
 	"github.com/cicadatack/cicadatack/decide/peerreports"
 )
 
-// verifyInterval is between two looks at a replica on the word of other nodes.
+// verifyInterval is the least time between two verifications of a replica that other nodes
+// report about.
 const verifyInterval = time.Second
 
-// observation is what this node has last seen of a replica itself.
+// observation is what this node itself has last seen of a replica.
 type observation struct {
 	at          time.Time
 	unreachable bool
-	// refusing is set for one that turns requests refusing.
+	// refusing is set if the replica refused requests although it has capacity.
 	refusing bool
-	// slowdown is of one that is not lost; 0 if it was only reached.
+	// slowdown is the slowdown of a reachable replica; 0 if it was only reached.
 	slowdown float64
 }
 
-// observations is what this node has seen of replicas, and done on the word of others. The
-// model's lock guards it.
+// observations holds what this node itself has seen of replicas, and what it has done about the
+// reports of other nodes. The lock of the model guards it.
 type observations struct {
 	own map[string]observation
-	// acceptedAt is when another node's word on a replica was last taken, verifiedAt when that
-	// was a reason to look.
+	// acceptedAt is when another node's report on a replica was last accepted, verifiedAt when
+	// such a report last made this node verify the replica.
 	acceptedAt, verifiedAt map[string]time.Time
 }
 
@@ -32,14 +33,14 @@
 	return observations{own: map[string]observation{}, acceptedAt: map[string]time.Time{}, verifiedAt: map[string]time.Time{}}
 }
 
-// forget drops what is too old to matter.
-func (k *observations) forget(now time.Time) {
-	for id, s := range k.own {
-		if now.Sub(s.at) >= peerreports.ValidFor {
-			delete(k.own, id)
+// forget drops entries that are too old to matter.
+func (o *observations) forget(now time.Time) {
+	for id, seen := range o.own {
+		if now.Sub(seen.at) >= peerreports.ValidFor {
+			delete(o.own, id)
 		}
 	}
-	for _, times := range []map[string]time.Time{k.acceptedAt, k.verifiedAt} {
+	for _, times := range []map[string]time.Time{o.acceptedAt, o.verifiedAt} {
 		for id, at := range times {
 			if now.Sub(at) >= peerreports.ValidFor {
 				delete(times, id)
@@ -48,31 +49,31 @@
 	}
 }
 
-// Observations is what this node has seen of replicas itself, of late.
+// Observations returns what this node itself has recently seen of replicas.
 func (m *ModelTargets) Observations() []peerreports.Claim {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.observed.forget(now)
 	var list []peerreports.Claim
-	for id, s := range m.observed.own {
-		if !s.unreachable && !s.refusing && s.slowdown == 0 {
+	for id, seen := range m.observed.own {
+		if !seen.unreachable && !seen.refusing && seen.slowdown == 0 {
 			continue
 		}
-		list = append(list, peerreports.Claim{Replica: id, Lost: s.unreachable, TurnsAway: s.refusing, Pace: s.slowdown, Age: now.Sub(s.at), Nodes: 1})
+		list = append(list, peerreports.Claim{Replica: id, Lost: seen.unreachable, TurnsAway: seen.refusing, Pace: seen.slowdown, Age: now.Sub(seen.at), Nodes: 1})
 	}
 	return list
 }
 
-// RecordUnreachable notes that a suspected replica was tried in vain again.
+// RecordUnreachable records that another try to reach a suspected replica failed.
 func (m *ModelTargets) RecordUnreachable(replica string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.observed.own[replica] = observation{at: m.now(), unreachable: true}
 }
 
-// Evaluate decides on what other nodes have seen. It takes what it may believe, and returns
-// that and the replicas that this node is to look at.
+// Evaluate decides on the reports of other nodes. It applies the ones that it accepts, and
+// returns them and the replicas that this node must verify itself.
 func (m *ModelTargets) Evaluate(node string, domainNodes []string, reports []peerreports.Claim) peerreports.Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,12 +98,12 @@
 	return decision
 }
 
-// accept takes a claim. A replica that others have lost gets no new requests; those that
-// run through it are led away once they go silent, as it may only be leaving, and go on
-// with what it has. The caller holds the lock.
+// accept applies a report. A replica that other nodes have lost gets no new requests. The
+// requests that run through it are rerouted once they go silent, because the replica may only
+// be draining and still continue them. The caller holds the lock.
 func (m *ModelTargets) accept(now time.Time, c peerreports.Claim) {
-	if s, ok := m.observed.own[c.Replica]; ok && now.Sub(s.at) <= c.Age {
-		return // this node has seen it later
+	if own, ok := m.observed.own[c.Replica]; ok && now.Sub(own.at) <= c.Age {
+		return // this node's own observation is newer
 	}
 	m.observed.acceptedAt[c.Replica] = now
 	switch {
@@ -116,8 +117,8 @@
 	m.selector.SetSlowdown(c.Replica, c.Pace)
 }
 
-// ReportedByPeers says whether others have told of a replica of late, so that this node need not
-// ask it.
+// ReportedByPeers reports whether other nodes have recently reported on a replica, so that this
+// node need not ask it.
 func (m *ModelTargets) ReportedByPeers(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -10,26 +10,25 @@
 	"github.com/cicadatack/cicadatack/route/replicapicker"
 )
 
-// PlainTargets chooses among the replicas of a service that each serve a request alone.
-// Safe for concurrent use.
+// PlainTargets chooses among the replicas of a plain service, where one replica serves the
+// whole request. It is safe for concurrent use.
 type PlainTargets struct {
-	picker *replicapicker.Picker
-	// addresses and conns change with the list only.
+	picker   *replicapicker.Picker
 	replicas *replicaTable
 }
 
-// healthConfig ejects sooner and for shorter than the defaults, which are for
-// services of many replicas: of three, one that fails takes a third of all requests
-// until it is out, and one that is well again is missed.
+// healthConfig ejects sooner and for a shorter time than the defaults, which are meant for
+// services of many replicas. Of three replicas, a failing one gets a third of all requests
+// until it is ejected, and the capacity of a recovered one is needed.
 var healthConfig = health.Config{
 	BaseEjection: time.Second,
 	MaxEjection:  8 * time.Second,
-	// With three replicas one may always be out.
+	// With three replicas one may always be ejected.
 	MaxEjectedShare: 0.5,
 	MaxLostShare:    0.75,
 }
 
-// NewPlainTargets returns a Plain without replicas for a node in a failure domain.
+// NewPlainTargets returns PlainTargets without replicas, for a node in a failure domain.
 func NewPlainTargets(node, domain string, seed uint64, now func() time.Time) *PlainTargets {
 	balancer := balance.New(balance.Config{
 		Node: node, FailureDomain: domain, Seed: seed, Health: healthConfig,
@@ -41,8 +40,9 @@
 	}
 }
 
-// Update puts a new list in force. conns bounds this node's connections to each
-// replica; nodes are all that send here.
+// Update replaces the list of replicas. maxConns bounds this node's connections to each
+// replica; domainNodes are the nodes of the failure domain and nodes is the number of all nodes
+// that send requests to the service.
 func (p *PlainTargets) Update(list []*replicalist.Replica, maxConns int, domainNodes []string, nodes int) {
 	p.replicas.set(list, maxConns)
 	p.picker.SetPeers(domainNodes, nodes)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Choose implements Targets. It does not wait: plain services queue by themselves
-// and say when they are full.
+// Choose implements Targets. It does not wait: plain services have a queue of their own and
+// refuse requests when they are full.
 func (p *PlainTargets) Choose(_ context.Context, q Query) (Target, error) {
 	choice, ok := p.picker.Pick(balance.Query{Cost: 1, Exclude: q.Exclude, NoProbe: q.NonIdempotent})
 	if !ok {
@@ -81,6 +81,6 @@
 	}
 }
 
-// Changes returns the replicas that were left out or have returned since the last
-// call, for the log.
+// Changes returns the replicas that were ejected or returned to service since the last call,
+// for the log.
 func (p *PlainTargets) Changes() []balance.Change { return p.picker.Changes() }
--- a/route/targets/replica_table.go
+++ b/route/targets/replica_table.go
@@ -6,7 +6,7 @@
 	"github.com/cicadatack/cicadatack/route/replicalist"
 )
 
-// replicaTable is the list that a Plain resolves choices with.
+// replicaTable finds listed replicas by id.
 type replicaTable struct {
 	mu       sync.Mutex
 	replicas map[string]*replicalist.Replica
--- a/route/targets/targets.go
+++ b/route/targets/targets.go
@@ -1,7 +1,7 @@
-// Package targets finds, for each attempt of a request, the endpoint to send it to:
-// a replica of a plain service, or a path through replicas that hold a model's
-// layers. It holds the locks around the decisions of decide/paths and decide/balance
-// and tells them how attempts ended.
+// Package targets chooses, for each attempt of a request, the endpoint to send it to: a replica
+// of a plain service, or a path through the replicas that hold a model's layers. It locks
+// around the decisions of decide/paths and decide/balance and reports the results of attempts
+// to them.
 package targets
 
 import (
@@ -14,36 +14,36 @@
 	"github.com/cicadatack/cicadatack/decide/paths"
 )
 
-// ErrNoEndpoint means that no endpoint may be used now, ErrNoCapacity that those there
-// are have no room.
+// ErrNoEndpoint means that no endpoint is available, ErrNoCapacity that the available ones have no
+// capacity.
 var (
-	ErrNoEndpoint = errors.New("no endpoint may be used now")
-	ErrNoCapacity = errors.New("no endpoint has room")
+	ErrNoEndpoint = errors.New("no endpoint is available")
+	ErrNoCapacity = errors.New("no endpoint has capacity")
 )
 
-// Query asks for a target.
+// Query describes the target that an attempt needs.
 type Query struct {
-	// Tokens is the most memory that the request is expected to need.
+	// Tokens is the expected maximum of tokens that the request keeps in the KV cache.
 	Tokens float64
-	// PrefillTokens is the tokens that are read before the first event.
+	// PrefillTokens is the number of tokens to prefill before the first event.
 	PrefillTokens float64
-	// Exclude names replicas that have failed this request.
+	// Exclude lists replicas that have failed this request.
 	Exclude []string
-	// FirstReplicas, if not empty, names the only replicas that may be handed the request.
+	// FirstReplicas, if not empty, lists the only replicas that may receive the request.
 	FirstReplicas []string
-	// NonIdempotent is set for requests that must not run twice: they are not used to try
-	// endpoints that failed of late.
+	// NonIdempotent requests must not run twice. They are not used to probe endpoints that
+	// failed recently.
 	NonIdempotent bool
-	// Rank orders those who wait for room, 0 first.
+	// Rank orders the requests that wait for capacity, 0 first.
 	Rank int
-	// OnTimeUntil is up to when an answer that begins is on time. Those who wait beyond
-	// it come after all others.
+	// OnTimeUntil is the time up to which an answer that begins is on time. Requests that wait
+	// longer come after all others.
 	OnTimeUntil time.Time
-	// WaitUntil is up to when the request may wait for room.
+	// WaitUntil is the time up to which the request may wait for capacity.
 	WaitUntil time.Time
 }
 
-// Target is where one attempt goes.
+// Target is the destination of one attempt.
 type Target struct {
 	Replica string
 	Address string
@@ -52,13 +52,13 @@
 	Path paths.Path
 	// MaxConns bounds this node's connections to the endpoint.
 	MaxConns int
-	// Active is set for paths.
+	// Active is set for paths only.
 	Active *ActiveRequest
-	// Choice is what a balancer weighed; nil for paths.
+	// Choice is the choice of the balancer with its alternatives; nil for paths.
 	Choice *balance.Choice
 }
 
-// ReplicaByAddress is the replica of the target's path at an address, or "".
+// ReplicaByAddress returns the replica of the path at an address, or "".
 func (t Target) ReplicaByAddress(address string) string {
 	for _, stage := range t.Path {
 		if stage.Address == address {
@@ -68,34 +68,33 @@
 	return ""
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Failure health.Failure
-	// Complete is set if the whole answer came.
+	// Complete is set if the complete answer arrived.
 	Complete bool
-	// NoCapacity is set if the endpoint refused for want of room.
+	// NoCapacity is set if the endpoint refused for lack of capacity.
 	NoCapacity bool
-	// FaultAddress is the address of the part of the path at fault, if the answer named it.
+	// FaultAddress is the address of the faulty stage of the path, if the answer named it.
 	FaultAddress string
-	// LayersMissing says that the part at fault does not hold the layers that it is listed
-	// with.
+	// LayersMissing is set if the faulty stage does not hold the layers that it is listed with.
 	LayersMissing bool
-	// Suspected says that the part at fault, the first if none is named, looks dead.
+	// Suspected is set if the faulty stage, or the first one if none is named, looks dead.
 	Suspected bool
-	// Duration is the time of the attempt.
+	// Duration is the duration of the attempt.
 	Duration time.Duration
-	// Load is what the endpoint said, if it did.
+	// Load is the load that the endpoint reported, if any.
 	Load *Load
 }
 
-// Load is an endpoint's load as it says itself.
+// Load is an endpoint's load as reported by itself.
 type Load struct{ Running, Waiting int }
 
-// Targets chooses for one service. Safe for concurrent use.
+// Targets chooses endpoints for one service. It is safe for concurrent use.
 type Targets interface {
-	// Choose returns a target, waiting for room if it must. It fails with
-	// ErrNoEndpoint, ErrNoRoom or the context's error. Each target needs one Ended.
+	// Choose returns a target and waits for capacity if necessary. It fails with ErrNoEndpoint,
+	// ErrNoCapacity or the context's error. Each target must be released with Finish.
 	Choose(ctx context.Context, q Query) (Target, error)
-	// Finish tells how the attempt went.
+	// Finish releases the target and reports the result of the attempt.
 	Finish(t Target, r Result)
 }
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -25,13 +25,13 @@
 	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
-// soleNode is the part of a node that is alone.
+// soleNode is the share of a node that runs alone.
 func soleNode(maxConns int) NodeShare {
 	return NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: maxConns, DomainNodes: 1}
 }
 
-// twoStageModel is a model whose two twoStageModel are held twice each. A half has room for 25,000
-// tokens: 100 MB beside four layers, at 4,000 bytes a token.
+// twoStageModel is a model in two halves, each with two replicas. A replica has capacity for
+// 25,000 tokens: 100 MB beside four layers, at 4,000 bytes a token.
 func twoStageModel() *ModelTargets {
 	m := NewModelTargets("d", 1, time.Now)
 	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)},
@@ -48,8 +48,8 @@
 	return target
 }
 
-// Two streams fill the model. The next caller waits, and goes on as soon as one of
-// them ends; one who can't wait is told at once.
+// Two streams fill the model. The next request waits and starts as soon as one of them ends; a
+// request that must not wait is refused at once.
 func TestRequestWaitsForCapacity(t *testing.T) {
 	m := twoStageModel()
 	first := choose(t, m, 25000)
@@ -71,8 +71,8 @@
 	}
 }
 
-// One waits for room, and a second comes for whom there would be some: it does not go
-// before the first if that is of its rank, and does if that is of a lower one.
+// A request waits for capacity, and a second one arrives that would fit. It must wait behind
+// the first if both have the same rank, and goes first if the waiting one has a lower rank.
 func TestWaitingRequestsComeFirst(t *testing.T) {
 	for _, c := range []struct {
 		rank    int
@@ -83,7 +83,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			// 50,000 tokens never fit.
+			// 50,000 tokens exceed the capacity of every replica.
 			_, _ = m.Choose(ctx, Query{Tokens: 50000, Rank: 1, WaitUntil: time.Now().Add(time.Minute)})
 		}()
 		for waiting, _ := m.RequestCounts(); waiting == 0; waiting, _ = m.RequestCounts() {
@@ -96,13 +96,13 @@
 		cancel()
 		<-done
 		if waiting, _ := m.RequestCounts(); waiting != 0 || len(m.wakes) != 0 {
-			t.Errorf("%d wait, %d channels are left", waiting, len(m.wakes))
+			t.Errorf("%d requests wait, %d channels are left", waiting, len(m.wakes))
 		}
 	}
 }
 
-// A replica is found lost by one request. All others through it are told at once, so
-// that they need not find out for themselves; those elsewhere are not.
+// One request finds a replica lost. All other requests that run through it are notified at
+// once, so that they need not find out themselves; requests on other replicas are not notified.
 func TestLostReplicaNotifiesAllItsRequests(t *testing.T) {
 	m := twoStageModel()
 	notified := make(chan string, 20)
@@ -117,14 +117,14 @@
 		target.Active.SetCallbacks(func(replica string) { notified <- fmt.Sprint(i, replica) }, func(string) {})
 	}
 	if !m.Suspect("b1", false) || m.Suspect("b1", false) {
-		t.Error("only the first sign is news")
+		t.Error("the suspicion must be new exactly once")
 	}
 	for range through {
 		<-notified
 	}
 	select {
 	case extra := <-notified:
-		t.Errorf("told in vain: %s", extra)
+		t.Errorf("notified although not affected: %s", extra)
 	default:
 	}
 	for range 20 {
@@ -135,12 +135,12 @@
 		}
 	}
 	if !m.MarkAlive("b1") || len(m.Suspects()) != 0 {
-		t.Error("it does not come back")
+		t.Error("the replica does not return to service")
 	}
 }
 
-// A request is led around a lost part: the first part stays, the rest is chosen anew,
-// and what is booked follows.
+// A request bypasses a lost stage: the first stage stays, the others are chosen again, and the
+// reservation moves with them.
 func TestBypassMovesReservation(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -155,35 +155,36 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if booked := m.selector.Reserved(); len(booked) > 0 {
-		t.Errorf("still booked: %v", booked)
+		t.Errorf("still reserved: %v", booked)
 	}
 }
 
-// A first replica looks dead. Its request is given up only if another can take it now:
-// it may yet go on, and given up for nothing its answer is lost.
+// The first replica of a request looks dead. The request migrates only if another first replica
+// has capacity now. The old one may yet continue, so giving the request up without a
+// replacement would lose its answer.
 func TestMigrationNeedsFreeCapacity(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 20000)
 	next, ok := target.Active.ReserveMigration(MigrationFilter{})
 	if !ok || next.Replica == target.Replica {
-		t.Fatalf("%v, %t: the other half is free", next, ok)
+		t.Fatalf("%v, %t: the other first replica has capacity", next, ok)
 	}
 	if _, ok := target.Active.ReserveMigration(MigrationFilter{}); ok {
-		t.Error("the other half is booked, and given to two")
+		t.Error("the capacity of the other first replica was reserved twice")
 	}
 	m.Finish(next, Result{Failure: health.Canceled})
 	if _, ok := target.Active.ReserveMigration(MigrationFilter{Exclude: []string{next.Replica}}); ok {
-		t.Error("the other half has failed this request")
+		t.Error("migrated to a replica that has failed this request")
 	}
 	other := map[string]string{"a1": "a2", "a2": "a1"}[target.Replica]
 	m.Suspect(other, false)
 	if _, ok := target.Active.ReserveMigration(MigrationFilter{}); ok {
-		t.Error("the only other first replica is out of reach")
+		t.Error("migrated to a suspected replica")
 	}
 }
 
-// Those that run through a replica that leaves are told once each time the list says
-// so, while they still do.
+// Requests that run through a draining replica are notified once, and again only after
+// RetryDrainCallback.
 func TestDrainingReplicaNotifiesItsRequests(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -197,22 +198,22 @@
 	update := func() { m.Update(testModel, list, soleNode(10)) }
 	update()
 	if got := <-notified; got != draining {
-		t.Errorf("told of %s", got)
+		t.Errorf("notified about %s", got)
 	}
 	update()
 	target.Active.RetryDrainCallback()
 	update()
 	if got := <-notified; got != draining {
-		t.Errorf("told of %s", got)
+		t.Errorf("notified about %s", got)
 	}
 	if len(notified) != 0 {
-		t.Error("told again without having come back")
+		t.Error("notified again without RetryDrainCallback")
 	}
 }
 
-// A replica leaves without saying so: its entry is gone from the list, and it serves on.
-// Its streams are led away in time; told that it is lost, all would cross the links at
-// once and pause for a second.
+// A replica leaves without announcing it: its entry disappears from the list, and it serves on.
+// Its streams are rerouted as from a draining replica. If it counted as lost, all of them would
+// cross the links at once and pause for a second.
 func TestUnlistedReplicaCountsAsDraining(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -227,13 +228,13 @@
 	}
 	m.Update(testModel, list, soleNode(10))
 	if got := <-notified; got != unlisted {
-		t.Errorf("told of %s", got)
+		t.Errorf("notified about %s", got)
 	}
 }
 
-// The only holder of some layers of a failure domain dies under six streams. Led around
-// through the other domain, each would send its prompt over the links, one behind the
-// other: the first two may, the others go on whole in the other domain.
+// The only holder of some layers in a failure domain dies under six streams. Each bypass
+// through the other domain transfers the prompt over the links, one after another. The first
+// two streams may do so; the others migrate to the other domain as a whole.
 func TestStreamsMigrateWhenLinksAreBusy(t *testing.T) {
 	remote := func(id string, from, to int) *replicalist.Replica {
 		r := replica(id, from, to)
@@ -257,12 +258,12 @@
 		actions = append(actions, action)
 		if action == reroute.Bypass {
 			if path == nil {
-				t.Error("no path")
+				t.Error("a bypass without a path")
 			}
 			continue
 		}
 		if next.Replica != "x" || next.Domain != "far" {
-			t.Errorf("it goes on at %+v", next)
+			t.Errorf("the stream migrates to %+v", next)
 		}
 	}
 	want := []reroute.Action{reroute.Bypass, reroute.Bypass, reroute.Migrate, reroute.Migrate, reroute.Migrate, reroute.Migrate}
@@ -270,13 +271,13 @@
 		t.Errorf("%v, want %v", actions, want)
 	}
 	if action, path, _ := streams[1].Active.Recover(false, 120*time.Millisecond, MigrationFilter{}); action != reroute.Bypass || path == nil {
-		t.Errorf("one that may not be moved: %v %v", action, path)
+		t.Errorf("a stream that must not migrate: %v %v", action, path)
 	}
 }
 
-// Guards against a connection to each part of a path whenever one of many streams goes
-// silent: the parts through which another stream has just had an event live. One that was
-// led elsewhere since says nothing of its new parts.
+// Without this rule a node would connect to every stage of a path whenever one of many streams
+// goes silent. Stages through which another stream has just had an event are alive. A stream
+// that was rerouted since says nothing about its new stages.
 func TestStagesConfirmedByOtherStreams(t *testing.T) {
 	now := time.Now()
 	m := NewModelTargets("d", 1, func() time.Time { return now })
@@ -295,27 +296,27 @@
 	now = now.Add(time.Second)
 	silent.Active.RecordEvent()
 	if got := ids(time.Hour); len(got) != len("a1 b1 ") {
-		t.Errorf("its own events count: %s", got)
+		t.Errorf("the stream's own events count: %s", got)
 	}
 	other.Active.RecordEvent()
 	now = now.Add(20 * time.Millisecond)
 	got := ids(30 * time.Millisecond)
 	shared := other.Path[1].Replica == silent.Path[1].Replica
 	if shared && got != "" || !shared && got != silent.Path[1].Replica+" " {
-		t.Errorf("the other runs along %v, this one along %v, doubted: %s", other.Path, silent.Path, got)
+		t.Errorf("the other stream runs along %v, this one along %v, unconfirmed: %s", other.Path, silent.Path, got)
 	}
 	if got := ids(10 * time.Millisecond); len(got) != len("a1 b1 ") {
-		t.Errorf("what was heard long ago counts: %s", got)
+		t.Errorf("an event before the window counts: %s", got)
 	}
 	other.Active.SetPath(other.Path)
 	if got := ids(time.Hour); len(got) != len("a1 b1 ") {
-		t.Errorf("what was heard along another path counts: %s", got)
+		t.Errorf("an event along another path counts: %s", got)
 	}
 }
 
-// Three nodes have lost a replica. A fourth takes their word and sends it nothing new, but
-// does not pass that on as its own view until it has tried for itself: a rumor that is
-// passed on would keep itself alive.
+// Three nodes have lost a replica. A fourth accepts their report and sends the replica nothing
+// new, but doesn't report it as an observation of its own before it has tried itself. Forwarded
+// reports would keep each other alive.
 func TestPeerReportsAreNotForwarded(t *testing.T) {
 	m := twoStageModel()
 	reports := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
@@ -325,27 +326,27 @@
 		t.Fatalf("%+v", decision)
 	}
 	if seen := m.Observations(); len(seen) != 0 {
-		t.Errorf("passed on: %+v", seen)
+		t.Errorf("forwarded: %+v", seen)
 	}
 	if target := choose(t, m, 10); target.Replica != "a2" {
 		t.Errorf("sent to %s", target.Replica)
 	}
 	m.RecordUnreachable("a1")
 	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Nodes != 1 {
-		t.Errorf("tried in vain: %+v", seen)
+		t.Errorf("after a failed try: %+v", seen)
 	}
 	m.MarkAlive("a1")
 	if seen := m.Observations(); len(seen) != 0 || len(m.Suspects()) != 0 {
-		t.Errorf("reached again: %+v", seen)
+		t.Errorf("after the replica was reached: %+v", seen)
 	}
 	reports[0].Age = 400 * time.Millisecond
 	if m.Evaluate("n4", domainNodes, reports[:1]); len(m.Suspects()) != 0 {
-		t.Error("an older word of others goes before what was seen since")
+		t.Error("a report replaces a newer observation of this node")
 	}
 }
 
-// Guards against a node that asks the same replica at each exchange while one other node
-// goes on claiming that it is lost.
+// Without a bound, a node would verify the same replica at each exchange as long as one other
+// node reports it as lost.
 func TestVerificationsPerReportAreBounded(t *testing.T) {
 	now := time.Now()
 	m := NewModelTargets("d", 1, func() time.Time { return now })
@@ -356,12 +357,12 @@
 		now = now.Add(verifyInterval / 10)
 	}
 	if verifications != 2 {
-		t.Errorf("%d looks in two seconds", verifications)
+		t.Errorf("%d verifications in two seconds", verifications)
 	}
 }
 
-// Guards against nodes that ask the same replicas for ever on each other's word: what one
-// node learns by looking is a reason for the next to look only if it is news.
+// Nodes must not verify the same replicas forever because of each other's reports. What one
+// node learns by verifying makes the next node verify only if it is news.
 func TestVerificationDoesNotTriggerAnother(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -382,40 +383,39 @@
 		now = now.Add(300 * time.Millisecond)
 	}
 	if verifications > 0 {
-		t.Errorf("%d looks at a replica that never was slow", verifications)
+		t.Errorf("%d verifications of a replica that never was slow", verifications)
 	}
 	nodes[0].SetSlowdown("a1", 5)
 	if verify := nodes[1].Evaluate("n2", names, nodes[0].Observations()).Look; len(verify) != 1 {
-		t.Errorf("a slow one is not looked at: %+v", verify)
+		t.Errorf("a slow replica is not verified: %+v", verify)
 	}
 	nodes[0].SetSlowdown("a1", 1)
 	if seen := nodes[0].Observations(); len(seen) != 1 || seen[0].Pace != 1 {
-		t.Errorf("that it is well again is not told: %+v", seen)
+		t.Errorf("the recovery is not reported: %+v", seen)
 	}
 }
 
-// A replica that leaves refuses connections and goes on with what it has. Other nodes say
-// that it is lost; the requests that run through it here stay where they are, unless its
-// machine does not answer either.
+// A draining replica refuses connections and continues its requests. Other nodes report it as
+// lost. The requests that run through it on this node stay, unless its host is unreachable.
 func TestReportedLossKeepsActiveRequests(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 10)
 	target.Active.SetCallbacks(func(string) {}, func(string) {})
 	first := target.Path[0].Replica
 	if changed, callbacks := m.suspectOnReport(first, false); !changed || len(callbacks) != 0 {
-		t.Errorf("news %v, %d requests are told", changed, len(callbacks))
+		t.Errorf("new %v, %d requests are notified", changed, len(callbacks))
 	}
 	if next := choose(t, m, 10); next.Path[0].Replica == first {
-		t.Error("a new request was sent there")
+		t.Error("a new request was sent to the suspected replica")
 	}
 	m.MarkAlive(first)
 	if changed, callbacks := m.suspectOnReport(first, true); !changed || len(callbacks) != 1 {
-		t.Errorf("its machine is silent: news %v, %d requests are told", changed, len(callbacks))
+		t.Errorf("host unreachable: new %v, %d requests are notified", changed, len(callbacks))
 	}
 }
 
-// Three nodes were refused by a replica that has room. A fourth sends it nothing new, and
-// tells others only what it was refused itself.
+// Three nodes were refused by a replica that has capacity. A fourth sends it nothing new, and
+// reports only the refusals that it got itself.
 func TestReportedRefusalsBackOff(t *testing.T) {
 	m := twoStageModel()
 	domainNodes := []string{"n1", "n2", "n3", "n4"}
@@ -429,10 +429,10 @@
 		t.Errorf("sent to %s", target.Replica)
 	}
 	if seen := m.Observations(); len(seen) != 0 {
-		t.Errorf("passed on: %+v", seen)
+		t.Errorf("forwarded: %+v", seen)
 	}
 	m.Finish(target, Result{FaultAddress: "a2", NoCapacity: true})
 	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].TurnsAway {
-		t.Errorf("what this node was refused: %+v", seen)
+		t.Errorf("this node's own refusals: %+v", seen)
 	}
 }
