--- a/route/upstream/conn.go
+++ b/route/upstream/conn.go
@@ -9,15 +9,16 @@
 	"time"
 )
 
-// readBufferBytes holds the head of an answer and some events of a stream. Some hundred
-// connections a node are open at once.
+// readBufferBytes holds the head of an answer and some events of a stream. A node has some
+// hundred connections open at once.
 const readBufferBytes = 4 << 10
 
 // conn is one connection to an endpoint.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleUntil is when the endpoint may close it.
+	// idleUntil is the time up to which the connection may be reused. After it the endpoint may
+	// close the connection.
 	idleUntil time.Time
 	closeOnce sync.Once
 }
@@ -26,8 +27,8 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, readBufferBytes)}
 }
 
-// clean says whether nothing has come on an idle connection: neither its end nor
-// bytes that nobody asked for. It does not block.
+// clean reports whether an idle connection is still open and has received no unexpected bytes.
+// It does not block.
 func (c *conn) clean() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/route/upstream/doc.go
+++ b/route/upstream/doc.go
@@ -1,21 +1,20 @@
-// Package upstream sends requests to endpoints over connections that it keeps, one
-// request at a time on each, and says of every failure whether the endpoint can have
-// read the request.
+// Package upstream sends requests to endpoints over a pool of persistent connections, one
+// request at a time on each. For every failure it tells whether the endpoint can have read the
+// request.
 //
 //	exchange, err := pool.Send(ctx, upstream.Request{...})
-//	var failure *upstream.Failure // every error is one; it says what is proved
+//	var failure *upstream.Failure // the type of every error; tells whether the request was sent
 //	defer exchange.Close()
 //	... exchange.Response, exchange.Read ...
 //
-// The standard library's client is not used, for three failures that callers would
-// see:
+// The client of the standard library is not used, because callers would see three failures:
 //
-//   - It sends a request again by itself when a kept connection breaks, which runs
-//     an order twice, and says nothing of it, so that no budget of retries counts it.
-//   - It takes whatever comes next on a kept connection for the answer. An endpoint
-//     that answers twice would have its second answer given to the next caller.
-//   - It decides alone when to open connections, of which an endpoint takes only so
-//     many from all nodes together.
+//   - When a reused connection breaks, it may retry the request by itself. That runs a
+//     non-idempotent request twice, and no retry budget counts it.
+//   - It takes the next bytes on a reused connection for the answer. If an endpoint answers
+//     twice, the next caller gets the second answer.
+//   - It decides by itself when to open connections, while an endpoint accepts only a limited
+//     number from all nodes together.
 //
-// Requests are written and answers parsed by the library's own codec.
+// Requests are encoded and answers parsed with the standard library's functions.
 package upstream
--- a/route/upstream/exchange.go
+++ b/route/upstream/exchange.go
@@ -15,44 +15,43 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Request is one request to one endpoint.
+// Request is a request to one endpoint.
 type Request struct {
-	// Address is the endpoint's IP number and port.
+	// Address is the endpoint's IP address and port.
 	Address string
 	Method  string
-	// Target is the path with its query, as the caller sent it.
+	// Target is the path with the query, as the caller sent it.
 	Target string
-	// Host is the caller's.
+	// Host is the value of the Host header.
 	Host   string
 	Header http.Header
 	Body   []byte
-	// NewConn asks for a connection of its own, which can bring no other request's
-	// answer and whose end before an answer leaves no doubt about which request it
-	// ended.
+	// NewConn requests a new connection. It can't carry the answer to an earlier request, and
+	// if it closes before an answer, there is no doubt which request that concerns.
 	NewConn bool
 	// MaxConns bounds this node's connections to the endpoint; zero for no bound.
 	MaxConns int
-	// Matches says whether an answer's head belongs to this request.
+	// Matches reports whether the head of an answer belongs to this request.
 	Matches func(h http.Header) bool
-	// HeadTimeout bounds the wait for the answer's head.
+	// HeadTimeout bounds the wait for the head of the answer.
 	HeadTimeout time.Duration
 }
 
-// Failure is the error of a request without a whole answer.
+// Failure is the error of a request without a complete answer.
 type Failure struct {
 	Address string
 	// NotSent is set if no byte of the request can have reached the endpoint.
 	NotSent bool
-	// Unreachable is set if no connection came about.
+	// Unreachable is set if no connection could be opened.
 	Unreachable bool
-	// AtConnLimit is set if this node has as many connections open as it may.
+	// AtConnLimit is set if this node already has MaxConns connections open.
 	AtConnLimit bool
 	// TimedOut is set if the endpoint did not answer in time.
 	TimedOut bool
 	Cause    error
 }
 
-// Error names the endpoint, what is known, and the cause.
+// Error returns the endpoint, whether the request was sent, and the cause.
 func (f *Failure) Error() string {
 	state := "may have run"
 	if f.NotSent {
@@ -64,11 +63,10 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// RefusalFailure says what an endpoint's own refusal before work means. Only
-// 429 is a plea for less load, which must not be answered by sending the call
-// elsewhere at once. Any other refusal says that this endpoint can't serve, such
-// as an engine whose next stage is gone; others can, and a caller who were told
-// to come back later would wait for nothing.
+// RefusalFailure classifies an endpoint's refusal before any work. Only 429 is a request for
+// less load, which must not be answered by sending the request elsewhere at once. Any other
+// refusal says that this endpoint can't serve, for example an engine whose next stage is gone.
+// Other endpoints can, and a caller that is told to retry later would wait in vain.
 func RefusalFailure(status int) health.Failure {
 	if status == http.StatusTooManyRequests {
 		return health.Overloaded
@@ -77,33 +75,33 @@
 }
 
 const (
-	// maxStrayAnswers bounds the answers to other requests that are passed over on one
-	// connection. An endpoint that answers twice sends one.
+	// maxStrayAnswers bounds the answers to other requests that are skipped on one connection.
+	// An endpoint that answers twice sends one.
 	maxStrayAnswers = 2
-	// maxStrayBytes bounds the length of one.
+	// maxStrayBytes bounds the body of one such answer.
 	maxStrayBytes = 64 << 10
-	// maxInlineWriteBytes is the body length up to which a request is written before its
-	// answer is read: it fits the socket's buffer, so that an endpoint which answers
-	// before it reads can't block the writer.
+	// maxInlineWriteBytes is the body length up to which a request is written before its answer
+	// is read. It fits the socket's send buffer, so that an endpoint that answers before it
+	// reads can't block the writer.
 	maxInlineWriteBytes = 8 << 10
 )
 
-// Exchange is an answer underway.
+// Exchange is a request with its answer in progress.
 type Exchange struct {
 	*http.Response
 	pool       *Pool
 	address    string
 	conn       *conn
 	stopCancel func() bool
-	// writing is set while the rest of a long request is being written.
+	// writing is set while the rest of a long request is being written in the background.
 	writing      atomic.Bool
-	bodyComplete bool // the whole body was read
+	bodyComplete bool // the body was read to its end
 	closed       bool
 }
 
-// Send sends the request and waits for the head of its answer. Any error is a
-// *Failure, but for the context's own, which comes as the Failure's cause. The
-// connection is closed when ctx ends: endpoints take that for a cancellation.
+// Send sends the request and waits for the head of its answer. Every error is a *Failure; a
+// canceled context is its cause. The connection is closed when ctx ends, which endpoints take
+// as a cancellation of the request.
 func (p *Pool) Send(ctx context.Context, r Request) (*Exchange, error) {
 	c, err := p.get(ctx, r.Address, r.NewConn, r.MaxConns)
 	if err != nil {
@@ -133,7 +131,7 @@
 	return nil
 }
 
-// write sends the request, the rest of a long body in the background.
+// write sends the request. The body of a long request is written in the background.
 func (e *Exchange) write(r Request) error {
 	head := encodeHead(r)
 	if len(r.Body) <= maxInlineWriteBytes {
@@ -141,8 +139,8 @@
 	}
 	e.writing.Store(true)
 	go func() {
-		// An endpoint that has answered may read no further; the connection is not
-		// used again then, and the error has no other consequence.
+		// An endpoint that has answered may stop reading. The connection is not reused
+		// then, and the error has no other consequence.
 		if e.writeAll(r, append(head, r.Body...)) == nil {
 			e.writing.Store(false)
 		}
@@ -158,12 +156,12 @@
 	return nil
 }
 
-// encodeHead writes the head. The target goes out as it came: a library that
-// parses and prints it again may change its encoding.
+// encodeHead encodes the request line and the headers. The target is sent as it was received: a
+// library that parses and formats it may change its encoding.
 func encodeHead(r Request) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
-	// A bytes.Buffer takes any write.
+	// Writes to a bytes.Buffer don't fail.
 	_ = r.Header.Write(&b)
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
@@ -172,8 +170,8 @@
 	return b.Bytes()
 }
 
-// readHead reads heads until one belongs to the request. An answer to another
-// request is what an endpoint sent a second time; it must not reach this caller.
+// readHead reads heads until one belongs to the request. An answer to another request is one
+// that an endpoint sent twice; it must not reach this caller.
 func (e *Exchange) readHead(r Request) (*http.Response, error) {
 	request := &http.Request{Method: r.Method}
 	for strays := 0; ; {
@@ -192,13 +190,13 @@
 			return nil, errors.New("the answer belongs to another request")
 		}
 		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxStrayBytes)); err != nil || n == maxStrayBytes {
-			return nil, errors.New("the answer belongs to another request and does not end")
+			return nil, errors.New("the answer belongs to another request and is too long or incomplete")
 		}
 	}
 }
 
-// Read reads the answer's body; it fails if nothing comes within the time. io.EOF
-// means that the answer is whole. Other errors are *Failure.
+// Read reads from the body. It fails if nothing arrives within the timeout. io.EOF means that
+// the answer is complete. Other errors are *Failure.
 func (e *Exchange) Read(p []byte, timeout time.Duration) (int, error) {
 	if err := e.conn.SetReadDeadline(e.pool.now().Add(timeout)); err != nil {
 		return 0, &Failure{Address: e.address, Cause: Error.Wrap(err)}
@@ -214,11 +212,11 @@
 	return n, &Failure{Address: e.address, TimedOut: errors.Is(err, os.ErrDeadlineExceeded), Cause: Error.Wrap(err)}
 }
 
-// ErrTooLong is the error of ReadAll for a body that does not end within its bound.
-var ErrTooLong = errors.New("the answer is longer than is held")
+// ErrTooLong is the error of ReadAll for a body of maxBytes or more.
+var ErrTooLong = errors.New("the answer exceeds the buffer limit")
 
-// ReadAll reads the body to its end. It fails if a part of it takes longer than the
-// time, and with ErrLong and what it has read if there are most bytes or more.
+// ReadAll reads the body to its end. It fails if that takes longer than the timeout, and with
+// ErrTooLong and the bytes read so far if there are maxBytes or more.
 func (e *Exchange) ReadAll(maxBytes int, timeout time.Duration) ([]byte, error) {
 	deadline := e.pool.now().Add(timeout)
 	body := make([]byte, 0, max(512, min(int(e.ContentLength), maxBytes)))
@@ -240,20 +238,20 @@
 	}
 }
 
-// KeepAlive ends the exchange; if the answer was read whole and nothing follows it, its
-// connection is kept for the given time. Close must still be called.
+// KeepAlive ends the exchange and returns its connection to the pool for the given time, if the
+// answer was read to its end and nothing follows it. Close must still be called.
 func (e *Exchange) KeepAlive(keepFor time.Duration) {
 	if e.closed || !e.bodyComplete || e.Response.Close || e.writing.Load() || e.conn.reader.Buffered() > 0 {
 		return
 	}
 	if !e.stopCancel() {
-		return // the context has ended, and the connection with it
+		return // the context has ended and closes the connection
 	}
 	e.closed = true
 	e.pool.putIdle(e.address, e.conn, keepFor)
 }
 
-// Close ends the exchange and, unless it was kept, its connection.
+// Close ends the exchange and closes its connection, unless KeepAlive returned it to the pool.
 func (e *Exchange) Close() {
 	if e.closed {
 		return
--- a/route/upstream/once_test.go
+++ b/route/upstream/once_test.go
@@ -14,15 +14,15 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// notSent says whether err proves that the endpoint read nothing.
+// notSent reports whether err proves that the endpoint read nothing.
 func notSent(err error) bool {
 	var f *Failure
 	return errors.As(err, &f) && f.NotSent
 }
 
-// closingEndpoint is an endpoint that answers the first request, keeps the connection, and reads
-// every order without answering it: it closes the connection instead. dies makes the
-// first order its last request: its address refuses from then on.
+// closingEndpoint is an endpoint that answers a GET request and keeps its connection open, and
+// that reads a POST request and closes the connection without an answer. With dies it also
+// stops listening after the first POST request.
 type closingEndpoint struct {
 	listener net.Listener
 	orders   atomic.Int64
@@ -78,7 +78,7 @@
 	}
 }
 
-// openKeptConn leaves a kept connection to the endpoint.
+// openKeptConn leaves an idle connection to the endpoint in the pool.
 func (f *closingEndpoint) openKeptConn(t *testing.T, pool *Pool) {
 	t.Helper()
 	e, err := pool.Send(context.Background(), request(f.listener.Addr().String(), "warm"))
@@ -94,31 +94,31 @@
 	}
 }
 
-// The caller sees "unknown" and a second bag of flour on its bill: the endpoint reads
-// an order on a kept connection and closes it without an answer, and the standard
-// transport, for which Idempotency-Key is leave to do so, sends the order again by
-// itself. Here it reaches the endpoint once, with a connection of its own or without.
+// The endpoint reads an order on a reused connection and closes it without an answer. The
+// standard transport takes an Idempotency-Key header as permission to retry and sends the order
+// again by itself: the caller sees "unknown" and is billed for a second bag of flour. The pool
+// sends the order once, on a new connection or a reused one.
 func TestOrderOnABrokenConnectionArrivesOnce(t *testing.T) {
-	for _, fresh := range []bool{true, false} {
+	for _, newConn := range []bool{true, false} {
 		f := startClosingEndpoint(t, false)
 		pool := New(time.Now)
 		f.openKeptConn(t, pool)
 		r := request(f.listener.Addr().String(), "a")
-		r.Method, r.Body, r.NewConn = http.MethodPost, []byte("flour"), fresh
+		r.Method, r.Body, r.NewConn = http.MethodPost, []byte("flour"), newConn
 		r.Header.Set("Idempotency-Key", "tuesday")
 		if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
-			t.Errorf("fresh %t: got %v, want an error that does not claim not sent", fresh, err)
+			t.Errorf("new connection %t: got %v, want an error that does not claim not sent", newConn, err)
 		}
 		if n := f.orders.Load(); n != 1 {
-			t.Errorf("fresh %t: the order arrived %d times", fresh, n)
+			t.Errorf("new connection %t: the order arrived %d times", newConn, n)
 		}
 		pool.Close()
 	}
 }
 
-// The caller must not be told "not run": an endpoint reads a request on a kept
-// connection, does its work and dies. Were the request sent again unseen, that second
-// try would end in a refused connection, which alone would prove that nothing ran.
+// An endpoint reads a request on a reused connection, does its work and dies. A hidden retry
+// would fail with a refused connection, which alone would prove that nothing ran, and the
+// caller would be told "not run" for a request that ran.
 func TestCloseAfterReadingIsNotReportedAsNotSent(t *testing.T) {
 	f := startClosingEndpoint(t, true)
 	pool := New(time.Now)
@@ -131,21 +131,22 @@
 	}
 }
 
-// A caller who had gone before is found gone; nothing reaches the endpoint.
+// If the caller left before the request is sent, the error says so and nothing reaches the
+// endpoint.
 func TestCanceledContextSendsNothing(t *testing.T) {
 	f := startClosingEndpoint(t, false)
 	pool := New(time.Now)
 	defer pool.Close()
-	gone, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
 	r := request(f.listener.Addr().String(), "a")
 	r.Method, r.NewConn = http.MethodPost, true
-	if _, err := pool.Send(gone, r); !errors.Is(err, context.Canceled) || f.orders.Load() != 0 {
+	if _, err := pool.Send(canceled, r); !errors.Is(err, context.Canceled) || f.orders.Load() != 0 {
 		t.Errorf("got %v; %d arrived", err, f.orders.Load())
 	}
 }
 
-// Close leaves no connection behind, however long it was to be kept.
+// Close leaves no connection open, however long it was to be kept.
 func TestCloseEndsIdleConnections(t *testing.T) {
 	f := startClosingEndpoint(t, false)
 	pool := New(time.Now)
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -9,21 +9,20 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this layer's errors.
+// Error is the class of the errors of this package.
 var Error = errs.Class("upstream")
 
 const (
-	// dialTimeout is a hundred round trips between failure domains of a region; a
-	// lost packet is sent again only after a second, and another endpoint is there
-	// sooner.
+	// dialTimeout is a hundred round trips between failure domains of a region. A lost packet
+	// is sent again only after a second, and using another endpoint is faster than that.
 	dialTimeout = 300 * time.Millisecond
-	// defaultIdleTime is how long an idle connection is kept if the endpoint does not
-	// say, keepMargin how much sooner than it says.
+	// defaultIdleTime is how long an idle connection is kept if the endpoint does not say.
+	// Otherwise it is closed idleTimeMargin before the endpoint would close it.
 	defaultIdleTime = 4 * time.Second
 	idleTimeMargin  = time.Second
 )
 
-// Pool holds the connections of one node to endpoints. Safe for concurrent use.
+// Pool holds the connections of one node to endpoints. It is safe for concurrent use.
 type Pool struct {
 	now  func() time.Time
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
@@ -33,19 +32,19 @@
 	opened    int64
 }
 
-// endpointConns is one endpoint's connections.
+// endpointConns is the connections to one endpoint.
 type endpointConns struct {
-	idle []*conn // the last used is taken first, so that spare ones grow old
+	idle []*conn // the last used is reused first, so that surplus connections expire
 	open int
 }
 
-// New returns a Pool without connections. now is the steady clock.
+// New returns a Pool without connections. now is a monotonic clock.
 func New(now func() time.Time) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Pool{now: now, dial: dialer.DialContext, endpoints: map[string]*endpointConns{}}
 }
 
-// get returns an idle connection, or a new one; fresh asks for a new one.
+// get returns an idle connection or a new one; with newOnly always a new one.
 func (p *Pool) get(ctx context.Context, address string, newOnly bool, maxConns int) (*conn, error) {
 	if !newOnly {
 		if c := p.takeIdle(address); c != nil {
@@ -53,7 +52,7 @@
 		}
 	}
 	if !p.reserve(address, maxConns) {
-		return nil, &Failure{Address: address, NotSent: true, AtConnLimit: true, Cause: Error.New("%d connections are open", maxConns)}
+		return nil, &Failure{Address: address, NotSent: true, AtConnLimit: true, Cause: Error.New("connection limit reached: %d are open", maxConns)}
 	}
 	raw, err := p.dial(ctx, "tcp", address)
 	if err != nil {
@@ -63,8 +62,8 @@
 	return newConn(raw), nil
 }
 
-// takeIdle returns a usable idle connection, or nil. Those that have ended or have
-// brought bytes unasked are closed.
+// takeIdle returns a usable idle connection, or nil. Connections that have expired, were closed
+// by the endpoint or have received unexpected bytes are closed.
 func (p *Pool) takeIdle(address string) *conn {
 	for {
 		c := p.popIdle(address)
@@ -91,8 +90,8 @@
 	return c
 }
 
-// reserve counts a connection that is about to be opened. Beyond the bound the
-// oldest idle one makes room.
+// reserve counts a connection that is about to be opened. At the limit the oldest idle
+// connection is closed instead.
 func (p *Pool) reserve(address string, maxConns int) bool {
 	p.mu.Lock()
 	h := p.endpoints[address]
@@ -129,7 +128,7 @@
 	}
 }
 
-// discard closes a connection for good. Only the first call counts.
+// discard closes a connection for good. Only the first call has an effect.
 func (p *Pool) discard(address string, c *conn) {
 	c.closeOnce.Do(func() {
 		c.Close()
@@ -137,7 +136,7 @@
 	})
 }
 
-// putIdle makes a connection idle.
+// putIdle returns a connection to the pool.
 func (p *Pool) putIdle(address string, c *conn, keepFor time.Duration) {
 	if keepFor <= 0 {
 		keepFor = defaultIdleTime
@@ -153,8 +152,7 @@
 	h.idle = append(h.idle, c)
 }
 
-// Prune closes idle connections that are past their time. It is called now and
-// then.
+// Prune closes expired idle connections. It must be called periodically.
 func (p *Pool) Prune() {
 	p.closeIdle(p.now())
 }
@@ -167,7 +165,7 @@
 // beyondAnyIdleTime is longer than any connection is kept.
 const beyondAnyIdleTime = 24 * time.Hour
 
-// closeIdle closes the idle connections whose time is past at a given one.
+// closeIdle closes the idle connections that expire by the given time.
 func (p *Pool) closeIdle(at time.Time) {
 	for address, conns := range p.takeExpired(at) {
 		for _, c := range conns {
@@ -194,9 +192,9 @@
 	return expired
 }
 
-// Reachable opens a connection to an endpoint and keeps it idle. It says whether the
-// endpoint accepts it, and whether its machine answers at all, without asking the
-// endpoint for anything.
+// Reachable opens a connection to an endpoint and returns it to the pool. It reports whether
+// the endpoint accepts it, and whether its host answers at all, without sending the endpoint a
+// request.
 func (p *Pool) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, answers bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -208,21 +206,21 @@
 	return true, true
 }
 
-// Connected says whether a connection to an endpoint is open.
+// Connected reports whether a connection to an endpoint is open.
 func (p *Pool) Connected(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[address] != nil
 }
 
-// OpenedConns is how many connections were begun in all, for metrics.
+// OpenedConns is the number of connections begun since the start, for metrics.
 func (p *Pool) OpenedConns() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// OpenConns is the number of connections, for metrics.
+// OpenConns is the number of open connections, for metrics.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/route/upstream/upstream_test.go
+++ b/route/upstream/upstream_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// endpoint is a listener whose connections a test serves by hand, one after the other.
-// They end with the test.
+// endpoint starts a listener whose connections are served by the given function. They are
+// closed at the end of the test.
 func endpoint(t *testing.T, serve func(conn net.Conn, requests *bufio.Reader, number int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,8 +75,8 @@
 	}
 }
 
-// An endpoint answers twice, and the second answer lies on the kept connection where
-// that of the next request is due. Each caller gets its own.
+// An endpoint answers a request twice, and the second answer is read on the reused connection
+// in place of the next request's answer. Each caller must get its own answer.
 func TestStrayAnswersAreSkipped(t *testing.T) {
 	second := make(chan struct{})
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, _ int) {
@@ -87,7 +87,7 @@
 			}
 			id := r.Header.Get("Id")
 			if id == "2" {
-				respond(conn, "1", "one again") // too late for the check before the send
+				respond(conn, "1", "one again") // arrives after the check for unexpected bytes
 			}
 			respond(conn, id, "answer "+id)
 			if id == "1" {
@@ -113,7 +113,8 @@
 	}
 }
 
-// An idle connection that has ended, or on which bytes lie, is not used again.
+// An idle connection that was closed by the endpoint, or that has received unexpected bytes, is
+// not reused.
 func TestUncleanConnectionsAreNotUsed(t *testing.T) {
 	sent := make(chan struct{}, 10)
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, number int) {
@@ -125,7 +126,7 @@
 		if number == 1 {
 			fmt.Fprint(conn, "stray")
 			sent <- struct{}{}
-			_, _ = requests.ReadByte() // until it is closed
+			_, _ = requests.ReadByte() // until the pool closes the connection
 			return
 		}
 		conn.Close()
@@ -146,7 +147,8 @@
 	}
 }
 
-// What is known of a failed request decides whether an order may be sent elsewhere.
+// Whether a failed request was sent decides whether a non-idempotent request may be sent to
+// another endpoint.
 func TestFailureSaysWhetherRequestWasSent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -178,8 +180,8 @@
 	}
 }
 
-// An answer is whole only if all of it came: one that is shorter than it says, or whose
-// connection is reset where its end is that of the connection, is not.
+// An answer is complete only if all of it arrived. It is incomplete if it is shorter than its
+// declared length, or if its end is the end of the connection and that was reset.
 func TestIncompleteAnswersFail(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
@@ -209,7 +211,7 @@
 			t.Fatalf("%s: %v", c.name, err)
 		}
 		if c.reset {
-			// A byte that tells the endpoint to reset now.
+			// This byte makes the endpoint reset the connection.
 			if _, err := e.conn.Write([]byte("x")); err != nil {
 				t.Fatal(err)
 			}
@@ -221,7 +223,7 @@
 	}
 }
 
-// A caller leaves: the connection ends, which is how the endpoint learns of it.
+// When a caller leaves, the connection is closed, which is how the endpoint learns of it.
 func TestCanceledContextClosesTheConnection(t *testing.T) {
 	ended, begun := make(chan struct{}), make(chan struct{})
 	address := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) {
@@ -243,11 +245,12 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the endpoint still waits")
+		t.Error("the connection was not closed")
 	}
 }
 
-// A node keeps to its part of the connections that an endpoint takes from all.
+// A node opens no more than its share of the connections that an endpoint accepts from all
+// nodes.
 func TestConnectionsAreBounded(t *testing.T) {
 	address := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) { _, _ = io.Copy(io.Discard, requests) })
 	pool := New(time.Now)
@@ -261,7 +264,7 @@
 		t.Errorf("%v", err)
 	}
 	pool.putIdle(address, first, time.Minute)
-	if fresh, err := pool.get(context.Background(), address, true, 1); err != nil || fresh == first {
-		t.Errorf("an idle one makes room: %v", err)
+	if opened, err := pool.get(context.Background(), address, true, 1); err != nil || opened == first {
+		t.Errorf("the idle connection was not replaced: %v", err)
 	}
 }
