--- a/node/site/site.go
+++ b/node/site/site.go
@@ -285,14 +285,14 @@
 // First implements ingress.Rules.
 func (n *Node) First() <-chan struct{} { return n.first }
 
-// Fresh implements relay.Proof.
+// Fresh implements relay.ConfigFreshness.
 func (n *Node) Fresh() bool {
 	n.lease.Lock()
 	defer n.lease.Unlock()
 	return n.lease.Fresh(sinceBoot())
 }
 
-// Age implements relay.Proof.
+// Age implements relay.ConfigFreshness.
 func (n *Node) Age() time.Duration {
 	n.lease.Lock()
 	defer n.lease.Unlock()
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -216,12 +216,12 @@
 	if first == "" {
 		return
 	}
-	failed := first
+	faulty := first
 	if res.feedback.FaultAddress != "" {
-		failed = req.lastTarget.ReplicaByAddress(res.feedback.FaultAddress)
+		faulty = req.lastTarget.ReplicaByAddress(res.feedback.FaultAddress)
 	}
-	if failed != "" && !slices.Contains(req.failed, failed) {
-		req.failed = append(req.failed, failed)
+	if faulty != "" && !slices.Contains(req.failed, faulty) {
+		req.failed = append(req.failed, faulty)
 	}
 	if !res.notRun() && !slices.Contains(req.mayHaveRun, first) {
 		req.mayHaveRun = append(req.mayHaveRun, first)
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -21,7 +21,7 @@
 	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, Pace: 1}},
 }
 
-func replica(id string, from, to int) *replicalist.Replica {
+func newReplica(id string, from, to int) *replicalist.Replica {
 	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
@@ -34,7 +34,7 @@
 // 25,000 tokens: 100 MB beside four layers, at 4,000 bytes a token.
 func twoStageModel() *ModelTargets {
 	m := NewModelTargets("d", 1, time.Now)
-	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)},
+	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("a2", 0, 4), newReplica("b1", 4, 8), newReplica("b2", 4, 8)},
 		soleNode(10))
 	return m
 }
@@ -191,7 +191,7 @@
 	notified := make(chan string, 4)
 	target.Active.SetCallbacks(func(string) {}, func(replica string) { notified <- replica })
 	draining := target.Path[1].Replica
-	list := []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)}
+	list := []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("a2", 0, 4), newReplica("b1", 4, 8), newReplica("b2", 4, 8)}
 	for _, r := range list {
 		r.Draining = r.ID == draining
 	}
@@ -221,7 +221,7 @@
 	target.Active.SetCallbacks(func(replica string) { t.Errorf("%s counts as lost", replica) }, func(replica string) { notified <- replica })
 	unlisted := target.Path[1].Replica
 	var list []*replicalist.Replica
-	for _, r := range []*replicalist.Replica{replica("a1", 0, 4), replica("a2", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)} {
+	for _, r := range []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("a2", 0, 4), newReplica("b1", 4, 8), newReplica("b2", 4, 8)} {
 		if r.ID != unlisted {
 			list = append(list, r)
 		}
@@ -237,7 +237,7 @@
 // two streams may do so; the others migrate to the other domain as a whole.
 func TestStreamsMigrateWhenLinksAreBusy(t *testing.T) {
 	remote := func(id string, from, to int) *replicalist.Replica {
-		r := replica(id, from, to)
+		r := newReplica(id, from, to)
 		r.Domain = "far"
 		return r
 	}
@@ -245,7 +245,7 @@
 	// A stream of 1,000 tokens takes 50 ms to cross.
 	model.CrossBytes, model.LinkBytesPerSecond = 1000, 2e7
 	m := NewModelTargets("d", 1, time.Now)
-	list := []*replicalist.Replica{replica("a", 0, 4), replica("b", 4, 8), remote("x", 0, 4), remote("y", 4, 8)}
+	list := []*replicalist.Replica{newReplica("a", 0, 4), newReplica("b", 4, 8), remote("x", 0, 4), remote("y", 4, 8)}
 	m.Update(&model, list, soleNode(10))
 	var streams []Target
 	for range 6 {
@@ -281,7 +281,7 @@
 func TestStagesConfirmedByOtherStreams(t *testing.T) {
 	now := time.Now()
 	m := NewModelTargets("d", 1, func() time.Time { return now })
-	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("b1", 4, 8), replica("b2", 4, 8)}, soleNode(10))
+	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("b1", 4, 8), newReplica("b2", 4, 8)}, soleNode(10))
 	silent, other := choose(t, m, 10), choose(t, m, 10)
 	ids := func(window time.Duration) string {
 		text := ""
@@ -350,7 +350,7 @@
 func TestVerificationsPerReportAreBounded(t *testing.T) {
 	now := time.Now()
 	m := NewModelTargets("d", 1, func() time.Time { return now })
-	m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("b1", 4, 8)}, soleNode(10))
+	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("b1", 4, 8)}, soleNode(10))
 	verifications := 0
 	for range 20 {
 		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
@@ -369,7 +369,7 @@
 	nodes := []*ModelTargets{NewModelTargets("d", 1, clock), NewModelTargets("d", 2, clock)}
 	names := []string{"n1", "n2"}
 	for _, m := range nodes {
-		m.Update(testModel, []*replicalist.Replica{replica("a1", 0, 4), replica("b1", 4, 8)}, soleNode(10))
+		m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("b1", 4, 8)}, soleNode(10))
 	}
 	nodes[0].SetSlowdown("a1", 1)
 	verifications := 0
