--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -71,7 +71,7 @@
 		return nil, &attemptResult{kind: resultDeadline, detail: "deadline too near to send the request"}
 	}
 	if req.Freshness != nil && !req.Freshness.Fresh() {
-		return nil, &attemptResult{kind: resultNotSent, detail: "the configuration is not proved recent any more"}
+		return nil, &attemptResult{kind: resultNotSent, detail: "the configuration is not proved to be recent"}
 	}
 	exchange, err := req.server.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
@@ -124,9 +124,9 @@
 	return res
 }
 
-// endpointFailure is the failure to report of the endpoint when this node ended the attempt. It
-// is Canceled, which says nothing about the endpoint, unless the endpoint had most of the
-// request's time: an endpoint that hangs shows in no other way.
+// endpointFailure is the failure to report about the endpoint when this node ended the attempt.
+// It is Canceled, which says nothing about the endpoint, unless the endpoint had most of the
+// request's time. An endpoint that hangs can't be detected in another way.
 func (a *attempt) endpointFailure(kind resultKind) health.Failure {
 	total := a.req.Deadline.Sub(a.req.Arrived)
 	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangDivisor {
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -21,8 +21,8 @@
 	// Longer answers are passed on as they arrive, and aborted if they end early.
 	DefaultMaxBufferedBytes = 1 << 20
 	// headTimeoutFactor times the objective is how long an endpoint may leave an idempotent
-	// request unanswered before another endpoint is asked. A lower factor would retry slow but
-	// usual requests too.
+	// request unanswered before another endpoint is asked. A lower factor would also retry the
+	// slowest of the usual requests.
 	headTimeoutFactor = 3
 	headerLength      = "Content-Length"
 )
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -88,7 +88,7 @@
 	d.Figures["try"] = float64(req.attempts)
 	d.Notes = []decisionlog.Note{{Name: "address", Text: target.Address}}
 	if len(target.Path) > 0 {
-		d.Reason = "cheapest path with room"
+		d.Reason = "cheapest path with capacity"
 		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: target.Path.String()})
 	}
 	d.Quiet = !req.sampled && req.attempts == 1
@@ -190,8 +190,8 @@
 }
 
 // budgetWaitUntil is how long the request may wait for the retry budget. Giving up a stream
-// that has begun loses what the caller has of it, so it waits as long as its caller does. Other
-// requests wait as long as for capacity.
+// that has begun wastes what the caller has received of it, so it waits as long as its caller
+// does. Other requests wait as long as for capacity.
 func (req *requestState) budgetWaitUntil() time.Time {
 	if req.started {
 		return req.lastEventAt.Add(resumeTimeout)
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -15,7 +15,7 @@
 )
 
 // streamIdleTimeout is the pause after which a stream is given up although its whole path can
-// be reached. It is longer than engines wait for a stage.
+// be reached. Engines give up a silent stage sooner.
 const streamIdleTimeout = 4 * time.Second
 
 // runStream makes an attempt whose events are passed on as they arrive.
