--- a/node/site/figures.go
+++ b/node/site/figures.go
@@ -83,7 +83,7 @@
 	for why, made := range n.prober.Made() {
 		n.connections.set("probe_"+string(why), made)
 	}
-	n.connections.set("all", n.pool.Opened())
+	n.connections.set("all", n.pool.OpenedConns())
 	n.tellGrown("store calls", &n.storeCalls, every)
 	n.tellGrown("connections opened to endpoints", &n.connections, every)
 }
@@ -109,13 +109,13 @@
 		n.metrics.Version(rules.Version)
 	}
 	n.metrics.Underway(n.underway.Load())
-	n.metrics.Connections(n.pool.Open())
+	n.metrics.Connections(n.pool.OpenConns())
 	n.metrics.Members("live", len(n.members.get()))
 	n.gaugeReplicas()
 	for service, model := range n.services.allModels() {
-		waiting, underway := model.Waiting()
+		waiting, underway := model.RequestCounts()
 		n.metrics.Queue(service, waiting, underway)
-		for domain, used := range model.Used() {
+		for domain, used := range model.PeakUtilization() {
 			n.metrics.Room(service, domain, used)
 		}
 	}
@@ -146,7 +146,7 @@
 		}
 	}
 	for service, model := range n.services.allModels() {
-		if away := len(model.Away()); away > 0 && counts[service] != nil {
+		if away := len(model.BackedOff()); away > 0 && counts[service] != nil {
 			counts[service][stateAway] = away
 		}
 	}
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -149,8 +149,8 @@
 	n.door = &ingress.Door{
 		Rules: n, Services: &n.services, Leaving: n.leavingFor,
 		Path: &relay.Server{
-			Dialect: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
-			Figures: n.metrics, Record: n.decisions, Log: log, Now: time.Now, Sample: successSample,
+			Headers: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
+			Metrics: n.metrics, Recorder: n.decisions, Log: log, Now: time.Now, SampleEvery: successSample,
 		},
 	}
 	return n, nil
@@ -285,14 +285,14 @@
 // First implements ingress.Rules.
 func (n *Node) First() <-chan struct{} { return n.first }
 
-// Fresh implements relay.Proof.
+// Fresh implements relay.ConfigFreshness.
 func (n *Node) Fresh() bool {
 	n.lease.Lock()
 	defer n.lease.Unlock()
 	return n.lease.Fresh(sinceBoot())
 }
 
-// Age implements relay.Proof.
+// Age implements relay.ConfigFreshness.
 func (n *Node) Age() time.Duration {
 	n.lease.Lock()
 	defer n.lease.Unlock()
--- /dev/null
+++ b/route/relay/reroute_test.go
@@ -0,0 +1,119 @@
+package relay
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/cicadatack/cicadatack/decide/layers"
+	"github.com/cicadatack/cicadatack/decide/retry"
+	"github.com/cicadatack/cicadatack/route/replicalist"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
+	"github.com/cicadatack/cicadatack/route/ruleset"
+	"github.com/cicadatack/cicadatack/route/targets"
+)
+
+// twoReplicaModel is a model with two replicas that hold all layers.
+func twoReplicaModel() *targets.ModelTargets {
+	m := targets.NewModelTargets("d", 1, time.Now)
+	model := &ruleset.Model{
+		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
+		Cards: map[string]ruleset.Card{"h100": {MemoryMB: 2000, Pace: 1}},
+	}
+	var list []*replicalist.Replica
+	for _, id := range []string{"a", "b"} {
+		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "h100", Holds: layers.Span{To: 8}})
+	}
+	m.Update(model, list, targets.NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: 10, DomainNodes: 1})
+	return m
+}
+
+// silentStream is a stream of the model that has been silent for the given time.
+func silentStream(t *testing.T, m *targets.ModelTargets, budget *retrybudget.Budget, silentFor time.Duration) (*pathMonitor, func()) {
+	t.Helper()
+	target, err := m.Choose(context.Background(), targets.Query{Tokens: 100})
+	if err != nil {
+		t.Fatal(err)
+	}
+	req := &requestState{
+		Request: &Request{
+			Route:   &ruleset.Route{Kind: ruleset.Stream, Resumable: true, MaxReplicas: 2},
+			Targets: m, Budget: budget, Deadline: time.Now().Add(time.Minute),
+		},
+		server: &Server{Now: time.Now},
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	monitor := &pathMonitor{attempt: &attempt{req: req, target: target, startedAt: time.Now().Add(-silentFor)}, ctx: ctx, cancel: cancel, wake: make(chan struct{}, 1)}
+	return monitor, cancel
+}
+
+// The VM of a stream's first replica loses power. Nothing there continues the stream, so it
+// must migrate at once: after refusingDeadAfter the caller would have waited for an event for
+// most of a second. A replica that refuses connections may only be draining and still serve its
+// streams, so its streams stay for that time.
+func TestFirstReplicaWithoutPowerIsReplacedAtOnce(t *testing.T) {
+	for _, hostUnreachable := range []bool{true, false} {
+		m := twoReplicaModel()
+		monitor, cancel := silentStream(t, m, retrybudget.New(retry.Config{Burst: 10}, time.Now), 100*time.Millisecond)
+		defer cancel()
+		monitor.setMigrationFilter(monitor.attempt.req)
+		m.Suspect(monitor.attempt.target.Replica, hostUnreachable)
+		if migrated := monitor.replaceFirst(monitor.attempt.target.Active, "lost"); migrated != hostUnreachable {
+			t.Errorf("silent %t: migrated %t", hostUnreachable, migrated)
+		}
+		monitor.stop()
+	}
+}
+
+// The first replica of a stream dies, another one has capacity, and the retry budget is spent
+// when it is charged. The stream stays where it is and the reserved capacity is released.
+// Reservations that leak would add up until the node refuses every request.
+func TestReservationOfACancelledMigrationIsReleased(t *testing.T) {
+	m := twoReplicaModel()
+	budget := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
+	monitor, cancel := silentStream(t, m, budget, time.Minute)
+	defer cancel()
+	req, target, now := monitor.attempt.req, monitor.attempt.target, time.Now()
+	monitor.setMigrationFilter(req)
+	m.Suspect(target.Replica, false)
+
+	// Another request spends the rest of the budget between the check and the charge.
+	next, ok := target.Active.ReserveMigration(monitor.filter)
+	if !ok {
+		t.Fatal("no other replica could continue the stream")
+	}
+	m.Finish(next, targets.Result{})
+	req.Deadline = now // too near for a retry: the check passes, the charge fails
+	if monitor.replaceFirst(target.Active, "lost") {
+		t.Error("the stream migrated without a charge to the budget")
+	}
+	if _, active := m.RequestCounts(); active != 1 {
+		t.Errorf("%d requests hold reservations, want only the active one", active)
+	}
+}
+
+// A stream is being routed around a draining stage when another stage dies. The loss must not
+// wait until the reroute has ended, or the stream would pause for seconds.
+func TestLossDuringDrainRerouteIsHandledAtOnce(t *testing.T) {
+	monitor := &pathMonitor{wake: make(chan struct{}, 1)}
+	if !monitor.beginReroute("leaves", true) {
+		t.Fatal("the first reroute could not begin")
+	}
+	if monitor.beginReroute("leaves too", true) || monitor.takePendingLoss() != "" {
+		t.Error("a second draining stage counts as a loss")
+	}
+	if monitor.beginReroute("lost", false) {
+		t.Error("two reroutes at the same time")
+	}
+	select {
+	case <-monitor.wake:
+	default:
+		t.Error("the wait between two tries was not ended")
+	}
+	if reason := monitor.takePendingLoss(); reason != "lost" {
+		t.Errorf("%q", reason)
+	}
+	if monitor.takePendingLoss() != "" {
+		t.Error("the same loss was returned twice")
+	}
+}
--- /dev/null
+++ b/route/relay/server.go
@@ -0,0 +1,264 @@
+package relay
+
+import (
+	"context"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/zeebo/errs"
+
+	"github.com/cicadatack/cicadatack/decide/paths"
+	"github.com/cicadatack/cicadatack/route/connprobe"
+	"github.com/cicadatack/cicadatack/route/decisionlog"
+	"github.com/cicadatack/cicadatack/route/headers"
+	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/route/replicareport"
+	"github.com/cicadatack/cicadatack/route/retrybudget"
+	"github.com/cicadatack/cicadatack/route/ruleset"
+	"github.com/cicadatack/cicadatack/route/targets"
+	"github.com/cicadatack/cicadatack/route/upstream"
+)
+
+// Error is the class of the errors of this package.
+var Error = errs.Class("relay")
+
+// ConfigFreshness tells how old the configuration is that admitted a request.
+type ConfigFreshness interface {
+	// Fresh reports whether the configuration is confirmed to be recent enough to serve
+	// requests with keys.
+	Fresh() bool
+	// Age is the time since the last confirmation, for the log.
+	Age() time.Duration
+}
+
+// EngineClient sends commands to model engines.
+type EngineClient interface {
+	// Reroute moves a request that runs at its first replica to another path with the same
+	// first stage. It fails with a *RerouteRefused if the engine refused the command.
+	Reroute(ctx context.Context, address, request string, path paths.Path) error
+}
+
+// RerouteRefused is the error of a reroute command that an engine refused.
+type RerouteRefused struct {
+	// FaultAddress is the address of the stage that could not be reached; "" if a stage has no
+	// capacity.
+	FaultAddress string
+	Cause        error
+}
+
+// Error implements error.
+func (r *RerouteRefused) Error() string { return r.Cause.Error() }
+
+// Unwrap returns the cause.
+func (r *RerouteRefused) Unwrap() error { return r.Cause }
+
+// Metrics records the outcomes of requests.
+type Metrics interface {
+	Request(service, team, outcome string)
+	Refused(service, reason string)
+	FirstToken(service string, d time.Duration)
+	Waited(service string, d time.Duration)
+	Resumed(service, reason string)
+	Retried(service, reason string)
+}
+
+// Request is a request that a listener has admitted: its caller's team, its destination and its
+// limits. The data path reads nothing else of what the caller sent.
+type Request struct {
+	Call headers.Call
+	// Team is the caller's team; "" if the route is open to all.
+	Team    string
+	Service string
+	Route   *ruleset.Route
+	// Rank orders the requests that wait for capacity, 0 first.
+	Rank int
+	// Revision is the version of the document or configuration that admitted the request.
+	Revision int64
+	// Freshness is checked again before each attempt, so that a request with a key that was
+	// revoked meanwhile does not run. It is nil if no key admitted the request, or if no bound
+	// applies to the revocation of keys.
+	Freshness ConfigFreshness
+
+	Targets targets.Targets
+	Budget  *retrybudget.Budget
+
+	// Method, Target (path and query), Host and Header are sent to the endpoint. An empty Host
+	// stands for the endpoint's own address.
+	Method string
+	Target string
+	Host   string
+	Header http.Header
+	Body   []byte
+
+	Arrived time.Time
+	// Deadline is the caller's or the route's, whichever is sooner. A later answer is of no
+	// use.
+	Deadline time.Time
+}
+
+// Server serves requests that a listener has admitted. It is safe for concurrent use; the
+// fields are set before use. Engines, Prober and Reports are needed only for model services.
+type Server struct {
+	Headers  headers.Dialect
+	Engines  EngineClient
+	Pool     *upstream.Pool
+	Prober   *connprobe.Prober
+	Reports  *replicareport.Inspector
+	Metrics  Metrics
+	Recorder decisionlog.Recorder
+	Log      hclog.Logger
+	Now      func() time.Time
+	// MaxBufferedBytes bounds the answers that are buffered until they are complete. Zero
+	// stands for DefaultMaxBufferedBytes.
+	MaxBufferedBytes int
+	// SampleEvery is N if one of N successful requests is logged; the others are only kept in
+	// memory. Zero logs all.
+	SampleEvery uint64
+
+	requestCount atomic.Uint64
+}
+
+// requestState is the state of one request in progress. Only one goroutine uses it.
+type requestState struct {
+	*Request
+	server *Server
+	// w receives the answer as it arrives; nil if the answer is returned as a whole.
+	w http.ResponseWriter
+	// callerCtx ends when the caller leaves, ctx also at the deadline.
+	callerCtx context.Context
+	ctx       context.Context
+	log       hclog.Logger
+	// sampled requests are logged even if they succeed.
+	sampled bool
+
+	// failed are the replicas that failed this request, mayHaveRun those of them that may have
+	// begun it. attempts is the number of attempts so far.
+	failed     []string
+	mayHaveRun []string
+	attempts   int
+	lastResult attemptResult
+	lastTarget targets.Target
+
+	// started is set once the caller has received a part of the answer; events is the number of
+	// events it has, lastEvent the last of them.
+	started   bool
+	events    int
+	lastEvent eventPosition
+	// firstEvent is the time to the first event. longestPause is the longest pause after it,
+	// which began after longestPauseAfter events.
+	firstEvent        time.Duration
+	longestPause      time.Duration
+	longestPauseAfter int
+	lastEventAt       time.Time
+	// capacityWait is the time spent waiting for capacity, budgetWait for the retry budget.
+	capacityWait, budgetWait time.Duration
+}
+
+// Serve serves one request. ctx ends when the caller leaves.
+func (s *Server) Serve(ctx context.Context, w http.ResponseWriter, r *Request) {
+	state, cancel := s.newRequestState(ctx, w, r)
+	defer cancel()
+	answer, refusal := state.run()
+	switch {
+	case refusal != nil && refusal.Status == statusCallerGone:
+		s.Metrics.Request(r.Service, r.Team, ReasonCallerGone)
+		panic(http.ErrAbortHandler)
+	case refusal != nil:
+		state.refuse(refusal)
+	case answer != nil:
+		state.write(answer)
+	}
+}
+
+// Do returns the complete answer to a request, for a listener that writes it itself. A final
+// failure is returned as a refusal, which carries the outcome of the request. Do does not
+// support streams.
+func (s *Server) Do(ctx context.Context, r *Request) (*Answer, *outcome.Refusal) {
+	state, cancel := s.newRequestState(ctx, nil, r)
+	defer cancel()
+	return state.run()
+}
+
+// Refuse answers a request that its listener does not admit.
+func (s *Server) Refuse(w http.ResponseWriter, req *Request, refusal *outcome.Refusal) {
+	state := &requestState{Request: req, server: s, w: w}
+	state.refuse(refusal)
+}
+
+func (s *Server) newRequestState(callerCtx context.Context, w http.ResponseWriter, r *Request) (*requestState, context.CancelFunc) {
+	ctx, cancel := context.WithDeadline(callerCtx, r.Deadline)
+	return &requestState{
+		Request: r, server: s, w: w, callerCtx: callerCtx, ctx: ctx, log: s.Log.With("request", r.Call.ID),
+		sampled: s.SampleEvery == 0 || s.requestCount.Add(1)%s.SampleEvery == 0,
+	}, cancel
+}
+
+// Reasons of refusals, for logs and metrics.
+const (
+	ReasonNoEndpoint = "no_endpoint"
+	ReasonNoCapacity = "no_room"
+	ReasonOverloaded = "overloaded"
+	ReasonUnknown    = "unknown"
+	ReasonTimeout    = "timeout"
+	ReasonCallerGone = "caller_gone"
+)
+
+const (
+	// retryAfterNoCapacity is the Retry-After of refusals for lack of capacity: about the time
+	// in which a tenth of the streams end, which last some seconds.
+	retryAfterNoCapacity = 400 * time.Millisecond
+	// statusCallerGone is only logged; the caller has left.
+	statusCallerGone = 499
+)
+
+// NotRun returns a refusal of a request that did not run.
+func NotRun(status int, code, message string, retryAfter time.Duration) *outcome.Refusal {
+	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.NotRun, RetryAfter: retryAfter}
+}
+
+// outcomeUnknown returns a refusal of a request that may have run.
+func outcomeUnknown(status int, code, message string) *outcome.Refusal {
+	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.Unknown}
+}
+
+// refuse writes the final answer and records the reason.
+func (req *requestState) refuse(r *outcome.Refusal) {
+	req.record(decisionlog.Decision{
+		Kind: decisionlog.Refuse, Reason: r.Code,
+		Notes: req.withRoute(decisionlog.Note{Name: "outcome", Text: string(r.Outcome)}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
+		Figures: map[string]float64{
+			"status": float64(r.Status), "waited_ms": millis(req.server.Now().Sub(req.Arrived)), "sends": float64(req.attempts),
+			"retry_after_ms": millis(r.RetryAfter),
+		},
+	})
+	req.server.Metrics.Refused(req.Service, r.Code)
+	req.server.Headers.Refuse(req.w, req.Call, r)
+}
+
+// record adds the request's fields to a decision and records it.
+func (req *requestState) record(d decisionlog.Decision) {
+	d.At, d.Request, d.Team, d.Service, d.Revision = req.server.Now(), req.Call.ID, req.Team, req.Service, req.Revision
+	if req.Freshness != nil && d.Figures != nil {
+		d.Figures["proof_age_ms"] = millis(req.Freshness.Age())
+	}
+	req.server.Recorder.Record(d)
+}
+
+// withRoute appends the name of the route to the notes.
+func (req *requestState) withRoute(list ...decisionlog.Note) []decisionlog.Note {
+	if req.Route != nil {
+		list = append(list, decisionlog.Note{Name: "route", Text: req.Route.Name})
+	}
+	return list
+}
+
+func millis(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
+
+func boolFigure(b bool) float64 {
+	if b {
+		return 1
+	}
+	return 0
+}
--- /dev/null
+++ b/route/targets/active_request.go
@@ -0,0 +1,298 @@
+package targets
+
+import (
+	"slices"
+	"time"
+
+	"github.com/cicadatack/cicadatack/decide/layers"
+	"github.com/cicadatack/cicadatack/decide/paths"
+	"github.com/cicadatack/cicadatack/decide/reroute"
+)
+
+// callback is a call of a request's callback that is due, with the replica that it is about.
+type callback struct {
+	call    func(replica string)
+	replica string
+}
+
+func runCallbacks(callbacks []callback) {
+	for _, c := range callbacks {
+		go c.call(c.replica)
+	}
+}
+
+// drainCallbackInterval is the time between two requests that are rerouted away from a draining
+// replica. The replicas that take them over must prefill their prompts, some milliseconds each,
+// between the steps of all other requests.
+const drainCallbackInterval = 15 * time.Millisecond
+
+func runCallbacksPaced(callbacks []callback) {
+	if len(callbacks) == 0 {
+		return
+	}
+	go func() {
+		for _, c := range callbacks {
+			c.call(c.replica)
+			time.Sleep(drainCallbackInterval)
+		}
+	}()
+}
+
+// drainCallbacks lists, once each, the requests that run through a replica that may stop, or
+// give up the layers, before they end. A replica that is no longer listed left without
+// announcing it and counts as draining: it usually serves on for a while, and if it died
+// instead, the silence of its streams shows that sooner. The first stage is left out because it
+// can't be replaced. The caller holds the lock.
+func (m *ModelTargets) drainCallbacks() []callback {
+	var list []callback
+	for r := range m.active {
+		if r.onDraining == nil || r.drainNotified {
+			continue
+		}
+		for _, stage := range r.path[1:] {
+			if !m.selector.Known(stage.Replica) || m.selector.NeedsReroute(stage.Replica, stage.Layers) {
+				r.drainNotified = true
+				list = append(list, callback{r.onDraining, stage.Replica})
+				break
+			}
+		}
+	}
+	return list
+}
+
+// lossCallbacks lists the requests that run through a replica. The caller holds the lock.
+func (m *ModelTargets) lossCallbacks(replica string) []callback {
+	var list []callback
+	for r := range m.active {
+		if r.onLost != nil && r.uses(replica) {
+			list = append(list, callback{r.onLost, replica})
+		}
+	}
+	return list
+}
+
+func (r *ActiveRequest) uses(replica string) bool {
+	for _, stage := range r.path {
+		if stage.Replica == replica {
+			return true
+		}
+	}
+	return false
+}
+
+// SetCallbacks sets the functions that are called, in a goroutine of their own, when a replica
+// of the path is lost and when one is draining. Each may be called more than once.
+func (r *ActiveRequest) SetCallbacks(onLost, onDraining func(replica string)) {
+	r.model.mu.Lock()
+	defer r.model.mu.Unlock()
+	r.onLost, r.onDraining = onLost, onDraining
+}
+
+// FirstReplicaState reports whether the replica that received the request is suspected, and
+// whether its host is unreachable.
+func (r *ActiveRequest) FirstReplicaState() (suspected, hostUnreachable bool) {
+	r.model.mu.Lock()
+	defer r.model.mu.Unlock()
+	first := r.path[0].Replica
+	return r.model.selector.Suspected(first), r.model.selector.HostUnreachable(first)
+}
+
+// MigrationFilter selects the replicas that may take over a request in progress.
+type MigrationFilter struct {
+	// Exclude lists replicas that failed the request.
+	Exclude []string
+	// FirstReplicas, if not empty, lists the only replicas that may take the request over.
+	FirstReplicas []string
+}
+
+// ReserveMigration reserves a path that begins at another first replica, if one has capacity
+// now. The target must be released with Finish.
+func (r *ActiveRequest) ReserveMigration(filter MigrationFilter) (Target, bool) {
+	m := r.model
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	path := r.findMigration(m.now(), filter)
+	if path == nil {
+		return Target{}, false
+	}
+	return m.start(path, r.tokens), true
+}
+
+// findMigration returns a path that begins at another first replica, or nil. The caller holds
+// the lock.
+func (r *ActiveRequest) findMigration(now time.Time, filter MigrationFilter) paths.Path {
+	m := r.model
+	whole := layers.Span{To: m.layers}
+	path, reason := m.selector.Choose(now, paths.Query{
+		Domain: m.domain, Layers: whole, Tokens: r.tokens,
+		Exclude: append(slices.Clone(filter.Exclude), r.path[0].Replica), FirstReplicas: filter.FirstReplicas,
+	})
+	if reason != paths.Found || !path.Covers(whole) {
+		return nil
+	}
+	return path
+}
+
+// Recover decides how the request continues after a stage of its path is lost: on the returned
+// path, which bypasses the stage, or at another first replica. In the second case the target is
+// reserved and must be released with Finish. mayMigrate allows the second case; maxWait is the
+// wait up to which the request is still on time.
+func (r *ActiveRequest) Recover(mayMigrate bool, maxWait time.Duration, filter MigrationFilter) (reroute.Action, paths.Path, Target) {
+	m := r.model
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	bypass := r.findBypass(now)
+	estimate := r.estimateBypass(bypass)
+	estimate.MaxWait, estimate.BypassPrefill = maxWait, m.selector.PrefillWait(now, bypass, r.path, r.tokens, m.share.DomainNodes)
+	var migration paths.Path
+	if mayMigrate {
+		migration = r.findMigration(now, filter)
+		estimate.MigratePrefill = m.selector.PrefillWait(now, migration, nil, r.tokens, m.share.DomainNodes)
+	}
+	action := m.linkBacklog.Decide(now, bypass != nil, estimate, migration != nil && migration.Crossings() == 0)
+	// Recorded before the reroute command is accepted, because the requests that lost the same
+	// stage decide at the same time.
+	switch action {
+	case reroute.Migrate:
+		m.selector.AddPrefill(now, migration, nil, r.tokens, m.share.DomainNodes)
+		return action, nil, m.start(migration, r.tokens)
+	case reroute.Bypass:
+		m.selector.AddPrefill(now, bypass, r.path, r.tokens, m.share.DomainNodes)
+		if estimate.Bytes > 0 {
+			m.linkBacklog.AddTransfer(now, estimate)
+		}
+	}
+	return action, bypass, Target{}
+}
+
+// estimateBypass estimates what a bypass transfers over the links between failure domains. The
+// caller holds the lock.
+func (r *ActiveRequest) estimateBypass(bypass paths.Path) reroute.Estimate {
+	m := r.model
+	added := max(0, bypass.Crossings()-r.path.Crossings())
+	return reroute.Estimate{
+		Bytes: float64(added) * r.tokens * m.crossingBytes, BytesPerSecond: m.linkBytesPerSecond, Nodes: m.share.DomainNodes,
+	}
+}
+
+// RetryDrainCallback records that no bypass of a draining stage was found. The next update of
+// the list calls the callback again.
+func (r *ActiveRequest) RetryDrainCallback() {
+	r.model.mu.Lock()
+	defer r.model.mu.Unlock()
+	r.drainNotified = false
+}
+
+// RecordEvent records that an event of the request arrived, so all stages of its path are
+// alive.
+func (r *ActiveRequest) RecordEvent() {
+	r.lastEventAt.Store(max(1, int64(r.model.now().Sub(r.model.startedAt))))
+}
+
+// UnconfirmedStages returns the stages of the path through which no other request had an event
+// within the window.
+func (r *ActiveRequest) UnconfirmedStages(window time.Duration) paths.Path {
+	m := r.model
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	since := m.now().Sub(m.startedAt) - window
+	alive := map[string]bool{}
+	for other := range m.active {
+		if at := time.Duration(other.lastEventAt.Load()); at == 0 || at < since || other == r {
+			continue
+		}
+		for _, stage := range other.path {
+			alive[stage.Replica] = true
+		}
+	}
+	return slices.DeleteFunc(slices.Clone(r.path), func(p paths.Stage) bool { return alive[p.Replica] })
+}
+
+// Path returns the current path of the request.
+func (r *ActiveRequest) Path() paths.Path {
+	r.model.mu.Lock()
+	defer r.model.mu.Unlock()
+	return r.path
+}
+
+// BypassDraining chooses a path around a draining stage. This is not urgent, so a path that
+// crosses failure domains more often than the present one is chosen only while the links are
+// idle. BypassDraining returns nil if there is no path now.
+func (r *ActiveRequest) BypassDraining() paths.Path {
+	m := r.model
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	now := m.now()
+	path := r.findBypass(now)
+	if path == nil || !m.linkBacklog.Idle(now, r.estimateBypass(path)) {
+		return nil
+	}
+	m.linkBacklog.AddTransfer(now, r.estimateBypass(path))
+	return path
+}
+
+// findBypass returns a path that keeps the first stage and avoids unusable replicas, or nil.
+// The caller holds the lock.
+func (r *ActiveRequest) findBypass(now time.Time) paths.Path {
+	m := r.model
+	first := r.path[0]
+	if first.Layers.To == m.layers {
+		return nil
+	}
+	rest, reason := m.selector.Choose(now, paths.Query{
+		Domain: first.Domain, Layers: layers.Span{From: first.Layers.To, To: m.layers},
+		Tokens: r.tokens, Exclude: []string{first.Replica},
+	})
+	if reason != paths.Found {
+		return nil
+	}
+	path := append(paths.Path{first}, rest...)
+	if !path.Covers(layers.Span{To: m.layers}) {
+		return nil
+	}
+	return path
+}
+
+// SetPath records that the request now runs along another path, and moves its reservation.
+func (r *ActiveRequest) SetPath(path paths.Path) {
+	m := r.model
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if _, underway := m.active[r]; !underway {
+		return
+	}
+	m.selector.Release(r.path, r.tokens)
+	m.selector.Reserve(path, r.tokens)
+	r.path, r.drainNotified = path, false
+	r.lastEventAt.Store(0)
+}
+
+// Suspect records that a replica looks dead, and whether its host is unreachable. It reports
+// whether the suspicion is new.
+func (r *ActiveRequest) Suspect(replica string, hostUnreachable bool) bool {
+	return r.model.Suspect(replica, hostUnreachable)
+}
+
+// MaxSlowdown is the slowdown of the slowest replica of the path, 1 for one as fast as its
+// kind.
+func (r *ActiveRequest) MaxSlowdown() float64 {
+	m := r.model
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	slowest := 1.0
+	for _, stage := range r.path {
+		slowest = max(slowest, m.selector.Slowdown(stage.Replica))
+	}
+	return slowest
+}
+
+// SetSlowdown records a replica's slowdown. It reports whether the value is news.
+func (r *ActiveRequest) SetSlowdown(replica string, slowdown float64) bool {
+	return r.model.SetSlowdown(replica, slowdown)
+}
+
+// RerouteRefused records that an engine refused a reroute command.
+func (r *ActiveRequest) RerouteRefused(path paths.Path, faultAddress string) {
+	r.model.RerouteRefused(path, faultAddress)
+}
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -9,51 +9,50 @@
 	"github.com/zeebo/errs"
 )
 
-// Error is the class of this layer's errors.
+// Error is the class of the errors of this package.
 var Error = errs.Class("upstream")
 
 const (
-	// dialTimeout is a hundred round trips between failure domains of a region; a
-	// lost packet is sent again only after a second, and another endpoint is there
-	// sooner.
+	// dialTimeout is a hundred round trips between failure domains of a region. A lost packet
+	// is sent again only after a second, and using another endpoint is faster than that.
 	dialTimeout = 300 * time.Millisecond
-	// defaultKeep is how long an idle connection is kept if the endpoint does not
-	// say, keepMargin how much sooner than it says.
-	defaultKeep = 4 * time.Second
-	keepMargin  = time.Second
+	// defaultIdleTime is how long an idle connection is kept if the endpoint does not say.
+	// Otherwise it is closed idleTimeMargin before the endpoint would close it.
+	defaultIdleTime = 4 * time.Second
+	idleTimeMargin  = time.Second
 )
 
-// Pool holds the connections of one node to endpoints. Safe for concurrent use.
+// Pool holds the connections of one node to endpoints. It is safe for concurrent use.
 type Pool struct {
 	now  func() time.Time
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu     sync.Mutex
-	hosts  map[string]*host
-	opened int64
+	mu        sync.Mutex
+	endpoints map[string]*endpointConns
+	opened    int64
 }
 
-// host is one endpoint's connections.
-type host struct {
-	idle []*conn // the last used is taken first, so that spare ones grow old
+// endpointConns is the connections to one endpoint.
+type endpointConns struct {
+	idle []*conn // the last used is reused first, so that surplus connections expire
 	open int
 }
 
-// New returns a Pool without connections. now is the steady clock.
+// New returns a Pool without connections. now is a monotonic clock.
 func New(now func() time.Time) *Pool {
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	return &Pool{now: now, dial: dialer.DialContext, hosts: map[string]*host{}}
+	return &Pool{now: now, dial: dialer.DialContext, endpoints: map[string]*endpointConns{}}
 }
 
-// get returns an idle connection, or a new one; fresh asks for a new one.
-func (p *Pool) get(ctx context.Context, address string, fresh bool, most int) (*conn, error) {
-	if !fresh {
+// get returns an idle connection or a new one; with newOnly always a new one.
+func (p *Pool) get(ctx context.Context, address string, newOnly bool, maxConns int) (*conn, error) {
+	if !newOnly {
 		if c := p.takeIdle(address); c != nil {
 			return c, nil
 		}
 	}
-	if !p.reserve(address, most) {
-		return nil, &Failure{Address: address, NotSent: true, Full: true, Cause: Error.New("%d connections are open", most)}
+	if !p.reserve(address, maxConns) {
+		return nil, &Failure{Address: address, NotSent: true, AtConnLimit: true, Cause: Error.New("connection limit reached: %d are open", maxConns)}
 	}
 	raw, err := p.dial(ctx, "tcp", address)
 	if err != nil {
@@ -63,8 +62,8 @@
 	return newConn(raw), nil
 }
 
-// takeIdle returns a usable idle connection, or nil. Those that have ended or have
-// brought bytes unasked are closed.
+// takeIdle returns a usable idle connection, or nil. Connections that have expired, were closed
+// by the endpoint or have received unexpected bytes are closed.
 func (p *Pool) takeIdle(address string) *conn {
 	for {
 		c := p.popIdle(address)
@@ -81,7 +80,7 @@
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	if h == nil || len(h.idle) == 0 {
 		return nil
 	}
@@ -91,30 +90,30 @@
 	return c
 }
 
-// reserve counts a connection that is about to be opened. Beyond the bound the
-// oldest idle one makes room.
-func (p *Pool) reserve(address string, most int) bool {
+// reserve counts a connection that is about to be opened. At the limit the oldest idle
+// connection is closed instead.
+func (p *Pool) reserve(address string, maxConns int) bool {
 	p.mu.Lock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	if h == nil {
-		h = &host{}
-		p.hosts[address] = h
+		h = &endpointConns{}
+		p.endpoints[address] = h
 	}
-	var spare *conn
-	if most > 0 && h.open >= most {
+	var oldest *conn
+	if maxConns > 0 && h.open >= maxConns {
 		if len(h.idle) == 0 {
 			p.mu.Unlock()
 			return false
 		}
-		spare = h.idle[0]
+		oldest = h.idle[0]
 		h.idle = h.idle[1:]
 		h.open--
 	}
 	h.open++
 	p.opened++
 	p.mu.Unlock()
-	if spare != nil {
-		spare.Close()
+	if oldest != nil {
+		oldest.Close()
 	}
 	return true
 }
@@ -122,112 +121,111 @@
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	h.open--
 	if h.open == 0 && len(h.idle) == 0 {
-		delete(p.hosts, address)
+		delete(p.endpoints, address)
 	}
 }
 
-// discard closes a connection for good. Only the first call counts.
+// discard closes a connection for good. Only the first call has an effect.
 func (p *Pool) discard(address string, c *conn) {
-	c.once.Do(func() {
+	c.closeOnce.Do(func() {
 		c.Close()
 		p.release(address)
 	})
 }
 
-// keep makes a connection idle.
-func (p *Pool) keep(address string, c *conn, keepFor time.Duration) {
+// putIdle returns a connection to the pool.
+func (p *Pool) putIdle(address string, c *conn, keepFor time.Duration) {
 	if keepFor <= 0 {
-		keepFor = defaultKeep
+		keepFor = defaultIdleTime
 	}
-	c.idleUntil = p.now().Add(max(0, keepFor-keepMargin))
+	c.idleUntil = p.now().Add(max(0, keepFor-idleTimeMargin))
 	if err := c.SetDeadline(time.Time{}); err != nil {
 		p.discard(address, c)
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.hosts[address]
+	h := p.endpoints[address]
 	h.idle = append(h.idle, c)
 }
 
-// Prune closes idle connections that are past their time. It is called now and
-// then.
+// Prune closes expired idle connections. It must be called periodically.
 func (p *Pool) Prune() {
 	p.closeIdle(p.now())
 }
 
 // Close closes all idle connections.
 func (p *Pool) Close() {
-	p.closeIdle(p.now().Add(forever))
+	p.closeIdle(p.now().Add(beyondAnyIdleTime))
 }
 
-// forever is longer than any connection is kept.
-const forever = 24 * time.Hour
+// beyondAnyIdleTime is longer than any connection is kept.
+const beyondAnyIdleTime = 24 * time.Hour
 
-// closeIdle closes the idle connections whose time is past at a given one.
+// closeIdle closes the idle connections that expire by the given time.
 func (p *Pool) closeIdle(at time.Time) {
-	for address, c := range p.expired(at) {
-		for _, each := range c {
-			p.discard(address, each)
+	for address, conns := range p.takeExpired(at) {
+		for _, c := range conns {
+			p.discard(address, c)
 		}
 	}
 }
 
-func (p *Pool) expired(now time.Time) map[string][]*conn {
+func (p *Pool) takeExpired(at time.Time) map[string][]*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := map[string][]*conn{}
-	for address, h := range p.hosts {
+	expired := map[string][]*conn{}
+	for address, h := range p.endpoints {
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if now.Before(c.idleUntil) {
+			if at.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
-				old[address] = append(old[address], c)
+				expired[address] = append(expired[address], c)
 			}
 		}
 		h.idle = kept
 	}
-	return old
+	return expired
 }
 
-// Reachable opens a connection to an endpoint and keeps it idle. It says whether the
-// endpoint accepts it, and whether its machine answers at all, without asking the
-// endpoint for anything.
-func (p *Pool) Reachable(ctx context.Context, address string, within time.Duration) (accepts, answers bool) {
-	ctx, cancel := context.WithTimeout(ctx, within)
+// Reachable opens a connection to an endpoint and returns it to the pool. It reports whether
+// the endpoint accepts it, and whether its host answers at all, without sending the endpoint a
+// request.
+func (p *Pool) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, answers bool) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	c, err := p.get(ctx, address, true, 0)
 	if err != nil {
 		return false, ctx.Err() == nil
 	}
-	p.keep(address, c, 0)
+	p.putIdle(address, c, 0)
 	return true, true
 }
 
-// Connected says whether a connection to an endpoint is open.
+// Connected reports whether a connection to an endpoint is open.
 func (p *Pool) Connected(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.hosts[address] != nil
+	return p.endpoints[address] != nil
 }
 
-// Opened is how many connections were begun in all, for metrics.
-func (p *Pool) Opened() int64 {
+// OpenedConns is the number of connections begun since the start, for metrics.
+func (p *Pool) OpenedConns() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.opened
 }
 
-// Open is the number of connections, for metrics.
-func (p *Pool) Open() int {
+// OpenConns is the number of open connections, for metrics.
+func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, h := range p.hosts {
+	for _, h := range p.endpoints {
 		n += h.open
 	}
 	return n
--- a/route/upstream/upstream_test.go
+++ b/route/upstream/upstream_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// endpoint is a listener whose connections a test serves by hand, one after the other.
-// They end with the test.
+// endpoint starts a listener whose connections are served by the given function. They are
+// closed at the end of the test.
 func endpoint(t *testing.T, serve func(conn net.Conn, requests *bufio.Reader, number int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,8 +55,8 @@
 func request(address, id string) Request {
 	return Request{
 		Address: address, Method: http.MethodGet, Target: "/x", Host: "h", Header: http.Header{"Id": {id}},
-		Belongs:      func(h http.Header) bool { return h.Get("Id") == id },
-		AnswerWithin: 5 * time.Second,
+		Matches:     func(h http.Header) bool { return h.Get("Id") == id },
+		HeadTimeout: 5 * time.Second,
 	}
 }
 
@@ -75,9 +75,9 @@
 	}
 }
 
-// An endpoint answers twice, and the second answer lies on the kept connection where
-// that of the next request is due. Each caller gets its own.
-func TestStrayAnswersArePassedOver(t *testing.T) {
+// An endpoint answers a request twice, and the second answer is read on the reused connection
+// in place of the next request's answer. Each caller must get its own answer.
+func TestStrayAnswersAreSkipped(t *testing.T) {
 	second := make(chan struct{})
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, _ int) {
 		for {
@@ -87,7 +87,7 @@
 			}
 			id := r.Header.Get("Id")
 			if id == "2" {
-				respond(conn, "1", "one again") // too late for the check before the send
+				respond(conn, "1", "one again") // arrives after the check for unexpected bytes
 			}
 			respond(conn, id, "answer "+id)
 			if id == "1" {
@@ -104,18 +104,19 @@
 		if got, err := body(e); err != nil || got != "answer "+id {
 			t.Errorf("request %s: %q, %v", id, got, err)
 		}
-		e.Keep(0)
+		e.KeepAlive(0)
 		e.Close()
 	}
 	<-second
-	if pool.Open() != 1 {
-		t.Errorf("%d connections", pool.Open())
+	if pool.OpenConns() != 1 {
+		t.Errorf("%d connections", pool.OpenConns())
 	}
 }
 
-// An idle connection that has ended, or on which bytes lie, is not used again.
+// An idle connection that was closed by the endpoint, or that has received unexpected bytes, is
+// not reused.
 func TestUncleanConnectionsAreNotUsed(t *testing.T) {
-	said := make(chan struct{}, 10)
+	sent := make(chan struct{}, 10)
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, number int) {
 		r, err := http.ReadRequest(requests)
 		if err != nil {
@@ -124,12 +125,12 @@
 		respond(conn, r.Header.Get("Id"), fmt.Sprint("connection ", number))
 		if number == 1 {
 			fmt.Fprint(conn, "stray")
-			said <- struct{}{}
-			_, _ = requests.ReadByte() // until it is closed
+			sent <- struct{}{}
+			_, _ = requests.ReadByte() // until the pool closes the connection
 			return
 		}
 		conn.Close()
-		said <- struct{}{}
+		sent <- struct{}{}
 	})
 	pool := New(time.Now)
 	for number := 1; number <= 3; number++ {
@@ -140,14 +141,15 @@
 		if got, err := body(e); err != nil || got != fmt.Sprint("connection ", number) {
 			t.Errorf("%q, %v", got, err)
 		}
-		e.Keep(time.Minute)
+		e.KeepAlive(time.Minute)
 		e.Close()
-		<-said
+		<-sent
 	}
 }
 
-// What is known of a failed request decides whether an order may be sent elsewhere.
-func TestWhatAFailureProves(t *testing.T) {
+// Whether a failed request was sent decides whether a non-idempotent request may be sent to
+// another endpoint.
+func TestFailureSaysWhetherRequestWasSent(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -166,21 +168,21 @@
 		{"does not answer", silent, false, true, false},
 	} {
 		r := request(c.address, "a")
-		r.AnswerWithin = 100 * time.Millisecond
+		r.HeadTimeout = 100 * time.Millisecond
 		_, err := pool.Send(context.Background(), r)
 		var f *Failure
-		if !errors.As(err, &f) || f.NotSent != c.notSent || f.Silent != c.silent || f.Unreachable != c.unreached || notSent(err) != c.notSent {
+		if !errors.As(err, &f) || f.NotSent != c.notSent || f.TimedOut != c.silent || f.Unreachable != c.unreached || notSent(err) != c.notSent {
 			t.Errorf("%s: %+v", c.name, err)
 		}
 	}
-	if pool.Open() != 0 {
-		t.Errorf("%d connections left open", pool.Open())
+	if pool.OpenConns() != 0 {
+		t.Errorf("%d connections left open", pool.OpenConns())
 	}
 }
 
-// An answer is whole only if all of it came: one that is shorter than it says, or whose
-// connection is reset where its end is that of the connection, is not.
-func TestOnlyWholeAnswersEnd(t *testing.T) {
+// An answer is complete only if all of it arrived. It is incomplete if it is shorter than its
+// declared length, or if its end is the end of the connection and that was reset.
+func TestIncompleteAnswersFail(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
 		reset      bool
@@ -209,7 +211,7 @@
 			t.Fatalf("%s: %v", c.name, err)
 		}
 		if c.reset {
-			// A byte that tells the endpoint to reset now.
+			// This byte makes the endpoint reset the connection.
 			if _, err := e.conn.Write([]byte("x")); err != nil {
 				t.Fatal(err)
 			}
@@ -221,8 +223,8 @@
 	}
 }
 
-// A caller leaves: the connection ends, which is how the endpoint learns of it.
-func TestEndOfTheContextEndsTheConnection(t *testing.T) {
+// When a caller leaves, the connection is closed, which is how the endpoint learns of it.
+func TestCanceledContextClosesTheConnection(t *testing.T) {
 	ended, begun := make(chan struct{}), make(chan struct{})
 	address := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) {
 		if _, err := http.ReadRequest(requests); err != nil {
@@ -243,11 +245,12 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("the endpoint still waits")
+		t.Error("the connection was not closed")
 	}
 }
 
-// A node keeps to its part of the connections that an endpoint takes from all.
+// A node opens no more than its share of the connections that an endpoint accepts from all
+// nodes.
 func TestConnectionsAreBounded(t *testing.T) {
 	address := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) { _, _ = io.Copy(io.Discard, requests) })
 	pool := New(time.Now)
@@ -257,11 +260,11 @@
 	}
 	_, err = pool.get(context.Background(), address, false, 1)
 	var f *Failure
-	if !errors.As(err, &f) || !f.Full || !f.NotSent {
+	if !errors.As(err, &f) || !f.AtConnLimit || !f.NotSent {
 		t.Errorf("%v", err)
 	}
-	pool.keep(address, first, time.Minute)
-	if fresh, err := pool.get(context.Background(), address, true, 1); err != nil || fresh == first {
-		t.Errorf("an idle one makes room: %v", err)
+	pool.putIdle(address, first, time.Minute)
+	if opened, err := pool.get(context.Background(), address, true, 1); err != nil || opened == first {
+		t.Errorf("the idle connection was not replaced: %v", err)
 	}
 }
