--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -329,9 +329,9 @@
 	return int(slots)
 }
 
-// ReplicaCount returns the number of replicas of the service, including those
+// ServiceReplicaCount returns the number of replicas of the service, including those
 // outside this node's subset.
-func (b *Balancer) ReplicaCount() int { return len(b.replicas) }
+func (b *Balancer) ServiceReplicaCount() int { return len(b.replicas) }
 
 // SubsetVersion returns a number that changes whenever the result of Subset
 // changes.
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -38,7 +38,7 @@
 // of the requests.
 func (b *Balancer) acceptsPrefixWhenAllFull(now time.Time, m *member) bool {
 	meanOwnLoad := (b.nearTier.inflightRequests + b.spillTier.inflightRequests) / (b.nearTier.capacity() + b.spillTier.capacity())
-	return b.rankWhenAllFull(now, m).rank <= meanOwnLoad
+	return b.candidateWhenAllFull(now, m).adjustedLoad <= meanOwnLoad
 }
 
 // pickWhenAllFull picks the replica with the fewest of this node's requests
@@ -52,7 +52,7 @@
 // over all nodes is even too. An excess of other nodes' requests at a replica still
 // counts if the excess is larger than noise.
 func (b *Balancer) pickWhenAllFull(now time.Time, q Query) (Choice, bool) {
-	var best, runnerUp rankedMember
+	var best, runnerUp memberWithAdjustedLoad
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
 		if len(t.usableMembers) == 0 {
 			continue
@@ -66,7 +66,7 @@
 			if excluded(q, m) {
 				continue
 			}
-			candidate := b.rankWhenAllFull(now, m)
+			candidate := b.candidateWhenAllFull(now, m)
 			if candidate.betterThan(best) {
 				candidate, best = best, candidate
 			}
@@ -86,31 +86,31 @@
 	return c, true
 }
 
-// rankedMember is a replica with its rank for the case that all replicas are full.
+// memberWithAdjustedLoad is a replica with its rank for the case that all replicas are full.
 // A lower rank is better.
-type rankedMember struct {
-	member    *member
-	inBackoff bool    // the replica refused a request during the last Backoff because it was full
-	rank      float64 // requests per unit of effective capacity, multiplied by the slowness
+type memberWithAdjustedLoad struct {
+	member       *member
+	inBackoff    bool    // the replica refused a request during the last Backoff because it was full
+	adjustedLoad float64 // requests per unit of effective capacity, multiplied by the slowness
 }
 
-func (r rankedMember) betterThan(other rankedMember) bool {
+func (r memberWithAdjustedLoad) betterThan(other memberWithAdjustedLoad) bool {
 	if r.member == nil || other.member == nil {
 		return r.member != nil
 	}
 	if r.inBackoff != other.inBackoff {
 		return other.inBackoff
 	}
-	return r.rank < other.rank
+	return r.adjustedLoad < other.adjustedLoad
 }
 
-// rankWhenAllFull ranks a replica by this node's requests there and by the part of
+// candidateWhenAllFull ranks a replica by this node's requests there and by the part of
 // other nodes' requests that differs from their mean by more than noise.
-func (b *Balancer) rankWhenAllFull(now time.Time, m *member) rankedMember {
+func (b *Balancer) candidateWhenAllFull(now time.Time, m *member) memberWithAdjustedLoad {
 	expectedRequests := m.tier.meanOtherNodeLoad() * m.capacity
 	noiseRequests := noiseDeviations * math.Sqrt(expectedRequests)
 	excessRequests := b.estimatedOtherNodeRequests(now, m) - expectedRequests
 	significantExcess := max(excessRequests-noiseRequests, min(excessRequests+noiseRequests, 0))
-	rank := (float64(m.inflightRequests) + significantExcess) / b.effectiveCapacity(now, m) * m.health.Slowness()
-	return rankedMember{member: m, inBackoff: now.Before(m.backoffUntil), rank: rank}
+	adjustedLoad := (float64(m.inflightRequests) + significantExcess) / b.effectiveCapacity(now, m) * m.health.Slowness()
+	return memberWithAdjustedLoad{member: m, inBackoff: now.Before(m.backoffUntil), adjustedLoad: adjustedLoad}
 }
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -26,8 +26,8 @@
 	}
 }
 
-func constantRate(rate float64) func(float64) float64 {
-	return func(float64) float64 { return rate }
+func constantRate(callsPerSecond float64) func(float64) float64 {
+	return func(float64) float64 { return callsPerSecond }
 }
 
 // runOn12Endpoints runs a load pattern with 12 endpoints, which together serve 96
@@ -52,11 +52,11 @@
 func TestEqualEndpointsWithoutFault(t *testing.T) {
 	Convey("Given equal endpoints without a fault", t, func() {
 		for _, c := range []struct {
-			nodes int
-			rate  float64
+			nodes          int
+			callsPerSecond float64
 		}{{1, 75}, {2, 75}, {8, 75}, {2, 85}, {8, 85}, {24, 75}} {
-			loadPattern := func(s *simulation) { s.runCalls(constantRate(c.rate), nil) }
-			name := fmt.Sprintf(" %d nodes %.0f/s", c.nodes, c.rate)
+			loadPattern := func(s *simulation) { s.runCalls(constantRate(c.callsPerSecond), nil) }
+			name := fmt.Sprintf(" %d nodes %.0f/s", c.nodes, c.callsPerSecond)
 			roundRobinRun := runOn12Endpoints(t, "round robin"+name, roundRobin, c.nodes, loadPattern)
 			balancerRun := runOn12Endpoints(t, "balance"+name, balancerPolicy(Config{}), c.nodes, loadPattern)
 			So(balancerRun.delayPercentile(.95), ShouldBeLessThan, roundRobinRun.delayPercentile(.95)*11/10)
@@ -205,12 +205,12 @@
 	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
 	for _, c := range []struct {
 		name            string
-		rate            float64
+		callsPerSecond  float64
 		maxSpilledShare float64 // largest share of the requests that may go to the other domain
 	}{{"half the near capacity", 24, 0.01}, {"1.3 times the near capacity", 62, 0.4}} {
 		loadPattern := func(s *simulation) {
 			s.crossDomainDelay = 80 * time.Millisecond
-			s.runCalls(constantRate(c.rate), nil)
+			s.runCalls(constantRate(c.callsPerSecond), nil)
 		}
 		Convey("Given two failure domains at "+c.name, t, func() {
 			roundRobinRun := runOn12Endpoints(t, "round robin", roundRobin, 2, loadPattern, domains...)
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -99,7 +99,7 @@
 // the request, pickFromHolders considers replicas with shorter cached parts.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
 	prefixTier := b.prefixTier()
-	var best, runnerUp rankedHolder
+	var best, runnerUp holderWithPreference
 	for _, h := range q.Holders {
 		if best.member != nil && h.Blocks < best.cachedBlocks {
 			break
@@ -108,9 +108,9 @@
 		if m == nil || m.tier != prefixTier {
 			continue
 		}
-		candidate := rankedHolder{m, h.Blocks, b.holderRank(now, prefixTier, m, q.Prefix)}
+		candidate := holderWithPreference{m, h.Blocks, b.holderPreference(now, prefixTier, m, q.Prefix)}
 		switch {
-		case !b.acceptsPrefix(now, q, prefixTier, m) || best.member != nil && candidate.rank < best.rank:
+		case !b.acceptsPrefix(now, q, prefixTier, m) || best.member != nil && candidate.preference < best.preference:
 			runnerUp = candidate
 		default:
 			runnerUp, best = cmp.Or(best, runnerUp), candidate
@@ -119,25 +119,25 @@
 	if best.member == nil {
 		return Choice{}, false
 	}
-	c := b.newChoice(now, best.member, ReasonHeld)
-	c.HeldBlocks = best.cachedBlocks
+	c := b.newChoice(now, best.member, ReasonPrefixCached)
+	c.CachedBlocks = best.cachedBlocks
 	c.Alternatives[0] = b.newCandidate(now, runnerUp.member)
-	c.Alternatives[0].HeldBlocks = runnerUp.cachedBlocks
+	c.Alternatives[0].CachedBlocks = runnerUp.cachedBlocks
 	return c, true
 }
 
-// rankedHolder is a replica that probably has blocks of a prompt cached. A higher
+// holderWithPreference is a replica that probably has blocks of a prompt cached. A higher
 // rank is better.
-type rankedHolder struct {
+type holderWithPreference struct {
 	member       *member
 	cachedBlocks int
-	rank         float64
+	preference   float64
 }
 
-// holderRank ranks a replica that has a prefix cached. The owner of the prefix
+// holderPreference ranks a replica that has a prefix cached. The owner of the prefix
 // ranks first, so that copies of the prefix on other replicas fall out of use. The
 // other replicas rank by score.
-func (b *Balancer) holderRank(now time.Time, t *tier, m *member, prefix uint64) float64 {
+func (b *Balancer) holderPreference(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.prefixOwner(prefix) == m {
 		return math.Inf(1)
 	}
@@ -165,31 +165,31 @@
 	if len(t.usableMembers) == 0 {
 		return Choice{}, false
 	}
-	var rejected [maxRingReplicas]*member
-	rejectedCount := 0
+	var skippedMembers [maxRingReplicas]*member
+	skippedCount := 0
 	startIndex := t.ringIndex(rendezvous.Score(q.Prefix, 0))
 	for i := 0; i < len(t.prefixRing) && i < maxRingReplicas*ringPointsPerReplica; i++ {
 		m := t.prefixRing[(startIndex+i)%len(t.prefixRing)].member
-		if slices.Contains(rejected[:rejectedCount], m) {
+		if slices.Contains(skippedMembers[:skippedCount], m) {
 			continue
 		}
 		if b.acceptsPrefix(now, q, t, m) {
-			return b.prefixChoice(now, m, rejected[:rejectedCount]), true
+			return b.prefixChoice(now, m, skippedMembers[:skippedCount]), true
 		}
-		rejected[rejectedCount] = m
-		rejectedCount++
-		if rejectedCount == maxRingReplicas {
+		skippedMembers[skippedCount] = m
+		skippedCount++
+		if skippedCount == maxRingReplicas {
 			break
 		}
 	}
 	return Choice{}, false
 }
 
-func (b *Balancer) prefixChoice(now time.Time, m *member, rejected []*member) Choice {
+func (b *Balancer) prefixChoice(now time.Time, m *member, skippedMembers []*member) Choice {
 	c := b.newChoice(now, m, ReasonPrefix)
-	for i, rejectedMember := range rejected {
+	for i, skippedMember := range skippedMembers {
 		c.Reason = ReasonPrefixMoved
-		c.Alternatives[i] = b.newCandidate(now, rejectedMember)
+		c.Alternatives[i] = b.newCandidate(now, skippedMember)
 	}
 	return c
 }
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -156,8 +156,8 @@
 
 // runCalls generates calls with random arrivals for a minute, at a rate that may
 // change over time. It then waits two more minutes for the answers.
-func (s *simulation) runCalls(callRate func(seconds float64) float64, randomPrefix func(*rand.Rand) uint64) {
-	s.schedule(0, func() { s.arrive(callRate, randomPrefix) })
+func (s *simulation) runCalls(callsPerSecond func(secondsSinceEpoch float64) float64, randomPrefix func(*rand.Rand) uint64) {
+	s.schedule(0, func() { s.arrive(callsPerSecond, randomPrefix) })
 	s.schedule(0, s.reportLoads)
 	for len(s.events) > 0 && s.now.Sub(epoch) < 3*time.Minute {
 		e := s.events[0]
@@ -167,7 +167,7 @@
 	slices.Sort(s.firstTokenDelays)
 }
 
-func (s *simulation) arrive(callRate func(float64) float64, randomPrefix func(*rand.Rand) uint64) {
+func (s *simulation) arrive(callsPerSecond func(float64) float64, randomPrefix func(*rand.Rand) uint64) {
 	q := Query{Cost: 20 + s.rng.ExpFloat64()*(meanCost-20)}
 	if randomPrefix != nil {
 		q.Prefix = randomPrefix(s.rng)
@@ -177,9 +177,9 @@
 		s.measuredCalls++
 	}
 	s.attempt(c)
-	interarrivalTime := time.Duration(s.rng.ExpFloat64() / callRate(s.now.Sub(epoch).Seconds()) * float64(time.Second))
+	interarrivalTime := time.Duration(s.rng.ExpFloat64() / callsPerSecond(s.now.Sub(epoch).Seconds()) * float64(time.Second))
 	if s.now.Add(interarrivalTime).Sub(epoch) < time.Minute {
-		s.schedule(interarrivalTime, func() { s.arrive(callRate, randomPrefix) })
+		s.schedule(interarrivalTime, func() { s.arrive(callsPerSecond, randomPrefix) })
 	}
 }
 
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -45,9 +45,9 @@
 	ID string
 	// Score is the score of the picked replica; doc.go defines it.
 	Score float64
-	// HeldBlocks is the estimated number of the prompt's blocks in the replica's
+	// CachedBlocks is the estimated number of the prompt's blocks in the replica's
 	// cache.
-	HeldBlocks int
+	CachedBlocks int
 }
 
 // Choice is the picked replica and the reason for which it was picked.
@@ -57,9 +57,9 @@
 	// Score is the score of the picked endpoint: the expected load per unit of
 	// capacity.
 	Score float64
-	// HeldBlocks is the estimated number of the prompt's blocks in the picked
-	// replica's cache. It is known only if Reason is ReasonHeld.
-	HeldBlocks int
+	// CachedBlocks is the estimated number of the prompt's blocks in the picked
+	// replica's cache. It is known only if Reason is ReasonPrefixCached.
+	CachedBlocks int
 	// Alternatives lists replicas that were considered and not picked, with their
 	// scores. Unused entries have an empty ID.
 	Alternatives [maxAlternatives]Candidate
@@ -88,9 +88,9 @@
 	ReasonProbe
 	// ReasonLastResort means that no usable replica was left, only ejected ones.
 	ReasonLastResort
-	// ReasonHeld means that the replica probably has the longest cached part of the
+	// ReasonPrefixCached means that the replica probably has the longest cached part of the
 	// prompt among the replicas that accept the request.
-	ReasonHeld
+	ReasonPrefixCached
 	// ReasonFewestOwn means that all replicas were full, and that this replica had
 	// the fewest in-flight requests of this node for its capacity.
 	ReasonFewestOwn
--- a/route/decisionlog/decisionlog.go
+++ b/route/decisionlog/decisionlog.go
@@ -78,12 +78,12 @@
 	}
 	d.Reason = choice.Reason.String()
 	d.Figures["score"] = choice.Score
-	if choice.HeldBlocks > 0 {
-		d.Figures["held_blocks"] = float64(choice.HeldBlocks)
+	if choice.CachedBlocks > 0 {
+		d.Figures["held_blocks"] = float64(choice.CachedBlocks)
 	}
 	for _, other := range choice.Alternatives {
 		if other.ID != "" {
-			d.Alternatives = append(d.Alternatives, Alternative{Name: other.ID, Score: other.Score, HeldBlocks: other.HeldBlocks})
+			d.Alternatives = append(d.Alternatives, Alternative{Name: other.ID, Score: other.Score, HeldBlocks: other.CachedBlocks})
 		}
 	}
 	return d
