--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -21,7 +21,7 @@
 	nearTier        tier
 	spillTier       tier
 	probingMembers  []*member
-	eligibleMembers []*member // members that may receive requests
+	eligibleMembers []*member // the eligible members, as doc.go defines them
 	changes         []Change
 
 	detector             *health.Detector
@@ -38,7 +38,7 @@
 type leavingState struct {
 	sources             uint8     // bit set, indexed by Source
 	refusedAt           time.Time // when the replica last refused a request because it is shutting down
-	leavingReportMadeAt time.Time // when the replica made its latest report that says that it is leaving
+	leavingReportMadeAt time.Time // when the replica made its latest report with the leaving flag
 }
 
 func (l leavingState) has(s Source) bool { return l.sources&(1<<s) != 0 }
@@ -72,8 +72,9 @@
 
 // SetReplicas replaces the list of the service's replicas. Replicas that were in
 // the previous list keep their state. New replicas get a slow start, unless the
-// previous list was empty. The cost is one sort plus one rendezvous score per pair
-// of near replica and peer.
+// previous list was empty. The cost is the sorting of the list, plus at most one
+// rendezvous score per pair of a replica and a peer. Only replicas of the failure
+// domains in the subset are scored.
 func (b *Balancer) SetReplicas(now time.Time, replicas []Replica) {
 	previous := b.replicas
 	b.replicas = hashReplicas(replicas)
@@ -89,7 +90,7 @@
 
 // SetPeers sets the live nodes of the node's own failure domain; the node itself
 // may be among them. Until SetPeers is called, the node chooses its subset without
-// knowing its peers, and replicas get unequal numbers of nodes.
+// knowing its peers. Replicas then get unequal numbers of nodes.
 func (b *Balancer) SetPeers(now time.Time, nodeIDs []string) {
 	peerHashes := make([]uint64, 0, len(nodeIDs))
 	for _, nodeID := range nodeIDs {
@@ -106,7 +107,7 @@
 }
 
 // updateSubset recomputes the subset. Members that stay in the subset keep their
-// state; replicas for which isNew holds begin a slow start.
+// state. Members that are added begin a slow start if isNew returns true for them.
 func (b *Balancer) updateSubset(now time.Time, isNew func(hashedReplica) bool) {
 	b.subsetVersion++
 	nearReplicas, spillReplicas := b.chooser.choose(b.replicas)
@@ -151,10 +152,10 @@
 }
 
 // MarkLeaving records whether one source says that a replica is leaving. A replica
-// gets no new requests while any source says so, and each source can withdraw only
-// its own statement. If the latest statement won regardless of its source, a
-// platform list that lags would send requests back to a replica that has itself
-// reported its shutdown.
+// gets no new requests while any source says that it is leaving. Each source can
+// withdraw only its own statement. If the latest statement won regardless of its
+// source, the platform's list could undo the replica's own report of its shutdown,
+// because that list lags. Requests would then go to the leaving replica again.
 func (b *Balancer) MarkLeaving(now time.Time, id string, source Source, leaving bool) {
 	state := b.leavingStates[id]
 	state.sources &^= 1 << source
@@ -177,10 +178,10 @@
 	}
 }
 
-// recordLeavingRefusal marks a replica as leaving because it refused a request with
-// that reason. A later load report does not withdraw the mark, because some engines
-// do not report their shutdown. The mark ends when the replica disappears from the
-// replica list, or after leavingRefusalTTL.
+// recordLeavingRefusal marks a replica as leaving because it refused a request and
+// gave its shutdown as the reason. A later load report does not withdraw the mark,
+// because some engines do not report their shutdown. The mark ends when the replica
+// disappears from the replica list, or after leavingRefusalTTL.
 func (b *Balancer) recordLeavingRefusal(now time.Time, id string) {
 	state := b.leavingStates[id]
 	state.sources |= 1 << sourceRefusal
@@ -218,8 +219,8 @@
 	return average + (sample-average)*movingAverageGain
 }
 
-// Started records that the first part of an answer arrived. The call is optional.
-// It shows earlier than Finished that a replica is not frozen.
+// Started records that the first part of an answer arrived. The call is optional. A
+// call of Started shows earlier than Finished that a replica is not frozen.
 func (b *Balancer) Started(now time.Time, id string, timeToFirstToken time.Duration) {
 	if m := b.members[id]; m != nil {
 		b.detector.Heard(now, m.health, timeToFirstToken)
@@ -227,8 +228,8 @@
 }
 
 // Progress records the mean time between the tokens of an unfinished answer. The
-// call is optional and meant to be made about once a second for each long answer.
-// It shows earlier than Finished that a replica is slow.
+// call is optional and meant to be made about once a second for each long answer. A
+// call of Progress shows earlier than Finished that a replica is slow.
 func (b *Balancer) Progress(now time.Time, id string, timePerToken time.Duration) {
 	m := b.members[id]
 	if m == nil || b.meanCost == 0 {
@@ -270,9 +271,10 @@
 
 // normalizedDecodeTime returns the time from the first part of the answer to its
 // end, in seconds, scaled to an answer of mean cost. The time to the first part is
-// excluded, because it is ten times shorter if the prompt's prefix is cached. If
-// that time counted, replicas with cold caches would be ejected as slow. The
-// replicas that take over their prefixes would then have cold caches too.
+// excluded, because that time is ten times shorter if the prompt's prefix is cached.
+// If that time counted, replicas with cold caches would be ejected as slow. The
+// replicas that take over the prefixes of an ejected replica would then have cold
+// caches too.
 func (b *Balancer) normalizedDecodeTime(r Result) float64 {
 	decodeTime := (r.TotalTime - r.TimeToFirstToken).Seconds()
 	if r.TimeToFirstToken > 0 && r.Cost > 0 {
@@ -282,8 +284,8 @@
 }
 
 // weightAdjusted converts a delay at this replica to the delay at a replica of
-// weight 1. Without this, a slower type of accelerator would be ejected as an
-// outlier.
+// weight 1. Without this conversion, replicas with a slower type of accelerator
+// would be ejected as outliers.
 func (m *member) weightAdjusted(delaySeconds float64) time.Duration {
 	return time.Duration(delaySeconds * m.Weight * float64(time.Second))
 }
@@ -301,9 +303,9 @@
 	}
 }
 
-// updateLeavingFromReport applies the leaving flag of a load report. Only a report
-// that was made after the flagged one can withdraw the flag, because reports from
-// polls and from answers can arrive out of order.
+// updateLeavingFromReport applies the leaving flag of a load report. Reports from
+// polls and from answers can arrive out of order. A report without the flag therefore
+// withdraws the flag only if it was made after the latest report with the flag.
 func (b *Balancer) updateLeavingFromReport(now time.Time, id string, report LoadReport) {
 	state := b.leavingStates[id]
 	madeAt := now.Add(-report.Age)
@@ -319,8 +321,8 @@
 	b.setLeavingState(now, id, state)
 }
 
-// Capacity returns the number of slots of the replicas that may receive requests. A
-// replica in slow start counts with the fraction of its slots that it may use now.
+// Capacity returns the number of slots of the eligible replicas. A replica in slow
+// start counts with the fraction of its slots that it may use now.
 func (b *Balancer) Capacity(now time.Time) int {
 	slots := 0.0
 	for _, m := range b.eligibleMembers {
@@ -329,8 +331,8 @@
 	return int(slots)
 }
 
-// ServiceReplicaCount returns the number of replicas of the service, including those
-// outside this node's subset.
+// ServiceReplicaCount returns the number of all replicas of the service, including
+// the replicas outside this node's subset.
 func (b *Balancer) ServiceReplicaCount() int { return len(b.replicas) }
 
 // SubsetVersion returns a number that changes whenever the result of Subset
@@ -363,9 +365,9 @@
 	}
 }
 
-// groupByHealthState groups the members by health state. It takes one pass over the
-// subset. It runs when a state or the subset changes and at each health evaluation,
-// never per request.
+// groupByHealthState groups the members by health state, in one pass over the subset.
+// The function is called at each health evaluation, and when a health state, a
+// leaving mark or the subset changes. It is not called for each request.
 func (b *Balancer) groupByHealthState(now time.Time) {
 	b.groupedHealthVersion = b.detector.Version()
 	b.probingMembers = b.probingMembers[:0]
@@ -375,13 +377,13 @@
 	b.updateInitialFraction(now)
 }
 
-// updateEligibleMembers finds the replicas that may receive requests: the usable
-// ones or, if no replica is usable, the ejected ones, which Pick uses as a last
-// resort.
+// updateEligibleMembers finds the eligible members. If no member is usable, these are
+// the ejected and probed members, which Pick uses as a last resort.
 //
-// If ejected replicas had no slots, a service whose other replicas are leaving
-// would refuse every request for good. An ejection ends only at a health
-// evaluation, and health is evaluated only when a request arrives.
+// Suppose that ejected replicas were never eligible and that all other replicas are
+// leaving. The node would then have no slots and refuse every request, so that Pick
+// would never be called. An ejection ends only at a health evaluation, and only Pick
+// evaluates health. The ejection would therefore never end.
 func (b *Balancer) updateEligibleMembers() {
 	b.eligibleMembers = append(append(b.eligibleMembers[:0], b.nearTier.usableMembers...), b.spillTier.usableMembers...)
 	if len(b.eligibleMembers) > 0 {
@@ -417,11 +419,10 @@
 	}
 }
 
-// updateInitialFraction raises the fraction with which new replicas begin their
-// slow start as their part of the total capacity grows. If replicas in slow start
-// make up more than half of the total capacity, their capacity must not be
-// withheld. Otherwise, when a service grows tenfold, the few old replicas would be
-// overloaded with all requests.
+// updateInitialFraction sets the fraction of their capacity with which new replicas
+// begin their slow start. The fraction rises once replicas in slow start make up
+// more than half of the total capacity. Without this rise, the few old replicas
+// would be overloaded with all requests when a service grows tenfold.
 func (b *Balancer) updateInitialFraction(now time.Time) {
 	slowStartCapacity := 0.0
 	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
@@ -439,7 +440,7 @@
 }
 
 // slowStartFraction returns the fraction of its capacity that a replica may use
-// now. It grows during the slow start and is 1 afterwards.
+// now. The fraction grows during the slow start and is 1 afterwards.
 func (b *Balancer) slowStartFraction(now time.Time, m *member) float64 {
 	if m.slowStartBeganAt.IsZero() {
 		return 1
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -47,10 +47,10 @@
 	return counts
 }
 
-// If a leaving endpoint were picked, it would refuse the request. A statement by
-// any one source is enough to mark an endpoint as leaving, and only the same source
-// may withdraw the mark. The platform's list lags: it still shows an endpoint as
-// live that has already reported its own shutdown.
+// If a leaving endpoint is picked, it refuses the request. A statement by any one
+// source is enough to mark an endpoint as leaving. Only the same source may withdraw
+// the mark, because the platform's list lags: it still shows an endpoint as live
+// after the endpoint has reported its own shutdown.
 func TestLeavingEndsOnlyBySameSource(t *testing.T) {
 	const id = "replica-0"
 	refusal := func(b *Balancer) {
@@ -158,11 +158,11 @@
 	})
 }
 
-// If a node counted no slots for an ejected replica, it could refuse every caller
-// until the environment document changes: one of two replicas is ejected, then the
-// other one leaves. A node without slots refuses callers on admission. Health is
-// evaluated only when a request arrives, so without requests the ejection would
-// never end.
+// If a node counts no slots for an ejected replica, it can refuse every caller until
+// the environment document changes. This happens if one of two replicas is ejected
+// and the other one then leaves: a node without slots refuses callers on admission.
+// Health is evaluated only when a replica is picked for a request, so the ejection
+// never ends.
 func TestEjectedReplicaKeepsCapacityWhenOthersLeave(t *testing.T) {
 	Convey("Given two replicas, one ejected and one leaving", t, func() {
 		b := newBalancer(2, 1)
@@ -181,9 +181,10 @@
 	})
 }
 
-// If a report shows 10 requests and 4 of them were this node's when the report was
-// made, 6 requests are from other nodes. Requests that this node has sent or
-// finished since the report must not change that number.
+// If requests that a node sends after a report reduce the apparent load from other
+// nodes, the node sends ever more requests to the same replica. Here a report shows
+// 10 requests, 4 of them this node's when the report was made. The other 6 are from
+// other nodes, whatever this node has sent or finished since.
 func TestReportSubtractsOwnRequestsAtItsTime(t *testing.T) {
 	Convey("Given a report that was made a second ago", t, func() {
 		var loadState replicaLoad
@@ -314,9 +315,9 @@
 }
 
 // If a change of the lists moves more of a subset than it must, nodes lose
-// connections and replicas lose warm caches. Removing a node or replica may remove
-// only the pairs of a node and a replica to which it belongs. The pairs of a
-// removed node move to its peers.
+// connections and replicas lose warm caches. If a node or replica is removed, only
+// the node-replica pairs to which it belongs may disappear. The pairs of a removed
+// node move to its peers.
 func TestSubsetChangesOnlyAffectedPairs(t *testing.T) {
 	const nodes, replicas = 96, 435
 	pairsOf := func(nodeCount int, replicas []hashedReplica) map[string]bool {
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -23,31 +23,32 @@
 	// nearSubsetShare is the share of the subset that is taken from the nearest
 	// failure domain.
 	nearSubsetShare = 0.75
-	// useAllFactor times the subset size is the number of replicas up to which a
-	// node uses all replicas of the service. Leaving out only a few replicas saves
-	// little and gives replicas unequal numbers of nodes.
+	// A node uses all replicas of a service that has at most useAllFactor times
+	// Config.SubsetSize replicas. Leaving out only a few replicas saves little and
+	// gives replicas unequal numbers of nodes.
 	useAllFactor = 2
 	// minInitialFraction is the fraction of its capacity with which a new replica
-	// begins its slow start while most replicas are old.
+	// begins its slow start. The fraction is larger if most of the capacity is in
+	// slow start; see updateInitialFraction.
 	minInitialFraction = 0.1
-	// maxCandidateTries bounds the tries to select one candidate, so that the cost
-	// of Pick does not grow with the number of excluded replicas and replicas in
-	// backoff. After maxCandidateTries tries, Pick scans the usable replicas.
+	// maxCandidateTries bounds how many replicas are tried one by one to select a
+	// candidate. This keeps the cost of the tries independent of the number of
+	// excluded replicas and replicas in backoff. After maxCandidateTries failed
+	// tries, Pick scans the usable replicas.
 	maxCandidateTries = 4
 	// maxRingReplicas bounds the number of replicas on the hash ring that are tried
 	// for one request.
 	maxRingReplicas = 4
 	// leavingRefusalTTL is how long a replica is avoided after it refused a request
-	// because it is shutting down. A shutdown that takes longer costs one refused
-	// request a minute.
+	// because it is shutting down. If the shutdown takes longer, the replica refuses
+	// one request a minute.
 	leavingRefusalTTL = time.Minute
 	// ringPointsPerReplica is the number of points of each replica on the hash
 	// ring. With 32 points each replica owns a nearly equal part of the prefixes.
 	ringPointsPerReplica = 32
-	// switchMargin is the number of requests by which the load of the second
-	// candidate must be lower for Pick to prefer it to the first. Smaller
-	// differences are noise, and round robin spreads requests more evenly than
-	// choices based on noise.
+	// switchMargin is the smallest difference in load, in requests, for which Pick
+	// prefers the second candidate to the first. Smaller differences are noise.
+	// Round robin spreads requests more evenly than choices based on noise.
 	switchMargin = 1.0
 	// movingAverageGain is the weight of a new sample in the moving averages of
 	// request costs and answer times.
@@ -66,19 +67,20 @@
 	// Seed seeds the random choices. Each node needs a different seed.
 	Seed uint64
 	// SubsetSize is the approximate number of replicas that the node uses. The
-	// subset may be larger, so that at least one node uses each replica.
+	// subset is larger if some replicas would otherwise be used by no node.
 	SubsetSize int
 	// SpillDomains is the number of failure domains in the subset besides the
 	// nearest one.
 	SpillDomains int
-	// SpillThreshold is the utilization from which a request may spill. SpillMargin
-	// is the amount by which the score of a replica in another failure domain must
-	// be lower.
+	// SpillThreshold is a utilization. A request may spill if the better candidate
+	// in the nearest failure domain has at least this utilization.
 	SpillThreshold float64
-	SpillMargin    float64
-	// AffinityLoadFactor and AffinityFloor bound the utilization up to which a
-	// replica accepts requests by their prefix: AffinityLoadFactor times the mean
-	// utilization or AffinityFloor, whichever is larger.
+	// SpillMargin is a difference of scores. The score of a replica in another
+	// failure domain must be lower by more than SpillMargin for a request to spill.
+	SpillMargin float64
+	// AffinityLoadFactor and AffinityFloor set the utilization up to which a replica
+	// accepts requests by their prefix. The limit is AffinityLoadFactor times the
+	// mean utilization or AffinityFloor, whichever is larger.
 	AffinityLoadFactor float64
 	AffinityFloor      float64
 	// SlowStart is the time in which the usable fraction of a new replica's
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -5,15 +5,16 @@
 	"time"
 )
 
-// noiseDeviations is the number of standard deviations of a Poisson distribution by
-// which the requests from other nodes at a replica may differ from their mean and
-// still count as noise.
+// noiseDeviations sets which differences count as noise (random variation). The
+// number of other nodes' requests at a replica differs from the expected number by
+// noise if the difference is at most noiseDeviations standard deviations of a Poisson
+// distribution.
 const noiseDeviations = 2
 
-// maxScanWhenAllFull bounds how many replicas of each tier are examined, in
-// round-robin order. More are examined only if all of these are excluded or in
-// backoff. Examining one replica takes about 25 ns, and a node may use more than a
-// hundred replicas.
+// maxScanWhenAllFull is how many replicas of each tier are examined, in round-robin
+// order. More are examined only while every replica examined so far is excluded or
+// in backoff. Examining one replica takes about 25 ns, and a node may use more than
+// a hundred replicas.
 const maxScanWhenAllFull = 16
 
 // meanLoad returns the load per unit of capacity over both tiers.
@@ -27,15 +28,16 @@
 
 // acceptsPrefixWhenAllFull reports whether a replica accepts a request by its
 // prefix while the service has more requests than slots. The replica accepts the
-// request if its rank is at most the mean of the node's own requests per unit of
-// capacity.
+// request if its adjusted load is at most the node's mean own load. The mean own
+// load is the number of this node's requests per unit of capacity, over the usable
+// replicas of both tiers.
 //
-// With the normal bound, AffinityLoadFactor times the mean load, a prompt that all
-// callers share keeps a queue at the owner of its prefix while slots of other
-// replicas are idle. Three nodes with common replicas then served 0.69 of the
-// capacity when twice the capacity was offered. A cached prompt saves less time
-// than such a queue costs. With the bound used here, an owner still gets its share
-// of the requests.
+// The normal bound is AffinityLoadFactor times the mean load. With this bound, a
+// prompt that all callers share keeps a queue at the owner of its prefix while slots
+// of other replicas are idle. Three nodes with common replicas then served 0.69 of
+// the capacity when the offered load was twice the capacity. A cached prompt saves
+// less time than such a queue costs. With the bound used here, an owner still gets
+// as many requests as other replicas.
 func (b *Balancer) acceptsPrefixWhenAllFull(now time.Time, m *member) bool {
 	meanOwnLoad := (b.nearTier.inflightRequests + b.spillTier.inflightRequests) / (b.nearTier.capacity() + b.spillTier.capacity())
 	return b.candidateWhenAllFull(now, m).adjustedLoad <= meanOwnLoad
@@ -45,19 +47,20 @@
 // relative to its capacity.
 //
 // When all replicas are full, a node can send a request only when one of its own
-// ends, and the node knows at once which replica served that request. With round
-// robin the next request would go to another replica. The load reports that would
-// show the imbalance arrive too late to correct it: some engines had idle slots
-// while others had a queue. If each node spreads its own requests evenly, the sum
-// over all nodes is even too. An excess of other nodes' requests at a replica still
-// counts if the excess is larger than noise.
+// requests ends. The node knows at once which replica served the ended request. With
+// round robin the next request would go to another replica. The load reports that
+// would show the imbalance arrive too late to correct the imbalance: some engines
+// had idle slots while others had a queue. If each node spreads its own requests
+// evenly, the requests of all nodes together are spread evenly too. Other nodes'
+// requests at a replica count only if there are more or fewer of them than noise
+// explains.
 func (b *Balancer) pickWhenAllFull(now time.Time, q Query) (Choice, bool) {
 	var best, runnerUp memberWithAdjustedLoad
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
 		if len(t.usableMembers) == 0 {
 			continue
 		}
-		startIndex := t.nextRoundRobinIndex() // replicas of equal rank are picked in round-robin order
+		startIndex := t.nextRoundRobinIndex() // replicas of equal adjusted load are picked in round-robin order
 		for i := range t.usableMembers {
 			if i >= maxScanWhenAllFull && best.member != nil && !best.inBackoff {
 				break
@@ -86,11 +89,11 @@
 	return c, true
 }
 
-// memberWithAdjustedLoad is a replica with its rank for the case that all replicas are full.
-// A lower rank is better.
+// memberWithAdjustedLoad is a replica with the load by which replicas are compared
+// while all of them are full. A lower load is better.
 type memberWithAdjustedLoad struct {
 	member       *member
-	inBackoff    bool    // the replica refused a request during the last Backoff because it was full
+	inBackoff    bool    // the replica was full and refused a request less than Config.Backoff ago
 	adjustedLoad float64 // requests per unit of effective capacity, multiplied by the slowness
 }
 
@@ -104,8 +107,11 @@
 	return r.adjustedLoad < other.adjustedLoad
 }
 
-// candidateWhenAllFull ranks a replica by this node's requests there and by the part of
-// other nodes' requests that differs from their mean by more than noise.
+// candidateWhenAllFull returns a replica with its adjusted load. The adjusted load
+// counts this node's requests at the replica. It also counts by how many the other
+// nodes' requests at the replica exceed or fall short of the expected number, apart
+// from the part of that difference that noise explains. The expected number is the
+// replica's capacity times the mean load from other nodes in its tier.
 func (b *Balancer) candidateWhenAllFull(now time.Time, m *member) memberWithAdjustedLoad {
 	expectedRequests := m.tier.meanOtherNodeLoad() * m.capacity
 	noiseRequests := noiseDeviations * math.Sqrt(expectedRequests)
--- a/decide/balance/full_test.go
+++ b/decide/balance/full_test.go
@@ -27,10 +27,10 @@
 }
 
 func TestFullReplicas(t *testing.T) {
-	// Without this rule, an admitted request waits in an engine's queue while a
-	// slot that another request of its node has just freed is idle. With round
-	// robin the request goes to a different replica, and load reports show the free
-	// slot only later.
+	// Without pickWhenAllFull, an admitted request waits in an engine's queue while
+	// a slot that another request of the same node has just freed is idle. With
+	// round robin the request goes to a different replica. Load reports show the
+	// free slot only later.
 	Convey("Given replicas that are all full", t, func() {
 		b := fullBalancer()
 		Convey("the next request goes where one of this node's requests ended, in any failure domain", func() {
--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -77,13 +77,15 @@
 	s.schedule(eventPollInterval, s.pollEvents)
 }
 
-// cacheHitRatio returns the share of prompts with a prefix whose prefix was cached.
+// cacheHitRatio considers the prompts that have a prefix. It returns the share of
+// these prompts whose prefix was cached.
 func (s *simulation) cacheHitRatio() float64 { return float64(s.cacheHits) / float64(s.cacheLookups) }
 
-// With hashing alone, the surplus of a hot prefix goes by load to endpoints that
-// must compute the prefix although other endpoints have it cached. Here a third of
-// the calls have the same prompt prefix, the other calls have one of sixty. The
-// load of the hot prefix exceeds the capacity of its owner.
+// If prefixes are placed by hashing alone, the requests of a hot prefix that its
+// owner cannot serve go to endpoints by load. Such an endpoint must compute the
+// prefix, although other endpoints have the prefix cached. Here a third of the calls
+// have the same prompt prefix, the other calls have one of sixty. The load of the hot
+// prefix exceeds the capacity of its owner.
 //
 // Cache events tell which endpoints have a prefix cached, but they arrive late and
 // some are lost. In the second pattern, four endpoints lose their caches at 20 s
--- a/decide/balance/load.go
+++ b/decide/balance/load.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// timeStepLength and historyTimeSteps set how far back the number of in-flight
-	// requests is known: 3.2 s, more than three polls at one-second intervals.
+	// The history of the number of in-flight requests covers historyTimeSteps steps
+	// of timeStepLength each: 3.2 s, more than three polls at one-second intervals.
 	timeStepLength   = 100 * time.Millisecond
 	historyTimeSteps = 32
 )
 
 // inflightHistory records how many requests of this node were in flight at a
-// replica, for each recent time step.
+// replica in each recent time step.
 //
 // A load report is already old when it arrives. To get the load from other nodes,
-// the node's own requests must be subtracted as they were when the report was made.
-// If the current number were subtracted instead, requests sent since the report
-// would reduce the apparent load from other nodes. The more requests the node sends
-// to a replica, the less loaded the replica would look.
+// the node subtracts the number of its own requests that were in flight when the
+// report was made. If it subtracted the current number instead, requests sent since
+// the report would reduce the apparent load from other nodes. The more requests the
+// node sent to a replica, the less loaded the replica would look.
 type inflightHistory struct {
 	counts         [historyTimeSteps]int32 // indexed by the time step modulo historyTimeSteps
 	newestTimeStep int64                   // time step of the newest count
@@ -30,7 +30,7 @@
 	return t.UnixNano() / int64(timeStepLength)
 }
 
-// recordCount records the number of in-flight requests from now on.
+// recordCount records that the number of in-flight requests is count from now on.
 func (h *inflightHistory) recordCount(now time.Time, count int32) {
 	timeStep := timeStepOf(now)
 	if timeStep-h.newestTimeStep >= historyTimeSteps {
@@ -51,8 +51,8 @@
 	h.newestTimeStep = timeStep
 }
 
-// countAt returns the number of in-flight requests at time t, or the oldest known
-// number if t is before the recorded time steps.
+// countAt returns the number of in-flight requests at time t. If t is before the
+// recorded time steps, it returns the number in the oldest recorded step.
 func (h *inflightHistory) countAt(t time.Time) int32 {
 	timeStep := min(timeStepOf(t), h.newestTimeStep)
 	timeStep = max(timeStep, h.newestTimeStep-historyTimeSteps+1, 0)
@@ -95,9 +95,9 @@
 	}
 }
 
-// applyReport applies a report unless a newer report is known: reports from polls
-// and from answers can arrive out of order. It returns whether it applied the
-// report.
+// applyReport applies a report unless a report that was made later has already been
+// applied. Reports from polls and from answers can arrive out of order. applyReport
+// returns whether it applied the report.
 func (l *replicaLoad) applyReport(now time.Time, report LoadReport) bool {
 	madeAt := now.Add(-report.Age)
 	if madeAt.Before(l.lastReportMadeAt) {
@@ -108,8 +108,8 @@
 	return true
 }
 
-// costWeightedRequests returns the node's own requests at the replica, each counted
-// by its cost relative to the mean cost. A request of unknown cost counts as 1.
+// costWeightedRequests returns the sum of the costs of the node's own requests at the
+// replica, each divided by the mean cost. A request of unknown cost counts as 1.
 func (l *replicaLoad) costWeightedRequests(meanCost float64) float64 {
 	if meanCost <= 0 {
 		return float64(l.inflightRequests)
@@ -117,10 +117,10 @@
 	return float64(l.unknownCostRequests) + l.knownCost/meanCost
 }
 
-// reportWeight returns the weight of the last report, which is 1 for a report made
-// just now. The requests that the report counted end after meanAnswerSeconds on
-// average. The weight of the report's difference from the mean of all replicas
-// therefore decays exponentially with that time constant.
+// reportWeight returns the weight of the last report in the estimate of the load
+// from other nodes. The weight is 1 for a report made just now. The requests that
+// the report counted end after meanAnswerSeconds on average. The weight therefore
+// decays exponentially with meanAnswerSeconds as its time constant.
 func (l *replicaLoad) reportWeight(now time.Time, meanAnswerSeconds float64) float64 {
 	if l.lastReportMadeAt.IsZero() {
 		return 0
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -11,8 +11,8 @@
 )
 
 // Each test runs the same calls through the Balancer and through baselines. The
-// Balancer must be better by a margin, so that a baseline in its place would fail the
-// test. `go test -v` prints the figures that docs/design/balance.md quotes.
+// margins are chosen so that a baseline in place of the Balancer fails the test.
+// `go test -v` prints the figures that docs/design/balance.md quotes.
 
 const (
 	faultAt     = 20 * time.Second // when the fault of a load pattern begins
@@ -111,10 +111,10 @@
 }
 
 // If cold endpoints that join during a load peak get too many requests, callers
-// wait there for tens of seconds. Here six endpoints join, nine times slower at
-// first and warm after 20 s. With round robin they get as many requests as the
-// others at once. Without slow start they get too many requests because their load
-// reports show the load too late.
+// wait at these endpoints for tens of seconds. Here six endpoints join. They are nine
+// times slower at first and warm after 20 s. With round robin they get as many
+// requests as the other endpoints at once. Without slow start they get too many
+// requests, because their load reports show the load too late.
 func TestColdEndpointsJoinUnderLoad(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.measureUntil, s.coldSlowdown = faultAt, 2*faultAt, 8
@@ -196,10 +196,10 @@
 	})
 }
 
-// Requests to the other failure domain take 80 ms longer. With round robin, half of
-// the requests go there although the near endpoints have free slots. If the load
-// exceeds the capacity of the near endpoints, using only these overloads them. Only
-// the surplus should go to the other domain.
+// With round robin, half of the requests go to the other failure domain although the
+// endpoints of the nearest domain have free slots. Each of these requests takes 80 ms
+// longer. If only the nearest domain is used and the load exceeds the capacity of its
+// endpoints, they are overloaded. Only the surplus should go to the other domain.
 func TestOnlySurplusSpills(t *testing.T) {
 	domains := []string{"bandung", "bekasi"}
 	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
@@ -226,9 +226,9 @@
 }
 
 // If lost endpoints are not ejected, callers get errors although the other failure
-// domain works. Here all near endpoints refuse connections from 20 s on. Once a
-// node has found each near endpoint unreachable, its requests must go straight to
-// the other domain.
+// domain works. Here all endpoints of the nearest domain refuse connections from
+// 20 s on. Once a node has found each of these endpoints unreachable, the node must
+// send its requests straight to the other domain.
 func TestNearDomainLost(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.crossDomainDelay = faultAt, 80*time.Millisecond
@@ -251,8 +251,9 @@
 
 // If the subsets give some replicas more nodes than others, callers wait at the
 // replicas with more nodes. Here 12 nodes share 52 replicas, and each node uses
-// about 13 of them. With a list of its peers, a node must serve as well as a node
-// that uses all replicas. Without such a list, some replicas are overloaded.
+// about 13 of the replicas. Nodes that know their peers must serve as well as nodes
+// that use all replicas. If nodes do not know their peers, some replicas are
+// overloaded.
 func TestSubsetServesLikeAllReplicas(t *testing.T) {
 	Convey("Given subsets of a quarter of the replicas", t, func() {
 		var peers []string
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -9,9 +9,8 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// Pick chooses a replica for a request. It returns false if no replica may be used:
-// the service has none in the subset, or all are leaving or excluded. Pick does not
-// allocate.
+// Pick chooses a replica for a request. It returns false if the subset is empty or
+// if each replica of the subset is leaving or excluded. Pick does not allocate.
 func (b *Balancer) Pick(now time.Time, q Query) (Choice, bool) {
 	b.evaluateHealth(now)
 	if m := b.probeTarget(q); m != nil {
@@ -35,8 +34,8 @@
 	return Choice{Replica: m.ID, Reason: reason, Score: b.score(now, m)}
 }
 
-// probeTarget returns a replica that needs a probe, or nil if none does or the
-// request must not probe.
+// probeTarget returns a replica that needs a probe. It returns nil if no replica
+// needs one or if the request must not be a probe.
 func (b *Balancer) probeTarget(q Query) *member {
 	if q.NoProbe {
 		return nil
@@ -65,8 +64,8 @@
 
 // estimatedLoad returns the replica's load in requests. While the replica has free
 // slots, each request counts as 1, because a request with a slot of its own does
-// not wait for the others. Once the replica is full, the node's own requests are
-// weighted by cost.
+// not wait for other requests. Once the replica is full, the node's own requests
+// are weighted by cost if that increases the load.
 func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
 	otherNodeRequests := b.estimatedOtherNodeRequests(now, m)
 	requestCount := float64(m.inflightRequests) + otherNodeRequests
@@ -76,27 +75,26 @@
 	return max(requestCount, m.costWeightedRequests(b.meanCost)+otherNodeRequests)
 }
 
-// effectiveCapacity returns the capacity that the replica may use now, which slow
-// start reduces.
+// effectiveCapacity returns the part of the replica's capacity that slow start
+// allows now.
 func (b *Balancer) effectiveCapacity(now time.Time, m *member) float64 {
 	return m.capacity * b.slowStartFraction(now, m)
 }
 
-// score estimates how long one more request would take at the replica, relative to
-// the other replicas. Lower scores are better.
+// score returns the replica's score, as doc.go defines it. The score estimates how
+// long one more request would take at the replica, relative to other replicas.
 func (b *Balancer) score(now time.Time, m *member) float64 {
 	return (b.estimatedLoad(now, m) + 1) / b.effectiveCapacity(now, m) * m.health.Slowness()
 }
 
-// utilization returns the replica's load per unit of effective capacity.
 func (b *Balancer) utilization(now time.Time, m *member) float64 {
 	return b.estimatedLoad(now, m) / b.effectiveCapacity(now, m)
 }
 
-// pickFromHolders picks among the replicas that probably have the longest part of
-// the prompt cached and that accept the request. It prefers the owner of the
-// prefix, then the replica with the lowest score. If none of these replicas accepts
-// the request, pickFromHolders considers replicas with shorter cached parts.
+// pickFromHolders picks among the replicas that probably have the beginning of the
+// prompt cached and that accept the request. It prefers the replica with the longest
+// cached part. Among replicas with equally long parts, it prefers the owner of the
+// prefix and then the replica with the lowest score.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
 	prefixTier := b.prefixTier()
 	var best, runnerUp holderWithPreference
@@ -126,17 +124,17 @@
 	return c, true
 }
 
-// holderWithPreference is a replica that probably has blocks of a prompt cached. A higher
-// rank is better.
+// holderWithPreference is a replica that probably has blocks of a prompt cached. A
+// higher preference is better.
 type holderWithPreference struct {
 	member       *member
 	cachedBlocks int
 	preference   float64
 }
 
-// holderPreference ranks a replica that has a prefix cached. The owner of the prefix
-// ranks first, so that copies of the prefix on other replicas fall out of use. The
-// other replicas rank by score.
+// holderPreference returns the preference for a replica that has a prefix cached.
+// The owner of the prefix comes first, so that copies of the prefix on other
+// replicas fall out of use. The other replicas follow in order of their score.
 func (b *Balancer) holderPreference(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.prefixOwner(prefix) == m {
 		return math.Inf(1)
@@ -149,8 +147,8 @@
 	return t.prefixRing[t.ringIndex(rendezvous.Score(prefix, 0))%len(t.prefixRing)].member
 }
 
-// prefixTier returns the tier on whose ring prefixes are placed: the nearest
-// failure domain, or the other domains if no replica of the nearest is usable.
+// prefixTier returns the tier on whose hash ring prefixes are placed. This is the
+// near tier or, if no replica of the near tier is usable, the spill tier.
 func (b *Balancer) prefixTier() *tier {
 	if len(b.nearTier.usableMembers) == 0 {
 		return &b.spillTier
@@ -158,8 +156,8 @@
 	return &b.nearTier
 }
 
-// pickByPrefix searches the hash ring from the prefix on and picks the first
-// replica that accepts the request (consistent hashing with bounded loads).
+// pickByPrefix searches the hash ring, beginning at the owner of the prefix. It picks
+// the first replica that accepts the request (consistent hashing with bounded loads).
 func (b *Balancer) pickByPrefix(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
 	if len(t.usableMembers) == 0 {
@@ -210,9 +208,10 @@
 }
 
 // acceptsPrefix reports whether a replica accepts a request by the request's
-// prefix. The replica's load must be near the mean load of its tier or below
-// AffinityFloor. The replica must not be full while another failure domain has free
-// slots.
+// prefix. The replica's load must not exceed the limit set by AffinityLoadFactor and
+// AffinityFloor. A replica of the near tier must also not have reached SpillThreshold
+// while the mean load of the spill tier is lower by more than SpillMargin. If the
+// mean load of the subset is 1 or more, acceptsPrefixWhenAllFull decides instead.
 func (b *Balancer) acceptsPrefix(now time.Time, q Query, t *tier, m *member) bool {
 	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
@@ -231,10 +230,10 @@
 	return utilization < b.cfg.SpillThreshold || b.spillTier.meanLoad()+b.cfg.SpillMargin >= utilization
 }
 
-// pickByLoad picks the better of two candidates from the nearest failure domain.
-// Once that candidate has reached SpillThreshold, pickByLoad also selects two
-// candidates from other domains. It picks the better of these if that candidate's
-// score is lower by more than SpillMargin. Once the mean load of the subset reaches
+// pickByLoad picks the better of two candidates from the near tier. If the
+// utilization of that candidate has reached SpillThreshold, pickByLoad selects two
+// candidates from the spill tier too. It picks the better of these two if the
+// request is worth spilling. If the mean load of the subset has reached
 // SpillThreshold, pickByLoad calls pickWhenAllFull instead.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
 	if b.meanLoad() >= b.cfg.SpillThreshold {
@@ -260,8 +259,8 @@
 	return c, true
 }
 
-// worthSpilling reports whether the score of the replica in another domain is lower
-// than the score of the near replica by more than SpillMargin.
+// worthSpilling reports whether the score of the replica in the spill tier is lower
+// by more than SpillMargin than the score of the replica in the near tier.
 func (b *Balancer) worthSpilling(now time.Time, spillMember, nearMember *member) bool {
 	return b.score(now, spillMember)+b.cfg.SpillMargin < b.score(now, nearMember)
 }
@@ -284,8 +283,9 @@
 
 // twoChoices selects two candidates and returns the better one and the worse one.
 // If there is only one candidate, worse is nil; if there is none, both are nil. The
-// first candidate is the next one by round robin, the second a random one. The
-// second is better only if its load is lower by switchThreshold requests.
+// first candidate is the next replica in round-robin order, the second a random
+// replica. The second candidate is better only if its score is lower by more than
+// switchThreshold requests per unit of its effective capacity.
 func (b *Balancer) twoChoices(now time.Time, q Query, t *tier) (better, worse *member) {
 	first := b.selectCandidate(now, q, t, nil)
 	if first == nil {
@@ -301,20 +301,22 @@
 	return first, second
 }
 
-// switchThreshold returns the number of requests by which the load of the second
-// candidate must be lower. It is switchMargin plus the standard deviation of the
-// load from other nodes that the candidate's last report does not show. The number
-// of requests from many nodes is Poisson distributed. The part of its variance that
-// no recent report has measured would otherwise count as a difference between
-// replicas.
+// switchThreshold returns by how many requests the load of the second candidate, m,
+// must be lower than the load of the first for the second to be picked. The result
+// is switchMargin plus a standard deviation. This is the standard deviation of the
+// number of other nodes' requests at m, as far as the last report of m does not show
+// that number. The number of requests from many nodes is Poisson distributed.
+// Without the addition, random variation that no recent report has measured would
+// look like a difference in load.
 func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
 	weight := m.reportWeight(now, b.meanAnswerSeconds)
 	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherNodeLoad()*m.capacity)
 }
 
-// selectCandidate selects the next replica by round robin or, if exclude is set, a
-// random replica other than exclude. A replica in backoff is selected only as the
-// first candidate, and only if all others are in backoff or excluded.
+// selectCandidate selects the first candidate if exclude is nil, and otherwise the
+// second. The first candidate is the next replica in round-robin order. The second is
+// a random replica other than exclude. A replica in backoff is never the second
+// candidate. It is the first only if all other replicas are in backoff or excluded.
 func (b *Balancer) selectCandidate(now time.Time, q Query, t *tier, exclude *member) *member {
 	if len(t.usableMembers) == 0 || len(t.usableMembers) == 1 && t.usableMembers[0] == exclude {
 		return nil
@@ -335,9 +337,9 @@
 	return t.memberAt(b.rng.Float64())
 }
 
-// scanUsableMembers returns the first usable replica that is neither excluded nor
-// in backoff, beginning at a random one. If exclude is nil and all remaining
-// replicas are in backoff, it returns one of those.
+// scanUsableMembers examines the usable replicas from a random one on. It returns the
+// first that is neither excluded nor in backoff. If there is none and exclude is nil,
+// it returns a replica that is in backoff and not excluded, if there is one.
 func (b *Balancer) scanUsableMembers(now time.Time, q Query, t *tier, exclude *member) *member {
 	var memberInBackoff *member
 	startIndex := b.rng.IntN(len(t.usableMembers))
@@ -357,9 +359,9 @@
 	return memberInBackoff
 }
 
-// pickLastResort picks the ejected replica with the best score. A request to an
-// ejected replica may fail, but without one the request would be refused. Leaving
-// replicas are never picked.
+// pickLastResort picks the ejected or probed replica with the lowest score. A request
+// to such a replica may fail, but if none were picked, the request would certainly be
+// refused. Leaving replicas are never picked.
 func (b *Balancer) pickLastResort(now time.Time, q Query) (Choice, bool) {
 	var bestMember *member
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
--- a/decide/balance/pollschedule.go
+++ b/decide/balance/pollschedule.go
@@ -8,12 +8,12 @@
 
 // PollSchedule orders endpoints by the time of their last contact, oldest first. A
 // contact is a load report that an endpoint made or a poll that is sent to it. A
-// round is the number of endpoints times the poll interval, which is the time that
-// polls of all endpoints take.
+// round is the time in which every endpoint can be polled once. It is the number of
+// endpoints times the poll interval.
 //
-// A node polls the endpoint with the oldest contact for its load, 16 times a
-// second. Scanning all endpoints for the oldest contact made the processor time of
-// an idle node grow with the number of replicas. Polls for cache events are
+// Sixteen times a second, a node polls the endpoint with the oldest contact for its
+// load. When the node scanned all endpoints for the oldest contact, the processor
+// time of an idle node grew with the number of replicas. Polls for cache events are
 // scheduled in the same way. The zero value holds no endpoint.
 type PollSchedule struct {
 	entriesByContact  list.List // *pollEntry values, oldest contact first
@@ -51,8 +51,8 @@
 	}
 }
 
-// Touch records a contact with an endpoint. Polls count as contacts, so that an
-// endpoint that does not answer is not polled repeatedly before the others.
+// Touch records a contact with an endpoint. Polls count as contacts. Otherwise an
+// endpoint that does not answer would be polled repeatedly before the others.
 func (s *PollSchedule) Touch(endpoint string, contactTime time.Time) {
 	element := s.elementByEndpoint[endpoint]
 	if element == nil || contactTime.Before(entryOf(element).lastContact) {
@@ -70,8 +70,8 @@
 func (s *PollSchedule) Has(endpoint string) bool { return s.elementByEndpoint[endpoint] != nil }
 
 // HalfRoundElapsed reports whether the last contact with an endpoint was at least
-// half a round ago. Callers use it for polls that cost nothing because they are
-// combined with another request.
+// half a round ago. Callers use HalfRoundElapsed for polls that cost nothing because
+// the polls are combined with another request.
 func (s *PollSchedule) HalfRoundElapsed(endpoint string, now time.Time, interval time.Duration) bool {
 	e := s.elementByEndpoint[endpoint]
 	if e == nil {
@@ -95,20 +95,21 @@
 // that each endpoint is contacted at least once per round. There is one opportunity
 // for a poll per interval.
 //
-// Load pattern answered: answers to requests and to polls for cache events carry
-// load reports as well. Polling regardless of these reports brought no new
-// information and took the largest part of an idle node's processor time.
+// Answers to requests and to polls for cache events carry load reports too. Polling
+// regardless of these reports brought no new information and took the largest part
+// of an idle node's processor time.
 //
 // Skipping a poll whenever the oldest contact is recent would not be enough. After
 // a burst of answers from all endpoints, all endpoints would become due at the same
-// time, and the last of them would wait for two rounds. Due therefore checks for
-// each endpoint that it is still polled in time if the endpoints before it are
-// polled at the next opportunities.
+// time, and the last of them would wait for two rounds. Due therefore looks ahead:
+// it assumes that the endpoints are polled one per opportunity, in their order. It
+// returns true if any endpoint would then be polled too late.
 func (s *PollSchedule) Due(now time.Time, interval time.Duration) bool {
 	maxAge := time.Duration(s.entriesByContact.Len()) * interval
 	// The answer to a poll counts as a contact too and arrives a little after the
-	// poll. At the poll one round later, that contact is therefore a little less than
-	// one round old.
+	// poll. At the poll one round later, that contact is a little less than one round
+	// old. The limit for the first endpoint is therefore half an interval less than a
+	// round.
 	maxAge += interval / 2
 	for e := s.entriesByContact.Front(); e != nil; e = e.Next() {
 		maxAge -= interval
--- a/decide/balance/pollschedule_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -8,9 +8,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// If an endpoint that does not answer were polled repeatedly, the other endpoints
-// would not be polled. The endpoint with the oldest contact is polled first, a new
-// endpoint is polled before all others, and a removed endpoint is never polled.
+// If an endpoint that does not answer is polled repeatedly, the other endpoints are
+// not polled. The endpoint with the oldest contact must be polled first. A new
+// endpoint must be polled before all others, and a removed endpoint never.
 func TestOldestEndpointIsPolledFirst(t *testing.T) {
 	Convey("The endpoint with the oldest contact comes first", t, func() {
 		var s PollSchedule
@@ -35,10 +35,10 @@
 	})
 }
 
-// If an endpoint had no contact for more than a round, requests would go on to an
-// endpoint that is already shutting down. A round is one poll interval per
-// endpoint. Without other traffic, only polls show that an endpoint is leaving, and
-// there is one poll per interval. Answers to requests make some polls unnecessary.
+// If an endpoint has no contact for more than a round, nodes send requests to it
+// although it is already shutting down. A round is one poll interval per endpoint.
+// Without other traffic, only polls show that an endpoint is leaving, and there is
+// at most one poll per interval. Answers to requests make some polls unnecessary.
 // After a burst of answers from all endpoints, no endpoint may wait two rounds for
 // its next contact.
 func TestDue(t *testing.T) {
--- a/decide/balance/rendezvous/rendezvous.go
+++ b/decide/balance/rendezvous/rendezvous.go
@@ -1,9 +1,10 @@
-// Package rendezvous implements rendezvous hashing, by which nodes map a key to the
-// same candidate without communicating: the candidate with the highest Score for the
-// key. When a candidate is added or removed, only the keys of this candidate move.
-// With `hash mod n` nearly all keys would move.
+// Package rendezvous implements rendezvous hashing, which maps each key to the
+// candidate with the highest Score for the key. Nodes map a key to the same candidate
+// without communicating. When a candidate is added or removed, only the keys of this
+// candidate move. With `hash mod n` nearly all keys would move.
 //
-// Hash each name once and keep the result; Score takes a few multiplications.
+// Hash each name once and keep the result: Hash reads the whole name, while Score
+// takes only a few multiplications.
 package rendezvous
 
 import "math"
@@ -25,15 +26,15 @@
 	return mix(h)
 }
 
-// Score returns the score of candidate for key; both arguments are results of Hash.
-// The arguments are not interchangeable.
+// Score returns the score of candidate for key. The arguments are hashes or other
+// numbers that identify key and candidate. They are not interchangeable.
 func Score(key, candidate uint64) uint64 {
 	return mix(key + 0x9e3779b97f4a7c15*(candidate|1))
 }
 
-// Weighted returns a score by which candidates have the highest score for a part of
-// the keys in proportion to their weight (weighted rendezvous hashing). A candidate
-// with a weight of zero or less never has the highest score.
+// Weighted is Score with weights (weighted rendezvous hashing): each candidate has
+// the highest score for a fraction of the keys that is proportional to its weight. A
+// candidate with a weight of zero or less never has the highest score.
 func Weighted(key, candidate uint64, weight float64) float64 {
 	if weight <= 0 {
 		return 0
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -22,13 +22,13 @@
 	cacheCapacity  = 8     // number of prefixes that an endpoint caches
 	meanCost       = 100.0 // tokens per call
 	timePerToken   = 8 * time.Millisecond
-	warmupTime     = 20 * time.Second // until a cold endpoint has its full speed
+	warmupTime     = 20 * time.Second // time after which a cold endpoint has its full speed
 	attemptTimeout = 8 * time.Second
 	maxAttempts    = 3
 )
 
-// policy picks endpoints for one node. It is a Balancer or, if pickRule is set,
-// a baseline that ignores the state of the endpoints.
+// policy picks endpoints for one node. If pickRule is set, the policy is a baseline
+// that picks by this rule alone. Otherwise the policy is a Balancer.
 type policy struct {
 	*Balancer
 	pickRule     func(p *policy, q Query) Replica
@@ -104,14 +104,14 @@
 	prefillTime, cachedPrefillTime time.Duration
 	reportLag, crossDomainDelay    time.Duration
 	coldSlowdown                   float64       // added to the slowdown of a cold endpoint, falling to zero in warmupTime
-	measureFrom, measureUntil      time.Duration // interval of arrivals of the calls that are measured, since epoch
+	measureFrom, measureUntil      time.Duration // a call is measured if it arrives in this interval, counted from epoch
 	firstTokenDelays               []time.Duration
 	measuredCalls, failedCalls     int
-	cacheLookups, cacheHits        int // number of prompts with a prefix, and of those whose prefix was cached
+	cacheLookups, cacheHits        int // number of prompts with a prefix; number of these prompts whose prefix was cached
 }
 
-// newSimulation creates endpoints that serve a call of mean cost in 1 s. With its 8
-// slots, each endpoint serves 8 calls per second.
+// newSimulation creates endpoints that serve a call of mean cost in 1 s. Each endpoint
+// has 8 slots and therefore serves 8 calls per second.
 func newSimulation(nodeCount int, newPolicy func(int) *policy, enginesPerDomain int, domains ...string) *simulation {
 	s := &simulation{
 		now: epoch, rng: rand.New(rand.NewPCG(7, 11)), measureUntil: time.Hour,
@@ -154,8 +154,8 @@
 	s.events = slices.Insert(s.events, i, scheduledEvent{at, run})
 }
 
-// runCalls generates calls with random arrivals for a minute, at a rate that may
-// change over time. It then waits two more minutes for the answers.
+// runCalls generates calls with random arrivals for a minute. The rate of the calls
+// may change over time. runCalls then waits two more minutes for the answers.
 func (s *simulation) runCalls(callsPerSecond func(secondsSinceEpoch float64) float64, randomPrefix func(*rand.Rand) uint64) {
 	s.schedule(0, func() { s.arrive(callsPerSecond, randomPrefix) })
 	s.schedule(0, s.reportLoads)
@@ -346,8 +346,8 @@
 }
 
 // timeToLastRequest returns how long after the fault the endpoints still received
-// requests. Requests after the first gap of three seconds do not count: an ejection
-// causes such a gap, and the requests after it are probes.
+// requests. Requests after the first gap of three seconds do not count. An ejection
+// causes such a gap, and the requests after the gap are probes.
 func timeToLastRequest(faultAt time.Duration, engines ...*engine) time.Duration {
 	longest := time.Duration(0)
 	for _, e := range engines {
--- a/decide/balance/status.go
+++ b/decide/balance/status.go
@@ -6,8 +6,8 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// maxKeptChanges bounds the changes that are kept if the caller does not fetch them.
-// The oldest changes are dropped first.
+// maxKeptChanges is the largest number of changes that are kept until the caller
+// fetches them. If there are more, the oldest are dropped.
 const maxKeptChanges = 64
 
 // Change records that a replica was ejected, is being probed or returned to use.
@@ -44,18 +44,20 @@
 	State           health.State
 	Cause           health.Cause
 	// InFlight is the number of this node's in-flight requests at the replica.
-	// OtherNodeRequests estimates the number of requests of other nodes there, from
-	// the last report and the mean load.
-	InFlight          int
+	InFlight int
+	// OtherNodeRequests estimates the number of other nodes' requests at the
+	// replica, from its last load report and the mean load of its tier.
 	OtherNodeRequests float64
-	// ReportAge is the age of the last load report; it is negative without a
-	// report.
+	// ReportAge is the age of the replica's last load report. It is negative if no
+	// report has arrived.
 	ReportAge time.Duration
-	// Utilization is the replica's load per unit of effective capacity. Slowness is
-	// its delay relative to the median delay of the replicas. SlowStartFraction is
-	// the fraction of its capacity that it may use now.
-	Utilization       float64
-	Slowness          float64
+	// Utilization is the replica's load per unit of effective capacity.
+	Utilization float64
+	// Slowness is the replica's delay relative to the median delay of all replicas
+	// in the subset.
+	Slowness float64
+	// SlowStartFraction is the fraction of the replica's capacity that slow start
+	// allows now.
 	SlowStartFraction float64
 }
 
--- a/decide/balance/subset.go
+++ b/decide/balance/subset.go
@@ -57,7 +57,7 @@
 	return s.chooseFromDomains(replicasByDomain)
 }
 
-// chooseFromDomains does the same as choose. It expects the replicas grouped by
+// chooseFromDomains does the same as choose for replicas that are already grouped by
 // failure domain, nearest domain first.
 func (s *subsetChooser) chooseFromDomains(replicasByDomain [][]hashedReplica) (nearReplicas, spillReplicas []hashedReplica) {
 	replicaCount := 0
@@ -98,8 +98,8 @@
 }
 
 // domainRingDistance returns the distance by which domains of the same nearness are
-// ordered. All domains have a position on one ring, and the requests of a domain
-// spill to the domains that follow it. Therefore each domain receives spilled
+// ordered. Every domain has a position on one ring. The requests of a domain spill to
+// the domains that follow it on the ring. Therefore each domain receives spilled
 // requests from equally many other domains.
 func (s *subsetChooser) domainRingDistance(domain string) uint64 {
 	return rendezvous.Hash(domain) - rendezvous.Hash(s.cfg.FailureDomain)
@@ -117,8 +117,9 @@
 }
 
 // chooseFromDomain chooses about targetCount replicas of one domain. If
-// atLeastOneNode is set, each of the domain's replicas is used by at least one of
-// the node and its peers, so that none is idle.
+// atLeastOneNode is set, the number of nodes per replica is rounded up. Each replica
+// of the domain is then used by the node itself or by one of its peers, and no
+// replica is idle.
 func (s *subsetChooser) chooseFromDomain(replicas []hashedReplica, targetCount float64, atLeastOneNode bool) []hashedReplica {
 	if float64(len(replicas)) <= targetCount {
 		return replicas
@@ -166,15 +167,16 @@
 }
 
 // topRankedReplicas returns the n replicas with the highest score for this node. A
-// node that does not know its peers uses them as its subset.
+// node that does not know its peers chooses its replicas in this way.
 func (s *subsetChooser) topRankedReplicas(replicas []hashedReplica, n int) []hashedReplica {
 	sorted := s.sortedByRank(replicas)
 	return sorted[:min(n, len(sorted))]
 }
 
-// sortedByRank returns the replicas by descending score for this node. If all nodes
-// had the same order, nodes that send round robin at the same rate would reach each
-// replica at the same time, in bursts.
+// sortedByRank returns the replicas by descending score for this node, an order that
+// differs between nodes. If all nodes used the same order, nodes that send round
+// robin at the same rate would all send to the same replica at the same time. Each
+// replica would receive its requests in bursts.
 func (s *subsetChooser) sortedByRank(replicas []hashedReplica) []hashedReplica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b hashedReplica) int {
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -8,14 +8,15 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// tier is a part of the subset: either the replicas of the nearest failure domain,
-// or the replicas to which requests spill.
+// tier is one of the two parts of the subset: the replicas of the nearest failure
+// domain, or the replicas to which requests spill.
 type tier struct {
 	members       []*member
 	prefixRing    []ringPoint
 	usableMembers []*member
-	// cumulativeCapacity holds the running sums of the capacities of the usable
-	// members. It is used to select members in proportion to their capacity.
+	// cumulativeCapacity holds, for each usable member, the sum of its capacity and
+	// the capacities of the usable members before it. Members are selected from
+	// these sums in proportion to their capacity.
 	cumulativeCapacity []float64
 
 	roundRobinPosition float64 // position of the last round-robin pick; see memberAt
@@ -32,8 +33,8 @@
 	member *member
 }
 
-// newPrefixRing builds the hash ring from the replica IDs alone, so that nodes with
-// the same replicas send a prefix to the same replica.
+// newPrefixRing builds the hash ring from the replica IDs alone. Nodes that use the
+// same replicas therefore map a prefix to the same replica.
 func newPrefixRing(members []*member) []ringPoint {
 	ring := make([]ringPoint, 0, len(members)*ringPointsPerReplica)
 	for _, m := range members {
@@ -96,8 +97,8 @@
 	}
 }
 
-// meanOtherNodeLoad returns the load from other nodes per unit of capacity, over
-// the usable members that have reported their load.
+// meanOtherNodeLoad returns the number of other nodes' requests per unit of
+// capacity, over the usable members that have reported their load.
 func (t *tier) meanOtherNodeLoad() float64 {
 	if t.reportedCapacity == 0 {
 		return 0
@@ -105,8 +106,9 @@
 	return t.reportedOtherNodeRequests / t.reportedCapacity
 }
 
-// meanLoad returns the load from all nodes per unit of capacity, over the usable
-// members.
+// meanLoad returns the number of all nodes' requests per unit of capacity, over the
+// usable members. Members that have not reported their load count with
+// meanOtherNodeLoad.
 func (t *tier) meanLoad() float64 {
 	capacity := t.capacity()
 	if capacity == 0 {
@@ -128,8 +130,9 @@
 
 // roundRobinStep returns the distance between the positions of consecutive
 // round-robin picks. With equal capacities, each step moves to the next member.
-// With unequal capacities, such steps would send several requests in a row to a
-// large member. Golden-ratio steps spread the requests evenly for any capacities.
+// With unequal capacities, steps of that length would send several requests in a row
+// to a member of large capacity. Steps of the golden ratio spread the requests evenly
+// for any capacities.
 func (t *tier) roundRobinStep() float64 {
 	if t.equalCapacity {
 		return 1 / float64(len(t.usableMembers))
@@ -137,9 +140,9 @@
 	return math.Phi - 1
 }
 
-// memberAt returns the usable member at a position from 0 to 1. Each member has an
-// interval of positions in proportion to its capacity. The tier must have a usable
-// member.
+// memberAt returns the usable member at a position from 0 to 1. Each usable member
+// has an interval of positions whose length is proportional to its capacity. The
+// tier must have a usable member.
 func (t *tier) memberAt(position float64) *member {
 	return t.usableMembers[t.indexAt(position)]
 }
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -7,7 +7,8 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Failure classifies the end of an attempt; health.None means that it succeeded.
+// Failure classifies the end of an attempt; health.None means that the attempt
+// succeeded.
 type Failure = health.Failure
 
 // Replica is an endpoint of the service.
@@ -24,11 +25,11 @@
 
 // Query describes a request for which a replica is to be picked.
 type Query struct {
-	// Prefix is a hash of the prompt's prefix; 0 means that the request has none.
+	// Prefix is a hash of the prompt's prefix; 0 means that the prompt has no prefix.
 	Prefix uint64
 	// Holders lists the replicas that probably have the beginning of the prompt
-	// cached, the replica with the longest cached part first. The list is a hint
-	// and may be wrong.
+	// cached. The replica with the longest cached part comes first. The list is a
+	// hint and may be wrong.
 	Holders []cacheindex.Holder
 	// Cost is the expected work for the request in tokens; 0 means unknown.
 	Cost float64
@@ -39,11 +40,10 @@
 	NoProbe bool
 }
 
-// Candidate is a replica that was considered for a request. Lower scores are
-// better.
+// Candidate is a replica that was considered for a request.
 type Candidate struct {
 	ID string
-	// Score is the score of the picked replica; doc.go defines it.
+	// Score is the score of the replica; doc.go defines scores. Lower is better.
 	Score float64
 	// CachedBlocks is the estimated number of the prompt's blocks in the replica's
 	// cache.
@@ -54,14 +54,14 @@
 type Choice struct {
 	Replica string
 	Reason  Reason
-	// Score is the score of the picked endpoint: the expected load per unit of
-	// capacity.
+	// Score is the score of the picked replica; doc.go defines scores. Lower is
+	// better.
 	Score float64
 	// CachedBlocks is the estimated number of the prompt's blocks in the picked
 	// replica's cache. It is known only if Reason is ReasonPrefixCached.
 	CachedBlocks int
-	// Alternatives lists replicas that were considered and not picked, with their
-	// scores. Unused entries have an empty ID.
+	// Alternatives lists replicas that were considered and not picked. Unused
+	// entries have an empty ID.
 	Alternatives [maxAlternatives]Candidate
 }
 
@@ -74,25 +74,28 @@
 	// ReasonTwoChoices means that the replica was the better of two candidates from
 	// the nearest failure domain.
 	ReasonTwoChoices Reason = iota
-	// ReasonOnly means that the replica was the only candidate.
+	// ReasonOnly means that the replica was the only candidate from the nearest
+	// failure domain.
 	ReasonOnly
 	// ReasonPrefix means that the replica is the owner of the prompt's prefix.
 	ReasonPrefix
-	// ReasonPrefixMoved means that the owner of the prefix was overloaded or
-	// unusable, and that this replica follows the owner on the hash ring.
+	// ReasonPrefixMoved means that the owner of the prefix did not accept the
+	// request, for example because the owner was overloaded or unusable. The picked
+	// replica is the next one on the hash ring that accepted the request.
 	ReasonPrefixMoved
-	// ReasonSpill means that the request spilled: the nearest failure domain was
-	// overloaded or had no usable replica.
+	// ReasonSpill means that the request spilled because the nearest failure domain
+	// was overloaded or had no usable replica.
 	ReasonSpill
 	// ReasonProbe means that the request probes an ejected replica.
 	ReasonProbe
-	// ReasonLastResort means that no usable replica was left, only ejected ones.
+	// ReasonLastResort means that no usable replica could be picked, so that an
+	// ejected or probed replica was picked.
 	ReasonLastResort
-	// ReasonPrefixCached means that the replica probably has the longest cached part of the
-	// prompt among the replicas that accept the request.
+	// ReasonPrefixCached means that, of the replicas that accept the request, the
+	// picked one probably has the longest part of the prompt cached.
 	ReasonPrefixCached
-	// ReasonFewestOwn means that all replicas were full, and that this replica had
-	// the fewest in-flight requests of this node for its capacity.
+	// ReasonFewestOwn means that all replicas were full. The picked replica had the
+	// fewest in-flight requests of this node relative to its capacity.
 	ReasonFewestOwn
 )
 
@@ -112,11 +115,12 @@
 	// Cost is the cost that was passed to Sent.
 	Cost float64
 	// TimeToFirstToken is the time from sending the request to the first part of
-	// the answer. It is zero for plain services and for attempts that failed before
-	// the first part. TotalTime is the time from sending the request to the end of
-	// the answer or to the failure.
+	// the answer. It is zero for services that do not stream their answers, and for
+	// attempts that failed before the first part arrived.
 	TimeToFirstToken time.Duration
-	TotalTime        time.Duration
+	// TotalTime is the time from sending the request to the end of the answer or to
+	// the failure.
+	TotalTime time.Duration
 	// Started is set if Balancer.Started has been called for the attempt.
 	Started bool
 	Failure Failure
@@ -128,7 +132,7 @@
 	// replica.
 	RunningRequests int
 	WaitingRequests int
-	// Age is the time from the making of the report to its arrival at this node.
+	// Age is the age of the report when it arrived at this node.
 	Age time.Duration
 	// Leaving is set if the replica reports that it is shutting down.
 	Leaving bool
@@ -138,8 +142,8 @@
 type Source uint8
 
 const (
-	// SourcePlatform is the platform's list of VMs. A shutdown shows there later
-	// than at the replica.
+	// SourcePlatform is the platform's list of VMs. The list shows a shutdown later
+	// than the replica itself reports the shutdown.
 	SourcePlatform Source = iota
 	// SourceEndpoint is the load report of the replica itself.
 	SourceEndpoint
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -6,14 +6,13 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// FIFO is a baseline for the admission queue: it starts requests in order of
-// arrival, without shares of teams or limits. Unless DropExpired is set, it refuses
+// FIFO is a baseline for the admission queue. It starts requests in order of arrival,
+// without shares of teams and without limits. Unless DropExpired is set, FIFO refuses
 // no request.
 type FIFO struct {
 	Slots int // number of requests that run at the same time
-	// DropExpired refuses a request whose deadline has passed when the request
-	// reaches the head of the queue. The baseline then wastes no slots on such
-	// requests.
+	// DropExpired makes FIFO refuse a request that reaches the head of the queue
+	// after its deadline. FIFO then wastes no slots on such requests.
 	DropExpired bool
 
 	runningRequests int
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -15,23 +15,23 @@
 // queue and balancer, and learns of the other nodes' requests only from the
 // replicas' load reports.
 type Fleet struct {
-	// NodeShares holds each node's share of the calls; the shares add up to 1. A
-	// call goes to its node regardless of the length of the node's queue, because
-	// callers keep the node addresses that they were given.
+	// NodeShares holds each node's share of the calls; the shares add up to 1. The
+	// length of a node's queue does not influence which calls go to the node,
+	// because callers keep the node addresses that they were given.
 	NodeShares   []float64
 	ReplicaCount int
 	// SlotsPerReplica is the number of slots of each replica. A replica queues
 	// requests beyond its slots.
 	SlotsPerReplica int
-	// TokenTime is the time that a slot takes for one token, the same in every
-	// slot.
+	// TokenTime is the time that a slot takes for one token. It is the same for
+	// every slot.
 	TokenTime time.Duration
 	// TokensPerAnswer is the number of tokens of each answer.
 	TokensPerAnswer int
 	TeamCount       int
 	// OfferedLoad is the rate of calls divided by Capacity.
 	OfferedLoad float64
-	// Preload is a load that precedes the load of the run.
+	// Preload precedes the load of the run.
 	Preload Preload
 	// CallerTimeout is how long a caller waits for its whole answer.
 	CallerTimeout time.Duration
@@ -48,12 +48,13 @@
 	// SharedPrompt makes all callers send the same prompt, which every replica has
 	// cached.
 	SharedPrompt bool
-	// HideNodeCountFromBalancers withholds the number of nodes from the balancers,
-	// so that no node has a fair share of the slots.
+	// HideNodeCountFromBalancers withholds the number of nodes from the balancers.
+	// Balancer.Headroom then takes the node's fair share of the slots as zero.
 	HideNodeCountFromBalancers bool
 }
 
-// Preload is a load before the load of the run, followed by a pause.
+// Preload is a load that is offered before the load of the run. A pause without
+// calls follows it.
 type Preload struct {
 	// OfferedLoad is the rate of calls divided by Capacity.
 	OfferedLoad     float64
@@ -62,13 +63,14 @@
 
 const (
 	// reportInterval is the shortest time between two load reports made by a
-	// replica. A report sent in between repeats the last report.
+	// replica. If a report is to be sent earlier, the replica sends its last report
+	// again.
 	reportInterval = 100 * time.Millisecond
 	// tokensPerReport is the number of tokens of an answer between two load reports
 	// sent with the answer.
 	tokensPerReport = 8
 	// queueUpdateInterval is how often a node recomputes the number of slots of its
-	// queue when no report or answer causes it to.
+	// queue. The node also recomputes the number at each report and answer.
 	queueUpdateInterval = time.Second
 	// sharedPrefix is the prefix hash of the prompt that all callers share.
 	sharedPrefix = 12345
@@ -102,7 +104,7 @@
 type fleetRun struct {
 	Fleet
 	*Loop
-	arrivalRNG       *rand.Rand // random numbers of the arrivals, which do not depend on how calls are served
+	arrivalRNG       *rand.Rand // random numbers for the times of arrivals only, so that these do not depend on how calls are served
 	assignmentRNG    *rand.Rand // random numbers for the nodes and teams of calls
 	nodes            []*fleetNode
 	replicas         []*fleetReplica
@@ -180,8 +182,8 @@
 	r.Schedule(r.Now.Add(queueUpdateInterval), func() { r.updateQueueSlotsPeriodically(n) })
 }
 
-// updateQueueSlots sets the number of slots of the node's queue to the requests
-// that the node has in flight plus the balancer's headroom.
+// updateQueueSlots sets the number of slots of the node's queue to the number of
+// requests that the node has in flight plus the balancer's headroom.
 func (r *fleetRun) updateQueueSlots(n *fleetNode) {
 	slots := max(1, n.inflightCalls+n.balancer.Headroom(r.Now))
 	if slots == n.queueSlots {
@@ -393,7 +395,7 @@
 	e := c.replica
 	if i := slices.Index(e.waitingCalls, c); i >= 0 {
 		e.waitingCalls = slices.Delete(e.waitingCalls, i, i+1)
-		e.runningCalls++ // releaseSlot subtracts 1 again
+		e.runningCalls++ // the call has no slot; this cancels out the subtraction in releaseSlot
 		r.releaseSlot(c)
 	}
 }
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// Policy decides which requests start. Implementations are the admission queue and
-// the baselines.
+// Policy decides which requests start. The admission queue and the baselines
+// implement Policy.
 type Policy interface {
 	Offer(now time.Time, r admission.Request) []admission.Verdict
 	Finish(now time.Time, id uint64, cost float64) []admission.Verdict
@@ -24,7 +24,7 @@
 	Class             admission.Class
 	Rate              float64       // calls per second
 	MeanCost          float64       // mean cost of a call in tokens; each call costs 0.5 to 1.5 times the mean
-	ExpectedCostRatio float64       // cost expected at admission over actual cost; zero means random from 0.7 to 1.3
+	ExpectedCostRatio float64       // cost expected at admission divided by the actual cost; zero means random from 0.7 to 1.3
 	StartTimeout      time.Duration // time from the call to its deadline for starting
 	From, To          time.Duration // interval of arrivals, measured from Start; zero To means the end of the run
 	RetryOnce         bool          // a refused caller retries once, after the RetryAfter of the refusal
@@ -35,7 +35,7 @@
 	SlotRate         float64 // tokens per second per slot
 	Duration         time.Duration
 	Loads            []Load
-	SlotsByStartTime map[time.Duration]int // number of slots from each time on, measured from Start
+	SlotsByStartTime map[time.Duration]int // number of slots by the time from which it applies, measured from Start
 	StallAt          time.Duration         // no request finishes after this time, measured from Start; zero means that all requests finish
 	Seed             uint64                // seed of arrivals and costs
 }
@@ -150,10 +150,9 @@
 	}
 }
 
-// Goodput returns the tokens per second of the calls that started by their
-// deadline, in the interval between the two times. A call counts with the slot time
-// that it used in the interval. If loads are given, only calls of these loads
-// count.
+// Goodput returns the tokens per second that calls received from slots in the
+// interval. Only calls that started by their deadline count. If load indexes are
+// given, only calls of these loads count.
 func (r *Result) Goodput(slotRate float64, from, to time.Duration, loadIndexes ...int) float64 {
 	tokens := 0.0
 	for _, c := range r.Calls {
@@ -168,7 +167,7 @@
 	return tokens / (to - from).Seconds()
 }
 
-// StartDelays returns, in ascending order, the times from call to start for the
+// StartDelays returns the times from offer to start, in ascending order, for the
 // calls of one load that were offered in the interval. A call that did not start by
 // its deadline counts with its whole StartTimeout.
 func (r *Result) StartDelays(loadIndex int, from, to time.Duration) []time.Duration {
@@ -190,8 +189,8 @@
 // P95 returns the 95th percentile of the given delays, which must be sorted.
 func P95(sortedDelays []time.Duration) time.Duration { return sortedDelays[len(sortedDelays)*95/100] }
 
-// StartedShare returns which share of one load's calls that were offered in the
-// interval started by their deadline.
+// StartedShare considers the calls of one load that were offered in the interval. It
+// returns the share of these calls that started by their deadline.
 func (r *Result) StartedShare(loadIndex int, from, to time.Duration) float64 {
 	startedCalls, offeredCalls := 0.0, 0.0
 	for _, c := range r.Calls {
