--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -11,8 +11,8 @@
 )
 
 // Each test runs the same calls through the Balancer and through baselines. The
-// Balancer must be better by a margin, so that a baseline in its place would fail the
-// test. `go test -v` prints the figures that docs/design/balance.md quotes.
+// margins are chosen so that a baseline in place of the Balancer fails the test.
+// `go test -v` prints the figures that docs/design/balance.md quotes.
 
 const (
 	faultAt     = 20 * time.Second // when the fault of a load pattern begins
@@ -26,8 +26,8 @@
 	}
 }
 
-func constantRate(rate float64) func(float64) float64 {
-	return func(float64) float64 { return rate }
+func constantRate(callsPerSecond float64) func(float64) float64 {
+	return func(float64) float64 { return callsPerSecond }
 }
 
 // runOn12Endpoints runs a load pattern with 12 endpoints, which together serve 96
@@ -52,11 +52,11 @@
 func TestEqualEndpointsWithoutFault(t *testing.T) {
 	Convey("Given equal endpoints without a fault", t, func() {
 		for _, c := range []struct {
-			nodes int
-			rate  float64
+			nodes          int
+			callsPerSecond float64
 		}{{1, 75}, {2, 75}, {8, 75}, {2, 85}, {8, 85}, {24, 75}} {
-			loadPattern := func(s *simulation) { s.runCalls(constantRate(c.rate), nil) }
-			name := fmt.Sprintf(" %d nodes %.0f/s", c.nodes, c.rate)
+			loadPattern := func(s *simulation) { s.runCalls(constantRate(c.callsPerSecond), nil) }
+			name := fmt.Sprintf(" %d nodes %.0f/s", c.nodes, c.callsPerSecond)
 			roundRobinRun := runOn12Endpoints(t, "round robin"+name, roundRobin, c.nodes, loadPattern)
 			balancerRun := runOn12Endpoints(t, "balance"+name, balancerPolicy(Config{}), c.nodes, loadPattern)
 			So(balancerRun.delayPercentile(.95), ShouldBeLessThan, roundRobinRun.delayPercentile(.95)*11/10)
@@ -111,10 +111,10 @@
 }
 
 // If cold endpoints that join during a load peak get too many requests, callers
-// wait there for tens of seconds. Here six endpoints join, nine times slower at
-// first and warm after 20 s. With round robin they get as many requests as the
-// others at once. Without slow start they get too many requests because their load
-// reports show the load too late.
+// wait at these endpoints for tens of seconds. Here six endpoints join. They are nine
+// times slower at first and warm after 20 s. With round robin they get as many
+// requests as the other endpoints at once. Without slow start they get too many
+// requests, because their load reports show the load too late.
 func TestColdEndpointsJoinUnderLoad(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.measureUntil, s.coldSlowdown = faultAt, 2*faultAt, 8
@@ -196,21 +196,21 @@
 	})
 }
 
-// Requests to the other failure domain take 80 ms longer. With round robin, half of
-// the requests go there although the near endpoints have free slots. If the load
-// exceeds the capacity of the near endpoints, using only these overloads them. Only
-// the surplus should go to the other domain.
+// With round robin, half of the requests go to the other failure domain although the
+// endpoints of the nearest domain have free slots. Each of these requests takes 80 ms
+// longer. If only the nearest domain is used and the load exceeds the capacity of its
+// endpoints, they are overloaded. Only the surplus should go to the other domain.
 func TestOnlySurplusSpills(t *testing.T) {
 	domains := []string{"bandung", "bekasi"}
 	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
 	for _, c := range []struct {
 		name            string
-		rate            float64
+		callsPerSecond  float64
 		maxSpilledShare float64 // largest share of the requests that may go to the other domain
 	}{{"half the near capacity", 24, 0.01}, {"1.3 times the near capacity", 62, 0.4}} {
 		loadPattern := func(s *simulation) {
 			s.crossDomainDelay = 80 * time.Millisecond
-			s.runCalls(constantRate(c.rate), nil)
+			s.runCalls(constantRate(c.callsPerSecond), nil)
 		}
 		Convey("Given two failure domains at "+c.name, t, func() {
 			roundRobinRun := runOn12Endpoints(t, "round robin", roundRobin, 2, loadPattern, domains...)
@@ -226,9 +226,9 @@
 }
 
 // If lost endpoints are not ejected, callers get errors although the other failure
-// domain works. Here all near endpoints refuse connections from 20 s on. Once a
-// node has found each near endpoint unreachable, its requests must go straight to
-// the other domain.
+// domain works. Here all endpoints of the nearest domain refuse connections from
+// 20 s on. Once a node has found each of these endpoints unreachable, the node must
+// send its requests straight to the other domain.
 func TestNearDomainLost(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.crossDomainDelay = faultAt, 80*time.Millisecond
@@ -251,8 +251,9 @@
 
 // If the subsets give some replicas more nodes than others, callers wait at the
 // replicas with more nodes. Here 12 nodes share 52 replicas, and each node uses
-// about 13 of them. With a list of its peers, a node must serve as well as a node
-// that uses all replicas. Without such a list, some replicas are overloaded.
+// about 13 of the replicas. Nodes that know their peers must serve as well as nodes
+// that use all replicas. If nodes do not know their peers, some replicas are
+// overloaded.
 func TestSubsetServesLikeAllReplicas(t *testing.T) {
 	Convey("Given subsets of a quarter of the replicas", t, func() {
 		var peers []string
