--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -76,34 +76,34 @@
 	for i := range replicas {
 		d.dropObsolete(i)
 	}
-	for _, want := range d.byNeed() {
-		d.place(want)
+	for _, want := range d.sortedByNeed() {
+		d.addHolders(want)
 	}
 	return d.result
 }
 
 // decision is the state of one call of Decide.
 type decision struct {
-	replicas      []Replica
-	desired       map[Adapter]Desired
-	desiredByName map[string]Desired
-	changed       []bool
-	// planned and held are the numbers of replicas by adapter. planned includes the
+	replicas       []Replica
+	desired        map[Adapter]Desired
+	desiredByName  map[string]Desired
+	replicaChanged []bool
+	// plannedHolders and reportedHolders are the numbers of replicas by adapter. plannedHolders includes the
 	// changes so far.
-	planned, held map[Adapter]int
-	useRate       map[Adapter]float64
-	result        Result
+	plannedHolders, reportedHolders map[Adapter]int
+	useRate                         map[Adapter]float64
+	result                          Result
 }
 
 func newDecision(desired []Desired, replicas []Replica) *decision {
 	d := &decision{
-		replicas:      replicas,
-		desired:       make(map[Adapter]Desired, len(desired)),
-		desiredByName: make(map[string]Desired, len(desired)),
-		changed:       make([]bool, len(replicas)),
-		planned:       map[Adapter]int{},
-		held:          map[Adapter]int{},
-		useRate:       map[Adapter]float64{},
+		replicas:        replicas,
+		desired:         make(map[Adapter]Desired, len(desired)),
+		desiredByName:   make(map[string]Desired, len(desired)),
+		replicaChanged:  make([]bool, len(replicas)),
+		plannedHolders:  map[Adapter]int{},
+		reportedHolders: map[Adapter]int{},
+		useRate:         map[Adapter]float64{},
 	}
 	for _, want := range desired {
 		d.desired[want.Adapter] = want
@@ -111,10 +111,10 @@
 	}
 	for i := range replicas {
 		for _, a := range replicas[i].Planned {
-			d.planned[a]++
+			d.plannedHolders[a]++
 		}
 		for _, a := range replicas[i].Held {
-			d.held[a]++
+			d.reportedHolders[a]++
 		}
 		for a, rate := range replicas[i].UseRate {
 			d.useRate[a] += rate
@@ -139,50 +139,50 @@
 		}
 	}
 	if len(drops) > 0 {
-		d.change(index, nil, drops, Change{Reason: reason})
+		d.addChange(index, nil, drops, Change{Reason: reason})
 	}
 }
 
-// byNeed returns the desired adapters, ordered by the ratio of planned to desired holders
+// sortedByNeed returns the desired adapters, ordered by the ratio of planned to desired holders
 // and then by use, most used first.
-func (d *decision) byNeed() []Desired {
+func (d *decision) sortedByNeed() []Desired {
 	all := make([]Desired, 0, len(d.desired))
 	for _, want := range d.desired {
 		all = append(all, want)
 	}
 	slices.SortFunc(all, func(a, b Desired) int {
 		return cmp.Or(
-			cmp.Compare(d.planned[a.Adapter]*b.Replicas, d.planned[b.Adapter]*a.Replicas),
-			cmp.Compare(d.nameUseRate(b.Name), d.nameUseRate(a.Name)),
+			cmp.Compare(d.plannedHolders[a.Adapter]*b.Replicas, d.plannedHolders[b.Adapter]*a.Replicas),
+			cmp.Compare(d.useRateOfAllVersions(b.Name), d.useRateOfAllVersions(a.Name)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
 	return all
 }
 
-// nameUseRate returns the use rate of all versions of an adapter together, because the new
+// useRateOfAllVersions returns the use rate of all versions of an adapter together, because the new
 // version of a busy adapter is not used yet.
-func (d *decision) nameUseRate(name string) float64 {
-	sum := 0.0
+func (d *decision) useRateOfAllVersions(name string) float64 {
+	rateSum := 0.0
 	for a, rate := range d.useRate {
 		if a.Name == name {
-			sum += rate
+			rateSum += rate
 		}
 	}
-	return sum
+	return rateSum
 }
 
-// place puts an adapter on more replicas if it has too few holders or all are busy.
-func (d *decision) place(want Desired) {
+// addHolders puts an adapter on more replicas if it has too few holders or all are busy.
+func (d *decision) addHolders(want Desired) {
 	target, reason := want.Replicas, ReasonTooFew
-	if d.planned[want.Adapter] >= target {
+	if d.plannedHolders[want.Adapter] >= target {
 		if !d.allBusy(want.Adapter) {
 			return
 		}
-		target, reason = d.planned[want.Adapter]+1, ReasonAllBusy
+		target, reason = d.plannedHolders[want.Adapter]+1, ReasonAllBusy
 	}
-	for d.planned[want.Adapter] < target {
-		if !d.placeOne(want, target, reason) {
+	for d.plannedHolders[want.Adapter] < target {
+		if !d.addHolder(want, target, reason) {
 			if reason == ReasonTooFew {
 				d.result.Unplaced = append(d.result.Unplaced, want.Adapter)
 			}
@@ -195,7 +195,7 @@
 // adapter and is busy, and the adapter is in use. While a load is underway its effect is
 // not known yet, so no holder is added.
 func (d *decision) allBusy(a Adapter) bool {
-	if d.held[a] < d.planned[a] || d.useRate[a] == 0 {
+	if d.reportedHolders[a] < d.plannedHolders[a] || d.useRate[a] == 0 {
 		return false
 	}
 	for i := range d.replicas {
@@ -206,8 +206,8 @@
 	return true
 }
 
-// placeOne puts an adapter on the best eligible replica, and reports whether there is one.
-func (d *decision) placeOne(want Desired, target int, reason string) bool {
+// addHolder puts an adapter on the best eligible replica, and reports whether there is one.
+func (d *decision) addHolder(want Desired, target int, reason string) bool {
 	best, alternatives := -1, 0
 	var drops []Adapter
 	for i := range d.replicas {
@@ -221,37 +221,37 @@
 		if best >= 0 {
 			alternatives++
 		}
-		if best < 0 || d.better(want, i, len(evictions), best, len(drops)) {
+		if best < 0 || d.betterHolder(want, i, len(evictions), best, len(drops)) {
 			best, drops = i, evictions
 		}
 	}
 	if best < 0 {
 		return false
 	}
-	d.change(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.planned[want.Adapter], Target: target, Alternatives: alternatives})
+	d.addChange(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.plannedHolders[want.Adapter], Target: target, Alternatives: alternatives})
 	return true
 }
 
 // eligible reports whether a replica may take an adapter for the given reason.
 func (d *decision) eligible(index int, want Desired, reason string) bool {
 	r := &d.replicas[index]
-	if !r.Serving || d.changed[index] || slices.Contains(r.Planned, want.Adapter) {
+	if !r.Serving || d.replicaChanged[index] || slices.Contains(r.Planned, want.Adapter) {
 		return false
 	}
 	return reason != ReasonAllBusy || r.Utilization < busyUtilization
 }
 
-// better reports whether replica a is better than b: it prefers the replica that drops
+// betterHolder reports whether replica a is betterHolder than b: it prefers the replica that drops
 // fewer adapters, then one with another version of the adapter, so that callers stay on
 // their replicas, then the less busy one.
-func (d *decision) better(want Desired, a, dropsA, b, dropsB int) bool {
-	x, y := &d.replicas[a], &d.replicas[b]
+func (d *decision) betterHolder(want Desired, a, dropsA, b, dropsB int) bool {
+	replicaA, replicaB := &d.replicas[a], &d.replicas[b]
 	return cmp.Or(
 		cmp.Compare(dropsA, dropsB),
-		cmp.Compare(plansOtherVersion(y, want.Name), plansOtherVersion(x, want.Name)),
-		cmp.Compare(x.Utilization, y.Utilization),
-		cmp.Compare(len(x.Planned), len(y.Planned)),
-		cmp.Compare(x.Name, y.Name),
+		cmp.Compare(plansOtherVersion(replicaB, want.Name), plansOtherVersion(replicaA, want.Name)),
+		cmp.Compare(replicaA.Utilization, replicaB.Utilization),
+		cmp.Compare(len(replicaA.Planned), len(replicaB.Planned)),
+		cmp.Compare(replicaA.Name, replicaB.Name),
 	) < 0
 }
 
@@ -267,11 +267,11 @@
 // least used evictable ones, and whether it then has enough memory.
 func (d *decision) evictions(index int, want Desired) ([]Adapter, bool) {
 	r := &d.replicas[index]
-	free := r.MemoryBytes - want.Bytes
+	freeBytes := r.MemoryBytes - want.Bytes
 	for _, a := range r.Planned {
-		free -= d.size(a)
+		freeBytes -= d.sizeBytes(a)
 	}
-	if free >= 0 {
+	if freeBytes >= 0 {
 		return nil, true
 	}
 	candidates := slices.Clone(r.Planned)
@@ -280,7 +280,7 @@
 		return cmp.Or(cmp.Compare(d.useRate[a], d.useRate[b]), cmp.Compare(a.Name, b.Name))
 	})
 	for i, a := range candidates {
-		if free += d.size(a); free >= 0 {
+		if freeBytes += d.sizeBytes(a); freeBytes >= 0 {
 			return candidates[:i+1], true
 		}
 	}
@@ -293,17 +293,17 @@
 func (d *decision) evictable(a Adapter) bool {
 	want := d.desiredByName[a.Name]
 	if want.Adapter == a {
-		return d.planned[a] > want.Replicas
+		return d.plannedHolders[a] > want.Replicas
 	}
-	return d.planned[a] > 1 || d.held[want.Adapter] > 0
+	return d.plannedHolders[a] > 1 || d.reportedHolders[want.Adapter] > 0
 }
 
-// size returns the size of an adapter. An old version is assumed to be as large as the new
+// sizeBytes returns the sizeBytes of an adapter. An old version is assumed to be as large as the new
 // one.
-func (d *decision) size(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
+func (d *decision) sizeBytes(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
 
-// change adds the change of a replica to the result and counts its planned adapters.
-func (d *decision) change(index int, loads, drops []Adapter, c Change) {
+// addChange adds the addChange of a replica to the result and counts its planned adapters.
+func (d *decision) addChange(index int, loads, drops []Adapter, c Change) {
 	r := &d.replicas[index]
 	for _, a := range r.Planned {
 		if !slices.Contains(drops, a) {
@@ -312,12 +312,12 @@
 	}
 	c.Adapters = append(c.Adapters, loads...)
 	c.Replica, c.Loads, c.Drops = r.Name, loads, drops
-	d.changed[index] = true
+	d.replicaChanged[index] = true
 	for _, a := range loads {
-		d.planned[a]++
+		d.plannedHolders[a]++
 	}
 	for _, a := range drops {
-		d.planned[a]--
+		d.plannedHolders[a]--
 	}
 	d.result.Changes = append(d.result.Changes, c)
 }
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -16,8 +16,8 @@
 	return Replica{Name: name, MemoryBytes: memoryBytes, Planned: planned, Held: planned, Serving: true}
 }
 
-func (r Replica) withLoad(a Adapter, rate, busy float64) Replica {
-	r.UseRate, r.Utilization = map[Adapter]float64{a: rate}, busy
+func (r Replica) withLoad(a Adapter, rate, utilization float64) Replica {
+	r.UseRate, r.Utilization = map[Adapter]float64{a: rate}, utilization
 	return r
 }
 
@@ -71,18 +71,18 @@
 }
 
 func summary(r Result) string {
-	all := ""
+	text := ""
 	for i, c := range r.Changes {
 		if i > 0 {
-			all += " "
+			text += " "
 		}
 		var names []string
 		for _, a := range c.Adapters {
 			names = append(names, a.Name+"@"+a.Version)
 		}
-		all += c.Replica + fmt.Sprint(names)
+		text += c.Replica + fmt.Sprint(names)
 	}
-	return all
+	return text
 }
 
 // Whatever the memory and the use, changes stay within the memory, never drop the last
@@ -98,19 +98,19 @@
 			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "room"))
 			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "busy")
 			r.UseRate = map[Adapter]float64{}
-			free := r.MemoryBytes
+			freeBytes := r.MemoryBytes
 			for _, w := range wanted {
 				a := Adapter{w.Name, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")}
 				r.UseRate[a] = rapid.Float64Range(0, 5).Draw(t, "uses")
-				if rapid.Bool().Draw(t, "planned") && free >= w.Bytes {
+				if rapid.Bool().Draw(t, "planned") && freeBytes >= w.Bytes {
 					r.Planned = append(r.Planned, a)
-					free -= w.Bytes
+					freeBytes -= w.Bytes
 				}
 			}
 			r.Held = r.Planned
 			replicas = append(replicas, r)
 		}
-		held := heldNames(replicas)
+		initiallyHeld := heldNames(replicas)
 		for round := 0; ; round++ {
 			result := Decide(wanted, replicas)
 			if len(result.Changes) == 0 {
@@ -120,7 +120,7 @@
 				t.Fatal("changes do not end", result.Changes)
 			}
 			applyChanges(t, wanted, replicas, result)
-			for name := range held {
+			for name := range initiallyHeld {
 				if !heldNames(replicas)[name] {
 					t.Fatalf("no replica holds %q any more: %+v", name, result.Changes)
 				}
@@ -131,13 +131,13 @@
 
 // heldNames returns the names of the adapters of which any replica holds any version.
 func heldNames(replicas []Replica) map[string]bool {
-	all := map[string]bool{}
+	names := map[string]bool{}
 	for _, r := range replicas {
 		for _, a := range r.Held {
-			all[a.Name] = true
+			names[a.Name] = true
 		}
 	}
-	return all
+	return names
 }
 
 // applyChanges carries out the changes of one round. Adapters that are held and stay planned
@@ -151,27 +151,27 @@
 			r.Held = r.Planned
 			continue
 		}
-		before := r.Held
+		heldBefore := r.Held
 		r.Planned = result.Changes[index].Adapters
-		r.Held = slices.DeleteFunc(slices.Clone(r.Planned), func(a Adapter) bool { return !slices.Contains(before, a) })
-		total := int64(0)
+		r.Held = slices.DeleteFunc(slices.Clone(r.Planned), func(a Adapter) bool { return !slices.Contains(heldBefore, a) })
+		plannedBytes := int64(0)
 		for _, a := range r.Planned {
 			for _, w := range wanted {
 				if w.Name == a.Name {
-					total += w.Bytes
+					plannedBytes += w.Bytes
 				}
 			}
 		}
-		if total > r.MemoryBytes {
-			t.Fatalf("%s has memory for %d bytes and should hold %d", r.Name, r.MemoryBytes, total)
+		if plannedBytes > r.MemoryBytes {
+			t.Fatalf("%s has memory for %d bytes and should hold %d", r.Name, r.MemoryBytes, plannedBytes)
 		}
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
-	const kinds = 10
+	const adapterCount = 10
 	var wanted []Desired
-	for i := range kinds {
+	for i := range adapterCount {
 		wanted = append(wanted, Desired{Adapter{fmt.Sprint("adapter-", i), "2"}, 10, 4})
 	}
 	for _, n := range []int{10, 100, 1000, 10_000} {
@@ -180,7 +180,7 @@
 			for i := range replicas {
 				replicas[i] = serving(fmt.Sprint("replica-", i), 1000)
 				if planned {
-					replicas[i].Planned = []Adapter{wanted[i%kinds].Adapter}
+					replicas[i].Planned = []Adapter{wanted[i%adapterCount].Adapter}
 					replicas[i].Held = replicas[i].Planned
 				}
 			}
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -26,18 +26,18 @@
 
 // bestCapacity returns the highest capacity of all plans in which each replica holds a span
 // that fits in its memory.
-func bestCapacity(m Model, replicas []Replica, at int) float64 {
-	if at == len(replicas) {
+func bestCapacity(m Model, replicas []Replica, index int) float64 {
+	if index == len(replicas) {
 		return minCapacity(m, replicas)
 	}
-	highest := bestCapacity(m, replicas, at+1) // it holds nothing
-	for n := 1; n <= m.MaxLayers(replicas[at].MemoryMB, 1); n++ {
+	highest := bestCapacity(m, replicas, index+1) // it holds nothing
+	for n := 1; n <= m.MaxLayers(replicas[index].MemoryMB, 1); n++ {
 		for from := 0; from+n <= m.Layers; from++ {
-			replicas[at].Held = Span{from, from + n}
-			highest = max(highest, bestCapacity(m, replicas, at+1))
+			replicas[index].Held = Span{from, from + n}
+			highest = max(highest, bestCapacity(m, replicas, index+1))
 		}
 	}
-	replicas[at].Held = Span{}
+	replicas[index].Held = Span{}
 	return highest
 }
 
@@ -46,7 +46,7 @@
 // half.
 func TestPlanAgainstAllPlans(t *testing.T) {
 	small := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
-	sum, cases := 0.0, 0
+	sumOfRatios, caseCount := 0.0, 0
 	compare := func(t *rapid.T) {
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 4).Draw(t, "cards") {
@@ -57,11 +57,11 @@
 			planned = applyOrders(planned, Plan(small, planned))
 		}
 		highest := bestCapacity(small, slices.Clone(replicas), 0)
-		got := minCapacity(small, planned)
+		planCapacity := minCapacity(small, planned)
 		if highest == 0 {
 			return
 		}
-		sum, cases = sum+got/highest, cases+1
+		sumOfRatios, caseCount = sumOfRatios+planCapacity/highest, caseCount+1
 	}
 	// With only 70 cases the mean differs by a tenth between runs.
 	const casesPerDraw = 3
@@ -70,18 +70,18 @@
 			compare(t)
 		}
 	})
-	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", cases, sum/float64(cases))
-	if sum < float64(cases)/2 {
-		t.Errorf("the plan has %.2f of the highest capacity on average", sum/float64(cases))
+	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", caseCount, sumOfRatios/float64(caseCount))
+	if sumOfRatios < float64(caseCount)/2 {
+		t.Errorf("the plan has %.2f of the highest capacity on average", sumOfRatios/float64(caseCount))
 	}
 }
 
 // consecutiveSpans gives replicas adjoining spans, each as long as fits in the given
 // fraction of its memory, and starts again at the first layer after the last.
-func consecutiveSpans(m Model, replicas []Replica, fill float64) []Replica {
+func consecutiveSpans(m Model, replicas []Replica, memoryFraction float64) []Replica {
 	next := 0
 	for i := range replicas {
-		n := min(m.MaxLayers(replicas[i].MemoryMB, fill), m.Layers-next)
+		n := min(m.MaxLayers(replicas[i].MemoryMB, memoryFraction), m.Layers-next)
 		replicas[i].Held = Span{next, next + n}
 		next = (next + n) % m.Layers
 	}
@@ -91,14 +91,14 @@
 // The plan is compared with naive plans for a typical domain by the capacity of the layer
 // that has the least, and by the number of replicas whose loss leaves all layers covered.
 func TestPlanAgainstNaivePlans(t *testing.T) {
-	byMemory := func(replicas []Replica) []Replica {
+	sortedByMemory := func(replicas []Replica) []Replica {
 		slices.SortStableFunc(replicas, func(a, b Replica) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
 		return replicas
 	}
-	equalSpans := func(replicas []Replica, grid int) []Replica {
+	spansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
 		next := 0
 		for i := range replicas {
-			n := min(layersOnGrid(replicas[i].MemoryMB, grid), model.Layers-next)
+			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-next)
 			replicas[i].Held = Span{next, next + n}
 			next = (next + n) % model.Layers
 		}
@@ -109,21 +109,21 @@
 		replicas []Replica
 	}{
 		{"the plan", applyOrders(typicalDomain(), Plan(model, typicalDomain()))},
-		{"fast cards only, filled", consecutiveSpans(model, byMemory(typicalDomain())[:5], 1)},
-		{"one after the other, 0.9 of each", consecutiveSpans(model, byMemory(typicalDomain()), 0.9)},
-		{"spans on a grid of 5", equalSpans(byMemory(typicalDomain()), 5)},
-		{"spans on a grid of 7", equalSpans(byMemory(typicalDomain()), 7)},
+		{"fast cards only, filled", consecutiveSpans(model, sortedByMemory(typicalDomain())[:5], 1)},
+		{"one after the other, 0.9 of each", consecutiveSpans(model, sortedByMemory(typicalDomain()), 0.9)},
+		{"spans on a grid of 5", spansOnGrid(sortedByMemory(typicalDomain()), 5)},
+		{"spans on a grid of 7", spansOnGrid(sortedByMemory(typicalDomain()), 7)},
 	}
 	capacities := map[string]float64{}
 	for _, p := range plans {
-		expendable := 0
+		expendableReplicas := 0
 		for _, r := range p.replicas {
 			if FullyCovered(model, without(p.replicas, r.ID)) {
-				expendable++
+				expendableReplicas++
 			}
 		}
 		capacities[p.name] = minCapacity(model, p.replicas)
-		t.Logf("%-34s capacity %7.0f tokens, any one of %d of %d replicas may be lost", p.name, capacities[p.name], expendable, len(p.replicas))
+		t.Logf("%-34s capacity %7.0f tokens, any one of %d of %d replicas may be lost", p.name, capacities[p.name], expendableReplicas, len(p.replicas))
 	}
 	for name, capacity := range capacities {
 		if name != "the plan" && capacity > capacities["the plan"] {
@@ -134,6 +134,6 @@
 
 // layersOnGrid returns the number of layers that a card holds if spans must be multiples of
 // the grid, or all that fit if that is less than one multiple.
-func layersOnGrid(memoryMB float64, grid int) int {
-	return max(1, model.MaxLayers(memoryMB, 1)/grid) * min(grid, model.MaxLayers(memoryMB, 1))
+func layersOnGrid(memoryMB float64, gridLayers int) int {
+	return max(1, model.MaxLayers(memoryMB, 1)/gridLayers) * min(gridLayers, model.MaxLayers(memoryMB, 1))
 }
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -18,15 +18,15 @@
 // windows that contain layers without a holder it returns the first, so that spans adjoin
 // and leave no gaps too small for a replica; among other equal windows the last.
 func (c *coverage) bestWindow(n int, memoryMB float64) Span {
-	added := c.model.TokenCapacity(memoryMB, n)
-	best, gain := Span{0, n}, -1.0
+	addedCapacity := c.model.TokenCapacity(memoryMB, n)
+	best, bestGain := Span{0, n}, -1.0
 	for from := 0; from+n <= c.model.Layers; from++ {
-		sum := 0.0
+		gainSum := 0.0
 		for l := from; l < from+n; l++ {
-			sum += c.layerGain(l, added)
+			gainSum += c.layerGain(l, addedCapacity)
 		}
-		if sum > gain+gainTolerance || sum > gain-gainTolerance && sum < uncoveredGain {
-			best, gain = Span{from, from + n}, sum
+		if gainSum > bestGain+gainTolerance || gainSum > bestGain-gainTolerance && gainSum < uncoveredGain {
+			best, bestGain = Span{from, from + n}, gainSum
 		}
 	}
 	return best
@@ -45,20 +45,20 @@
 
 // layerGain returns the gain of a layer from a holder that adds the given capacity: the
 // fraction of the new capacity that is added, and more for the first and second holder.
-func (c *coverage) layerGain(layer int, added float64) float64 {
+func (c *coverage) layerGain(layer int, addedCapacity float64) float64 {
 	if c.holders[layer] == 0 {
 		return uncoveredGain
 	}
-	gain := added / (c.capacity[layer] + added)
+	gain := addedCapacity / (c.capacity[layer] + addedCapacity)
 	if c.holders[layer] == 1 {
 		gain += secondHolderGain
 	}
 	return gain
 }
 
-// shrink lets replicas that hold more than TargetFill give back layers that have other
+// shrinkOverfilled lets replicas that hold more than TargetFill give back layers that have other
 // holders.
-func (c *coverage) shrink() []Order {
+func (c *coverage) shrinkOverfilled() []Order {
 	var orders []Order
 	for i := range c.replicas {
 		r := &c.replicas[i]
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -110,7 +110,7 @@
 	if gaps := c.gaps(); len(gaps) > 0 && c.activeHolders() > 0 {
 		orders = append(orders, c.repair(gaps)...)
 	} else {
-		orders = append(orders, c.shrink()...)
+		orders = append(orders, c.shrinkOverfilled()...)
 	}
 	return finalOrders(orders, replicas)
 }
@@ -124,13 +124,13 @@
 	for _, r := range replicas {
 		held[r.ID] = r.Held
 	}
-	last := make(map[string]int, len(orders))
+	lastIndexes := make(map[string]int, len(orders))
 	for i, o := range orders {
-		last[o.ID] = i
+		lastIndexes[o.ID] = i
 	}
 	var final []Order
 	for i, o := range orders {
-		if last[o.ID] == i && held[o.ID] != o.Hold {
+		if lastIndexes[o.ID] == i && held[o.ID] != o.Hold {
 			final = append(final, o)
 		}
 	}
@@ -143,9 +143,9 @@
 }
 
 // MaxLayers returns the number of layers that fit in a fraction of a card's memory.
-func (m Model) MaxLayers(memoryMB, fill float64) int {
-	most := int(memoryMB / m.LayerMB)
-	return min(m.Layers, max(1, int(math.Round(float64(most)*fill))))
+func (m Model) MaxLayers(memoryMB, memoryFraction float64) int {
+	fittingLayers := int(memoryMB / m.LayerMB)
+	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*memoryFraction))))
 }
 
 // TokenCapacity returns the number of tokens for which the memory beside n layers has
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -12,15 +12,15 @@
 
 // Memory of the kinds of cards, in megabytes.
 const (
-	h100  = 72000
-	a100s = 36000
-	l4    = 21600
-	t4    = 14400
+	h100MB = 72000
+	a100MB = 36000
+	l4MB   = 21600
+	t4MB   = 14400
 )
 
-func replicasWithMemory(memory ...float64) []Replica {
-	replicas := make([]Replica, len(memory))
-	for i, mb := range memory {
+func replicasWithMemory(memoryMB ...float64) []Replica {
+	replicas := make([]Replica, len(memoryMB))
+	for i, mb := range memoryMB {
 		replicas[i] = Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: mb}
 	}
 	return replicas
@@ -28,7 +28,7 @@
 
 // typicalDomain returns the replicas of a failure domain without the fastest kind of card.
 func typicalDomain() []Replica {
-	return replicasWithMemory(a100s, l4, l4, l4, l4, l4, l4, l4, l4, t4, t4, t4)
+	return replicasWithMemory(a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB)
 }
 
 // applyOrders returns the replicas after they have carried out the orders.
@@ -58,9 +58,9 @@
 // every replica.
 func TestFirstPlanCoversAllLayers(t *testing.T) {
 	for name, replicas := range map[string][]Replica{
-		"one fast card": replicasWithMemory(h100, a100s, l4, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
+		"one fast card": replicasWithMemory(h100MB, a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
 		"no fast card":  typicalDomain(),
-		"two middling":  replicasWithMemory(a100s, a100s, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
+		"two middling":  replicasWithMemory(a100MB, a100MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
 	} {
 		replicas = applyOrders(replicas, Plan(model, replicas))
 		if !FullyCovered(model, replicas) {
@@ -103,15 +103,15 @@
 // whole domain. Once another replica holds these layers, it gives them back.
 func TestExtraLayersAreGivenBack(t *testing.T) {
 	replicas := []Replica{
-		{ID: "a", MemoryMB: l4, Held: Span{0, 11}}, // more than TargetFill
-		{ID: "b", MemoryMB: h100, Held: Span{8, 36}},
-		{ID: "c", MemoryMB: h100, Held: Span{36, 64}},
-		{ID: "d", MemoryMB: h100, Held: Span{52, 80}},
+		{ID: "a", MemoryMB: l4MB, Held: Span{0, 11}}, // more than TargetFill
+		{ID: "b", MemoryMB: h100MB, Held: Span{8, 36}},
+		{ID: "c", MemoryMB: h100MB, Held: Span{36, 64}},
+		{ID: "d", MemoryMB: h100MB, Held: Span{52, 80}},
 	}
 	orders := Plan(model, replicas)
-	part := Span{0, model.MaxLayers(l4, TargetFill)}
-	if len(orders) != 1 || orders[0].ID != "a" || orders[0].Hold != part || orders[0].Reason != ReasonShrink {
-		t.Errorf("orders %v, want a to hold %v", orders, part)
+	wantSpan := Span{0, model.MaxLayers(l4MB, TargetFill)}
+	if len(orders) != 1 || orders[0].ID != "a" || orders[0].Hold != wantSpan || orders[0].Reason != ReasonShrink {
+		t.Errorf("orders %v, want a to hold %v", orders, wantSpan)
 	}
 }
 
@@ -165,7 +165,7 @@
 			if rapid.Bool().Draw(t, "lose") && len(replicas) > 4 {
 				replicas = replicas[1:]
 			} else {
-				replicas = append(replicas, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4})
+				replicas = append(replicas, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4MB})
 			}
 		}
 	})
@@ -176,13 +176,13 @@
 func TestCapacityAgainstEqualSpans(t *testing.T) {
 	replicas := typicalDomain()
 	planned := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
-	equal := append([]Replica(nil), replicas...)
-	per := (model.Layers + len(equal) - 1) / len(equal)
-	for i := range equal {
-		equal[i].Held = Span{i * per, min(model.Layers, (i+1)*per)}
+	equalSpans := append([]Replica(nil), replicas...)
+	layersPerReplica := (model.Layers + len(equalSpans) - 1) / len(equalSpans)
+	for i := range equalSpans {
+		equalSpans[i].Held = Span{i * layersPerReplica, min(model.Layers, (i+1)*layersPerReplica)}
 	}
-	if planned < 1.5*minCapacity(model, equal) {
-		t.Errorf("capacity of the weakest layer: %.0f tokens, with equal spans %.0f", planned, minCapacity(model, equal))
+	if planned < 1.5*minCapacity(model, equalSpans) {
+		t.Errorf("capacity of the weakest layer: %.0f tokens, with equal spans %.0f", planned, minCapacity(model, equalSpans))
 	}
 }
 
@@ -195,7 +195,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var replicas []Replica
 		for i := range rapid.IntRange(3, 16).Draw(t, "cards") {
-			r := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100, a100s, l4, t4}).Draw(t, "memory")}
+			r := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100MB, a100MB, l4MB, t4MB}).Draw(t, "memory")}
 			r.Excluded = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
 			if n := model.MaxLayers(r.MemoryMB, TargetFill); rapid.IntRange(0, 3).Draw(t, "empty") > 0 {
 				from := rapid.IntRange(0, model.Layers-n).Draw(t, "from")
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -7,17 +7,17 @@
 	var orders []Order
 	for _, gap := range gaps {
 		for gap.Len() >= smallGapLayers {
-			moved, ok := c.move(gap)
+			moved, ok := c.moveRedundant(gap)
 			if !ok {
 				break
 			}
 			orders = append(orders, moved)
 			gap.From = min(gap.To, moved.Hold.To)
 		}
-		taken, rest := c.extend(gap)
-		orders = append(orders, taken...)
-		if !rest.Empty() {
-			if moved, ok := c.move(rest); ok {
+		extendOrders, remainingGap := c.extendNeighbours(gap)
+		orders = append(orders, extendOrders...)
+		if !remainingGap.Empty() {
+			if moved, ok := c.moveRedundant(remainingGap); ok {
 				orders = append(orders, moved)
 			}
 		}
@@ -29,16 +29,16 @@
 // each don't make them the bottleneck.
 const smallGapLayers = 4
 
-// extend lets the replicas on both sides of a gap take it layer by layer, the one with
+// extendNeighbours lets the replicas on both sides of a gap take it layer by layer, the one with
 // more capacity first, and returns the rest of the gap. If both are full, one of them
 // passes the layer at its far end on to the next replica.
-func (c *coverage) extend(gap Span) ([]Order, Span) {
-	before := map[*Replica]Span{}
+func (c *coverage) extendNeighbours(gap Span) ([]Order, Span) {
+	originalSpans := map[*Replica]Span{}
 	for !gap.Empty() {
 		r, span := c.bestNeighbour(gap)
 		if r != nil {
-			c.reassign(r, span, before)
-		} else if r, span = c.pushNeighbour(gap, before); r == nil {
+			c.reassign(r, span, originalSpans)
+		} else if r, span = c.shiftNeighbour(gap, originalSpans); r == nil {
 			break
 		}
 		if span.From <= gap.From && span.To > gap.From {
@@ -50,7 +50,7 @@
 	var orders []Order
 	for i := range c.replicas {
 		changed := &c.replicas[i]
-		if was, ok := before[changed]; ok && was != changed.Held {
+		if original, ok := originalSpans[changed]; ok && original != changed.Held {
 			orders = append(orders, Order{ID: changed.ID, Hold: changed.Held, Reason: ReasonExtend})
 		}
 	}
@@ -58,9 +58,9 @@
 }
 
 // reassign gives a replica another span and records in before what it held at first.
-func (c *coverage) reassign(r *Replica, span Span, before map[*Replica]Span) {
-	if _, ok := before[r]; !ok {
-		before[r] = r.Held
+func (c *coverage) reassign(r *Replica, span Span, originalSpans map[*Replica]Span) {
+	if _, ok := originalSpans[r]; !ok {
+		originalSpans[r] = r.Held
 	}
 	c.addContribution(r, -1)
 	r.Held = span
@@ -75,7 +75,7 @@
 	bestCapacity := 0.0
 	for i := range c.replicas {
 		r := &c.replicas[i]
-		span, adjacent := c.grown(r, gap)
+		span, adjacent := c.extendedSpan(r, gap)
 		if !adjacent || span.Len() > c.model.MaxLayers(r.MemoryMB, MaxFill) {
 			continue
 		}
@@ -86,39 +86,39 @@
 	return best, bestSpan
 }
 
-// maxPushDepth is the maximum number of replicas over which a layer is passed on.
-const maxPushDepth = 6
+// maxShiftedReplicas is the maximum number of replicas over which a layer is passed on.
+const maxShiftedReplicas = 6
 
-// pushNeighbour lets a full replica beside the gap take a layer and pass the layer at its
+// shiftNeighbour lets a full replica beside the gap take a layer and pass the layer at its
 // far end on.
-func (c *coverage) pushNeighbour(gap Span, before map[*Replica]Span) (*Replica, Span) {
+func (c *coverage) shiftNeighbour(gap Span, originalSpans map[*Replica]Span) (*Replica, Span) {
 	for i := range c.replicas {
 		r := &c.replicas[i]
-		span, adjacent := c.grown(r, gap)
-		if adjacent && c.push(r, span, before, maxPushDepth) {
+		span, adjacent := c.extendedSpan(r, gap)
+		if adjacent && c.shift(r, span, originalSpans, maxShiftedReplicas) {
 			return r, r.Held
 		}
 	}
 	return nil, Span{}
 }
 
-// push gives a replica a span that is one layer longer than before. If the span exceeds
+// shift gives a replica a span that is one layer longer than before. If the span exceeds
 // MaxFill, the replica gives up the layer at the other end, which must have another holder
-// or be taken by the next replica. push reports whether this succeeded.
-func (c *coverage) push(r *Replica, span Span, before map[*Replica]Span, depth int) bool {
+// or be taken by the next replica. shift reports whether this succeeded.
+func (c *coverage) shift(r *Replica, span Span, originalSpans map[*Replica]Span, replicasLeft int) bool {
 	if span.Len() <= c.model.MaxLayers(r.MemoryMB, MaxFill) {
-		c.reassign(r, span, before)
+		c.reassign(r, span, originalSpans)
 		return true
 	}
-	if depth == 0 {
+	if replicasLeft == 0 {
 		return false
 	}
-	farLayer, rest := span.From, Span{span.From + 1, span.To}
+	farLayer, shiftedSpan := span.From, Span{span.From + 1, span.To}
 	if span.From < r.Held.From {
-		farLayer, rest = span.To-1, Span{span.From, span.To - 1}
+		farLayer, shiftedSpan = span.To-1, Span{span.From, span.To - 1}
 	}
 	if c.holders[farLayer] > 1 {
-		c.reassign(r, rest, before)
+		c.reassign(r, shiftedSpan, originalSpans)
 		return true
 	}
 	for i := range c.replicas {
@@ -126,26 +126,26 @@
 		if next == r {
 			continue
 		}
-		longer, adjacent := c.grown(next, Span{farLayer, farLayer + 1})
-		if adjacent && c.push(next, longer, before, depth-1) {
-			c.reassign(r, rest, before)
+		longer, adjacent := c.extendedSpan(next, Span{farLayer, farLayer + 1})
+		if adjacent && c.shift(next, longer, originalSpans, replicasLeft-1) {
+			c.reassign(r, shiftedSpan, originalSpans)
 			return true
 		}
 	}
 	return false
 }
 
-// grown returns the span of a replica extended by one layer of an adjacent gap, and whether
+// extendedSpan returns the span of a replica extended by one layer of an adjacent gap, and whether
 // the gap is adjacent and the replica may take an order.
-func (c *coverage) grown(r *Replica, gap Span) (Span, bool) {
+func (c *coverage) extendedSpan(r *Replica, gap Span) (Span, bool) {
 	if r.Excluded || r.Fixed || r.Held.Empty() {
 		return Span{}, false
 	}
-	return grow(r.Held, gap)
+	return extendByOneLayer(r.Held, gap)
 }
 
-// grow returns held extended by one layer of the gap, and whether they are adjacent.
-func grow(held, gap Span) (Span, bool) {
+// extendByOneLayer returns held extended by one layer of the gap, and whether they are adjacent.
+func extendByOneLayer(held, gap Span) (Span, bool) {
 	switch {
 	case held.To == gap.From:
 		return Span{held.From, held.To + 1}, true
@@ -155,10 +155,10 @@
 	return held, false
 }
 
-// move gives the beginning of a gap to a replica whose layers all have another holder. It
+// moveRedundant gives the beginning of a gap to a replica whose layers all have another holder. It
 // prefers the smallest replica, which has the least traffic to finish before it moves, and
 // takes one that holds the first layer only if there is no other.
-func (c *coverage) move(gap Span) (Order, bool) {
+func (c *coverage) moveRedundant(gap Span) (Order, bool) {
 	var best *Replica
 	bestCost := math.Inf(1)
 	for i := range c.replicas {
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -30,12 +30,12 @@
 	Revision int64
 }
 
-// Reason is the outcome of Choose: a path was found, or why there is none.
-type Reason uint8
+// Outcome is the outcome of Choose: a path was found, or why there is none.
+type Outcome uint8
 
 const (
 	// Found means that there is a path.
-	Found Reason = iota
+	Found Outcome = iota
 	// LayersUnavailable means that some layer has no usable holder.
 	LayersUnavailable
 	// NoCapacity means that the usable holders of some layer are full or backed off.
@@ -43,7 +43,7 @@
 )
 
 // String names the reason for log lines.
-func (r Reason) String() string {
+func (r Outcome) String() string {
 	return [...]string{"found", "layers without a usable holder", "no room"}[r]
 }
 
@@ -86,8 +86,8 @@
 // replicaState is a listed replica with what this node knows of it.
 type replicaState struct {
 	Replica
-	reserved float64 // by this node's requests, in tokens times layers
-	usable   usableFraction
+	reserved       float64 // by this node's requests, in tokens times layers
+	usableFraction usableFraction
 	// suspected is set while the replica looks dead; hostUnreachable is set if its machine
 	// doesn't answer either.
 	suspected, hostUnreachable bool
@@ -135,7 +135,7 @@
 	for _, listed := range replicas {
 		r, ok := s.replicas[listed.ID]
 		if !ok || r.Incarnation != listed.Incarnation {
-			r = &replicaState{usable: usableFraction{value: 1}, slowdown: 1}
+			r = &replicaState{usableFraction: usableFraction{value: 1}, slowdown: 1}
 		}
 		if listed.Revision != r.Revision {
 			r.layersMissing = false
@@ -179,7 +179,7 @@
 // whose reservations are known.
 func (s *Selector) capacity(now time.Time, r *replicaState) float64 {
 	fraction := min(1, s.share(r.Domain)*float64(1+s.reportingPeers[r.Domain]))
-	return r.Capacity * fraction * r.usable.at(now)
+	return r.Capacity * fraction * r.usableFraction.at(now)
 }
 
 // utilization returns the fraction of the replica's capacity that this node and its
@@ -193,11 +193,11 @@
 }
 
 const (
-	// sharesPerReport bounds what a node reserves between two reports of its peers, in even
+	// maxSharesPerReport bounds what a node reserves between two reports of its peers, in even
 	// shares of the capacity that was free at the last report. With one share, capacity
 	// stays unused when the load on nodes is uneven; without a bound, all nodes reserve the
 	// same free capacity.
-	sharesPerReport = 2
+	maxSharesPerReport = 2
 	// singleRequestFraction is the fraction of that capacity which a single request may
 	// take. Without it a large request would not fit into the shares of many nodes while
 	// most of the capacity is free.
@@ -206,22 +206,22 @@
 
 // mayReserve reports whether this node may reserve extra on a replica before the next
 // report of its peers.
-func (s *Selector) mayReserve(now time.Time, r *replicaState, extra, limit float64) bool {
+func (s *Selector) mayReserve(now time.Time, r *replicaState, extra, utilizationLimit float64) bool {
 	if s.reportingPeers[r.Domain] == 0 {
 		return true
 	}
-	free := max(0, limit*s.capacity(now, r)-r.peerReserved-r.reservedAtReport)
-	growth := r.reserved + extra - r.reservedAtReport
-	if growth <= free*min(1, sharesPerReport*s.share(r.Domain)) {
+	free := max(0, utilizationLimit*s.capacity(now, r)-r.peerReserved-r.reservedAtReport)
+	reservedSinceReport := r.reserved + extra - r.reservedAtReport
+	if reservedSinceReport <= free*min(1, maxSharesPerReport*s.share(r.Domain)) {
 		return true
 	}
 	return r.reserved <= r.reservedAtReport && extra <= free*singleRequestFraction
 }
 
 // Choose returns the cheapest path, or the reason why there is none.
-func (s *Selector) Choose(now time.Time, q Query) (Path, Reason) {
-	usable := s.usable(q)
-	path := s.search(now, q, accepting(now, usable), maxUtilization)
+func (s *Selector) Choose(now time.Time, q Query) (Path, Outcome) {
+	usable := s.usableReplicas(q)
+	path := s.search(now, q, notBackedOff(now, usable), maxUtilization)
 	if path != nil {
 		return path, Found
 	}
@@ -231,7 +231,7 @@
 	return nil, LayersUnavailable
 }
 
-func (s *Selector) usable(q Query) []*replicaState {
+func (s *Selector) usableReplicas(q Query) []*replicaState {
 	var usable []*replicaState
 	for _, r := range s.sorted {
 		if r.Draining || r.Holds.Empty() || r.suspected || r.layersMissing || slices.Contains(q.Exclude, r.ID) {
@@ -242,7 +242,7 @@
 	return usable
 }
 
-// accepting leaves out the replicas in a backoff period.
-func accepting(now time.Time, usable []*replicaState) []*replicaState {
+// notBackedOff leaves out the replicas in a backoff period.
+func notBackedOff(now time.Time, usable []*replicaState) []*replicaState {
 	return slices.DeleteFunc(slices.Clone(usable), func(r *replicaState) bool { return r.backoff.active(now) })
 }
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -37,9 +37,9 @@
 func choose(t *testing.T, s *Selector, q Query) Path {
 	t.Helper()
 	q.Layers = allLayers
-	path, reason := s.Choose(start, q)
-	if reason != Found {
-		t.Fatalf("no path: %v", reason)
+	path, outcome := s.Choose(start, q)
+	if outcome != Found {
+		t.Fatalf("no path: %v", outcome)
 	}
 	if !path.Covers(allLayers) {
 		t.Fatalf("path %v does not run each layer once and in order", path)
@@ -48,18 +48,18 @@
 }
 
 func domainsIn(path Path) map[string]bool {
-	in := map[string]bool{}
+	domains := map[string]bool{}
 	for _, stage := range path {
-		in[stage.Domain] = true
+		domains[stage.Domain] = true
 	}
-	return in
+	return domains
 }
 
 // A path stays in the node's own domain while that holds all layers: the data between
 // layers is many times the answer, and all requests share the links between domains.
 func TestPathStaysInDomain(t *testing.T) {
 	path := choose(t, twoDomains(), Query{Domain: "near", Tokens: 1000})
-	if in := domainsIn(path); len(in) != 1 || !in["near"] {
+	if domains := domainsIn(path); len(domains) != 1 || !domains["near"] {
 		t.Errorf("path %v leaves the domain of the node", path)
 	}
 }
@@ -70,7 +70,7 @@
 	s := twoDomains()
 	s.Suspect(start, "n3", false)
 	path := choose(t, s, Query{Domain: "near", Tokens: 1000})
-	if in := domainsIn(path); len(in) != 1 || !in["far"] {
+	if domains := domainsIn(path); len(domains) != 1 || !domains["far"] {
 		t.Errorf("path %v, want a path in the far domain", path)
 	}
 }
@@ -106,14 +106,14 @@
 	fast, slow := replica("fast", "d", 0, 80), replica("slow", "d", 0, 80)
 	fast.LayerMillis = 0.015
 	s.Update([]Replica{fast, slow})
-	count := map[string]int{}
+	requestsByReplica := map[string]int{}
 	for range 120 {
 		path := choose(t, s, Query{Domain: "d", Tokens: 1000})
 		s.Reserve(path, 1000)
-		count[path[0].Replica]++
+		requestsByReplica[path[0].Replica]++
 	}
-	if count["slow"] < 30 || count["fast"] < count["slow"] {
-		t.Errorf("fast replica got %d requests, slow replica %d", count["fast"], count["slow"])
+	if requestsByReplica["slow"] < 30 || requestsByReplica["fast"] < requestsByReplica["slow"] {
+		t.Errorf("fast replica got %d requests, slow replica %d", requestsByReplica["fast"], requestsByReplica["slow"])
 	}
 }
 
@@ -124,8 +124,8 @@
 	s.Update([]Replica{replica("r", "d", 0, 80)})
 	var reserved []Path
 	for range 200 {
-		path, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000})
-		if reason == NoCapacity {
+		path, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000})
+		if outcome == NoCapacity {
 			break
 		}
 		s.Reserve(path, 1000)
@@ -147,8 +147,8 @@
 	s.Update([]Replica{replica("r", "d", 0, 80)})
 	now := start
 	fits := func(now time.Time) bool {
-		_, reason := s.Choose(now, Query{Domain: "d", Layers: allLayers, Tokens: 30000})
-		return reason == Found
+		_, outcome := s.Choose(now, Query{Domain: "d", Layers: allLayers, Tokens: 30000})
+		return outcome == Found
 	}
 	s.Reserve(choose(t, s, Query{Domain: "d", Tokens: 70000}), 70000)
 	if !fits(now) {
@@ -170,9 +170,9 @@
 // use the excluded replicas.
 func TestChooseRemainingLayers(t *testing.T) {
 	s := twoDomains()
-	rest, reason := s.Choose(start, Query{Domain: "near", Layers: layers.Span{From: 30, To: 80}, Tokens: 10, Exclude: []string{"n1", "n2"}})
-	if reason != Found || !rest.Covers(layers.Span{From: 30, To: 80}) || rest[0].Replica != "n4" {
-		t.Errorf("path %v, reason %v, want a path that begins at n4", rest, reason)
+	path, outcome := s.Choose(start, Query{Domain: "near", Layers: layers.Span{From: 30, To: 80}, Tokens: 10, Exclude: []string{"n1", "n2"}})
+	if outcome != Found || !path.Covers(layers.Span{From: 30, To: 80}) || path[0].Replica != "n4" {
+		t.Errorf("path %v, outcome %v, want a path that begins at n4", path, outcome)
 	}
 }
 
@@ -196,8 +196,8 @@
 	if !s.SuspectedFor(start.Add(time.Second), "r", 600*time.Millisecond) || s.SuspectedFor(start, "r", 600*time.Millisecond) {
 		t.Error("want the replica suspected for the given time after it, and not before")
 	}
-	if _, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers}); reason != LayersUnavailable {
-		t.Errorf("reason %v", reason)
+	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers}); outcome != LayersUnavailable {
+		t.Errorf("outcome %v", outcome)
 	}
 	s.MarkAlive("r")
 	choose(t, s, Query{Domain: "d", Tokens: 1})
@@ -217,8 +217,8 @@
 	s.MarkLayersMissing("r")
 	s.MarkAlive("r")
 	s.Update([]Replica{r})
-	if _, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers}); reason != LayersUnavailable {
-		t.Errorf("reason %v", reason)
+	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers}); outcome != LayersUnavailable {
+		t.Errorf("outcome %v", outcome)
 	}
 	r.Revision++
 	s.Update([]Replica{r})
@@ -244,8 +244,8 @@
 		}
 		s.Update(replicas)
 		for range 20 {
-			path, reason := s.Choose(start, Query{Domain: "a", Layers: allLayers, Tokens: 3000})
-			if reason != Found {
+			path, outcome := s.Choose(start, Query{Domain: "a", Layers: allLayers, Tokens: 3000})
+			if outcome != Found {
 				return
 			}
 			if !path.Covers(allLayers) || len(path) > MaxStages {
@@ -265,20 +265,20 @@
 // for 100 requests; the first node has half of the callers. The nodes take turns to
 // reserve one request each. With shareReservations they report their reservations to each
 // other after each round. It returns the reserved requests of all nodes and of the first.
-func simulateNodes(n int, shareReservations bool) (reserved float64, first float64) {
+func simulateNodes(n int, shareReservations bool) (reservedRequests float64, firstNodeRequests float64) {
 	selectors := make([]*Selector, n)
 	for i := range selectors {
 		selectors[i] = New(uint64(i + 1))
 		selectors[i].Update([]Replica{replica("r", "d", 0, 80)})
 		selectors[i].SetShare("d", 1/float64(n))
 	}
-	sends := func(i, round int) bool { return i == 0 || round%(n-1) == i-1 }
+	nodeSendsInRound := func(i, round int) bool { return i == 0 || round%(n-1) == i-1 }
 	for round := range 40 * n {
 		for i, s := range selectors {
-			if !sends(i, round) {
+			if !nodeSendsInRound(i, round) {
 				continue
 			}
-			if path, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); reason == Found {
+			if path, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); outcome == Found {
 				s.Reserve(path, 1000)
 			}
 		}
@@ -296,9 +296,9 @@
 		}
 	}
 	for _, s := range selectors {
-		reserved += s.Reserved()["r"] / 80000
+		reservedRequests += s.Reserved()["r"] / 80000
 	}
-	return reserved, selectors[0].Reserved()["r"] / 80000
+	return reservedRequests, selectors[0].Reserved()["r"] / 80000
 }
 
 // Nine nodes share a replica and one of them has half of the callers. With fixed even
@@ -306,14 +306,14 @@
 // nodes report their reservations, the busy node uses the free capacity, and the total
 // stays within the capacity.
 func TestSharedReservationsGiveBusyNodeMoreCapacity(t *testing.T) {
-	static, staticBusy := simulateNodes(9, false)
-	shared, sharedBusy := simulateNodes(9, true)
-	t.Logf("even shares: %.0f requests, %.0f of the busy node; shared reservations: %.0f and %.0f", static, staticBusy, shared, sharedBusy)
-	if sharedBusy < 3*staticBusy {
-		t.Errorf("the busy node has %.0f requests, %.0f with even shares", sharedBusy, staticBusy)
+	evenTotal, evenBusyNode := simulateNodes(9, false)
+	sharedTotal, sharedBusyNode := simulateNodes(9, true)
+	t.Logf("even shares: %.0f requests, %.0f of the busy node; shared reservations: %.0f and %.0f", evenTotal, evenBusyNode, sharedTotal, sharedBusyNode)
+	if sharedBusyNode < 3*evenBusyNode {
+		t.Errorf("the busy node has %.0f requests, %.0f with even shares", sharedBusyNode, evenBusyNode)
 	}
-	if shared < 95 || shared > 112 {
-		t.Errorf("%.0f requests reserved, want 100 to 110", shared)
+	if sharedTotal < 95 || sharedTotal > 112 {
+		t.Errorf("%.0f requests reserved, want 100 to 110", sharedTotal)
 	}
 }
 
@@ -321,21 +321,21 @@
 // reservations, they together reserve only a little more than the capacity.
 func TestNodesDoNotOverfillFreeCapacity(t *testing.T) {
 	const n = 20
-	total := 0.0
+	reservedTokens := 0.0
 	for i := range n {
 		s := New(uint64(i + 1))
 		s.Update([]Replica{replica("r", "d", 0, 80)})
 		s.SetShare("d", 1.0/n)
 		s.SetPeerReservations("d", n-1, map[string]float64{"r": 60000 * 80})
 		for range 100 {
-			if path, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); reason == Found {
+			if path, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); outcome == Found {
 				s.Reserve(path, 1000)
 			}
 		}
-		total += s.Reserved()["r"] / 80
+		reservedTokens += s.Reserved()["r"] / 80
 	}
-	if total > 110000 {
-		t.Errorf("%.0f tokens reserved where 50,000 were free", total)
+	if reservedTokens > 110000 {
+		t.Errorf("%.0f tokens reserved where 50,000 were free", reservedTokens)
 	}
 	// A request that is larger than the node's shares fits if it takes at most half of the
 	// free capacity.
@@ -343,11 +343,11 @@
 	s.Update([]Replica{replica("r", "d", 0, 80)})
 	s.SetShare("d", 1.0/n)
 	s.SetPeerReservations("d", n-1, map[string]float64{"r": 60000 * 80})
-	if _, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 20000}); reason != Found {
-		t.Errorf("a large request is refused: %v", reason)
+	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 20000}); outcome != Found {
+		t.Errorf("a large request is refused: %v", outcome)
 	}
-	if _, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 60000}); reason != NoCapacity {
-		t.Errorf("a request larger than the free capacity is not refused for lack of capacity: %v", reason)
+	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 60000}); outcome != NoCapacity {
+		t.Errorf("a request larger than the free capacity is not refused for lack of capacity: %v", outcome)
 	}
 }
 
@@ -358,8 +358,8 @@
 	s := twoDomains()
 	for ms := 0; ms < 3000; ms += 20 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		path, reason := s.Choose(now, Query{Domain: "near", Layers: allLayers, Tokens: 1000})
-		if reason != Found {
+		path, outcome := s.Choose(now, Query{Domain: "near", Layers: allLayers, Tokens: 1000})
+		if outcome != Found {
 			continue
 		}
 		for _, stage := range path {
@@ -381,10 +381,10 @@
 // refuses all requests but answers probes. Without the backoff every node sends a request
 // there each 150 ms during the outage of the store, and each of them costs a try.
 func TestRefusingReplicaIsBackedOff(t *testing.T) {
-	with, without := requestsToRefusing(true), requestsToRefusing(false)
-	t.Logf("%d requests sent, %d without the backoff", with, without)
-	if with > 6 || without < 3*with {
-		t.Errorf("%d requests sent, %d without the backoff", with, without)
+	sentWithBackoff, sentWithoutBackoff := requestsToRefusing(true), requestsToRefusing(false)
+	t.Logf("%d requests sent, %d without the backoff", sentWithBackoff, sentWithoutBackoff)
+	if sentWithBackoff > 6 || sentWithoutBackoff < 3*sentWithBackoff {
+		t.Errorf("%d requests sent, %d without the backoff", sentWithBackoff, sentWithoutBackoff)
 	}
 }
 
@@ -404,9 +404,9 @@
 
 func chooseLarge(t *testing.T, s *Selector, now time.Time) Path {
 	t.Helper()
-	path, reason := s.Choose(now, Query{Domain: "d", Layers: allLayers, Tokens: 80000})
-	if reason != Found {
-		t.Fatalf("no path: %v", reason)
+	path, outcome := s.Choose(now, Query{Domain: "d", Layers: allLayers, Tokens: 80000})
+	if outcome != Found {
+		t.Fatalf("no path: %v", outcome)
 	}
 	return path
 }
@@ -417,8 +417,8 @@
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
 	s.RecordRefusal(start, "r")
-	if _, reason := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); reason != NoCapacity {
-		t.Errorf("reason %v, want %v", reason, NoCapacity)
+	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); outcome != NoCapacity {
+		t.Errorf("outcome %v, want %v", outcome, NoCapacity)
 	}
 	chooseLarge(t, s, start.Add(backoffBase))
 }
--- a/decide/paths/prefill.go
+++ b/decide/paths/prefill.go
@@ -9,17 +9,17 @@
 // prefillBacklog is the prefill work, in milliseconds, that this node has sent to a
 // replica.
 type prefillBacklog struct {
-	millis  float64
-	updated time.Time
+	pendingMillis float64
+	updated       time.Time
 }
 
 // remaining returns the milliseconds of work that are not done yet.
 func (p *prefillBacklog) remaining(now time.Time) float64 {
-	return max(0, p.millis-float64(now.Sub(p.updated))/float64(time.Millisecond))
+	return max(0, p.pendingMillis-float64(now.Sub(p.updated))/float64(time.Millisecond))
 }
 
 func (p *prefillBacklog) add(now time.Time, millis float64) {
-	p.millis, p.updated = p.remaining(now)+millis, now
+	p.pendingMillis, p.updated = p.remaining(now)+millis, now
 }
 
 // newStages returns the stages of a path that must prefill a request which ran along
@@ -43,14 +43,14 @@
 // number of nodes whose streams are affected in the same way: a lost replica affects the
 // streams of all nodes alike, and each sends as much work as this one.
 func (s *Selector) PrefillWait(now time.Time, path, previous Path, tokens float64, nodes int) time.Duration {
-	slowest := 0.0
+	slowestMillis := 0.0
 	for _, stage := range newStages(path, previous) {
 		if r, ok := s.replicas[stage.Replica]; ok {
-			own := tokens * float64(stage.Layers.Len()) * r.PrefillMillis
-			slowest = max(slowest, r.prefill.remaining(now)+own*float64(max(1, nodes)))
+			requestMillis := tokens * float64(stage.Layers.Len()) * r.PrefillMillis
+			slowestMillis = max(slowestMillis, r.prefill.remaining(now)+requestMillis*float64(max(1, nodes)))
 		}
 	}
-	return time.Duration(slowest * float64(time.Millisecond))
+	return time.Duration(slowestMillis * float64(time.Millisecond))
 }
 
 // AddPrefill adds the prefill of a request to the backlog of the new stages of its path.
--- a/decide/paths/prefill_test.go
+++ b/decide/paths/prefill_test.go
@@ -30,18 +30,18 @@
 	previous := Path{{Replica: "first", Layers: allLayers}, {Replica: "lost", Layers: allLayers}}
 	previous[0].Layers.To, previous[1].Layers.From = 30, 30
 	s.Suspect(start, "lost", false)
-	count := map[string]int{}
+	requestsByReplica := map[string]int{}
 	var waits []time.Duration
 	for range 40 {
 		path := choose(t, s, Query{Domain: "d", Tokens: 1000})
 		waits = append(waits, s.PrefillWait(start, path, previous, 1000, 1))
 		s.AddPrefill(start, path, previous, 1000, 1)
 		for _, stage := range path {
-			count[stage.Replica]++
+			requestsByReplica[stage.Replica]++
 		}
 	}
-	if count["m1"] < 15 || count["m2"] < 15 {
-		t.Errorf("requests by replica %v, want about half on each of m1 and m2", count)
+	if requestsByReplica["m1"] < 15 || requestsByReplica["m2"] < 15 {
+		t.Errorf("requests by replica %v, want about half on each of m1 and m2", requestsByReplica)
 	}
 	// The replica "last" prefills too, because the previous path didn't run on it: 30 ms a
 	// request.
@@ -92,7 +92,7 @@
 	near.Capacity, far.Capacity = 1e9, 1e9
 	s.Update([]Replica{near, far})
 	backlogs := map[string]*prefillBacklog{"near": {}, "far": {}}
-	var slowest time.Duration
+	var longest time.Duration
 	for ms := range 250 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		path, _ := s.Choose(now, Query{Domain: "near", Layers: allLayers, Tokens: 1000})
@@ -101,18 +101,18 @@
 		}
 		backlog := backlogs[path[0].Replica]
 		backlog.add(now, 1000*80*near.PrefillMillis)
-		slowest = max(slowest, time.Duration(backlog.remaining(now)*float64(time.Millisecond)))
+		longest = max(longest, time.Duration(backlog.remaining(now)*float64(time.Millisecond)))
 	}
-	return slowest
+	return longest
 }
 
 // All nodes of a failure domain lost power, and its callers return at once. Selected by
 // free capacity alone, all prompts queue for prefill in their own domain and first events
 // are late. With the prefill backlog in the cost, the surplus goes to another domain.
 func TestReturningCallersSpreadByPrefillBacklog(t *testing.T) {
-	with, without := simulateReturningCallers(true), simulateReturningCallers(false)
-	t.Logf("longest backlog %v, %v without the cost of the backlog", with, without)
-	if with > without*7/10 {
-		t.Errorf("longest backlog %v, %v without the cost of the backlog", with, without)
+	longestWithCost, longestWithoutCost := simulateReturningCallers(true), simulateReturningCallers(false)
+	t.Logf("longest backlog %v, %v without the cost of the backlog", longestWithCost, longestWithoutCost)
+	if longestWithCost > longestWithoutCost*7/10 {
+		t.Errorf("longest backlog %v, %v without the cost of the backlog", longestWithCost, longestWithoutCost)
 	}
 }
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -15,8 +15,8 @@
 	// reservations of other nodes end within the seconds that streams last.
 	refusalFactor     = 0.85
 	recoveryPerSecond = 0.1
-	// minUsable is the lower bound of the usable fraction.
-	minUsable = 0.1
+	// minUsableFraction is the lower bound of the usable fraction.
+	minUsableFraction = 0.1
 	// lowUtilization: a replica that refuses a request although at most this fraction of its
 	// capacity is reserved does so for another reason than lack of capacity.
 	lowUtilization = 0.6
@@ -43,7 +43,7 @@
 	if now.Sub(f.updated) < avoidDuration {
 		return
 	}
-	f.value, f.updated = max(minUsable, f.at(now)*refusalFactor), now
+	f.value, f.updated = max(minUsableFraction, f.at(now)*refusalFactor), now
 }
 
 // Reserve reserves memory for a number of tokens in all layers of a path.
@@ -152,9 +152,9 @@
 	if !ok {
 		return false
 	}
-	before := r.slowdown
+	previous := r.slowdown
 	r.slowdown = max(1, slowdown)
-	return (before >= SlowThreshold) != (r.slowdown >= SlowThreshold)
+	return (previous >= SlowThreshold) != (r.slowdown >= SlowThreshold)
 }
 
 // Slowdown returns the last reported slowdown of a replica against its kind of card, 1 for
@@ -182,9 +182,9 @@
 }
 
 // SuspectedFor reports whether a replica has been suspected for at least the given time.
-func (s *Selector) SuspectedFor(now time.Time, id string, least time.Duration) bool {
+func (s *Selector) SuspectedFor(now time.Time, id string, minDuration time.Duration) bool {
 	r, ok := s.replicas[id]
-	return ok && r.suspected && now.Sub(r.suspectedSince) >= least
+	return ok && r.suspected && now.Sub(r.suspectedSince) >= minDuration
 }
 
 // RecordRefusal records that a replica refused a request for lack of capacity. If the
@@ -199,7 +199,7 @@
 		r.backoff.extend(now)
 		return true
 	}
-	r.usable.reduce(now)
+	r.usableFraction.reduce(now)
 	r.avoidUntil = now.Add(avoidDuration)
 	return false
 }
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -20,50 +20,50 @@
 // search computes a shortest path over the boundaries between layers. The state is the
 // boundary and the domain of the last stage, because only a change of domain has a cost.
 // limit bounds the utilization of each replica.
-func (s *Selector) search(now time.Time, q Query, usable []*replicaState, limit float64) Path {
+func (s *Selector) search(now time.Time, q Query, usable []*replicaState, utilizationLimit float64) Path {
 	bounds := boundaries(q.Layers, usable)
-	domains, index := domainsOf(q.Domain, usable)
+	domains, domainIndexes := domainsOf(q.Domain, usable)
 	cheapest := make([]partialPath, len(bounds)*len(domains))
 	for i := range cheapest {
 		cheapest[i].cost = math.Inf(1)
 	}
-	cell := func(boundary, domain int) *partialPath { return &cheapest[boundary*len(domains)+domain] }
-	cell(0, 0).cost = 0
+	partialPathTo := func(boundary, domain int) *partialPath { return &cheapest[boundary*len(domains)+domain] }
+	partialPathTo(0, 0).cost = 0
 	factors := s.costFactors(now, usable)
 	for to := 1; to < len(bounds); to++ {
 		for k, r := range usable {
 			if r.Holds.To < bounds[to] {
 				continue
 			}
-			domain := index[k]
+			domain := domainIndexes[k]
 			for from := to - 1; from >= 0 && bounds[from] >= r.Holds.From; from-- {
 				if from == 0 && len(q.FirstReplicas) > 0 && !slices.Contains(q.FirstReplicas, r.ID) {
 					continue
 				}
-				stageMillis, ok := s.stageCost(now, r, bounds[to]-bounds[from], q.Tokens, limit, factors[k])
+				stageMillis, ok := s.stageCost(now, r, bounds[to]-bounds[from], q.Tokens, utilizationLimit, factors[k])
 				if !ok {
 					continue
 				}
 				stageMillis += prefillCostFactor * r.prefill.remaining(now)
-				for last := range domains {
-					total := cell(from, last).cost + stageMillis + crossingCost(from == 0 && q.Layers.From == 0, last, domain)
-					if total < cell(to, domain).cost {
-						*cell(to, domain) = partialPath{cost: total, prevBoundary: from, prevDomain: last, replica: r}
+				for previousDomain := range domains {
+					total := partialPathTo(from, previousDomain).cost + stageMillis + crossingCost(from == 0 && q.Layers.From == 0, previousDomain, domain)
+					if total < partialPathTo(to, domain).cost {
+						*partialPathTo(to, domain) = partialPath{cost: total, prevBoundary: from, prevDomain: previousDomain, replica: r}
 					}
 				}
 			}
 		}
 	}
-	return reconstruct(bounds, len(domains), cheapest)
+	return reconstructPath(bounds, len(domains), cheapest)
 }
 
 // crossingCost returns the cost of a hop from one domain to another. The hop to the first
 // stage starts at this node.
-func crossingCost(first bool, last, domain int) float64 {
+func crossingCost(toFirstStage bool, fromDomain, toDomain int) float64 {
 	switch {
-	case last == domain:
+	case fromDomain == toDomain:
 		return 0
-	case first:
+	case toFirstStage:
 		return remoteEntryMillis
 	default:
 		return crossDomainMillis
@@ -71,11 +71,11 @@
 }
 
 // boundaries returns the sorted layers at which a stage may begin or end.
-func boundaries(run layers.Span, usable []*replicaState) []int {
-	bounds := []int{run.From, run.To}
+func boundaries(span layers.Span, usable []*replicaState) []int {
+	bounds := []int{span.From, span.To}
 	for _, r := range usable {
 		for _, bound := range []int{r.Holds.From, r.Holds.To} {
-			if bound > run.From && bound < run.To {
+			if bound > span.From && bound < span.To {
 				bounds = append(bounds, bound)
 			}
 		}
@@ -86,18 +86,18 @@
 
 // domainsOf returns the failure domains, this node's own first, and the index of each
 // replica's domain.
-func domainsOf(own string, usable []*replicaState) (domains []string, index []int) {
+func domainsOf(own string, usable []*replicaState) (domains []string, domainIndexes []int) {
 	domains = []string{own}
-	index = make([]int, len(usable))
+	domainIndexes = make([]int, len(usable))
 	for k, r := range usable {
 		i := slices.Index(domains, r.Domain)
 		if i < 0 {
 			i = len(domains)
 			domains = append(domains, r.Domain)
 		}
-		index[k] = i
+		domainIndexes[k] = i
 	}
-	return domains, index
+	return domains, domainIndexes
 }
 
 // costFactors returns the random cost factor of each replica, raised for replicas that
@@ -119,32 +119,32 @@
 
 // stageCost returns the cost of count layers on a replica, in milliseconds a step, and
 // whether the replica has the capacity.
-func (s *Selector) stageCost(now time.Time, r *replicaState, count int, tokens, limit, factor float64) (float64, bool) {
-	extra := tokens * float64(count)
+func (s *Selector) stageCost(now time.Time, r *replicaState, layerCount int, tokens, utilizationLimit, costFactor float64) (float64, bool) {
+	extra := tokens * float64(layerCount)
 	utilization := s.utilization(now, r, extra)
-	if utilization > limit || !math.IsInf(limit, 1) && !s.mayReserve(now, r, extra, limit) {
+	if utilization > utilizationLimit || !math.IsInf(utilizationLimit, 1) && !s.mayReserve(now, r, extra, utilizationLimit) {
 		return 0, false
 	}
 	utilization = min(utilization, 0.99)
-	return hopMillis + factor*float64(count)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
+	return hopMillis + costFactor*float64(layerCount)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
 }
 
-// reconstruct follows the partial paths back from the last layer and merges the stages of
+// reconstructPath follows the partial paths back from the last layer and merges the stages of
 // one replica.
-func reconstruct(bounds []int, domains int, cheapest []partialPath) Path {
-	last := len(bounds) - 1
-	best := -1
-	for d := range domains {
-		if p := cheapest[last*domains+d]; p.replica != nil && (best < 0 || p.cost < cheapest[last*domains+best].cost) {
-			best = d
+func reconstructPath(bounds []int, domainCount int, cheapest []partialPath) Path {
+	lastBoundary := len(bounds) - 1
+	bestDomain := -1
+	for d := range domainCount {
+		if p := cheapest[lastBoundary*domainCount+d]; p.replica != nil && (bestDomain < 0 || p.cost < cheapest[lastBoundary*domainCount+bestDomain].cost) {
+			bestDomain = d
 		}
 	}
-	if best < 0 {
+	if bestDomain < 0 {
 		return nil
 	}
 	var path Path
-	for boundary, domain := last, best; boundary > 0; {
-		p := cheapest[boundary*domains+domain]
+	for boundary, domain := lastBoundary, bestDomain; boundary > 0; {
+		p := cheapest[boundary*domainCount+domain]
 		path = append(path, Stage{
 			Replica: p.replica.ID, Address: p.replica.Address, Domain: p.replica.Domain,
 			Layers: layers.Span{From: bounds[p.prevBoundary], To: bounds[boundary]},
--- a/decide/placement/loads.go
+++ b/decide/placement/loads.go
@@ -6,9 +6,9 @@
 // the layers of want when it holds those of held. A held stage with Last below First is
 // empty.
 func FetchBytes(model Model, held, want Stage) int64 {
-	common := min(held.Last, want.Last) - max(held.First, want.First) + 1
-	missing := want.Last - want.First + 1 - max(common, 0)
-	return int64(missing) * model.LayerBytes
+	commonLayers := min(held.Last, want.Last) - max(held.First, want.First) + 1
+	missingLayers := want.Last - want.First + 1 - max(commonLayers, 0)
+	return int64(missingLayers) * model.LayerBytes
 }
 
 // FetchTime returns how long a fetch takes at the full rate of the weight store. A rate
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -54,14 +54,14 @@
 // with the least total. Its running time grows with the square of the number of engines
 // and of the number of layers.
 func BestPartition(model Model, chain Chain) (Partition, error) {
-	minBottleneck := newSearch(model, chain, math.Inf(1), math.Max)
-	if math.IsInf(minBottleneck.value, 1) {
+	minBottleneck := runSearch(model, chain, math.Inf(1), math.Max)
+	if math.IsInf(minBottleneck.bestCost, 1) {
 		return Partition{}, ErrNoFit
 	}
 	// A prefix with the least bottleneck need not have the least total, so a second
 	// pass minimises the total under the bottleneck found by the first.
-	minTotal := newSearch(model, chain, minBottleneck.value, func(a, b float64) float64 { return a + b })
-	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.value, Total: minTotal.value}, nil
+	minTotal := runSearch(model, chain, minBottleneck.bestCost, func(a, b float64) float64 { return a + b })
+	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.bestCost, Total: minTotal.bestCost}, nil
 }
 
 // searchState is a state of the search: a stage that runs on an accelerator and begins at
@@ -71,36 +71,36 @@
 // transition is the best transition into a state: the state before it and the value of
 // all hops so far.
 type transition struct {
-	value    float64
+	cost     float64
 	previous searchState
 }
 
 // search is a dynamic programme over states. maxHop bounds each hop; combine folds the
 // hops into the value that is minimised.
 type search struct {
-	model     Model
-	chain     Chain
-	maxHop    float64
-	combine   func(a, b float64) float64
-	best      [][]transition
-	lastState searchState // of the last stage
-	value     float64
-}
-
-func newSearch(model Model, chain Chain, maxHop float64, combine func(a, b float64) float64) *search {
-	s := &search{model: model, chain: chain, maxHop: maxHop, combine: combine, value: math.Inf(1)}
-	s.best = make([][]transition, len(chain.Accelerators))
-	for accelerator := range s.best {
-		s.best[accelerator] = make([]transition, model.Layers)
-		for layer := range s.best[accelerator] {
-			s.best[accelerator][layer] = transition{value: math.Inf(1)}
+	model           Model
+	chain           Chain
+	maxHopMicros    float64
+	combine         func(a, b float64) float64
+	bestTransitions [][]transition
+	lastState       searchState // of the last stage
+	bestCost        float64
+}
+
+func runSearch(model Model, chain Chain, maxHopMicros float64, combine func(a, b float64) float64) *search {
+	s := &search{model: model, chain: chain, maxHopMicros: maxHopMicros, combine: combine, bestCost: math.Inf(1)}
+	s.bestTransitions = make([][]transition, len(chain.Accelerators))
+	for accelerator := range s.bestTransitions {
+		s.bestTransitions[accelerator] = make([]transition, model.Layers)
+		for layer := range s.bestTransitions[accelerator] {
+			s.bestTransitions[accelerator][layer] = transition{cost: math.Inf(1)}
 		}
 		if model.Layers > 0 {
-			s.best[accelerator][0] = transition{previous: searchState{accelerator: -1}}
+			s.bestTransitions[accelerator][0] = transition{previous: searchState{accelerator: -1}}
 		}
 	}
-	for accelerator := range s.best {
-		for layer := range s.best[accelerator] {
+	for accelerator := range s.bestTransitions {
+		for layer := range s.bestTransitions[accelerator] {
 			s.extend(searchState{accelerator, layer})
 		}
 	}
@@ -110,21 +110,21 @@
 // extend tries every number of layers on the accelerator of a state, and every later
 // accelerator for the next stage.
 func (s *search) extend(state searchState) {
-	value := s.best[state.accelerator][state.layer].value
-	if math.IsInf(value, 1) {
+	costSoFar := s.bestTransitions[state.accelerator][state.layer].cost
+	if math.IsInf(costSoFar, 1) {
 		return
 	}
 	accelerator := s.chain.Accelerators[state.accelerator]
 	for layers := 1; layers <= s.maxLayers(state); layers++ {
-		compute := float64(layers) * accelerator.LayerMicros
+		computeMicros := float64(layers) * accelerator.LayerMicros
 		end := state.layer + layers
 		if end == s.model.Layers {
-			s.finish(state, value, compute)
+			s.recordLastStage(state, costSoFar, computeMicros)
 			return
 		}
-		for to := state.accelerator + 1; to < len(s.best); to++ {
-			hop := compute + s.chain.LinkMicros[state.accelerator][to]
-			s.relax(searchState{to, end}, state, value, hop)
+		for nextAccelerator := state.accelerator + 1; nextAccelerator < len(s.bestTransitions); nextAccelerator++ {
+			hopMicros := computeMicros + s.chain.LinkMicros[state.accelerator][nextAccelerator]
+			s.relax(searchState{nextAccelerator, end}, state, costSoFar, hopMicros)
 		}
 	}
 }
@@ -140,22 +140,22 @@
 }
 
 // relax records a transition if it improves the value of its target state.
-func (s *search) relax(to, from searchState, before, hop float64) {
-	if hop > s.maxHop {
+func (s *search) relax(to, from searchState, costSoFar, hopMicros float64) {
+	if hopMicros > s.maxHopMicros {
 		return
 	}
-	if after := s.combine(before, hop); after < s.best[to.accelerator][to.layer].value {
-		s.best[to.accelerator][to.layer] = transition{value: after, previous: from}
+	if cost := s.combine(costSoFar, hopMicros); cost < s.bestTransitions[to.accelerator][to.layer].cost {
+		s.bestTransitions[to.accelerator][to.layer] = transition{cost: cost, previous: from}
 	}
 }
 
-// finish records a last stage if it improves the value of the whole partition.
-func (s *search) finish(from searchState, before, hop float64) {
-	if hop > s.maxHop {
+// recordLastStage records a last stage if it improves the value of the whole partition.
+func (s *search) recordLastStage(from searchState, costSoFar, hopMicros float64) {
+	if hopMicros > s.maxHopMicros {
 		return
 	}
-	if after := s.combine(before, hop); after < s.value {
-		s.value = after
+	if cost := s.combine(costSoFar, hopMicros); cost < s.bestCost {
+		s.bestCost = cost
 		s.lastState = from
 	}
 }
@@ -164,7 +164,7 @@
 func (s *search) stages() []Stage {
 	var reversed []Stage
 	end := s.model.Layers
-	for state := s.lastState; state.accelerator >= 0; state = s.best[state.accelerator][state.layer].previous {
+	for state := s.lastState; state.accelerator >= 0; state = s.bestTransitions[state.accelerator][state.layer].previous {
 		endpoint := s.chain.Accelerators[state.accelerator].Endpoint
 		reversed = append(reversed, Stage{Endpoint: endpoint, First: state.layer, Last: end - 1})
 		end = state.layer
@@ -179,27 +179,27 @@
 // Evaluate returns a partition with its cost on a chain, and false if the chain lacks one
 // of its engines or orders them differently.
 func Evaluate(p Partition, chain Chain) (Partition, bool) {
-	measured := Partition{Stages: p.Stages}
+	evaluated := Partition{Stages: p.Stages}
 	for i, stage := range p.Stages {
-		index := chain.index(stage.Endpoint)
+		index := chain.acceleratorIndex(stage.Endpoint)
 		if index < 0 {
 			return Partition{}, false
 		}
-		hop := float64(stage.Last-stage.First+1) * chain.Accelerators[index].LayerMicros
+		hopMicros := float64(stage.Last-stage.First+1) * chain.Accelerators[index].LayerMicros
 		if i+1 < len(p.Stages) {
-			next := chain.index(p.Stages[i+1].Endpoint)
-			if next <= index {
+			nextIndex := chain.acceleratorIndex(p.Stages[i+1].Endpoint)
+			if nextIndex <= index {
 				return Partition{}, false
 			}
-			hop += chain.LinkMicros[index][next]
+			hopMicros += chain.LinkMicros[index][nextIndex]
 		}
-		measured.Bottleneck = max(measured.Bottleneck, hop)
-		measured.Total += hop
+		evaluated.Bottleneck = max(evaluated.Bottleneck, hopMicros)
+		evaluated.Total += hopMicros
 	}
-	return measured, len(p.Stages) > 0
+	return evaluated, len(p.Stages) > 0
 }
 
-func (c Chain) index(endpoint string) int {
+func (c Chain) acceleratorIndex(endpoint string) int {
 	for i := range c.Accelerators {
 		if c.Accelerators[i].Endpoint == endpoint {
 			return i
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -27,22 +27,22 @@
 func bestByExhaustion(model Model, chain Chain) Partition {
 	best := Partition{Bottleneck: math.Inf(1), Total: math.Inf(1)}
 	var try func(at, from int, stages []Stage)
-	try = func(at, from int, stages []Stage) {
-		if from == model.Layers {
+	try = func(accelerator, firstLayer int, stages []Stage) {
+		if firstLayer == model.Layers {
 			partition, _ := Evaluate(Partition{Stages: stages}, chain)
 			if partition.Bottleneck < best.Bottleneck || partition.Bottleneck == best.Bottleneck && partition.Total < best.Total {
 				best = partition
 			}
 			return
 		}
-		if at == len(chain.Accelerators) {
+		if accelerator == len(chain.Accelerators) {
 			return
 		}
-		try(at+1, from, stages)
-		a := chain.Accelerators[at]
-		for n := 1; n <= model.Layers-from && int64(n)*model.LayerBytes <= a.MemoryBytes; n++ {
-			stage := Stage{Endpoint: a.Endpoint, First: from, Last: from + n - 1}
-			try(at+1, from+n, append(stages[:len(stages):len(stages)], stage))
+		try(accelerator+1, firstLayer, stages)
+		a := chain.Accelerators[accelerator]
+		for n := 1; n <= model.Layers-firstLayer && int64(n)*model.LayerBytes <= a.MemoryBytes; n++ {
+			stage := Stage{Endpoint: a.Endpoint, First: firstLayer, Last: firstLayer + n - 1}
+			try(accelerator+1, firstLayer+n, append(stages[:len(stages):len(stages)], stage))
 		}
 	}
 	try(0, 0, nil)
@@ -72,10 +72,10 @@
 			}
 			return
 		}
-		again, valid := Evaluate(got, chain)
+		evaluated, valid := Evaluate(got, chain)
 		if err != nil || !valid || got.Bottleneck != want.Bottleneck || got.Total != want.Total ||
-			again.Bottleneck != got.Bottleneck || again.Total != got.Total {
-			t.Fatalf("got %+v, which costs %+v; the best is %+v; error %v", got, again, want, err)
+			evaluated.Bottleneck != got.Bottleneck || evaluated.Total != got.Total {
+			t.Fatalf("got %+v, which costs %+v; the best is %+v; error %v", got, evaluated, want, err)
 		}
 	})
 }
@@ -89,19 +89,19 @@
 // observeSeconds feeds the planner one measurement of each stage per second, with the
 // times of the chain that truth returns. It adopts each decided plan and returns the
 // number of changes.
-func observeSeconds(p *Planner, now *time.Time, seconds int, truth func(second int) Chain) int {
+func observeSeconds(p *Planner, now *time.Time, seconds int, actualChain func(second int) Chain) int {
 	changes := 0
 	for second := range seconds {
 		*now = now.Add(time.Second)
-		chain := truth(second)
+		chain := actualChain(second)
 		stages := p.Plan().Partition.Stages
 		for i, s := range stages {
-			at := chain.index(s.Endpoint)
-			step := float64(s.Last-s.First+1) * chain.Accelerators[at].LayerMicros
-			m := Measurement{Endpoint: s.Endpoint, HopMicros: step, StepMicros: step}
+			accelerator := chain.acceleratorIndex(s.Endpoint)
+			stepMicros := float64(s.Last-s.First+1) * chain.Accelerators[accelerator].LayerMicros
+			m := Measurement{Endpoint: s.Endpoint, HopMicros: stepMicros, StepMicros: stepMicros}
 			if i+1 < len(stages) {
 				m.Next = stages[i+1].Endpoint
-				m.HopMicros += chain.LinkMicros[at][chain.index(m.Next)]
+				m.HopMicros += chain.LinkMicros[accelerator][chain.acceleratorIndex(m.Next)]
 			}
 			p.Observe(*now, m)
 		}
@@ -118,47 +118,47 @@
 // the window causes no move, because each move costs a load.
 func TestPlannerAvoidsSlowHopsWithoutFlapping(t *testing.T) {
 	model := Model{Layers: 12, LayerBytes: 10}
-	good := evenChain(4, 100, 10)
-	badLink := evenChain(4, 100, 10)
-	badLink.LinkMicros[1][2] = 5000
-	badStage := evenChain(4, 100, 10)
-	badStage.Accelerators[2].LayerMicros = 3000
+	healthyChain := evenChain(4, 100, 10)
+	slowLinkChain := evenChain(4, 100, 10)
+	slowLinkChain.LinkMicros[1][2] = 5000
+	slowStageChain := evenChain(4, 100, 10)
+	slowStageChain.Accelerators[2].LayerMicros = 3000
 	now := time.Unix(0, 0)
 	Convey("A link that stays slow causes one move", t, func() {
-		p := newTestPlanner(good, model)
-		So(observeSeconds(p, &now, 300, func(int) Chain { return badLink }), ShouldEqual, 1)
-		partition, _ := Evaluate(p.Plan().Partition, badLink)
+		p := newTestPlanner(healthyChain, model)
+		So(observeSeconds(p, &now, 300, func(int) Chain { return slowLinkChain }), ShouldEqual, 1)
+		partition, _ := Evaluate(p.Plan().Partition, slowLinkChain)
 		So(partition.Bottleneck, ShouldBeLessThan, 1000)
 		So(p.Plan().Version, ShouldEqual, 2)
 	})
 	Convey("A stage that stays slow causes one move", t, func() {
-		p := newTestPlanner(good, model)
-		So(observeSeconds(p, &now, 300, func(int) Chain { return badStage }), ShouldEqual, 1)
-		partition, _ := Evaluate(p.Plan().Partition, badStage)
+		p := newTestPlanner(healthyChain, model)
+		So(observeSeconds(p, &now, 300, func(int) Chain { return slowStageChain }), ShouldEqual, 1)
+		partition, _ := Evaluate(p.Plan().Partition, slowStageChain)
 		So(partition.Bottleneck, ShouldBeLessThan, 1000)
 	})
 	Convey("A link that flaps faster than the stabilization window causes no move", t, func() {
-		p := newTestPlanner(good, model)
+		p := newTestPlanner(healthyChain, model)
 		changes := observeSeconds(p, &now, 300, func(second int) Chain {
 			if second%15 < 3 {
-				return badLink
+				return slowLinkChain
 			}
-			return good
+			return healthyChain
 		})
 		So(changes, ShouldEqual, 0)
 	})
 	Convey("A link that flaps for an hour causes at most a few moves", t, func() {
-		p := newTestPlanner(good, model)
+		p := newTestPlanner(healthyChain, model)
 		changes := observeSeconds(p, &now, 3600, func(second int) Chain {
 			if second/30%2 == 0 {
-				return badLink
+				return slowLinkChain
 			}
-			return good
+			return healthyChain
 		})
 		So(changes, ShouldBeLessThanOrEqualTo, 2*int(time.Hour/DefaultMeasurementTTL))
 	})
 	Convey("A stage that slows down whenever it holds the most layers causes at most one move a minute", t, func() {
-		p := newTestPlanner(good, model)
+		p := newTestPlanner(healthyChain, model)
 		changes := observeSeconds(p, &now, int(DefaultMinInterval/time.Second), func(int) Chain {
 			chain := evenChain(4, 100, 10)
 			most := p.Plan().Partition.Stages[0]
@@ -167,16 +167,16 @@
 					most = s
 				}
 			}
-			chain.Accelerators[chain.index(most.Endpoint)].LayerMicros = 10_000
+			chain.Accelerators[chain.acceleratorIndex(most.Endpoint)].LayerMicros = 10_000
 			return chain
 		})
 		So(changes, ShouldEqual, 1)
 	})
 	Convey("A missing engine is replaced at once, and an older plan is not adopted", t, func() {
-		p := newTestPlanner(good, model)
-		less := evenChain(4, 100, 10)
-		less.Accelerators = less.Accelerators[:3]
-		p.SetChain(less)
+		p := newTestPlanner(healthyChain, model)
+		shorterChain := evenChain(4, 100, 10)
+		shorterChain.Accelerators = shorterChain.Accelerators[:3]
+		p.SetChain(shorterChain)
 		plan, changed := p.Decide(now)
 		So(changed, ShouldBeTrue)
 		So(plan.Version, ShouldEqual, 2)
@@ -185,7 +185,7 @@
 		So(p.Plan().Version, ShouldEqual, 2)
 	})
 	Convey("A hop with unknown step time is divided in the declared proportion", t, func() {
-		p := newTestPlanner(good, model)
+		p := newTestPlanner(healthyChain, model)
 		p.Observe(now, Measurement{Endpoint: "e0", Next: "e1", HopMicros: 620})
 		chain := p.measuredChain(now)
 		So(chain.Accelerators[0].LayerMicros, ShouldAlmostEqual, 200)
@@ -206,17 +206,17 @@
 	})
 	now := time.Unix(1000, 0)
 	Convey("Loads of all plans are scheduled one after the other", t, func() {
-		first, pace := LoadSchedule{}.Reserve(now, []time.Duration{2 * time.Second, 0, time.Second})
-		So(first, ShouldResemble, []time.Time{now, now, now.Add(2 * time.Second)})
-		second, pace := pace.Reserve(now.Add(time.Second), []time.Duration{time.Second})
-		So(second, ShouldResemble, []time.Time{now.Add(3 * time.Second)})
-		So(pace.Free(now.Add(3*time.Second)), ShouldBeFalse)
-		So(pace.Free(now.Add(4*time.Second)), ShouldBeTrue)
+		firstStarts, schedule := LoadSchedule{}.Reserve(now, []time.Duration{2 * time.Second, 0, time.Second})
+		So(firstStarts, ShouldResemble, []time.Time{now, now, now.Add(2 * time.Second)})
+		secondStarts, schedule := schedule.Reserve(now.Add(time.Second), []time.Duration{time.Second})
+		So(secondStarts, ShouldResemble, []time.Time{now.Add(3 * time.Second)})
+		So(schedule.Free(now.Add(3*time.Second)), ShouldBeFalse)
+		So(schedule.Free(now.Add(4*time.Second)), ShouldBeTrue)
 	})
 	Convey("Reservations by a clock that is hours fast delay no load", t, func() {
-		starts, pace := LoadSchedule{BusyUntil: now.Add(2 * maxBusyAhead)}.Reserve(now, []time.Duration{time.Second})
+		starts, schedule := LoadSchedule{BusyUntil: now.Add(2 * maxBusyAhead)}.Reserve(now, []time.Duration{time.Second})
 		So(starts, ShouldResemble, []time.Time{now})
-		So(pace.BusyUntil, ShouldEqual, now.Add(time.Second))
+		So(schedule.BusyUntil, ShouldEqual, now.Add(time.Second))
 	})
 	Convey("One replica reloads at a time, and only while enough of the others serve", t, func() {
 		So(MayReload(nil), ShouldBeTrue)
@@ -227,7 +227,7 @@
 	})
 }
 
-func BenchmarkBest(b *testing.B) {
+func BenchmarkBestPartition(b *testing.B) {
 	for _, size := range [][2]int{{4, 32}, {8, 80}, {16, 128}} {
 		b.Run(fmt.Sprintf("engines=%d/layers=%d", size[0], size[1]), func(b *testing.B) {
 			chain := evenChain(size[0], 100, 10)
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -84,16 +84,16 @@
 	layerMicros map[string]estimate // microseconds of a layer
 	linkMicros  map[link]estimate   // microseconds
 	lastMove    time.Time
-	betterSince time.Time // since when a partition worth a move is known, zero if none
+	gainSince   time.Time // since when a partition worth a move is known, zero if none
 }
 
 type link struct{ from, to string }
 
 // estimate holds the last measurements of one time, in microseconds.
 type estimate struct {
-	last    [medianWindow]float64
-	count   int
-	updated time.Time
+	recent           [medianWindow]float64
+	measurementCount int
+	updated          time.Time
 }
 
 // NewPlanner returns a Planner for a chain with the plan in force.
@@ -119,7 +119,7 @@
 	}
 	p.plan = plan
 	p.lastMove = now
-	p.betterSince = time.Time{}
+	p.gainSince = time.Time{}
 }
 
 // SetChain replaces the declared chain.
@@ -128,7 +128,7 @@
 // Observe records a measurement of a stage of the plan in force.
 func (p *Planner) Observe(now time.Time, m Measurement) {
 	i := slices.IndexFunc(p.plan.Partition.Stages, func(s Stage) bool { return s.Endpoint == m.Endpoint })
-	accelerator := p.declared.index(m.Endpoint)
+	accelerator := p.declared.acceleratorIndex(m.Endpoint)
 	if i < 0 || accelerator < 0 || m.HopMicros <= 0 {
 		return
 	}
@@ -138,34 +138,34 @@
 	if stepMicros <= 0 {
 		stepMicros = m.HopMicros * p.computeFraction(accelerator, layers, m.Next)
 	}
-	p.layerMicros[m.Endpoint] = p.layerMicros[m.Endpoint].with(now, stepMicros/layers)
+	p.layerMicros[m.Endpoint] = p.layerMicros[m.Endpoint].withMeasurement(now, stepMicros/layers)
 	if m.Next != "" {
 		key := link{m.Endpoint, m.Next}
-		p.linkMicros[key] = p.linkMicros[key].with(now, m.HopMicros-stepMicros)
+		p.linkMicros[key] = p.linkMicros[key].withMeasurement(now, m.HopMicros-stepMicros)
 	}
 }
 
 // computeFraction returns the declared fraction of a hop that its layers take.
 func (p *Planner) computeFraction(accelerator int, layers float64, next string) float64 {
-	compute := layers * p.declared.Accelerators[accelerator].LayerMicros
-	to := p.declared.index(next)
-	if to <= accelerator || compute <= 0 {
+	computeMicros := layers * p.declared.Accelerators[accelerator].LayerMicros
+	nextAccelerator := p.declared.acceleratorIndex(next)
+	if nextAccelerator <= accelerator || computeMicros <= 0 {
 		return 1
 	}
-	return compute / (compute + p.declared.LinkMicros[accelerator][to])
+	return computeMicros / (computeMicros + p.declared.LinkMicros[accelerator][nextAccelerator])
 }
 
-// with returns the estimate with one more measurement added.
-func (e estimate) with(now time.Time, micros float64) estimate {
-	e.last[e.count%medianWindow] = micros
-	e.count++
+// withMeasurement returns the estimate withMeasurement one more measurement added.
+func (e estimate) withMeasurement(now time.Time, micros float64) estimate {
+	e.recent[e.measurementCount%medianWindow] = micros
+	e.measurementCount++
 	e.updated = now
 	return e
 }
 
 func (e estimate) median() float64 {
-	sorted := e.last
-	known := sorted[:min(e.count, medianWindow)]
+	sorted := e.recent
+	known := sorted[:min(e.measurementCount, medianWindow)]
 	slices.Sort(known)
 	return known[len(known)/2]
 }
@@ -185,13 +185,13 @@
 		return next, true // an engine of the plan is gone, so there is no gain to compare
 	}
 	if best.Bottleneck > current.Bottleneck*(1-p.policy.MinGain) {
-		p.betterSince = time.Time{}
+		p.gainSince = time.Time{}
 		return p.plan, false
 	}
-	if p.betterSince.IsZero() {
-		p.betterSince = now
+	if p.gainSince.IsZero() {
+		p.gainSince = now
 	}
-	stable := now.Sub(p.betterSince) >= p.policy.StabilizationWindow
+	stable := now.Sub(p.gainSince) >= p.policy.StabilizationWindow
 	intervalOver := p.lastMove.IsZero() || now.Sub(p.lastMove) >= p.policy.MinInterval
 	if !stable || !intervalOver {
 		return p.plan, false
@@ -211,7 +211,7 @@
 		chain.LinkMicros = append(chain.LinkMicros, slices.Clone(p.declared.LinkMicros[i]))
 	}
 	for key, e := range p.linkMicros {
-		from, to := chain.index(key.from), chain.index(key.to)
+		from, to := chain.acceleratorIndex(key.from), chain.acceleratorIndex(key.to)
 		if from >= 0 && to > from && now.Sub(e.updated) < p.policy.MeasurementTTL {
 			chain.LinkMicros[from][to] = e.median()
 		}
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// Candidate is a replica considered for a new version of the weights.
-type Candidate struct {
+// RolloutReplica is a replica considered for a new version of the weights.
+type RolloutReplica struct {
 	Name string
 	// Version is the version in the replica's plan.
 	Version string
@@ -48,15 +48,15 @@
 // has just taken over the plans has heard of no replica yet, and would start all of
 // them. A replica whose engines differ from its plan serves no requests, so it takes the
 // version at once.
-func NextRollout(version string, maxFraction float64, replicas []Candidate) Rollout {
+func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) Rollout {
 	r := Rollout{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
-	loading := 0
+	loadingCount := 0
 	for _, c := range replicas {
 		if c.State != Ready {
 			r.Unavailable++
 		}
 		if c.State == Loading {
-			loading++
+			loadingCount++
 		}
 		if c.Version == version {
 			continue
@@ -66,9 +66,9 @@
 			r.Start = append(r.Start, c.Name)
 		}
 	}
-	allowed := min(r.MaxUnavailable-r.Unavailable, maxConcurrentUpdates-loading)
+	startsAllowed := min(r.MaxUnavailable-r.Unavailable, maxConcurrentUpdates-loadingCount)
 	var chosen []int
-	for len(chosen) < allowed {
+	for len(chosen) < startsAllowed {
 		next := fewestStreams(version, replicas, chosen)
 		if next < 0 {
 			break
@@ -81,7 +81,7 @@
 
 // fewestStreams returns the index of the serving replica with another version that has
 // the fewest streams and so drains first, or -1 if all such replicas are chosen already.
-func fewestStreams(version string, replicas []Candidate, chosen []int) int {
+func fewestStreams(version string, replicas []RolloutReplica, chosen []int) int {
 	best := -1
 	for i := range replicas {
 		c := &replicas[i]
--- a/decide/placement/rollout_test.go
+++ b/decide/placement/rollout_test.go
@@ -11,28 +11,30 @@
 // A roll-out leaves at least the stated fraction of a failure domain's replicas in
 // service, whatever else is down.
 func TestNextRollout(t *testing.T) {
-	ready := func(name, version string, running int) Candidate { return Candidate{name, version, Ready, running} }
+	ready := func(name, version string, runningStreams int) RolloutReplica {
+		return RolloutReplica{name, version, Ready, runningStreams}
+	}
 	cases := []struct {
 		name     string
 		fraction float64
-		replicas []Candidate
+		replicas []RolloutReplica
 		start    []string
 	}{
 		{"the replica with the fewest streams starts", 0.34,
-			[]Candidate{ready("a", "v1", 9), ready("b", "v1", 2), ready("c", "v1", 5)}, []string{"b"}},
+			[]RolloutReplica{ready("a", "v1", 9), ready("b", "v1", 2), ready("c", "v1", 5)}, []string{"b"}},
 		{"a replica that does not answer counts as unavailable", 0.5,
-			[]Candidate{ready("a", "v1", 0), {"b", "v1", Unknown, 0}}, nil},
+			[]RolloutReplica{ready("a", "v1", 0), {"b", "v1", Unknown, 0}}, nil},
 		{"a node that has asked no replica yet starts none", 1,
-			[]Candidate{{"a", "v1", Unknown, 0}, {"b", "v1", Unknown, 0}}, nil},
+			[]RolloutReplica{{"a", "v1", Unknown, 0}, {"b", "v1", Unknown, 0}}, nil},
 		{"a version that cannot be loaded stops at the bound", 0.5,
-			[]Candidate{{"a", "v2", Loading, 0}, ready("b", "v1", 0)}, nil},
+			[]RolloutReplica{{"a", "v2", Loading, 0}, ready("b", "v1", 0)}, nil},
 		{"on a rollback an unavailable replica changes at once", 0.5,
-			[]Candidate{{"a", "v3", Loading, 0}, ready("b", "v2", 0)}, []string{"a"}},
-		{"at most two replicas change at the same time", 0.3, []Candidate{
+			[]RolloutReplica{{"a", "v3", Loading, 0}, ready("b", "v2", 0)}, []string{"a"}},
+		{"at most two replicas change at the same time", 0.3, []RolloutReplica{
 			ready("a", "v2", 0), ready("b", "v2", 0), ready("c", "v2", 0), ready("d", "v2", 0), ready("e", "v2", 0),
 			ready("f", "v2", 0), ready("g", "v1", 0), ready("h", "v1", 0), ready("i", "v1", 0), ready("j", "v1", 0),
 		}, []string{"g", "h"}},
-		{"all replicas have the version", 0.5, []Candidate{ready("a", "v2", 0), ready("b", "v2", 0)}, nil},
+		{"all replicas have the version", 0.5, []RolloutReplica{ready("a", "v2", 0), ready("b", "v2", 0)}, nil},
 	}
 	for _, c := range cases {
 		if got := NextRollout("v2", c.fraction, c.replicas); !slices.Equal(got.Start, c.start) {
@@ -49,38 +51,38 @@
 func TestRolloutKeepsToMaxUnavailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxFraction := rapid.Float64Range(0, 1).Draw(t, "part")
-		var replicas []Candidate
-		serving := 0
+		var replicas []RolloutReplica
+		servingCount := 0
 		for i := range rapid.IntRange(1, 30).Draw(t, "replicas") {
-			c := Candidate{
+			c := RolloutReplica{
 				Name:    fmt.Sprint("r", i),
 				Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version"),
 				State:   rapid.SampledFrom([]ReplicaState{Unknown, Loading, Ready}).Draw(t, "state"),
 			}
 			if c.State == Ready {
-				serving++
+				servingCount++
 			}
 			replicas = append(replicas, c)
 		}
 		got := NextRollout("v2", maxFraction, replicas)
-		stopped := 0
+		stoppedCount := 0
 		for _, c := range replicas {
 			if c.State == Ready && slices.Contains(got.Start, c.Name) {
-				stopped++
+				stoppedCount++
 			}
 		}
-		unavailable := len(replicas) - serving
-		if stopped > 0 && float64(unavailable+stopped) > maxFraction*float64(len(replicas))+roundingTolerance {
-			t.Fatalf("%d of %d unavailable and %d more stopped at a bound of %v", unavailable, len(replicas), stopped, maxFraction)
+		unavailable := len(replicas) - servingCount
+		if stoppedCount > 0 && float64(unavailable+stoppedCount) > maxFraction*float64(len(replicas))+roundingTolerance {
+			t.Fatalf("%d of %d unavailable and %d more stopped at a bound of %v", unavailable, len(replicas), stoppedCount, maxFraction)
 		}
 	})
 }
 
 func BenchmarkNextRollout(b *testing.B) {
 	for _, n := range []int{10, 100, 1000, 10_000} {
-		replicas := make([]Candidate, n)
+		replicas := make([]RolloutReplica, n)
 		for i := range replicas {
-			replicas[i] = Candidate{fmt.Sprint("replica-", i), "v1", Ready, i * 7 % 16}
+			replicas[i] = RolloutReplica{fmt.Sprint("replica-", i), "v1", Ready, i * 7 % 16}
 		}
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -53,8 +53,8 @@
 // LinkBacklog tracks what this node has sent over the links between failure domains. It is
 // not safe for concurrent use.
 type LinkBacklog struct {
-	bytes   float64 // not yet transferred at the last update
-	updated time.Time
+	pendingBytes float64 // not yet transferred at the last update
+	updated      time.Time
 }
 
 // Estimate holds the costs of rerouting a request.
@@ -81,8 +81,8 @@
 	if e.BytesPerSecond <= 0 {
 		return 0
 	}
-	total := (l.remaining(now, e) + e.Bytes) * float64(max(1, e.Nodes))
-	return time.Duration(total / e.BytesPerSecond * float64(time.Second))
+	totalBytes := (l.remaining(now, e) + e.Bytes) * float64(max(1, e.Nodes))
+	return time.Duration(totalBytes / e.BytesPerSecond * float64(time.Second))
 }
 
 // bypassTime returns the time until the next event of the request on the bypass.
@@ -101,14 +101,14 @@
 
 // AddTransfer records the transfer of a request.
 func (l *LinkBacklog) AddTransfer(now time.Time, e Estimate) {
-	l.bytes, l.updated = l.remaining(now, e)+e.Bytes, now
+	l.pendingBytes, l.updated = l.remaining(now, e)+e.Bytes, now
 }
 
 // remaining returns this node's backlog in bytes. It drains at the node's even share of the
 // bandwidth.
 func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
-	rate := e.BytesPerSecond / float64(max(1, e.Nodes))
-	return max(0, l.bytes-rate*now.Sub(l.updated).Seconds())
+	bytesPerSecond := e.BytesPerSecond / float64(max(1, e.Nodes))
+	return max(0, l.pendingBytes-bytesPerSecond*now.Sub(l.updated).Seconds())
 }
 
 // Decide chooses between a bypass, if there is one, and the migration to another first
--- a/decide/reroute/reroute_test.go
+++ b/decide/reroute/reroute_test.go
@@ -21,35 +21,35 @@
 // ones bypass, the others migrate, and no stream waits longer than allowed.
 func TestSimultaneousLossesSplitBetweenActions(t *testing.T) {
 	var links LinkBacklog
-	actions := map[Action]int{}
-	longest := time.Duration(0)
+	actionCounts := map[Action]int{}
+	longestWait := time.Duration(0)
 	for range 20 {
 		estimate := crossingEstimate(2)
 		action := links.Decide(start, true, estimate, true)
-		actions[action]++
+		actionCounts[action]++
 		if action == Bypass {
-			longest = max(longest, links.TransferTime(start, estimate))
+			longestWait = max(longestWait, links.TransferTime(start, estimate))
 			links.AddTransfer(start, estimate)
 		}
 	}
-	if actions[Bypass] < 1 || actions[Bypass] > 2 || actions[Stay] > 0 || longest > maxWait {
-		t.Errorf("actions %v, longest wait %v", actions, longest)
+	if actionCounts[Bypass] < 1 || actionCounts[Bypass] > 2 || actionCounts[Stay] > 0 || longestWait > maxWait {
+		t.Errorf("actions %v, longest wait %v", actionCounts, longestWait)
 	}
 	// Without another first replica all streams cross one after the other.
-	var alone LinkBacklog
+	var bypassOnlyLinks LinkBacklog
 	for range 20 {
-		if action := alone.Decide(start, true, crossingEstimate(2), false); action != Bypass {
+		if action := bypassOnlyLinks.Decide(start, true, crossingEstimate(2), false); action != Bypass {
 			t.Fatalf("action %v without another first replica", action)
 		}
-		alone.AddTransfer(start, crossingEstimate(2))
+		bypassOnlyLinks.AddTransfer(start, crossingEstimate(2))
 	}
-	if wait := alone.TransferTime(start, crossingEstimate(2)); wait < 1400*time.Millisecond {
+	if wait := bypassOnlyLinks.TransferTime(start, crossingEstimate(2)); wait < 1400*time.Millisecond {
 		t.Errorf("the last stream waits %v", wait)
 	}
 }
 
 func TestDecide(t *testing.T) {
-	local := Estimate{BytesPerSecond: 1.4e9, Nodes: 6}
+	noAddedCrossings := Estimate{BytesPerSecond: 1.4e9, Nodes: 6}
 	for _, c := range []struct {
 		name       string
 		canBypass  bool
@@ -57,7 +57,7 @@
 		canMigrate bool
 		want       Action
 	}{
-		{"no added crossings", true, local, true, Bypass},
+		{"no added crossings", true, noAddedCrossings, true, Bypass},
 		{"a single crossing by one node", true, crossingEstimate(1), true, Bypass},
 		{"crossings by nine nodes", true, crossingEstimate(9), true, Migrate},
 		{"the prefill on the bypass is too long", true, Estimate{BypassPrefill: 300 * time.Millisecond, MigratePrefill: 90 * time.Millisecond, MaxWait: maxWait}, true, Migrate},
@@ -95,20 +95,20 @@
 // replica ends.
 func TestDrainingStreamsCrossOneAtATime(t *testing.T) {
 	var links LinkBacklog
-	crossed := 0
-	for at := time.Duration(0); at < 2*time.Second; at += 10 * time.Millisecond {
-		now := start.Add(at)
+	crossedStreams := 0
+	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 10 * time.Millisecond {
+		now := start.Add(elapsed)
 		if !links.Idle(now, crossingEstimate(2)) {
 			continue
 		}
 		if wait := links.TransferTime(now, crossingEstimate(2)); wait > 80*time.Millisecond {
-			t.Errorf("at %v a stream would wait %v", at, wait)
+			t.Errorf("at %v a stream would wait %v", elapsed, wait)
 		}
 		links.AddTransfer(now, crossingEstimate(2))
-		crossed++
+		crossedStreams++
 	}
-	if crossed < 20 {
-		t.Errorf("%d of 20 streams moved within two seconds", crossed)
+	if crossedStreams < 20 {
+		t.Errorf("%d of 20 streams moved within two seconds", crossedStreams)
 	}
 	if !links.Idle(start, Estimate{}) {
 		t.Error("a stream without added crossings must not wait")
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -47,13 +47,13 @@
 }
 
 func (k *Keeper) rollout(open openReplica) placement.Rollout {
-	var candidates []placement.Candidate
+	var candidates []placement.RolloutReplica
 	for _, other := range k.kept {
 		if other.open.place != open.place {
 			continue
 		}
 		agreed, _ := k.cfg.Book.Agreed(open.place.model, other.open.name)
-		candidates = append(candidates, placement.Candidate{
+		candidates = append(candidates, placement.RolloutReplica{
 			Name: other.open.name, Version: agreed.Weights, State: other.state, RunningStreams: other.running(),
 		})
 	}
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -139,7 +139,7 @@
 	return waitqueue.Request{ID: m.number, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
 }
 
-func errorOf(reason paths.Reason) error {
+func errorOf(reason paths.Outcome) error {
 	if reason == paths.NoCapacity {
 		return ErrNoRoom
 	}
@@ -159,7 +159,7 @@
 }
 
 // try books a path, unless others wait who come first. One who finds none waits.
-func (m *Model) try(q Query, w waitqueue.Request, first bool) (Target, paths.Reason, bool) {
+func (m *Model) try(q Query, w waitqueue.Request, first bool) (Target, paths.Outcome, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
