--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -8,29 +8,31 @@
 // Adapter names one version of an adapter.
 type Adapter struct{ Name, Version string }
 
-// Desired is an adapter as the document defines it.
+// Desired is an adapter of a model as the document defines it.
 type Desired struct {
 	Adapter
-	// Bytes is the size of the adapter over all layers.
+	// Bytes is the memory that the adapter takes, summed over all layers.
 	Bytes int64
-	// Replicas is the number of replicas that should hold it.
+	// Replicas is the number of replicas that should hold the adapter.
 	Replicas int
 }
 
-// Replica is the plan and the reported state of a replica.
+// Replica is the plan of a replica with the state that its engines report.
 type Replica struct {
 	Name string
-	// MemoryBytes is the memory for adapters over all layers, including those held.
+	// MemoryBytes is the memory for adapters, summed over all layers. Planned adapters
+	// occupy a part of it.
 	MemoryBytes int64
-	// Planned lists the adapters in its plan, the oldest first; Held lists those
-	// that all its engines report.
+	// Planned lists the adapters in the replica's plan, the oldest first. Held lists the
+	// adapters that all engines of the replica report.
 	Planned, Held []Adapter
 	// Serving replicas hold the layers and weights of their plan. Other replicas get
 	// no adapters.
 	Serving bool
-	// Utilization is the fraction of its slots in use.
+	// Utilization is the fraction of the replica's stream slots that are in use.
 	Utilization float64
-	// UseRate is the number of streams opened per second for each adapter.
+	// UseRate is the number of streams that are opened on the replica per second, by
+	// adapter.
 	UseRate map[Adapter]float64
 }
 
@@ -38,13 +40,16 @@
 type Change struct {
 	Replica  string
 	Adapters []Adapter
-	// Loads and Drops are the differences from the planned set.
+	// Loads lists the adapters that the change adds to the replica's plan, and Drops the
+	// adapters that it removes from the plan.
 	Loads, Drops []Adapter
 	Reason       string
-	// Holders is the number of replicas planned to hold the first of Loads before
-	// the change, and Target the number that should hold it.
+	// Holders is the number of planned holders of the adapter in Loads before the change,
+	// and Target the number of holders that it should have. Both are zero for a change
+	// without Loads.
 	Holders, Target int
-	// Alternatives is the number of other replicas that could have taken the adapter.
+	// Alternatives is the number of other replicas that could have taken the adapter in
+	// Loads.
 	Alternatives int
 }
 
@@ -64,13 +69,14 @@
 )
 
 const (
-	// busyUtilization is the utilization from which a holder counts as busy. Above 0.75 a
-	// queue in front of a batch of 16 begins to form; below, another holder would cost a
-	// load without need.
+	// busyUtilization is the utilization from which a replica counts as busy. Above 0.75,
+	// streams begin to queue for a batch of 16. Below it, another holder of an adapter would
+	// cost a load without need.
 	busyUtilization = 0.75
 )
 
-// Decide returns the changes to make now, at most one per replica.
+// Decide returns the changes to the replicas' plans that should be made now, at most one for
+// each replica.
 func Decide(desired []Desired, replicas []Replica) Result {
 	d := newDecision(desired, replicas)
 	for i := range replicas {
@@ -88,8 +94,8 @@
 	desired        map[Adapter]Desired
 	desiredByName  map[string]Desired
 	replicaChanged []bool
-	// plannedHolders and reportedHolders are the numbers of replicas by adapter. plannedHolders includes the
-	// changes so far.
+	// plannedHolders is the number of replicas whose plan contains an adapter, including the
+	// changes decided so far. reportedHolders is the number of replicas that hold it.
 	plannedHolders, reportedHolders map[Adapter]int
 	useRate                         map[Adapter]float64
 	result                          Result
@@ -123,8 +129,8 @@
 	return d
 }
 
-// dropObsolete drops adapters that the document no longer names, and old versions of
-// adapters of which the replica holds the new version.
+// dropObsolete drops two kinds of adapters from a replica's plan: those that the document no
+// longer names, and old versions if the replica holds the new version.
 func (d *decision) dropObsolete(index int) {
 	r := &d.replicas[index]
 	var drops []Adapter
@@ -143,8 +149,9 @@
 	}
 }
 
-// sortedByNeed returns the desired adapters, ordered by the ratio of planned to desired holders
-// and then by use, most used first.
+// sortedByNeed returns the desired adapters, sorted by the ratio of planned to desired
+// holders, the lowest first. Adapters with equal ratios are sorted by use rate, the highest
+// first.
 func (d *decision) sortedByNeed() []Desired {
 	all := make([]Desired, 0, len(d.desired))
 	for _, want := range d.desired {
@@ -160,8 +167,8 @@
 	return all
 }
 
-// useRateOfAllVersions returns the use rate of all versions of an adapter together, because the new
-// version of a busy adapter is not used yet.
+// useRateOfAllVersions returns the sum of the use rates of all versions of an adapter: the
+// new version of a busy adapter is not used yet and has a rate of zero.
 func (d *decision) useRateOfAllVersions(name string) float64 {
 	rateSum := 0.0
 	for a, rate := range d.useRate {
@@ -172,7 +179,8 @@
 	return rateSum
 }
 
-// addHolders puts an adapter on more replicas if it has too few holders or all are busy.
+// addHolders adds holders of an adapter: the missing ones if it has too few planned holders,
+// and one more if all its holders are busy.
 func (d *decision) addHolders(want Desired) {
 	target, reason := want.Replicas, ReasonTooFew
 	if d.plannedHolders[want.Adapter] >= target {
@@ -191,9 +199,9 @@
 	}
 }
 
-// allBusy reports whether another holder would help: every planned holder holds the
-// adapter and is busy, and the adapter is in use. While a load is underway its effect is
-// not known yet, so no holder is added.
+// allBusy reports whether every planned holder of an adapter holds it and is busy, and the
+// adapter is in use. While a planned holder still loads the adapter, the effect of that load
+// is not known yet, so allBusy returns false.
 func (d *decision) allBusy(a Adapter) bool {
 	if d.reportedHolders[a] < d.plannedHolders[a] || d.useRate[a] == 0 {
 		return false
@@ -206,7 +214,8 @@
 	return true
 }
 
-// addHolder puts an adapter on the best eligible replica, and reports whether there is one.
+// addHolder adds an adapter to the plan of the best eligible replica, and reports whether
+// there is such a replica.
 func (d *decision) addHolder(want Desired, target int, reason string) bool {
 	best, alternatives := -1, 0
 	var drops []Adapter
@@ -232,7 +241,8 @@
 	return true
 }
 
-// eligible reports whether a replica may take an adapter for the given reason.
+// eligible reports whether a replica may become a holder of an adapter for the given
+// reason.
 func (d *decision) eligible(index int, want Desired, reason string) bool {
 	r := &d.replicas[index]
 	if !r.Serving || d.replicaChanged[index] || slices.Contains(r.Planned, want.Adapter) {
@@ -241,9 +251,10 @@
 	return reason != ReasonAllBusy || r.Utilization < busyUtilization
 }
 
-// betterHolder reports whether replica a is betterHolder than b: it prefers the replica that drops
-// fewer adapters, then one with another version of the adapter, so that callers stay on
-// their replicas, then the less busy one.
+// betterHolder reports whether replica a is a better new holder of an adapter than replica b.
+// The better replica is the one that must drop fewer adapters. If both must drop equally
+// many, it is the one that plans another version of the adapter, so that callers stay on
+// their replicas. After that, lower utilization and then fewer planned adapters decide.
 func (d *decision) betterHolder(want Desired, a, dropsA, b, dropsB int) bool {
 	replicaA, replicaB := &d.replicas[a], &d.replicas[b]
 	return cmp.Or(
@@ -255,7 +266,8 @@
 	) < 0
 }
 
-// plansOtherVersion returns 1 if the replica's plan contains a version of the adapter.
+// plansOtherVersion returns 1 if the replica's plan contains some version of the adapter, and
+// otherwise 0.
 func plansOtherVersion(r *Replica, name string) int {
 	if slices.ContainsFunc(r.Planned, func(a Adapter) bool { return a.Name == name }) {
 		return 1
@@ -263,8 +275,9 @@
 	return 0
 }
 
-// evictions returns the adapters that a replica must drop to make room for an adapter, the
-// least used evictable ones, and whether it then has enough memory.
+// evictions returns the adapters that a replica must drop to have memory for another adapter:
+// the least used of its evictable adapters. It returns false if memory would be too small
+// even after all of them are dropped.
 func (d *decision) evictions(index int, want Desired) ([]Adapter, bool) {
 	r := &d.replicas[index]
 	freeBytes := r.MemoryBytes - want.Bytes
@@ -287,9 +300,9 @@
 	return nil, false
 }
 
-// evictable reports whether a replica may drop an adapter: the current version if it has
-// more planned holders than desired, an old version if another replica is planned to hold
-// it or any replica holds the new version.
+// evictable reports whether a replica may drop an adapter. The version in the document may be
+// dropped if it has more planned holders than desired. An old version may be dropped if it
+// has another planned holder or any replica holds the new version.
 func (d *decision) evictable(a Adapter) bool {
 	want := d.desiredByName[a.Name]
 	if want.Adapter == a {
@@ -298,11 +311,12 @@
 	return d.plannedHolders[a] > 1 || d.reportedHolders[want.Adapter] > 0
 }
 
-// sizeBytes returns the sizeBytes of an adapter. An old version is assumed to be as large as the new
-// one.
+// sizeBytes returns the memory that an adapter takes. An old version is assumed to take as
+// much as the version in the document.
 func (d *decision) sizeBytes(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
 
-// addChange adds the addChange of a replica to the result and counts its planned adapters.
+// addChange adds a replica's change to the result and updates plannedHolders for the adapters
+// that it loads and drops.
 func (d *decision) addChange(index int, loads, drops []Adapter, c Change) {
 	r := &d.replicas[index]
 	for _, a := range r.Planned {
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -21,8 +21,8 @@
 	return r
 }
 
-// Without one of these rules, requests for an adapter are refused, queue, or wait for
-// repeated loads.
+// Without any one of these rules, requests for an adapter are refused, wait in a queue, or
+// wait for repeated loads of the adapter.
 func TestDecide(t *testing.T) {
 	loading := serving("a", 100, notes1)
 	loading.Held = nil
@@ -85,8 +85,8 @@
 	return text
 }
 
-// Whatever the memory and the use, changes stay within the memory, never drop the last
-// holder of an adapter, and end within 100 rounds.
+// For any memory and use rates, the planned adapters of a replica fit in its memory, and no
+// adapter loses its last holder. After at most 100 rounds, Decide returns no more changes.
 func TestDecideConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wanted []Desired
@@ -95,13 +95,13 @@
 		}
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
-			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "room"))
-			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "busy")
+			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "memory"))
+			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "utilization")
 			r.UseRate = map[Adapter]float64{}
 			freeBytes := r.MemoryBytes
 			for _, w := range wanted {
 				a := Adapter{w.Name, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")}
-				r.UseRate[a] = rapid.Float64Range(0, 5).Draw(t, "uses")
+				r.UseRate[a] = rapid.Float64Range(0, 5).Draw(t, "use rate")
 				if rapid.Bool().Draw(t, "planned") && freeBytes >= w.Bytes {
 					r.Planned = append(r.Planned, a)
 					freeBytes -= w.Bytes
@@ -129,7 +129,8 @@
 	})
 }
 
-// heldNames returns the names of the adapters of which any replica holds any version.
+// heldNames returns the names of the adapters of which at least one replica holds a
+// version.
 func heldNames(replicas []Replica) map[string]bool {
 	names := map[string]bool{}
 	for _, r := range replicas {
@@ -140,9 +141,9 @@
 	return names
 }
 
-// applyChanges carries out the changes of one round. Adapters that are held and stay planned
-// are held at once; new ones are held only after the next round without a change of their
-// replica.
+// applyChanges carries out the changes of one round. A replica keeps the held adapters that
+// stay in its plan. It holds the new adapters of its plan only after a round without a
+// change for this replica.
 func applyChanges(t *rapid.T, wanted []Desired, replicas []Replica, result Result) {
 	for i := range replicas {
 		r := &replicas[i]
--- a/decide/adapters/doc.go
+++ b/decide/adapters/doc.go
@@ -1,26 +1,36 @@
-// Package adapters decides which replicas of a model hold which adapters.
+// Package adapters decides which replicas of a model hold which adapters. An adapter is a
+// small addition to the weights of a model. A request may ask for a model with one of its
+// adapters.
 //
 //	result := adapters.Decide(desired, replicas)
 //	for _, change := range result.Changes {
 //		// put change.Adapters in the plan by compare-and-swap, then order the engines
 //	}
 //
-// # Load patterns, and the failure without it
+// # Terms
 //
-//   - The dawn rush of one team goes to the two replicas that hold its adapter, while
-//     the other replicas are idle. An adapter whose holders are all busy is placed on one
-//     more replica; otherwise the rush waits for two replicas.
-//   - More adapters than fit in memory are requested in turn. An adapter is never
-//     dropped because it is idle, but only to make room for one with too few holders, and
-//     then the least used of those with more holders than desired. If idle adapters were
-//     dropped at once, they would be fetched again and again from the weight store, whose
-//     rate all loads share.
-//   - A new version of an adapter is loaded beside the old one. The old version stays on a
-//     replica until that replica holds the new one, so that callers always find a
-//     holder. Where memory has no room for both, the old version is dropped first, but
-//     only while another replica holds either version.
+//   - A holder of an adapter is a replica all of whose engines report the adapter. A
+//     planned holder is a replica whose plan contains the adapter.
+//   - The document is the configuration that operators write. It says which adapters a
+//     model has, in which version, and on how many replicas each of them should be.
+//   - A slot is a place for one stream on a replica. A replica is busy if at least
+//     three quarters of its slots are in use (busyUtilization).
 //
-// All functions are pure: reports are arguments and changes are return values. Whether an
-// engine holds an adapter is checked when a stream is sent; this package only makes it
-// likely.
+// # Load patterns, and the failures without this package
+//
+//   - One team opens many streams at the same time. All of them go to the two replicas
+//     that hold the team's adapter, and wait there, while other replicas are idle. So
+//     Decide places an adapter whose holders are all busy on one more replica.
+//   - More adapters than fit in memory are requested in turn. If an adapter were dropped
+//     as soon as it is idle, it would be fetched again and again from the weight store,
+//     whose rate all loads share. So Decide drops an adapter only to make room for
+//     another adapter with too few holders or only busy ones. It then drops the least
+//     used adapter among those with more holders than desired.
+//   - A new version of an adapter is loaded beside the old version. The old version stays
+//     on a replica until that replica holds the new version, so that callers always find
+//     a holder. If memory has no room for both versions, the old version is dropped
+//     first, but only if another replica plans the old version or holds the new version.
+//
+// All functions are pure: reports are arguments and changes are return values. The plan
+// doesn't guarantee that an engine holds an adapter. This is checked when a stream is sent.
 package adapters
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -1,43 +1,47 @@
-// Package freshness decides whether a node may still serve requests on the configuration
-// that it has.
+// Package freshness decides whether a node may still serve requests by the configuration
+// that it has read from the store. The configuration lists the API keys of callers. A
+// confirmation is a read of the store which shows that the node has the newest
+// configuration.
 //
 // Use: keep one Lease per node. When a read of the store has confirmed that the node's
 // configuration is the newest, call Renew with the time at which that read was started.
-// Ask Fresh before sending a request that depends on a key.
+// Call Fresh before a request that depends on an API key is sent to a back end.
 //
 // # Load pattern
 //
-// An operator revokes a key while some nodes can't reach the store, are stalled or have
-// been suspended.
+// An operator revokes an API key. At that time some nodes can't reach the store, are
+// stalled, or are suspended with their machine.
 //
-// # Failure without it
+// # Failure without this package
 //
-// Such a node accepts the key for as long as the outage lasts. After a suspension it
-// serves the requests queued at its sockets before it reads the store.
+// A node that can't reach the store accepts the revoked key for as long as the outage
+// lasts. A node whose machine was suspended serves the requests queued at its sockets
+// before it reads the store again.
 //
-// # Grounds
+// # Grounds for the rules
 //
-// All times are readings of one clock that continues while the machine is suspended. A
-// monotonic clock that stops during suspension would make an old confirmation look
-// recent. The age of a confirmation counts from the start of its read, because the store
-// may have produced the answer at any time after that. So the age is never less than the
-// time for which a newer configuration could have been in force unnoticed, whatever was
-// delayed, and no agreement with other nodes is needed.
+// All times are readings of one clock that continues while the machine is suspended. With
+// a monotonic clock that stops during suspension, an old confirmation would look recent.
+//
+// The age of a confirmation counts from the start of its read, because the store may have
+// produced the answer at any time after the start. A newer configuration that the node
+// doesn't know can't have been in force for longer than this age, however long the answer
+// or the node was delayed. So nodes need not agree with each other.
 package freshness
 
 import "time"
 
-// Lease is a node's right to serve requests on its configuration. The zero value is not
-// fresh. A Lease is not safe for concurrent use; the caller locks.
+// Lease is a node's right to serve requests by its configuration. A Lease without a
+// confirmation is not fresh. A Lease is not safe for concurrent use; the caller locks.
 type Lease struct {
 	// MaxAge is the age at which a confirmation expires.
 	MaxAge      time.Duration
-	confirmedAt time.Duration
-	confirmed   bool
+	confirmedAt time.Duration // start of the read of the newest confirmation
+	confirmed   bool          // whether there has been a confirmation
 }
 
-// Renew records that a read started at readStart has confirmed the configuration as
-// current. Calls may come out of order.
+// Renew records a confirmation whose read was started at readStart. Confirmations may be
+// recorded in another order than that of their reads.
 func (l *Lease) Renew(readStart time.Duration) {
 	if !l.confirmed || readStart > l.confirmedAt {
 		l.confirmedAt, l.confirmed = readStart, true
@@ -49,7 +53,7 @@
 	return now - l.confirmedAt, l.confirmed
 }
 
-// Fresh reports whether requests may be served on the configuration.
+// Fresh reports whether the node may serve requests by its configuration at the time now.
 func (l *Lease) Fresh(now time.Duration) bool {
 	age, ok := l.Age(now)
 	return ok && age < l.MaxAge
--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// No node accepts a revoked key for longer than MaxAge. The age counts from the start of the
-// read: a node that was stalled while the answer was on its way must not count from the
-// arrival of the answer.
+// Without a limit on the age of its confirmation, a node that can't reach the store accepts a
+// revoked API key for the whole outage. The age counts from the start of the read. If it
+// counted from the arrival of the answer, a node that was stalled before the arrival would
+// accept the key for longer than MaxAge.
 func TestLeaseExpiresAtMaxAge(t *testing.T) {
 	l := Lease{MaxAge: 4 * time.Second}
 	if l.Fresh(0) {
@@ -29,7 +30,8 @@
 	}
 }
 
-// A late answer to an older read doesn't change the age of the newest confirmation.
+// The answer to an older read arrives after the answer to a newer read. The age of the newest
+// confirmation must not change.
 func TestRenewalsOutOfOrder(t *testing.T) {
 	l := Lease{MaxAge: time.Second}
 	l.Renew(5 * time.Second)
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// minCapacity returns the capacity of the layer that has the least, which is the number of
-// tokens that the domain can hold at once. It is zero if some layer has no holder.
+// minCapacity returns the token capacity of the layer that has the least. This is the number
+// of tokens that the domain can hold at once. minCapacity returns zero if a layer has no
+// holder.
 func minCapacity(m Model, replicas []Replica) float64 {
 	c := newCoverage(m, replicas)
 	lowest := math.Inf(1)
@@ -24,13 +25,14 @@
 	return lowest
 }
 
-// bestCapacity returns the highest capacity of all plans in which each replica holds a span
-// that fits in its memory.
+// bestCapacity returns the highest minCapacity of all plans that give a span which fits in
+// memory, or none, to each replica from index on. The replicas before index keep their
+// spans.
 func bestCapacity(m Model, replicas []Replica, index int) float64 {
 	if index == len(replicas) {
 		return minCapacity(m, replicas)
 	}
-	highest := bestCapacity(m, replicas, index+1) // it holds nothing
+	highest := bestCapacity(m, replicas, index+1) // this replica holds no layers
 	for n := 1; n <= m.MaxLayers(replicas[index].MemoryMB, 1); n++ {
 		for from := 0; from+n <= m.Layers; from++ {
 			replicas[index].Held = Span{from, from + n}
@@ -41,9 +43,9 @@
 	return highest
 }
 
-// On small cases the plan is compared with all possible plans. It gives up capacity for
-// second holders of layers, so it may have less than the best, but on average at least
-// half.
+// On small domains the capacity of the plan (minCapacity) is compared with the best of all
+// possible plans. Plan prefers second holders of layers to capacity, so its capacity may be
+// lower than the best. On average over the cases it must be at least half of the best.
 func TestPlanAgainstAllPlans(t *testing.T) {
 	small := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
 	sumOfRatios, caseCount := 0.0, 0
@@ -63,7 +65,7 @@
 		}
 		sumOfRatios, caseCount = sumOfRatios+planCapacity/highest, caseCount+1
 	}
-	// With only 70 cases the mean differs by a tenth between runs.
+	// With only 70 cases, the mean ratio of capacities differs by a tenth between runs.
 	const casesPerDraw = 3
 	rapid.Check(t, func(t *rapid.T) {
 		for range casesPerDraw {
@@ -76,8 +78,9 @@
 	}
 }
 
-// consecutiveSpans gives replicas adjoining spans, each as long as fits in the given
-// fraction of its memory, and starts again at the first layer after the last.
+// consecutiveSpans gives each replica the span that follows the span of the replica before.
+// The length of a span is what MaxLayers returns for the memory fraction. No span
+// extends past the last layer, and the span after the last layer begins at the first layer.
 func consecutiveSpans(m Model, replicas []Replica, memoryFraction float64) []Replica {
 	next := 0
 	for i := range replicas {
@@ -88,8 +91,9 @@
 	return replicas
 }
 
-// The plan is compared with naive plans for a typical domain by the capacity of the layer
-// that has the least, and by the number of replicas whose loss leaves all layers covered.
+// The plan for a typical domain is compared with simpler plans by the token capacity of the
+// layer that has the least. The test also logs how many replicas are expendable: the loss
+// of one such replica leaves all layers covered.
 func TestPlanAgainstNaivePlans(t *testing.T) {
 	sortedByMemory := func(replicas []Replica) []Replica {
 		slices.SortStableFunc(replicas, func(a, b Replica) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
@@ -132,8 +136,8 @@
 	}
 }
 
-// layersOnGrid returns the number of layers that a card holds if spans must be multiples of
-// the grid, or all that fit if that is less than one multiple.
+// layersOnGrid returns the number of layers that a card holds if the length of a span must be
+// a multiple of gridLayers. If fewer than gridLayers fit, it returns the number that fits.
 func layersOnGrid(memoryMB float64, gridLayers int) int {
 	return max(1, model.MaxLayers(memoryMB, 1)/gridLayers) * min(gridLayers, model.MaxLayers(memoryMB, 1))
 }
--- a/decide/layers/coverage.go
+++ b/decide/layers/coverage.go
@@ -5,12 +5,13 @@
 	"slices"
 )
 
-// coverage is the state of a domain while a plan is made.
+// coverage is the state of a failure domain while Plan computes orders. Spans change in it
+// as if the orders were carried out at once.
 type coverage struct {
 	model    Model
 	replicas []Replica
-	capacity []float64 // tokens by layer, summed over holders
-	holders  []int     // holders by layer
+	capacity []float64 // by layer, the token capacity of its holders together
+	holders  []int     // by layer, the number of its holders
 }
 
 func newCoverage(model Model, replicas []Replica) *coverage {
@@ -20,7 +21,8 @@
 		capacity: make([]float64, model.Layers),
 		holders:  make([]int, model.Layers),
 	}
-	// Large replicas come first, so that small ones fill the remaining gaps.
+	// Replicas with much memory come first, so that the small replicas fill the remaining
+	// gaps.
 	slices.SortStableFunc(c.replicas, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(b.MemoryMB, a.MemoryMB), cmp.Compare(a.ID, b.ID))
 	})
@@ -30,8 +32,8 @@
 	return c
 }
 
-// addContribution adds what a replica contributes to its layers, or subtracts it if sign
-// is -1.
+// addContribution adds the replica to the holders of the layers that it holds and its token
+// capacity to the capacity of these layers. It subtracts both if sign is -1.
 func (c *coverage) addContribution(r *Replica, sign int) {
 	if r.Excluded || r.Held.Empty() {
 		return
@@ -43,7 +45,8 @@
 	}
 }
 
-// activeHolders returns the number of replicas that hold layers and are not excluded.
+// activeHolders returns the number of replicas that hold layers and are not excluded from
+// planning.
 func (c *coverage) activeHolders() int {
 	n := 0
 	for _, r := range c.replicas {
@@ -54,7 +57,7 @@
 	return n
 }
 
-// gaps returns the spans without a holder.
+// gaps returns the spans of layers that have no holder.
 func (c *coverage) gaps() []Span {
 	var gaps []Span
 	for l := 0; l < c.model.Layers; l++ {
@@ -70,7 +73,7 @@
 	return gaps
 }
 
-// assign gives a replica a span and returns the order for it.
+// assign changes the span of a replica and returns the order for that.
 func (c *coverage) assign(r *Replica, span Span, reason string) Order {
 	c.addContribution(r, -1)
 	r.Held = span
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -1,6 +1,7 @@
 package layers
 
-// fillEmpty gives each empty replica the window of layers that gains most.
+// fillEmpty gives each replica without layers the window of layers with the highest gain
+// from one more holder.
 func (c *coverage) fillEmpty() []Order {
 	var orders []Order
 	for i := range c.replicas {
@@ -14,9 +15,10 @@
 	return orders
 }
 
-// bestWindow returns the window of n layers that gains most from a holder. Among equal
-// windows that contain layers without a holder it returns the first, so that spans adjoin
-// and leave no gaps too small for a replica; among other equal windows the last.
+// bestWindow returns the window of n layers with the highest sum of gains (layerGain) from
+// one more holder with the given memory. Of windows with equal sums that contain a layer
+// without a holder, it returns the first: so spans adjoin, and no gap is left that is too
+// small for a replica. Of other windows with equal sums it returns the last.
 func (c *coverage) bestWindow(n int, memoryMB float64) Span {
 	addedCapacity := c.model.TokenCapacity(memoryMB, n)
 	best, bestGain := Span{0, n}, -1.0
@@ -32,19 +34,23 @@
 	return best
 }
 
-// gainTolerance is the difference in gain below which windows count as equal.
+// gainTolerance is the difference between two sums of gains up to which they count as
+// equal.
 const gainTolerance = 1e-9
 
 const (
-	// uncoveredGain outweighs any gain of layers that have a holder.
+	// uncoveredGain is the gain of a layer from its first holder. It outweighs the gain of
+	// layers that have a holder.
 	uncoveredGain = 100
-	// secondHolderGain is the gain from a second holder beyond its capacity: the loss of
-	// one replica no longer stops the domain.
+	// secondHolderGain is the gain of a layer from a second holder, in addition to the gain
+	// from the capacity: the loss of one replica no longer stops the domain.
 	secondHolderGain = 0.5
 )
 
-// layerGain returns the gain of a layer from a holder that adds the given capacity: the
-// fraction of the new capacity that is added, and more for the first and second holder.
+// layerGain returns the gain of a layer from one more holder: how much the plan prefers to
+// place a holder there. The gain is addedCapacity divided by the layer's capacity with it.
+// For a layer with one holder secondHolderGain is added. For a layer without a holder the
+// gain is uncoveredGain.
 func (c *coverage) layerGain(layer int, addedCapacity float64) float64 {
 	if c.holders[layer] == 0 {
 		return uncoveredGain
@@ -56,8 +62,8 @@
 	return gain
 }
 
-// shrinkOverfilled lets replicas that hold more than TargetFill give back layers that have other
-// holders.
+// shrinkOverfilled takes layers that have other holders from replicas that hold more layers
+// than TargetFill allows.
 func (c *coverage) shrinkOverfilled() []Order {
 	var orders []Order
 	for i := range c.replicas {
@@ -80,5 +86,5 @@
 	return orders
 }
 
-// minShrinkLayers is the minimum number of layers that justifies an order.
+// minShrinkLayers is the minimum number of layers for which shrinkOverfilled gives an order.
 const minShrinkLayers = 2
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -6,44 +6,58 @@
 // orders have been carried out, it returns no further orders as long as the caller
 // passes the ordered spans in Replica.Held.
 //
+// # Terms
+//
+//   - A span is a range of consecutive layers. A replica holds one span, or none.
+//   - A replica is a holder of each layer of its span, unless it is excluded.
+//   - An excluded replica takes no part in the plan: it is draining, lost, or of a kind of
+//     card with unknown memory. It may still serve.
+//   - A gap is a span of layers without a holder. The neighbours of a gap are the replicas
+//     whose spans end where the gap begins, or begin where the gap ends.
+//   - A redundant replica is one whose layers all have another holder.
+//   - The token capacity of a replica is the number of tokens whose KV cache fits beside
+//     the weights of its layers. The capacity of a layer is the sum of those of its
+//     holders.
+//
 // # Load pattern
 //
-// A fleet of different cards, each too small for the model, of which some are lost,
-// drained or added at any time. Requests run through all layers inside one failure
-// domain, because the links between domains carry only a fraction of the data that
+// A fleet has different kinds of cards, each too small for the model. At any time some
+// cards are lost, drained or added. Requests run through all layers inside one failure
+// domain, because the links between domains can carry only a fraction of the data that
 // passes between layers.
 //
-// # Failure without it
+// # Failure without this package
 //
-// With equal numbers of layers, some domains don't cover all layers or fast cards are
-// idle. Cards filled completely have no memory for requests, which use what the weights
-// leave. The loss of one card stops its whole domain.
+// If all cards hold equal numbers of layers, some domains don't cover all layers, or fast
+// cards are idle. Requests use the memory that the weights leave, so a card that is filled
+// with weights has none for requests. The loss of one card stops its whole domain.
 //
 // # Rules
 //
-//   - Every card holds the same fraction of the layers that fit (TargetFill), so the
-//     capacity for requests is about the same on all cards and no span is the
-//     bottleneck. Layers held beyond one full copy are second holders.
-//   - An empty card takes the window of layers that gains most from a holder: first
-//     layers without a holder, then those with the least capacity.
-//   - If layers have no holder and there is no empty card, a card whose own layers all
-//     have other holders moves to the gap, and the neighbours take the rest: they load
-//     only the missing layers and go on serving what they hold. Neighbours that take
-//     over many layers become the bottleneck of their domain, so they come second, and
-//     they give layers back once another card holds them.
+//   - Every card holds the same fraction of the layers that fit on it (TargetFill), so
+//     the token capacity is about the same on all cards. No card is the bottleneck, which
+//     limits the number of tokens of its whole domain. Cards beyond one full copy of the
+//     model become second holders of layers.
+//   - An empty card takes the window of layers with the highest gain from one more
+//     holder: first layers without a holder, then layers with the least capacity.
+//   - If there is a gap and no empty card, a redundant card moves to the gap. The
+//     neighbours take the rest of the gap: they load only the missing layers and go on
+//     serving the layers that they hold. A neighbour that takes over many layers becomes
+//     the bottleneck of its domain. So neighbours take layers of a large gap
+//     (smallGapLayers) only after cards have moved there. The neighbours give the layers
+//     back once another card holds them.
 //   - Second holders are placed at the last layers. Requests can't be rerouted away from
 //     their first replica, so a card that holds the first layers takes long to move.
 //
-// Nothing is moved for balance alone, because a load takes seconds of the weight store
-// and interrupts the prompts that run through the card.
+// Plan moves no layers for balance alone, because a load occupies the weight store for
+// seconds and interrupts the prompts that run through the card.
 package layers
 
 import "math"
 
-// Span is the half-open range of layers from From to To.
+// Span is the range of layers from From, inclusive, to To, exclusive.
 type Span struct{ From, To int }
 
-// Len returns the number of layers.
 func (s Span) Len() int { return s.To - s.From }
 
 // Empty reports whether the span contains no layer.
@@ -52,25 +66,26 @@
 // Covers reports whether s contains all layers of t.
 func (s Span) Covers(t Span) bool { return s.From <= t.From && t.To <= s.To }
 
-// Model describes a model for the plan.
+// Model describes the number and memory of a model's layers.
 type Model struct {
 	Layers int
-	// LayerMB is the memory of a layer's weights and TokenLayerMB that of one token in
-	// one layer, both in megabytes.
+	// LayerMB is the memory of one layer's weights, and TokenLayerMB is the memory of one
+	// token's KV cache in one layer. Both are in megabytes.
 	LayerMB, TokenLayerMB float64
 }
 
-// Replica is a replica as the plan sees it.
+// Replica is what Plan needs to know of a replica, which runs on one card.
 type Replica struct {
 	ID string
-	// MemoryMB is the memory for weights and requests.
+	// MemoryMB is the memory of the card for weights and requests, in megabytes.
 	MemoryMB float64
-	// Held is the span that the replica holds, or was ordered to hold and has not
-	// reported yet.
+	// Held is the span that the replica reports. If the replica has an order whose span it
+	// has not reported yet, Held is the span of the order.
 	Held Span
-	// Fixed replicas take no order now: they carry one out, or their state is uncertain.
+	// Fixed replicas count as holders but get no order now, because an earlier order is not
+	// finished or its outcome is not known.
 	Fixed bool
-	// Excluded replicas don't count as holders and take no order.
+	// Excluded replicas don't count as holders and get no order.
 	Excluded bool
 }
 
@@ -78,7 +93,7 @@
 type Order struct {
 	ID   string
 	Hold Span
-	// Reason is one of the Reason constants, for the log.
+	// Reason is one of the Reason constants. It is written to the log.
 	Reason string
 }
 
@@ -91,14 +106,15 @@
 )
 
 const (
-	// TargetFill is the fraction of the layers that fit on a replica which it is given.
-	// The rest of its memory holds some hundred requests of usual size on any card, so
-	// that two of three domains can carry the load of all. The replicas of a domain then
-	// hold more than one copy of the model, and half of them may be lost, one at a time,
-	// without a gap.
+	// TargetFill is the fraction of the layers that fit on a card which Plan gives to its
+	// replica. The rest of the memory holds some hundred requests of usual size on any
+	// card, so that two of three domains can carry the load of all three. The replicas of a
+	// domain then hold more than one copy of the model. Half of them may be lost, one at a
+	// time, without a gap.
 	TargetFill = 0.74
-	// MaxFill bounds what a neighbour takes over. It leaves memory for 26,000 tokens,
-	// about 30 requests of usual size.
+	// MaxFill is the fraction of the layers that fit on a card which a neighbour may hold
+	// after it has taken over layers of a gap. It leaves memory for 26,000 tokens, about 30
+	// requests of usual size.
 	MaxFill = 0.9
 )
 
@@ -117,8 +133,8 @@
 
 // finalOrders keeps the last order of each replica and drops orders for spans that the
 // replica already holds. A replica that moves to a gap may also take the rest of the gap
-// in the same plan. Two orders given at once would name the same order count, and the
-// replica would accept whichever arrives first.
+// in the same plan, and then has two orders. Two orders sent at once would carry the same
+// order count, and the replica would accept the one that arrives first.
 func finalOrders(orders []Order, replicas []Replica) []Order {
 	held := make(map[string]Span, len(replicas))
 	for _, r := range replicas {
@@ -137,19 +153,21 @@
 	return final
 }
 
-// FullyCovered reports whether each layer has a holder that is not excluded.
+// FullyCovered reports whether each layer of the model has a holder. Excluded replicas don't
+// count as holders.
 func FullyCovered(model Model, replicas []Replica) bool {
 	return len(newCoverage(model, replicas).gaps()) == 0
 }
 
-// MaxLayers returns the number of layers that fit in a fraction of a card's memory.
+// MaxLayers returns the given fraction of the number of layers whose weights fit in
+// memoryMB: rounded, at least 1 and at most all layers of the model.
 func (m Model) MaxLayers(memoryMB, memoryFraction float64) int {
 	fittingLayers := int(memoryMB / m.LayerMB)
 	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*memoryFraction))))
 }
 
-// TokenCapacity returns the number of tokens for which the memory beside n layers has
-// room, each token in all n layers.
+// TokenCapacity returns the number of tokens whose KV cache for n layers fits in memoryMB
+// beside the weights of these layers.
 func (m Model) TokenCapacity(memoryMB float64, n int) float64 {
 	if n <= 0 {
 		return 0
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// model has 80 layers and the memory per token and layer of a typical site.
+// model has the number of layers and the memory per layer and token of a typical site.
 var model = Model{Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375}
 
-// Memory of the kinds of cards, in megabytes.
+// Memory of a card for weights and requests, in megabytes, by kind of card.
 const (
 	h100MB = 72000
 	a100MB = 36000
@@ -54,13 +54,13 @@
 	return out
 }
 
-// The first plan of an empty domain covers all layers and leaves capacity for requests on
-// every replica.
+// The first plan of a domain whose replicas hold no layers covers all layers. It leaves
+// memory for at least 80,000 tokens on every replica.
 func TestFirstPlanCoversAllLayers(t *testing.T) {
 	for name, replicas := range map[string][]Replica{
-		"one fast card": replicasWithMemory(h100MB, a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
-		"no fast card":  typicalDomain(),
-		"two middling":  replicasWithMemory(a100MB, a100MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
+		"one fast card":            replicasWithMemory(h100MB, a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
+		"no fast card":             typicalDomain(),
+		"two cards of middle size": replicasWithMemory(a100MB, a100MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
 	} {
 		replicas = applyOrders(replicas, Plan(model, replicas))
 		if !FullyCovered(model, replicas) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// A plan computed again from the ordered spans gives no second order. This happens when
-// another node takes over, or before the replicas have reported.
+// Another node takes over, or the replicas have not reported their new spans yet, and the
+// plan is computed again from the ordered spans. The second plan must contain no order.
 func TestPlanIsStable(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
@@ -84,8 +84,9 @@
 	}
 }
 
-// While layers have no holder, the requests of the domain must run in or cross to another
-// domain. Whichever replica is lost, one round of orders must close the gap.
+// While layers have no holder, the requests of the domain must run in another domain or
+// cross to it. After the loss of any one replica, the orders of one plan must close the
+// gap.
 func TestAnyLossIsRepaired(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
@@ -99,8 +100,9 @@
 	}
 }
 
-// A replica that has taken over layers of its neighbour has less capacity and limits the
-// whole domain. Once another replica holds these layers, it gives them back.
+// A replica that has taken over layers of its neighbour has less token capacity and limits
+// the whole domain. Once another replica holds these layers, the plan takes them from the
+// replica again.
 func TestExtraLayersAreGivenBack(t *testing.T) {
 	replicas := []Replica{
 		{ID: "a", MemoryMB: l4MB, Held: Span{0, 11}}, // more than TargetFill
@@ -115,8 +117,9 @@
 	}
 }
 
-// An excluded replica, for example one that is draining, doesn't count as a holder: other
-// replicas hold its layers before it leaves, and it gets no order.
+// If a draining replica counted as a holder, its layers would have no holder after it has
+// left. So other replicas are ordered to hold the layers of an excluded replica, and the
+// excluded replica gets no order.
 func TestExcludedReplicaIsReplaced(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
@@ -162,7 +165,7 @@
 				}
 			}
 			replicas = applyOrders(replicas, orders)
-			if rapid.Bool().Draw(t, "lose") && len(replicas) > 4 {
+			if rapid.Bool().Draw(t, "lose a replica") && len(replicas) > 4 {
 				replicas = replicas[1:]
 			} else {
 				replicas = append(replicas, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4MB})
@@ -171,8 +174,9 @@
 	})
 }
 
-// The plan is compared with spans of equal length by the capacity of the layer that has
-// the least. Equal spans fill the small replicas and leave the large ones idle.
+// The plan is compared with spans of equal length by the token capacity of the layer that
+// has the least. Equal spans fill the small replicas and leave most memory of the large
+// replicas unused.
 func TestCapacityAgainstEqualSpans(t *testing.T) {
 	replicas := typicalDomain()
 	planned := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
@@ -186,11 +190,11 @@
 	}
 }
 
-// A plan may give a replica two orders: to move to a gap, and then, as a neighbour of the
-// rest of the gap, to take that too. Both orders would go out at once with the same order
-// count, and the replica would accept whichever arrives first. If that is the shorter span,
-// the rest of the gap stays without a holder until the next plan. So a plan contains at
-// most one order for each replica.
+// A replica may get two orders in one plan: to move to a gap and, as a neighbour of the rest
+// of the gap, to take that rest too. Both orders would be sent at once with the same order
+// count, and the replica would accept the one that arrives first. If that order has the
+// shorter span, the rest of the gap has no holder until the next plan. So a plan must
+// contain at most one order for each replica.
 func TestNoReplicaIsOrderedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var replicas []Replica
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -2,7 +2,9 @@
 
 import "math"
 
-// repair closes gaps: redundant replicas move to large gaps, and neighbours take the rest.
+// repair closes gaps: redundant replicas move to gaps of at least smallGapLayers, and
+// neighbours take the rest. If the neighbours can't take all of a rest, a redundant replica
+// moves there too.
 func (c *coverage) repair(gaps []Span) []Order {
 	var orders []Order
 	for _, gap := range gaps {
@@ -25,13 +27,15 @@
 	return orders
 }
 
-// smallGapLayers is the size from which a gap is not left to the neighbours. Two layers
-// each don't make them the bottleneck.
+// smallGapLayers is the number of layers from which a redundant replica moves to a gap. A
+// smaller gap costs its two neighbours about two layers each, which doesn't make them the
+// bottleneck.
 const smallGapLayers = 4
 
-// extendNeighbours lets the replicas on both sides of a gap take it layer by layer, the one with
-// more capacity first, and returns the rest of the gap. If both are full, one of them
-// passes the layer at its far end on to the next replica.
+// extendNeighbours gives the layers of a gap to its neighbours, one layer at a time, each to
+// the neighbour with more token capacity left. If all neighbours are full, one of them takes
+// the layer and gives up the layer at the other end of its span. extendNeighbours returns
+// the orders and the remaining gap.
 func (c *coverage) extendNeighbours(gap Span) ([]Order, Span) {
 	originalSpans := map[*Replica]Span{}
 	for !gap.Empty() {
@@ -57,7 +61,8 @@
 	return orders, gap
 }
 
-// reassign gives a replica another span and records in before what it held at first.
+// reassign changes the span of a replica. originalSpans keeps the span that the replica held
+// before its first change.
 func (c *coverage) reassign(r *Replica, span Span, originalSpans map[*Replica]Span) {
 	if _, ok := originalSpans[r]; !ok {
 		originalSpans[r] = r.Held
@@ -67,8 +72,8 @@
 	c.addContribution(r, 1)
 }
 
-// bestNeighbour returns the replica that has the most capacity left after it takes the
-// first or last layer of the gap, with its new span, or nil if none may take one.
+// bestNeighbour returns the neighbour that has the most token capacity left after it takes a
+// layer of the gap, with its new span. It returns nil if no neighbour may take a layer.
 func (c *coverage) bestNeighbour(gap Span) (*Replica, Span) {
 	var best *Replica
 	var bestSpan Span
@@ -86,11 +91,13 @@
 	return best, bestSpan
 }
 
-// maxShiftedReplicas is the maximum number of replicas over which a layer is passed on.
+// maxShiftedReplicas is the maximum number of further replicas whose spans shift so that a
+// neighbour can take one layer of a gap.
 const maxShiftedReplicas = 6
 
-// shiftNeighbour lets a full replica beside the gap take a layer and pass the layer at its
-// far end on.
+// shiftNeighbour gives a layer of the gap to a full neighbour, which gives up the layer at
+// the other end of its span. It returns the neighbour and its new span, or nil if there is
+// no neighbour that can do this.
 func (c *coverage) shiftNeighbour(gap Span, originalSpans map[*Replica]Span) (*Replica, Span) {
 	for i := range c.replicas {
 		r := &c.replicas[i]
@@ -102,9 +109,10 @@
 	return nil, Span{}
 }
 
-// shift gives a replica a span that is one layer longer than before. If the span exceeds
-// MaxFill, the replica gives up the layer at the other end, which must have another holder
-// or be taken by the next replica. shift reports whether this succeeded.
+// shift gives a replica a span that is one layer longer than the span it holds. If the
+// replica may not hold that many layers (MaxFill), it gives up the layer at the other end.
+// That layer must have another holder, or an adjacent replica must take it, for which spans
+// of at most replicasLeft replicas may shift in turn. shift reports whether it succeeded.
 func (c *coverage) shift(r *Replica, span Span, originalSpans map[*Replica]Span, replicasLeft int) bool {
 	if span.Len() <= c.model.MaxLayers(r.MemoryMB, MaxFill) {
 		c.reassign(r, span, originalSpans)
@@ -135,8 +143,8 @@
 	return false
 }
 
-// extendedSpan returns the span of a replica extended by one layer of an adjacent gap, and whether
-// the gap is adjacent and the replica may take an order.
+// extendedSpan returns the span of a replica extended by one layer of a gap. It returns false
+// if the gap is not adjacent to the span or the replica gets no order now.
 func (c *coverage) extendedSpan(r *Replica, gap Span) (Span, bool) {
 	if r.Excluded || r.Fixed || r.Held.Empty() {
 		return Span{}, false
@@ -144,7 +152,8 @@
 	return extendByOneLayer(r.Held, gap)
 }
 
-// extendByOneLayer returns held extended by one layer of the gap, and whether they are adjacent.
+// extendByOneLayer returns a held span extended by one layer of a gap, and whether the span
+// and the gap are adjacent.
 func extendByOneLayer(held, gap Span) (Span, bool) {
 	switch {
 	case held.To == gap.From:
@@ -155,9 +164,9 @@
 	return held, false
 }
 
-// moveRedundant gives the beginning of a gap to a replica whose layers all have another holder. It
-// prefers the smallest replica, which has the least traffic to finish before it moves, and
-// takes one that holds the first layer only if there is no other.
+// moveRedundant gives the beginning of a gap to a redundant replica. It prefers the replica
+// with the least memory, which has the least traffic to finish before it moves. It moves a
+// replica that holds the first layer only if there is no other redundant replica.
 func (c *coverage) moveRedundant(gap Span) (Order, bool) {
 	var best *Replica
 	bestCost := math.Inf(1)
--- a/decide/paths/path.go
+++ b/decide/paths/path.go
@@ -15,11 +15,11 @@
 	Layers  layers.Span
 }
 
-// Path runs each layer once and in order.
+// Path lists the stages of a request, in the order in which it runs through them.
 type Path []Stage
 
 // Covers reports whether the path runs each layer of the span exactly once and in
-// order, with no replica twice. Engines don't check this.
+// order, and contains no replica twice. Engines don't check that each layer runs once.
 func (p Path) Covers(span layers.Span) bool {
 	next := span.From
 	seen := make(map[string]bool, len(p))
@@ -33,7 +33,7 @@
 	return next == span.To
 }
 
-// Crossings returns the number of hops from one failure domain to another.
+// Crossings returns the number of hops between stages in different failure domains.
 func (p Path) Crossings() int {
 	n := 0
 	for i := 1; i < len(p); i++ {
@@ -44,7 +44,8 @@
 	return n
 }
 
-// String formats the path for log lines: each replica with its layers.
+// String formats the path for log lines: each replica with the layers that it runs, the
+// last layer exclusive.
 func (p Path) String() string {
 	var b strings.Builder
 	for i, stage := range p {
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -10,14 +10,15 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// Replica is a replica as it is listed.
+// Replica is a replica as the list of replicas describes it.
 type Replica struct {
 	ID string
 	// Incarnation changes when the replica restarts under the same ID.
 	Incarnation int64
 	Address     string
-	Domain      string
-	Holds       layers.Span
+	// Domain is the failure domain of the replica.
+	Domain string
+	Holds  layers.Span
 	// Capacity is the KV cache memory for requests, in tokens times layers.
 	Capacity float64
 	// LayerMillis is the time of one decode step through one layer.
@@ -26,34 +27,37 @@
 	PrefillMillis float64
 	// Draining replicas accept no new requests.
 	Draining bool
-	// Revision rises with each report of the replica.
+	// Revision rises with each report that the replica makes of its layers.
 	Revision int64
 }
 
-// Outcome is the outcome of Choose: a path was found, or why there is none.
+// Outcome says whether Choose found a path and, if it found none, why.
 type Outcome uint8
 
 const (
-	// Found means that there is a path.
+	// Found means that Choose returned a path.
 	Found Outcome = iota
-	// LayersUnavailable means that some layer has no usable holder.
+	// LayersUnavailable means that some layer has no usable holder: each holder is draining,
+	// suspected, excluded by the query, or doesn't hold the layers that it is listed with.
 	LayersUnavailable
-	// NoCapacity means that the usable holders of some layer are full or backed off.
+	// NoCapacity means that the usable holders of some layer have no free capacity or are in
+	// a backoff period.
 	NoCapacity
 )
 
-// String names the reason for log lines.
-func (r Outcome) String() string {
-	return [...]string{"found", "layers without a usable holder", "no room"}[r]
+// String returns the outcome as log lines show it.
+func (o Outcome) String() string {
+	return [...]string{"found", "layers without a usable holder", "no room"}[o]
 }
 
 // Query describes the path that a request needs.
 type Query struct {
-	// Domain is the failure domain of this node.
+	// Domain is the failure domain of the node that sends the request.
 	Domain string
-	// Layers is the span to run: all layers of the model for a new request.
+	// Layers is the span that the path must run. For a new request these are all layers of
+	// the model.
 	Layers layers.Span
-	// Tokens is the expected maximum of tokens that the request keeps in the KV cache.
+	// Tokens is the expected maximum number of tokens that the request keeps in the KV cache.
 	Tokens float64
 	// Exclude lists replicas that the path must not use.
 	Exclude []string
@@ -64,44 +68,49 @@
 const (
 	// MaxStages is the maximum number of stages that an engine accepts in a path.
 	MaxStages = 32
-	// hopMillis is the time from one replica to the next in a failure domain: two
+	// hopMillis is the time of a hop between two replicas of one failure domain: two
 	// transfers and the wait for the next step of the receiving replica.
 	hopMillis = 0.5
-	// crossDomainMillis is the cost of a hop between failure domains within a path.
+	// crossDomainMillis is the cost of a hop from a stage to a stage in another failure
+	// domain.
 	crossDomainMillis = 150
 	// remoteEntryMillis is the cost of a first stage outside this node's failure domain.
 	remoteEntryMillis = 12
-	// slowLayerMillis is the time of a layer on a slow card. The price of capacity is a
-	// multiple of it.
+	// slowLayerMillis is the time of one decode step through one layer on a slow card. The
+	// price of capacity is a multiple of this time.
 	slowLayerMillis = 0.17
-	// maxUtilization bounds the reservations on a replica, as a fraction of this node's
-	// share of the capacity. It is over 1 because nodes are seldom all full at the same
-	// time. If they are, the replica refuses requests and the usable fraction shrinks.
+	// maxUtilization bounds the reservations on a replica, as a fraction of the capacity
+	// that this node and its reporting peers may reserve. The bound is over 1 because nodes
+	// seldom use all of their shares at the same time. If they do, the replica refuses
+	// requests and the usable fraction of the capacity (usableFraction) shrinks.
 	maxUtilization = 1.1
-	// costJitter is the fraction by which costs vary at random, so that nodes which see the
-	// same replicas don't all choose the same one.
+	// costJitter is the largest random increase of a replica's cost, as a fraction of the
+	// cost. Without it, nodes that see the same replicas would all choose the same replica.
 	costJitter = 0.1
 )
 
 // replicaState is a listed replica with what this node knows of it.
 type replicaState struct {
 	Replica
-	reserved       float64 // by this node's requests, in tokens times layers
+	reserved       float64 // capacity that this node has reserved, in tokens times layers
 	usableFraction usableFraction
-	// suspected is set while the replica looks dead; hostUnreachable is set if its machine
-	// doesn't answer either.
+	// suspected is set while the replica looks dead; hostUnreachable is set if the machine
+	// of the suspected replica doesn't answer either.
 	suspected, hostUnreachable bool
 	suspectedSince             time.Time
-	// layersMissing is set if the replica doesn't hold the layers that it is listed with,
-	// until its next report.
+	// layersMissing is set if the replica doesn't hold the layers that it is listed with. The
+	// next report of the replica clears it.
 	layersMissing bool
-	avoidUntil    time.Time
-	backoff       backoff
-	prefill       prefillBacklog
-	// slowdown is over 1 for a replica that is slower than its kind of card.
+	// avoidUntil is the time until which avoidFactor raises the cost of the replica.
+	avoidUntil time.Time
+	backoff    backoff
+	prefill    prefillBacklog
+	// slowdown is the replica's step time divided by the usual step time of its kind of
+	// card, and at least 1.
 	slowdown float64
-	// peerReserved is what other nodes have reserved according to their last reports.
-	// reservedAtReport is what this node had reserved when it received them.
+	// peerReserved is what peers have reserved according to their last reports.
+	// reservedAtReport is what this node itself had reserved when it received those reports.
+	// Both are in tokens times layers.
 	peerReserved, reservedAtReport float64
 }
 
@@ -109,15 +118,15 @@
 // concurrent use.
 type Selector struct {
 	replicas map[string]*replicaState
-	sorted   []*replicaState // by ID, so that iteration is deterministic
-	shares   map[string]float64
-	// reportingPeers is the number of other nodes, by failure domain, whose reservations
-	// are known.
+	sorted   []*replicaState    // by ID, so that iteration is deterministic
+	shares   map[string]float64 // this node's share of the capacity, by failure domain
+	// reportingPeers is the number of peers whose reservations are known, by failure domain.
 	reportingPeers map[string]int
 	random         *rand.Rand
 }
 
-// New returns a Selector without replicas. Each node passes a different seed.
+// New returns a Selector without replicas. Each node must pass a different seed, because
+// the seed determines the random part of the costs.
 func New(seed uint64) *Selector {
 	return &Selector{
 		replicas:       map[string]*replicaState{},
@@ -127,8 +136,9 @@
 	}
 }
 
-// Update replaces the list of replicas. The state of a replica is kept as long as its
-// incarnation is the same; a replica that restarted under its ID starts without state.
+// Update replaces the list of replicas. The Selector keeps its state of a replica as long
+// as the incarnation of the replica is the same. A replica that restarted under its ID
+// starts with a new state.
 func (s *Selector) Update(replicas []Replica) {
 	states := make(map[string]*replicaState, len(replicas))
 	s.sorted = s.sorted[:0]
@@ -148,15 +158,15 @@
 	slices.SortFunc(s.sorted, func(a, c *replicaState) int { return cmp.Compare(a.ID, c.ID) })
 }
 
-// SetShare sets this node's share of the capacity of a failure domain: its fraction of
-// the nodes that send requests there.
+// SetShare sets this node's share of the capacity of a failure domain: one divided by the
+// number of nodes that send requests to the domain.
 func (s *Selector) SetShare(domain string, share float64) {
 	s.shares[domain] = share
 }
 
-// SetPeerReservations records what other nodes have reserved on the replicas of a failure
-// domain. peers is the number of nodes that reported; the rest are assumed to use their
-// even shares.
+// SetPeerReservations records what peers have reserved on the replicas of a failure domain,
+// by replica ID and in tokens times layers. peers is the number of nodes that reported. The
+// nodes that didn't report are assumed to use all of their shares.
 func (s *Selector) SetPeerReservations(domain string, peers int, reserved map[string]float64) {
 	s.reportingPeers[domain] = peers
 	for _, r := range s.sorted {
@@ -166,7 +176,8 @@
 	}
 }
 
-// share returns the even share of one node in the capacity of a failure domain.
+// share returns the fraction of a failure domain's capacity that falls to one node, 1 if
+// no share has been set.
 func (s *Selector) share(domain string) float64 {
 	share, ok := s.shares[domain]
 	if !ok || share <= 0 {
@@ -175,15 +186,16 @@
 	return share
 }
 
-// capacity returns the capacity of a replica that is shared by this node and the nodes
-// whose reservations are known.
+// capacity returns how much of a replica's capacity this node and its reporting peers may
+// reserve together, in tokens times layers: the sum of their shares, times the usable
+// fraction.
 func (s *Selector) capacity(now time.Time, r *replicaState) float64 {
 	fraction := min(1, s.share(r.Domain)*float64(1+s.reportingPeers[r.Domain]))
 	return r.Capacity * fraction * r.usableFraction.at(now)
 }
 
-// utilization returns the fraction of the replica's capacity that this node and its
-// reporting peers would have reserved with extra added.
+// utilization returns the utilization of the capacity that this node and its reporting
+// peers may reserve on a replica, if this node reserved extra tokens times layers more.
 func (s *Selector) utilization(now time.Time, r *replicaState, extra float64) float64 {
 	capacity := s.capacity(now, r)
 	if capacity <= 0 {
@@ -193,19 +205,20 @@
 }
 
 const (
-	// maxSharesPerReport bounds what a node reserves between two reports of its peers, in even
-	// shares of the capacity that was free at the last report. With one share, capacity
-	// stays unused when the load on nodes is uneven; without a bound, all nodes reserve the
-	// same free capacity.
+	// maxSharesPerReport bounds what a node reserves between two reports of its peers. The
+	// unit is the node's share of the capacity that was free at the last report. With a
+	// bound of one share, capacity stays unused when some nodes have more load than others.
+	// Without a bound, all nodes reserve the same free capacity.
 	maxSharesPerReport = 2
-	// singleRequestFraction is the fraction of that capacity which a single request may
-	// take. Without it a large request would not fit into the shares of many nodes while
-	// most of the capacity is free.
+	// singleRequestFraction is the fraction of the capacity free at the last report that a
+	// single request may reserve, if this node has reserved nothing more since. Without this
+	// exception, a request larger than the share of a node would be refused while most of the
+	// capacity is free.
 	singleRequestFraction = 0.5
 )
 
-// mayReserve reports whether this node may reserve extra on a replica before the next
-// report of its peers.
+// mayReserve reports whether this node may reserve extra tokens times layers on a replica
+// before the next report of its peers.
 func (s *Selector) mayReserve(now time.Time, r *replicaState, extra, utilizationLimit float64) bool {
 	if s.reportingPeers[r.Domain] == 0 {
 		return true
@@ -218,7 +231,7 @@
 	return r.reserved <= r.reservedAtReport && extra <= free*singleRequestFraction
 }
 
-// Choose returns the cheapest path, or the reason why there is none.
+// Choose returns the cheapest path for a query, or no path and why there is none.
 func (s *Selector) Choose(now time.Time, q Query) (Path, Outcome) {
 	usable := s.usableReplicas(q)
 	path := s.search(now, q, notBackedOff(now, usable), maxUtilization)
@@ -231,6 +244,8 @@
 	return nil, LayersUnavailable
 }
 
+// usableReplicas returns the replicas that a path may contain, also those without free
+// capacity or in a backoff period.
 func (s *Selector) usableReplicas(q Query) []*replicaState {
 	var usable []*replicaState
 	for _, r := range s.sorted {
@@ -242,7 +257,7 @@
 	return usable
 }
 
-// notBackedOff leaves out the replicas in a backoff period.
+// notBackedOff returns the usable replicas that are not in a backoff period.
 func notBackedOff(now time.Time, usable []*replicaState) []*replicaState {
 	return slices.DeleteFunc(slices.Clone(usable), func(r *replicaState) bool { return r.backoff.active(now) })
 }
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// twoDomains returns a Selector with two failure domains that each hold all layers; "near"
-// holds the middle layers twice.
+// twoDomains returns a Selector with two failure domains that each hold all layers. In the
+// domain "near" the layers 25 to 61 have two holders.
 func twoDomains() *Selector {
 	s := New(1)
 	s.Update([]Replica{
@@ -55,8 +55,9 @@
 	return domains
 }
 
-// A path stays in the node's own domain while that holds all layers: the data between
-// layers is many times the answer, and all requests share the links between domains.
+// A path stays in the node's own domain while the replicas of that domain hold all layers.
+// The data that passes between layers is many times the size of the answer, and all
+// requests share the links between domains.
 func TestPathStaysInDomain(t *testing.T) {
 	path := choose(t, twoDomains(), Query{Domain: "near", Tokens: 1000})
 	if domains := domainsIn(path); len(domains) != 1 || !domains["near"] {
@@ -64,7 +65,7 @@
 	}
 }
 
-// When a domain has lost some layers, its requests run completely in another domain.
+// If some layers of a domain have no holder, its requests run completely in another domain.
 // Otherwise every token would cross to the other domain and back.
 func TestLostLayersMoveWholePathToOtherDomain(t *testing.T) {
 	s := twoDomains()
@@ -75,8 +76,8 @@
 	}
 }
 
-// When no domain holds all layers, a path crosses domains: a slow answer is better than
-// a refused request.
+// If no domain holds all layers, a path crosses domains: a slow answer is better than a
+// refused request.
 func TestPathCrossesWhenNoDomainHoldsAllLayers(t *testing.T) {
 	s := twoDomains()
 	s.Suspect(start, "n3", false)
@@ -98,9 +99,9 @@
 	}
 }
 
-// Requests fill two holders of the same layers at about the same rate, whatever their
-// speed. Selection by speed alone would fill the fast replica until it preempts its newest
-// request, while the slow one is empty.
+// Selection by speed alone would fill a fast replica until it preempts its newest request,
+// while a slow replica with the same layers is empty. So requests fill both replicas at
+// about the same rate.
 func TestFastAndSlowReplicasFillEvenly(t *testing.T) {
 	s := New(1)
 	fast, slow := replica("fast", "d", 0, 80), replica("slow", "d", 0, 80)
@@ -117,8 +118,8 @@
 	}
 }
 
-// A request that doesn't fit is refused before it is sent, and fits again when others
-// have ended.
+// Choose returns no path for a request that doesn't fit into the free capacity. After other
+// requests have ended and released their capacity, it returns a path again.
 func TestFullReplicasAreNotChosen(t *testing.T) {
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
@@ -140,8 +141,9 @@
 	choose(t, s, Query{Domain: "d", Tokens: 1000})
 }
 
-// Two nodes fill one replica, each without seeing the other's reservations. Refusals lower
-// the capacity that each node uses; without further refusals it recovers within seconds.
+// Two nodes fill one replica, and neither sees the reservations of the other. Refusals lower
+// the capacity that each node counts as usable; without further refusals this capacity
+// recovers within seconds.
 func TestRefusalsLowerUsableCapacity(t *testing.T) {
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
@@ -166,8 +168,8 @@
 	}
 }
 
-// A rerouted request stays at its first replica. The path for its remaining layers doesn't
-// use the excluded replicas.
+// A rerouted request keeps its first replica. The path for its remaining layers
+// must not use the excluded replicas.
 func TestChooseRemainingLayers(t *testing.T) {
 	s := twoDomains()
 	path, outcome := s.Choose(start, Query{Domain: "near", Layers: layers.Span{From: 30, To: 80}, Tokens: 10, Exclude: []string{"n1", "n2"}})
@@ -176,7 +178,8 @@
 	}
 }
 
-// A path begins at one of Query.FirstReplicas although another one is cheaper.
+// A path begins at one of Query.FirstReplicas although a path that begins at another
+// replica is cheaper.
 func TestFirstReplicasRestrictsFirstStage(t *testing.T) {
 	s := twoDomains()
 	if path := choose(t, s, Query{Domain: "near", Tokens: 10, FirstReplicas: []string{"f1"}}); path[0].Replica != "f1" {
@@ -184,8 +187,8 @@
 	}
 }
 
-// A suspicion lasts until the replica is reached. A replica that restarted under the same
-// ID is not suspected.
+// A replica is suspected until it answers. A replica that restarted under the same ID is
+// not suspected.
 func TestSuspicionEnds(t *testing.T) {
 	s := New(1)
 	r := replica("r", "d", 0, 80)
@@ -194,7 +197,7 @@
 		t.Error("want the first suspicion reported as new, and the second not")
 	}
 	if !s.SuspectedFor(start.Add(time.Second), "r", 600*time.Millisecond) || s.SuspectedFor(start, "r", 600*time.Millisecond) {
-		t.Error("want the replica suspected for the given time after it, and not before")
+		t.Error("want the replica reported as suspected for 600 ms after a second, and not at once")
 	}
 	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers}); outcome != LayersUnavailable {
 		t.Errorf("outcome %v", outcome)
@@ -207,9 +210,9 @@
 	choose(t, s, Query{Domain: "d", Tokens: 1})
 }
 
-// A replica has restarted under its address and holds no layers, while the list still says
-// that it does. It refuses requests but answers probes, so a probe must not bring requests
-// back to it; its next report does.
+// A replica has restarted under its address and holds no layers, while the list still shows
+// its former layers. The replica refuses requests but answers probes. A successful probe
+// must not make the replica usable again; its next report must.
 func TestReplicaMissingListedLayersIsSkipped(t *testing.T) {
 	s := New(1)
 	r := replica("r", "d", 0, 80)
@@ -225,9 +228,10 @@
 	choose(t, s, Query{Domain: "d", Tokens: 1})
 }
 
-// Whatever the replicas hold, a chosen path runs every layer once and in order, names no
-// replica twice, and gives each replica only layers that it holds. Engines check none of
-// this, and any other path would produce a wrong answer.
+// A path that skips or repeats a layer, or gives a replica layers that it doesn't hold,
+// produces a wrong answer, and engines don't detect it. For any set of replicas, a chosen
+// path runs every layer once and in order, contains no replica twice, and gives each replica
+// only layers that it holds.
 func TestEveryPathIsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(7)
@@ -237,8 +241,8 @@
 			from := rapid.IntRange(0, 75).Draw(t, "from")
 			to := rapid.IntRange(from+1, 80).Draw(t, "to")
 			r := replica(fmt.Sprint("r", i), []string{"a", "b", "c"}[rapid.IntRange(0, 2).Draw(t, "domain")], from, to)
-			r.LayerMillis = rapid.SampledFrom([]float64{0.015, 0.03, 0.17}).Draw(t, "speed")
-			r.Draining = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
+			r.LayerMillis = rapid.SampledFrom([]float64{0.015, 0.03, 0.17}).Draw(t, "layer time")
+			r.Draining = rapid.IntRange(0, 9).Draw(t, "draining") == 0
 			holds[r.ID] = r.Holds
 			replicas = append(replicas, r)
 		}
@@ -262,9 +266,10 @@
 }
 
 // simulateNodes runs n nodes of one failure domain that share one replica with capacity
-// for 100 requests; the first node has half of the callers. The nodes take turns to
-// reserve one request each. With shareReservations they report their reservations to each
-// other after each round. It returns the reserved requests of all nodes and of the first.
+// for 100 requests of 1,000 tokens. The first node reserves for one request in every round,
+// the other nodes together for one more. With shareReservations all nodes report their
+// reservations to each other after each round. simulateNodes returns the number of requests
+// with a reservation, of all nodes and of the first node.
 func simulateNodes(n int, shareReservations bool) (reservedRequests float64, firstNodeRequests float64) {
 	selectors := make([]*Selector, n)
 	for i := range selectors {
@@ -301,10 +306,10 @@
 	return reservedRequests, selectors[0].Reserved()["r"] / 80000
 }
 
-// Nine nodes share a replica and one of them has half of the callers. With fixed even
-// shares, its requests are refused while the shares of the others are half empty. When
-// nodes report their reservations, the busy node uses the free capacity, and the total
-// stays within the capacity.
+// Nine nodes share a replica, and one of the nodes gets half of all requests. With fixed
+// equal shares, requests of this busy node are refused while the shares of the other nodes
+// are half empty. If the nodes report their reservations, the busy node uses the free
+// capacity, and the total of all reservations stays near the capacity.
 func TestSharedReservationsGiveBusyNodeMoreCapacity(t *testing.T) {
 	evenTotal, evenBusyNode := simulateNodes(9, false)
 	sharedTotal, sharedBusyNode := simulateNodes(9, true)
@@ -317,8 +322,10 @@
 	}
 }
 
-// All nodes see the same free capacity at once. Until they have reported their new
-// reservations, they together reserve only a little more than the capacity.
+// All nodes see the same free capacity at the same time. If each node reserved all of it
+// before the next reports, replicas would refuse many requests. Until the nodes have
+// reported their new reservations, they together reserve at most about twice the free
+// capacity (maxSharesPerReport).
 func TestNodesDoNotOverfillFreeCapacity(t *testing.T) {
 	const n = 20
 	reservedTokens := 0.0
@@ -337,8 +344,8 @@
 	if reservedTokens > 110000 {
 		t.Errorf("%.0f tokens reserved where 50,000 were free", reservedTokens)
 	}
-	// A request that is larger than the node's shares fits if it takes at most half of the
-	// free capacity.
+	// A request that needs more than the node may reserve between reports
+	// (maxSharesPerReport) fits if it takes at most half of the free capacity.
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
 	s.SetShare("d", 1.0/n)
@@ -351,9 +358,9 @@
 	}
 }
 
-// requestsToRefusing simulates a replica that refuses all requests for three seconds, with
-// a request every 20 ms, and returns how many were sent to it. Without useBackoff the
-// replica is only avoided.
+// requestsToRefusing simulates a replica that refuses all requests for three seconds. A
+// request arrives every 20 ms. The function returns the number of requests that were sent to
+// the refusing replica. Without useBackoff, each refusal is recorded with Avoid only.
 func requestsToRefusing(useBackoff bool) (sent int) {
 	s := twoDomains()
 	for ms := 0; ms < 3000; ms += 20 {
@@ -377,9 +384,9 @@
 	return sent
 }
 
-// A replica is about to leave, and the store that would say so is unreachable. The replica
-// refuses all requests but answers probes. Without the backoff every node sends a request
-// there each 150 ms during the outage of the store, and each of them costs a try.
+// A replica is about to leave, and the store that would show this is unreachable. The
+// replica refuses all requests but answers probes. Without the backoff, every node sends it
+// a request each 150 ms during the outage of the store, and each such request costs a try.
 func TestRefusingReplicaIsBackedOff(t *testing.T) {
 	sentWithBackoff, sentWithoutBackoff := requestsToRefusing(true), requestsToRefusing(false)
 	t.Logf("%d requests sent, %d without the backoff", sentWithBackoff, sentWithoutBackoff)
@@ -388,7 +395,8 @@
 	}
 }
 
-// A replica whose capacity is reserved refuses for lack of capacity and is not backed off.
+// A replica whose capacity is reserved refuses requests for lack of capacity. Such a refusal
+// starts no backoff period.
 func TestFullReplicaIsNotBackedOff(t *testing.T) {
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
@@ -411,8 +419,8 @@
 	return path
 }
 
-// The only holder of some layers is in its backoff period. Requests wait for it instead of
-// being refused because there is no holder.
+// The only holder of some layers is in a backoff period. The outcome must be NoCapacity, on
+// which requests wait, and not LayersUnavailable.
 func TestOnlyHolderInBackoffReportsNoCapacity(t *testing.T) {
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
--- a/decide/paths/prefill.go
+++ b/decide/paths/prefill.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// prefillCostFactor is what each millisecond of a replica's prefill backlog adds to its
-// cost. At 0.1 the wait for a few prompts weighs as much as a usual path.
+// prefillCostFactor is the cost, in milliseconds, that each millisecond of a replica's
+// prefill backlog adds to a stage on it. At 0.1 the wait for the prefill of a few prompts
+// costs as much as a usual path.
 const prefillCostFactor = 0.1
 
-// prefillBacklog is the prefill work, in milliseconds, that this node has sent to a
-// replica.
+// prefillBacklog is the prefill work that this node has sent to a replica.
 type prefillBacklog struct {
-	pendingMillis float64
+	pendingMillis float64 // work not done yet at the time updated
 	updated       time.Time
 }
 
-// remaining returns the milliseconds of work that are not done yet.
+// remaining returns the prefill work that is not done yet, in milliseconds.
 func (p *prefillBacklog) remaining(now time.Time) float64 {
 	return max(0, p.pendingMillis-float64(now.Sub(p.updated))/float64(time.Millisecond))
 }
@@ -22,8 +22,8 @@
 	p.pendingMillis, p.updated = p.remaining(now)+millis, now
 }
 
-// newStages returns the stages of a path that must prefill a request which ran along
-// another path before.
+// newStages returns the stages of a path that must prefill a request which ran along the
+// previous path before: those whose replica didn't run all of their layers there.
 func newStages(path, previous Path) []Stage {
 	var stages []Stage
 	for _, stage := range path {
@@ -38,10 +38,10 @@
 	return stages
 }
 
-// PrefillWait returns how long the slowest new stage of a path takes to prefill a
-// request that ran along another path, behind the backlog from this node. nodes is the
-// number of nodes whose streams are affected in the same way: a lost replica affects the
-// streams of all nodes alike, and each sends as much work as this one.
+// PrefillWait returns the time until the slowest new stage of a path has prefilled a
+// request that ran along the previous path. The time includes the prefill backlog from
+// this node. tokens is the number of tokens to prefill. nodes is the number of nodes that
+// send the same amount of prefill: a lost replica affects the streams of all nodes alike.
 func (s *Selector) PrefillWait(now time.Time, path, previous Path, tokens float64, nodes int) time.Duration {
 	slowestMillis := 0.0
 	for _, stage := range newStages(path, previous) {
@@ -53,7 +53,8 @@
 	return time.Duration(slowestMillis * float64(time.Millisecond))
 }
 
-// AddPrefill adds the prefill of a request to the backlog of the new stages of its path.
+// AddPrefill adds the prefill of a request to the backlogs of the replicas that run the new
+// stages of its path. The parameters are those of PrefillWait.
 func (s *Selector) AddPrefill(now time.Time, path, previous Path, tokens float64, nodes int) {
 	for _, stage := range newStages(path, previous) {
 		if r, ok := s.replicas[stage.Replica]; ok {
--- a/decide/paths/prefill_test.go
+++ b/decide/paths/prefill_test.go
@@ -8,7 +8,7 @@
 )
 
 // threeMiddleReplicas returns a Selector for a domain in which three replicas hold the
-// middle layers. Prefill takes a thousandth of a millisecond per token and layer.
+// layers 30 to 49. Prefill takes a thousandth of a millisecond per token and layer.
 func threeMiddleReplicas() *Selector {
 	s := New(1)
 	list := []Replica{replica("first", "d", 0, 30), replica("last", "d", 50, 80)}
@@ -22,9 +22,10 @@
 	return s
 }
 
-// A replica with forty streams dies, and two others hold its layers. Selected by capacity
-// alone, one of them may get more prefill than it can do in time. Both must get about half,
-// and the wait must be known before the reroute is ordered.
+// A replica with forty streams dies, and two other replicas hold its layers. If paths were
+// selected by capacity alone, one of these replicas might get more prefill than it can do
+// in time. Each of them must get about half of the streams. PrefillWait must return the
+// wait of a stream before the stream is rerouted.
 func TestPrefillIsSharedEvenly(t *testing.T) {
 	s := threeMiddleReplicas()
 	previous := Path{{Replica: "first", Layers: allLayers}, {Replica: "lost", Layers: allLayers}}
@@ -54,8 +55,8 @@
 	}
 }
 
-// One of two replicas that hold the lost layers has a large prefill backlog. The streams
-// of the lost replica go to the other one.
+// Two replicas hold the layers of a lost replica, and one of them has a large prefill
+// backlog. The streams of the lost replica must go to the replica without a backlog.
 func TestReplicaWithPrefillBacklogIsAvoided(t *testing.T) {
 	s := threeMiddleReplicas()
 	s.Suspect(start, "lost", false)
@@ -69,8 +70,8 @@
 	}
 }
 
-// A stage that keeps its replica and layers needs no prefill. Without a known prefill speed
-// the wait is zero.
+// A stage that keeps its replica and layers needs no prefill. For a replica whose prefill
+// time per token is unknown, PrefillWait returns zero.
 func TestUnchangedStagesNeedNoPrefill(t *testing.T) {
 	s := threeMiddleReplicas()
 	path := choose(t, s, Query{Domain: "d", Tokens: 1000})
@@ -82,9 +83,10 @@
 	}
 }
 
-// simulateReturningCallers simulates two domains with a replica each. For a quarter of a
-// second, a prompt of a thousand tokens arrives in one domain each millisecond. It returns
-// the longest prefill backlog. countPrefill adds the prompts to the Selector's backlog.
+// simulateReturningCallers simulates two domains with one replica each. For a quarter of a
+// second, a prompt of a thousand tokens arrives each millisecond in the domain "near". With
+// countPrefill, each prompt is added to the backlogs that the Selector counts. The function
+// returns the longest prefill backlog that a replica had.
 func simulateReturningCallers(countPrefill bool) time.Duration {
 	s := New(1)
 	near, far := replica("near", "near", 0, 80), replica("far", "far", 0, 80)
@@ -106,9 +108,10 @@
 	return longest
 }
 
-// All nodes of a failure domain lost power, and its callers return at once. Selected by
-// free capacity alone, all prompts queue for prefill in their own domain and first events
-// are late. With the prefill backlog in the cost, the surplus goes to another domain.
+// All nodes of a failure domain lost power, and after the outage all its callers return at
+// once. If paths were selected by free capacity alone, all prompts would queue for prefill
+// in their own domain, and the first events of the answers would be late. Because the
+// prefill backlog is part of the cost, some of the prompts go to another domain.
 func TestReturningCallersSpreadByPrefillBacklog(t *testing.T) {
 	longestWithCost, longestWithoutCost := simulateReturningCallers(true), simulateReturningCallers(false)
 	t.Logf("longest backlog %v, %v without the cost of the backlog", longestWithCost, longestWithoutCost)
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -7,30 +7,32 @@
 )
 
 const (
-	// avoidDuration is how long a replica is the last choice after it refused for lack of
-	// capacity: the time in which some streams of a few seconds end.
+	// avoidDuration is how long a replica is the last choice in its failure domain after it
+	// refused a request for lack of capacity. Streams last a few seconds, so some of them
+	// end within this time.
 	avoidDuration = 150 * time.Millisecond
-	// refusalFactor scales the usable fraction of the capacity down at each refusal for
-	// lack of capacity. recoveryPerSecond is the fraction that comes back each second:
-	// reservations of other nodes end within the seconds that streams last.
+	// Each refusal for lack of capacity multiplies the usable fraction of the capacity by
+	// refusalFactor. recoveryPerSecond is added to the fraction each second, because the
+	// reservations of peers end within the seconds that streams last.
 	refusalFactor     = 0.85
 	recoveryPerSecond = 0.1
-	// minUsableFraction is the lower bound of the usable fraction.
+	// minUsableFraction is the lower bound of the usable fraction of the capacity.
 	minUsableFraction = 0.1
-	// lowUtilization: a replica that refuses a request although at most this fraction of its
-	// capacity is reserved does so for another reason than lack of capacity.
+	// lowUtilization is the utilization of a replica up to which a refusal is assumed to have
+	// another reason than lack of capacity.
 	lowUtilization = 0.6
 )
 
-// usableFraction is the fraction of its share of a replica's capacity that a node can
-// use. Nodes reserve without knowing each other's latest reservations. When they
-// together reserve more than the capacity, the replica refuses requests, and each node
-// lowers its fraction until the refusals stop.
+// usableFraction is the fraction of a replica's capacity that this node counts as
+// available, from minUsableFraction to 1. Nodes reserve without knowing each other's latest
+// reservations. When they together reserve more than the capacity, the replica refuses
+// requests, and each node lowers its own fraction until the refusals stop.
 type usableFraction struct {
-	value   float64
+	value   float64 // fraction at the time updated
 	updated time.Time
 }
 
+// at returns the fraction with the recovery since the last refusal.
 func (f *usableFraction) at(now time.Time) float64 {
 	if f.value >= 1 {
 		return 1
@@ -38,7 +40,8 @@
 	return min(1, f.value+recoveryPerSecond*now.Sub(f.updated).Seconds())
 }
 
-// reduce lowers the fraction. Refusals within avoidDuration count as one.
+// reduce lowers the fraction for a refusal. All refusals within avoidDuration lower it only
+// once.
 func (f *usableFraction) reduce(now time.Time) {
 	if now.Sub(f.updated) < avoidDuration {
 		return
@@ -46,7 +49,8 @@
 	f.value, f.updated = max(minUsableFraction, f.at(now)*refusalFactor), now
 }
 
-// Reserve reserves memory for a number of tokens in all layers of a path.
+// Reserve reserves the capacity that a request of the given number of tokens takes on each
+// replica of its path.
 func (s *Selector) Reserve(path Path, tokens float64) {
 	for _, stage := range path {
 		if r, ok := s.replicas[stage.Replica]; ok {
@@ -75,8 +79,9 @@
 	return reserved
 }
 
-// Suspect excludes a replica that looks dead, until MarkAlive. hostUnreachable means that
-// its machine doesn't answer either. Suspect reports whether the suspicion is new.
+// Suspect excludes a replica that looks dead from paths until MarkAlive. hostUnreachable
+// means that the machine of the replica doesn't answer either. Suspect reports whether the
+// replica was not suspected before.
 func (s *Selector) Suspect(now time.Time, id string, hostUnreachable bool) bool {
 	r, ok := s.replicas[id]
 	if !ok {
@@ -91,9 +96,9 @@
 }
 
 // MarkLayersMissing records that a replica doesn't hold the layers that it is listed
-// with: it was restarted, or another replica has its address now. A probe of its machine
-// succeeds none the less, so the replica is excluded until it has reported its layers
-// again.
+// with: it was restarted, or another replica has its address now. Probes of its machine
+// succeed in both cases, so MarkAlive doesn't end this exclusion. The replica is excluded
+// from paths until it has reported its layers again.
 func (s *Selector) MarkLayersMissing(id string) {
 	if r, ok := s.replicas[id]; ok {
 		r.layersMissing = true
@@ -116,7 +121,8 @@
 	return ok && r.suspected
 }
 
-// HostUnreachable reports whether a replica is suspected and its machine doesn't answer.
+// HostUnreachable reports whether a replica is suspected and the machine of the replica
+// doesn't answer either.
 func (s *Selector) HostUnreachable(id string) bool {
 	r, ok := s.replicas[id]
 	return ok && r.hostUnreachable
@@ -125,7 +131,7 @@
 // Len returns the number of listed replicas.
 func (s *Selector) Len() int { return len(s.replicas) }
 
-// Replica returns a listed replica.
+// Replica returns a replica as it is listed, and false if it is not listed.
 func (s *Selector) Replica(id string) (Replica, bool) {
 	r, ok := s.replicas[id]
 	if !ok {
@@ -134,7 +140,7 @@
 	return r.Replica, true
 }
 
-// Suspects returns the suspected replicas.
+// Suspects returns the replicas that are suspected to be dead.
 func (s *Selector) Suspects() []Replica {
 	var list []Replica
 	for _, r := range s.sorted {
@@ -145,8 +151,9 @@
 	return list
 }
 
-// SetSlowdown records the slowdown that a replica reports against its kind of card, 1 for
-// none. It reports whether the replica has become slow or is no longer slow.
+// SetSlowdown records the slowdown that a replica reports: its step time divided by the
+// usual step time of its kind of card. SetSlowdown reports whether the replica has become
+// slow or is no longer slow (SlowThreshold).
 func (s *Selector) SetSlowdown(id string, slowdown float64) bool {
 	r, ok := s.replicas[id]
 	if !ok {
@@ -157,8 +164,7 @@
 	return (previous >= SlowThreshold) != (r.slowdown >= SlowThreshold)
 }
 
-// Slowdown returns the last reported slowdown of a replica against its kind of card, 1 for
-// none.
+// Slowdown returns the last reported slowdown of a replica, at least 1.
 func (s *Selector) Slowdown(id string) float64 {
 	if r, ok := s.replicas[id]; ok {
 		return r.slowdown
@@ -166,8 +172,8 @@
 	return 1
 }
 
-// SlowThreshold is the slowdown from which a replica counts as slow and is asked for its
-// slowdown again until it has recovered.
+// SlowThreshold is the slowdown from which a replica counts as slow. The node asks a slow
+// replica for its slowdown again until it has recovered.
 const SlowThreshold = 1.5
 
 // Slow returns the slow replicas that are not suspected.
@@ -181,15 +187,16 @@
 	return list
 }
 
-// SuspectedFor reports whether a replica has been suspected for at least the given time.
+// SuspectedFor reports whether a replica has been suspected for at least minDuration.
 func (s *Selector) SuspectedFor(now time.Time, id string, minDuration time.Duration) bool {
 	r, ok := s.replicas[id]
 	return ok && r.suspected && now.Sub(r.suspectedSince) >= minDuration
 }
 
-// RecordRefusal records that a replica refused a request for lack of capacity. If the
-// replica has capacity as far as this node knows, it refuses for another reason: it is
-// backed off, and RecordRefusal returns true.
+// RecordRefusal records that a replica refused a request. If the utilization of the replica
+// is at most lowUtilization as far as this node knows, the replica must have another reason
+// than lack of capacity: a backoff period starts, and RecordRefusal returns true. Otherwise
+// RecordRefusal lowers the usable fraction of the capacity and returns false.
 func (s *Selector) RecordRefusal(now time.Time, id string) (backedOff bool) {
 	r, ok := s.replicas[id]
 	if !ok {
@@ -204,15 +211,15 @@
 	return false
 }
 
-// BackOff records other nodes' reports that a replica refuses requests although it has
-// capacity.
+// BackOff starts a backoff period for a replica after another node has reported that it
+// refuses requests although it has capacity.
 func (s *Selector) BackOff(now time.Time, id string) {
 	if r, ok := s.replicas[id]; ok {
 		r.backoff.extend(now)
 	}
 }
 
-// BackedOff returns the replicas in a backoff period.
+// BackedOff returns the IDs of the replicas in a backoff period.
 func (s *Selector) BackedOff(now time.Time) []string {
 	var list []string
 	for _, r := range s.sorted {
@@ -223,22 +230,23 @@
 	return list
 }
 
-// Avoid makes a replica the last choice for avoidDuration, without lowering its usable
-// capacity.
+// Avoid makes a replica the last choice in its failure domain for avoidDuration, without
+// lowering the usable fraction of its capacity.
 func (s *Selector) Avoid(now time.Time, id string) {
 	if r, ok := s.replicas[id]; ok {
 		r.avoidUntil = now.Add(avoidDuration)
 	}
 }
 
-// NeedsReroute reports whether a listed replica is draining or no longer holds the span,
-// so that requests which run the span there must be rerouted.
+// NeedsReroute reports whether requests that run the span on a replica must be rerouted:
+// the replica is listed and is draining or no longer holds all layers of the span.
 func (s *Selector) NeedsReroute(id string, span layers.Span) bool {
 	r, ok := s.replicas[id]
 	return ok && (r.Replica.Draining || !r.Holds.Covers(span))
 }
 
-// ByAddress returns the id of the replica at an address, or "".
+// ByAddress returns the ID of the replica that is listed with an address, or "" if none
+// is.
 func (s *Selector) ByAddress(address string) string {
 	for _, r := range s.sorted {
 		if r.Address == address {
@@ -248,7 +256,7 @@
 	return ""
 }
 
-// PeakUtilization returns the utilization of the fullest replica of each failure domain.
+// PeakUtilization returns the highest utilization of a replica in each failure domain.
 func (s *Selector) PeakUtilization(now time.Time) map[string]float64 {
 	peak := map[string]float64{}
 	for _, r := range s.sorted {
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -8,18 +8,20 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// partialPath is the cheapest known path up to a boundary between layers whose last stage
-// is in a given failure domain. Its fields describe the last stage.
+// partialPath is the cheapest known path from the first layer of the query to a boundary
+// between layers, among the paths whose last stage is in a given failure domain. cost is
+// that of the whole partial path, in milliseconds; the other fields describe its last
+// stage.
 type partialPath struct {
 	cost         float64
-	prevBoundary int // index of the boundary at which the stage begins
-	prevDomain   int // of the stage before
+	prevBoundary int // index of the boundary at which the last stage begins
+	prevDomain   int // index of the domain of the stage before the last
 	replica      *replicaState
 }
 
-// search computes a shortest path over the boundaries between layers. The state is the
-// boundary and the domain of the last stage, because only a change of domain has a cost.
-// limit bounds the utilization of each replica.
+// search computes the cheapest path over the boundaries between layers. It keeps one
+// partial path for each boundary and domain of the last stage: the cost of the next hop
+// depends only on these two. utilizationLimit bounds the utilization of each replica.
 func (s *Selector) search(now time.Time, q Query, usable []*replicaState, utilizationLimit float64) Path {
 	bounds := boundaries(q.Layers, usable)
 	domains, domainIndexes := domainsOf(q.Domain, usable)
@@ -57,8 +59,8 @@
 	return reconstructPath(bounds, len(domains), cheapest)
 }
 
-// crossingCost returns the cost of a hop from one domain to another. The hop to the first
-// stage starts at this node.
+// crossingCost returns the cost of a change of domain on a hop, in milliseconds. The hop to
+// the first stage starts in the domain of this node.
 func crossingCost(toFirstStage bool, fromDomain, toDomain int) float64 {
 	switch {
 	case fromDomain == toDomain:
@@ -70,7 +72,8 @@
 	}
 }
 
-// boundaries returns the sorted layers at which a stage may begin or end.
+// boundaries returns the sorted layer numbers at which a stage may begin or end: the ends
+// of the span and of the spans that replicas hold.
 func boundaries(span layers.Span, usable []*replicaState) []int {
 	bounds := []int{span.From, span.To}
 	for _, r := range usable {
@@ -84,8 +87,8 @@
 	return slices.Compact(bounds)
 }
 
-// domainsOf returns the failure domains, this node's own first, and the index of each
-// replica's domain.
+// domainsOf returns the failure domains, this node's own first, and for each replica the
+// index of its domain in that list.
 func domainsOf(own string, usable []*replicaState) (domains []string, domainIndexes []int) {
 	domains = []string{own}
 	domainIndexes = make([]int, len(usable))
@@ -100,8 +103,8 @@
 	return domains, domainIndexes
 }
 
-// costFactors returns the random cost factor of each replica, raised for replicas that
-// have just refused for lack of capacity.
+// costFactors returns the random cost factor of each replica, multiplied by avoidFactor for
+// a replica that is to be avoided now (avoidUntil).
 func (s *Selector) costFactors(now time.Time, usable []*replicaState) []float64 {
 	factors := make([]float64, len(usable))
 	for k, r := range usable {
@@ -113,12 +116,13 @@
 	return factors
 }
 
-// avoidFactor makes a replica that has just refused for lack of capacity the last choice
-// in its domain.
+// avoidFactor is the factor on the cost of a replica that is to be avoided. It makes the
+// replica the last choice in its domain.
 const avoidFactor = 8
 
-// stageCost returns the cost of count layers on a replica, in milliseconds a step, and
-// whether the replica has the capacity.
+// stageCost returns the cost of a stage that runs layerCount layers on a replica, in
+// milliseconds per decode step. It returns false if the replica has too little capacity for
+// the tokens.
 func (s *Selector) stageCost(now time.Time, r *replicaState, layerCount int, tokens, utilizationLimit, costFactor float64) (float64, bool) {
 	extra := tokens * float64(layerCount)
 	utilization := s.utilization(now, r, extra)
@@ -129,8 +133,9 @@
 	return hopMillis + costFactor*float64(layerCount)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
 }
 
-// reconstructPath follows the partial paths back from the last layer and merges the stages of
-// one replica.
+// reconstructPath follows the cheapest partial paths back from the last boundary and merges
+// stages that run on the same replica. It returns nil if no path reaches the last boundary
+// or the path has more than MaxStages stages.
 func reconstructPath(bounds []int, domainCount int, cheapest []partialPath) Path {
 	lastBoundary := len(bounds) - 1
 	bestDomain := -1
@@ -159,8 +164,9 @@
 	return path
 }
 
-// mergeRepeated gives all layers between two stages of one replica to that replica, which
-// holds them too. An engine refuses a path that contains its replica twice.
+// mergeRepeated joins two stages on the same replica into one that also runs the layers
+// between them. The replica holds these layers too, because it holds a single span. An
+// engine refuses a path that contains its replica twice.
 func mergeRepeated(path Path) Path {
 	for i := 0; i < len(path); i++ {
 		for j := len(path) - 1; j > i; j-- {
--- a/decide/placement/load_schedule.go
+++ b/decide/placement/load_schedule.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// maxBusyAhead bounds how far ahead reservations are respected. A node whose clock is
-// hours fast reserves hours ahead, and without the bound all other nodes would wait.
+// maxBusyAhead is how far in the future LoadSchedule.BusyUntil may lie before it is ignored.
+// A node whose clock is hours fast reserves hours ahead. Without the bound, the loads of
+// all other nodes would wait for hours.
 const maxBusyAhead = time.Hour
 
-// LoadSchedule is the reserved time of the weight store. All plans and all nodes share
-// one schedule.
+// LoadSchedule is the time for which loads have reserved the weight store. All plans and all
+// nodes share one schedule.
 //
 // Load pattern: a rack comes back, or a document changes, and the engines of many
-// replicas fetch their layers. With a schedule for each plan they all start at once,
-// share the rate of the store and are all ready only at the end. With a common schedule
-// each load gets the full rate in turn, and the first replica serves as soon as its own
-// layers are loaded.
+// replicas fetch their layers. If each plan had its own schedule, all loads would start at
+// once, share the rate of the store, and end at about the same late time. With a common
+// schedule each load gets the full rate in turn, and the first replica serves as soon as
+// its own layers are loaded.
 //
-// The schedule is a hint: a node with a wrong clock makes loads overlap or wait, but does
-// no other harm.
+// The schedule is a hint: a node with a wrong clock makes loads overlap or wait, but causes
+// no other failure.
 type LoadSchedule struct {
 	// BusyUntil is the end of the last reserved load.
 	BusyUntil time.Time
 }
 
-// Free reports whether a load could start at once.
+// Free reports whether a load could start now without waiting for reserved loads.
 func (s LoadSchedule) Free(now time.Time) bool {
 	return !s.BusyUntil.After(now) || s.BusyUntil.Sub(now) > maxBusyAhead
 }
@@ -45,24 +46,25 @@
 	return starts, s
 }
 
-// ReplicaState tells whether a replica follows its plan.
+// ReplicaState tells whether the engines of a replica hold the layers of its plan.
 type ReplicaState uint8
 
 const (
 	// Unknown means that not all engines of the replica have answered.
 	Unknown ReplicaState = iota
-	// Loading means that the replica is about to load the layers of its plan.
+	// Loading means that some engine of the replica doesn't hold the layers of the plan yet,
+	// so the replica doesn't serve.
 	Loading
 	// Ready means that the replica holds the layers of its plan and serves.
 	Ready
 )
 
-// MayReload reports whether a serving replica may be stopped for a better plan. others
-// are the states of the other replicas that serve the same callers. One replica reloads
-// at a time, and only while at least half of the others are ready.
+// MayReload reports whether a serving replica may be stopped to load the layers of a better
+// plan. others are the states of the other replicas that serve the same callers. Only one
+// replica reloads at a time, and only while at least half of the others are ready.
 //
-// Load pattern: one bad switch makes the times of every replica worse, and all their
-// plans change in the same second. Without the limit all of them stop serving for the
+// Load pattern: one bad switch makes the hops of every replica slower, and the plans of all
+// replicas change in the same second. Without the limit, all of them stop serving for the
 // seconds of their loads, and callers find no replica.
 func MayReload(others []ReplicaState) bool {
 	ready := 0
--- a/decide/placement/loads.go
+++ b/decide/placement/loads.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// FetchBytes returns the bytes that an engine must fetch from the weight store to hold
-// the layers of want when it holds those of held. A held stage with Last below First is
-// empty.
+// FetchBytes returns the number of bytes that an engine must fetch from the weight store to
+// hold the layers of want, if it holds the layers of held now. A stage with Last below First
+// has no layers.
 func FetchBytes(model Model, held, want Stage) int64 {
 	commonLayers := min(held.Last, want.Last) - max(held.First, want.First) + 1
 	missingLayers := want.Last - want.First + 1 - max(commonLayers, 0)
 	return int64(missingLayers) * model.LayerBytes
 }
 
-// FetchTime returns how long a fetch takes at the full rate of the weight store. A rate
-// of zero means no limit.
+// FetchTime returns how long a fetch takes at the full rate of the weight store. A
+// bytesPerSecond of zero means that the rate has no limit.
 func FetchTime(bytes, bytesPerSecond int64) time.Duration {
 	if bytesPerSecond <= 0 {
 		return 0
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -8,75 +8,80 @@
 // ErrNoFit means that the model doesn't fit in the memory of the chain.
 var ErrNoFit = errors.New("placement: the chain's memory does not hold the model")
 
-// Model describes the model to place.
+// Model describes the model whose layers are divided.
 type Model struct {
 	// Layers is the number of layers.
 	Layers int
-	// LayerBytes is the memory of one layer with its share of the KV cache.
+	// LayerBytes is the memory of one layer: its weights and its part of the KV cache.
 	LayerBytes int64
 }
 
-// Accelerator is one engine of a chain.
+// Accelerator is one engine of a chain, with the accelerator on which it runs.
 type Accelerator struct {
-	// Endpoint is the engine's name.
+	// Endpoint is the name of the engine's endpoint.
 	Endpoint string
-	// LayerMicros is the time of one token in one layer, in microseconds.
+	// LayerMicros is the time that one token takes in one layer, in microseconds.
 	LayerMicros float64
-	// MemoryBytes is the memory for layers.
+	// MemoryBytes is the memory for layers and their KV cache.
 	MemoryBytes int64
 }
 
-// Chain lists engines in the order in which a token may pass through them. A
-// partition may leave out some of them.
+// Chain lists engines in the order in which a token may pass through them. A partition
+// need not use all engines of the chain.
 type Chain struct {
 	Accelerators []Accelerator
-	// LinkMicros[i][j], for i < j, is the transfer time from accelerator i to j, in
-	// microseconds.
+	// LinkMicros[i][j], for i < j, is the time to transfer one token's data from
+	// accelerator i to accelerator j, in microseconds.
 	LinkMicros [][]float64
 }
 
 // Stage is an engine with the first and last layer that it is to hold, both inclusive.
 type Stage struct {
+	// Endpoint is the name of the engine's endpoint.
 	Endpoint    string
 	First, Last int
 }
 
-// Partition assigns the layers of a model to engines of a chain. A hop is the time of a
-// stage's layers and of its outgoing link; a stage starts its next token only when the
-// hop is over.
+// Partition divides the layers of a model over engines of a chain. A stage starts its next
+// token only after the hop of the present token: the computation of its layers and the
+// transfer to the next stage.
 type Partition struct {
 	Stages []Stage
-	// Bottleneck is the longest hop and Total the sum of all hops, in microseconds.
+	// Bottleneck is the time of the longest hop and Total the sum of the times of all hops,
+	// in microseconds.
 	Bottleneck, Total float64
 }
 
-// BestPartition returns the partition with the least bottleneck, and of these the one
-// with the least total. Its running time grows with the square of the number of engines
-// and of the number of layers.
+// BestPartition returns the partition with the shortest bottleneck. If several partitions
+// have it, BestPartition returns the one with the least total. The running time of
+// BestPartition grows with the square of the number of engines times the square of the
+// number of layers.
 func BestPartition(model Model, chain Chain) (Partition, error) {
 	minBottleneck := runSearch(model, chain, math.Inf(1), math.Max)
 	if math.IsInf(minBottleneck.bestCost, 1) {
 		return Partition{}, ErrNoFit
 	}
-	// A prefix with the least bottleneck need not have the least total, so a second
-	// pass minimises the total under the bottleneck found by the first.
+	// The stages with the shortest bottleneck need not have the least total. So a second
+	// search minimises the total over partitions whose hops are no longer than that
+	// bottleneck.
 	minTotal := runSearch(model, chain, minBottleneck.bestCost, func(a, b float64) float64 { return a + b })
 	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.bestCost, Total: minTotal.bestCost}, nil
 }
 
-// searchState is a state of the search: a stage that runs on an accelerator and begins at
-// a layer.
+// searchState is a state of the search: the next stage runs on an accelerator and begins at
+// a layer. Both are indexes.
 type searchState struct{ accelerator, layer int }
 
-// transition is the best transition into a state: the state before it and the value of
-// all hops so far.
+// transition is the cheapest transition into a state: the state before it and the combined
+// cost of all hops up to the state.
 type transition struct {
 	cost     float64
 	previous searchState
 }
 
-// search is a dynamic programme over states. maxHop bounds each hop; combine folds the
-// hops into the value that is minimised.
+// search finds the partition with the least cost by dynamic programming over states. No hop
+// may take longer than maxHopMicros. combine returns the cost of a partial partition with
+// one more hop: the longest hop in the first search, the sum of all hops in the second.
 type search struct {
 	model           Model
 	chain           Chain
@@ -107,8 +112,8 @@
 	return s
 }
 
-// extend tries every number of layers on the accelerator of a state, and every later
-// accelerator for the next stage.
+// extend tries every number of layers for the stage of a state, and every later accelerator
+// for the stage after it.
 func (s *search) extend(state searchState) {
 	costSoFar := s.bestTransitions[state.accelerator][state.layer].cost
 	if math.IsInf(costSoFar, 1) {
@@ -129,7 +134,8 @@
 	}
 }
 
-// maxLayers returns the number of layers that fit on the accelerator of a state.
+// maxLayers returns the maximum number of layers of a stage that begins at a state: the
+// remaining layers, as far as they fit on its accelerator.
 func (s *search) maxLayers(from searchState) int {
 	remaining := s.model.Layers - from.layer
 	if s.model.LayerBytes <= 0 {
@@ -139,7 +145,7 @@
 	return int(min(int64(remaining), max(fits, 0)))
 }
 
-// relax records a transition if it improves the value of its target state.
+// relax records a transition between two states if it lowers the cost of its target state.
 func (s *search) relax(to, from searchState, costSoFar, hopMicros float64) {
 	if hopMicros > s.maxHopMicros {
 		return
@@ -149,7 +155,8 @@
 	}
 }
 
-// recordLastStage records a last stage if it improves the value of the whole partition.
+// recordLastStage records the last stage of a partition if the partition costs less than
+// the best one so far.
 func (s *search) recordLastStage(from searchState, costSoFar, hopMicros float64) {
 	if hopMicros > s.maxHopMicros {
 		return
@@ -160,7 +167,8 @@
 	}
 }
 
-// stages follows the best transitions back from the last stage.
+// stages returns the stages of the best partition. It follows the cheapest transitions back
+// from the last stage.
 func (s *search) stages() []Stage {
 	var reversed []Stage
 	end := s.model.Layers
@@ -176,8 +184,8 @@
 	return stages
 }
 
-// Evaluate returns a partition with its cost on a chain, and false if the chain lacks one
-// of its engines or orders them differently.
+// Evaluate returns a partition with its bottleneck and total on a chain. It returns false
+// if the chain lacks an engine of the partition or has the engines in another order.
 func Evaluate(p Partition, chain Chain) (Partition, bool) {
 	evaluated := Partition{Stages: p.Stages}
 	for i, stage := range p.Stages {
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -10,7 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// evenChain returns a chain of equal accelerators with equal links.
+// evenChain returns a chain of n equal accelerators with equal links. Each accelerator has
+// memory for 100 bytes.
 func evenChain(n int, layerMicros, linkMicros float64) Chain {
 	var c Chain
 	for i := range n {
@@ -23,7 +24,7 @@
 	return c
 }
 
-// bestByExhaustion tries every partition.
+// bestByExhaustion returns the best of all partitions that fit in memory.
 func bestByExhaustion(model Model, chain Chain) Partition {
 	best := Partition{Bottleneck: math.Inf(1), Total: math.Inf(1)}
 	var try func(at, from int, stages []Stage)
@@ -49,19 +50,19 @@
 	return best
 }
 
-// BestPartition must be as good as an exhaustive search over all partitions. Speeds and
-// links differ a hundredfold; whole numbers keep sums exact, so equal partitions compare
-// equal.
+// BestPartition must find a partition as good as that of an exhaustive search. The times of
+// layers and links differ a hundredfold. They are whole numbers, so that sums are exact and
+// equal costs compare equal.
 func TestBestAgainstExhaustive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "engines")
 		model := Model{Layers: rapid.IntRange(1, 9).Draw(t, "layers"), LayerBytes: 10}
 		chain := evenChain(n, 0, 0)
 		for i := range n {
-			chain.Accelerators[i].LayerMicros = float64(rapid.IntRange(1, 100).Draw(t, "speed"))
+			chain.Accelerators[i].LayerMicros = float64(rapid.IntRange(1, 100).Draw(t, "layer time"))
 			chain.Accelerators[i].MemoryBytes = int64(rapid.IntRange(0, 60).Draw(t, "memory"))
 			for j := range n {
-				chain.LinkMicros[i][j] = float64(rapid.IntRange(1, 100).Draw(t, "link"))
+				chain.LinkMicros[i][j] = float64(rapid.IntRange(1, 100).Draw(t, "link time"))
 			}
 		}
 		want := bestByExhaustion(model, chain)
@@ -86,9 +87,9 @@
 	return NewPlanner(model, chain, Plan{Version: 1, Partition: partition}, Policy{})
 }
 
-// observeSeconds feeds the planner one measurement of each stage per second, with the
-// times of the chain that truth returns. It adopts each decided plan and returns the
-// number of changes.
+// observeSeconds gives the planner one measurement of each stage per second, with the times
+// of the chain that actualChain returns for the second. It adopts each plan that Decide
+// changes, and returns the number of changes.
 func observeSeconds(p *Planner, now *time.Time, seconds int, actualChain func(second int) Chain) int {
 	changes := 0
 	for second := range seconds {
@@ -113,9 +114,9 @@
 	return changes
 }
 
-// A link or stage that stays slow for longer than the stabilization window slows down all
-// tokens until the plan avoids it, with a single move. A link that is slow for less than
-// the window causes no move, because each move costs a load.
+// A link or stage that stays slow delays all tokens until the plan avoids it. If it is slow
+// for longer than the stabilization window, the planner avoids it with a single move. A link
+// that is slow for less than the window causes no move, because each move costs a load.
 func TestPlannerAvoidsSlowHopsWithoutFlapping(t *testing.T) {
 	model := Model{Layers: 12, LayerBytes: 10}
 	healthyChain := evenChain(4, 100, 10)
@@ -147,7 +148,7 @@
 		})
 		So(changes, ShouldEqual, 0)
 	})
-	Convey("A link that flaps for an hour causes at most a few moves", t, func() {
+	Convey("A link that is slow every other 30 s for an hour causes at most two moves per measurement TTL", t, func() {
 		p := newTestPlanner(healthyChain, model)
 		changes := observeSeconds(p, &now, 3600, func(second int) Chain {
 			if second/30%2 == 0 {
@@ -218,7 +219,7 @@
 		So(starts, ShouldResemble, []time.Time{now})
 		So(schedule.BusyUntil, ShouldEqual, now.Add(time.Second))
 	})
-	Convey("One replica reloads at a time, and only while enough of the others serve", t, func() {
+	Convey("One replica reloads at a time, and only while at least half of the others are ready", t, func() {
 		So(MayReload(nil), ShouldBeTrue)
 		So(MayReload([]ReplicaState{Ready, Ready}), ShouldBeTrue)
 		So(MayReload([]ReplicaState{Ready, Loading, Ready}), ShouldBeFalse)
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -5,33 +5,36 @@
 	"time"
 )
 
-// Plan is a partition in force. Versions only grow; a version is the fencing number of
-// the orders that carry the plan out.
+// Plan is a partition with its version. Versions only grow; the version is the fencing
+// number of the orders that carry the plan out.
 type Plan struct {
 	Version   int64
 	Partition Partition
 }
 
-// Policy says when a better partition is worth a move. Zero fields mean defaults.
+// Policy says when a better partition is worth a move. A field of zero means the default.
 type Policy struct {
-	// MinGain is the fraction of the bottleneck that a move must save.
+	// MinGain is the fraction by which a move must shorten the bottleneck.
 	MinGain float64
-	// StabilizationWindow is how long the gain must last before the move.
+	// StabilizationWindow is how long a gain of at least MinGain must last before the
+	// move.
 	StabilizationWindow time.Duration
 	// MinInterval is the minimum time between two moves.
 	MinInterval time.Duration
-	// MeasurementTTL is how long a measurement counts without a newer one. A link
-	// that the plan avoids is not measured, so without a TTL it would be avoided
-	// for ever. With it, the plan returns to a slow link at most once in this time.
+	// MeasurementTTL is how long a measurement replaces the declared time if no newer
+	// measurement follows. A link that the plan avoids is not measured. Without a TTL
+	// the plan would avoid such a link for ever. With the TTL, the plan returns to a
+	// slow link at most once in this time.
 	MeasurementTTL time.Duration
 }
 
 // Defaults of Policy.
 const (
-	// DefaultMinGain recovers the cost of a move within minutes: a move stops a
-	// chain for the seconds of a load, and other chains carry its streams meanwhile.
+	// DefaultMinGain makes a gain outweigh the cost of its move within minutes: a move
+	// stops a chain for the seconds of a load, and other chains carry its streams
+	// meanwhile.
 	DefaultMinGain = 0.2
-	// DefaultStabilizationWindow is longer than a burst or a garbage collection
+	// DefaultStabilizationWindow is longer than a traffic burst or a garbage collection
 	// pause.
 	DefaultStabilizationWindow = 10 * time.Second
 	DefaultMinInterval         = time.Minute
@@ -55,48 +58,53 @@
 	return d
 }
 
-// Measurement is the mean time of a hop over several tokens.
+// Measurement holds the times of one stage's hop per token, as means over several tokens of
+// a stream.
 type Measurement struct {
-	// Endpoint is the engine of the stage; Next is that of the next stage, empty if
-	// there is none.
+	// Endpoint names the engine of the stage, and Next the engine of the next stage. Next
+	// is empty for the last stage.
 	Endpoint, Next string
-	// HopMicros is the time of the stage's layers and its outgoing link.
+	// HopMicros is the time of the hop, in microseconds: the computation of the stage's
+	// layers and the transfer to the next stage.
 	HopMicros float64
-	// StepMicros is the time of the layers as the engine reports it. If it is zero
-	// (unknown), the hop is divided between the layers and the link in the
-	// proportion of their declared times.
+	// StepMicros is the time of the computation alone, in microseconds, as the engine
+	// reports it. Zero means unknown. The hop is then divided between computation and
+	// transfer in the proportion of their declared times.
 	StepMicros float64
 }
 
-// medianWindow is the number of last measurements of which an estimate is the median.
-// The median forgets a short burst within three measurements. A moving average would
-// carry it on well past Policy.StabilizationWindow and move layers for a short
-// disturbance.
+// medianWindow is the number of most recent measurements of which an estimate is the median.
+// Three measurements after a short burst, the median no longer shows it. A moving average
+// would show the burst for longer than Policy.StabilizationWindow, and layers would move
+// because of a short disturbance.
 const medianWindow = 5
 
-// Planner follows the measured times of a chain and decides when to move layers. It is
-// not safe for concurrent use.
+// Planner follows the measured times of a chain and decides when layers move to other
+// engines. It is not safe for concurrent use.
 type Planner struct {
 	model       Model
 	declared    Chain
 	policy      Policy
 	plan        Plan
-	layerMicros map[string]estimate // microseconds of a layer
-	linkMicros  map[link]estimate   // microseconds
+	layerMicros map[string]estimate // time of one layer, by engine
+	linkMicros  map[link]estimate   // transfer time of one token
 	lastMove    time.Time
-	gainSince   time.Time // since when a partition worth a move is known, zero if none
+	gainSince   time.Time // when a partition worth a move was first found, zero if none is known
 }
 
+// link names the engines at both ends of a link.
 type link struct{ from, to string }
 
-// estimate holds the last measurements of one time, in microseconds.
+// estimate holds the most recent measurements of a layer's or a link's time, in
+// microseconds.
 type estimate struct {
 	recent           [medianWindow]float64
 	measurementCount int
 	updated          time.Time
 }
 
-// NewPlanner returns a Planner for a chain with the plan in force.
+// NewPlanner returns a Planner for a chain. declared holds the declared times, which count
+// until there are measurements, and plan is the plan in force.
 func NewPlanner(model Model, declared Chain, plan Plan, policy Policy) *Planner {
 	return &Planner{
 		model:       model,
@@ -111,8 +119,8 @@
 // Plan returns the plan in force.
 func (p *Planner) Plan() Plan { return p.plan }
 
-// Adopt puts an agreed plan in force, unless it is older than the present one. The plan
-// may come from any node.
+// Adopt puts a plan in force that the nodes have agreed on, if its version is newer than that
+// of the present plan. Any node may have proposed the plan.
 func (p *Planner) Adopt(now time.Time, plan Plan) {
 	if plan.Version <= p.plan.Version {
 		return
@@ -122,10 +130,11 @@
 	p.gainSince = time.Time{}
 }
 
-// SetChain replaces the declared chain.
+// SetChain replaces the chain with its declared times. Measurements are kept.
 func (p *Planner) SetChain(declared Chain) { p.declared = declared }
 
-// Observe records a measurement of a stage of the plan in force.
+// Observe records a measurement. It ignores measurements without a hop time and those of
+// engines that have no stage in the plan in force.
 func (p *Planner) Observe(now time.Time, m Measurement) {
 	i := slices.IndexFunc(p.plan.Partition.Stages, func(s Stage) bool { return s.Endpoint == m.Endpoint })
 	accelerator := p.declared.acceleratorIndex(m.Endpoint)
@@ -145,7 +154,8 @@
 	}
 }
 
-// computeFraction returns the declared fraction of a hop that its layers take.
+// computeFraction returns the fraction of a hop's time that its computation takes according
+// to the declared times.
 func (p *Planner) computeFraction(accelerator int, layers float64, next string) float64 {
 	computeMicros := layers * p.declared.Accelerators[accelerator].LayerMicros
 	nextAccelerator := p.declared.acceleratorIndex(next)
@@ -171,8 +181,8 @@
 }
 
 // Decide returns the plan that should be in force and whether it differs from the present
-// one. The planner keeps the present plan until Adopt, because a new plan counts only
-// once it is agreed.
+// plan. The planner keeps the present plan until Adopt, because a new plan counts only
+// after the nodes have agreed on it.
 func (p *Planner) Decide(now time.Time) (Plan, bool) {
 	chain := p.measuredChain(now)
 	best, err := BestPartition(p.model, chain)
@@ -182,7 +192,7 @@
 	current, valid := Evaluate(p.plan.Partition, chain)
 	next := Plan{Version: p.plan.Version + 1, Partition: best}
 	if !valid {
-		return next, true // an engine of the plan is gone, so there is no gain to compare
+		return next, true // the chain lacks an engine of the plan, so there is no gain to compare
 	}
 	if best.Bottleneck > current.Bottleneck*(1-p.policy.MinGain) {
 		p.gainSince = time.Time{}
@@ -199,8 +209,8 @@
 	return next, true
 }
 
-// measuredChain returns the declared chain with recent measurements in place of declared
-// times.
+// measuredChain returns the chain with the medians of recent measurements in place of the
+// declared times.
 func (p *Planner) measuredChain(now time.Time) Chain {
 	chain := Chain{Accelerators: slices.Clone(p.declared.Accelerators)}
 	for i := range chain.Accelerators {
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -6,48 +6,50 @@
 	"slices"
 )
 
-// RolloutReplica is a replica considered for a new version of the weights.
+// RolloutReplica is a replica of the failure domain in which a version is rolled out.
 type RolloutReplica struct {
 	Name string
-	// Version is the version in the replica's plan.
+	// Version is the version of the weights that the replica's plan names.
 	Version string
 	State   ReplicaState
-	// RunningStreams is the number of streams that its engines work on.
+	// RunningStreams is the number of streams that the replica works on.
 	RunningStreams int
 }
 
-// Rollout is the next step of a roll-out in a failure domain.
+// Rollout holds what a roll-out does next in a failure domain.
 type Rollout struct {
-	// Start lists the replicas that take the new version now. Serving replicas finish
+	// Start names the replicas that change to the new version now. Serving replicas finish
 	// their streams first.
 	Start []string
 	// Unavailable is the number of replicas that don't serve now, and MaxUnavailable
-	// its upper bound.
+	// is the number of replicas that may be out of service during the roll-out.
 	Unavailable, MaxUnavailable int
-	// Outdated is the number of replicas whose plans name another version.
+	// Outdated is the number of replicas whose plans name another version than the new
+	// one.
 	Outdated int
 }
 
-// maxConcurrentUpdates bounds the replicas of a failure domain that change to a version at
-// the same time: one loads while the next finishes its streams. The weight store serves
-// one load after the other, so further replicas would only wait in its queue without
-// serving. Of 400 replicas with loads of 30 s each, half would be out for over an hour.
+// maxConcurrentUpdates is the maximum number of replicas of a failure domain that change to
+// a version at the same time: one loads while the next finishes its streams. The weight
+// store serves one load after the other, so further replicas would only wait for the store
+// without serving. If half of 400 replicas changed at once, with loads of 30 s each, they
+// would be out of service for over an hour.
 const maxConcurrentUpdates = 2
 
-// NextRollout decides which replicas start to take a version of the weights. maxFraction
-// bounds the fraction of a failure domain's replicas that may be out of service during
-// the roll-out.
+// NextRollout decides which replicas of a failure domain change to a version of the weights
+// now. maxFraction is the fraction of the replicas that may be out of service during the
+// roll-out.
 //
-// Load pattern: a new version is promoted in the dawn rush. If all replicas took it at
-// once, all would drain, share the rate of the weight store and come back together
-// minutes later, and callers would find no replica meanwhile. A version that can't be
-// loaded would take down the whole model. Here such a roll-out stops, because a replica
-// that doesn't come back stays unavailable and is counted.
+// Load pattern: a new version is released while load is high. If all replicas changed to
+// it at once, all would drain, share the rate of the weight store and return to service
+// together minutes later. Callers would find no replica meanwhile. A version that can't be
+// loaded would stop the whole model. NextRollout stops the roll-out of such a version,
+// because a replica that fails to load it stays unavailable and counts against the bound.
 //
-// A replica that has not answered counts as unavailable but is not started: a node that
-// has just taken over the plans has heard of no replica yet, and would start all of
-// them. A replica whose engines differ from its plan serves no requests, so it takes the
-// version at once.
+// A replica in the state Unknown counts as unavailable, but NextRollout doesn't choose it
+// for Start. A node that has just become responsible for the plans has no answer from any
+// replica yet. Without this rule it would choose all of them. A replica in the state
+// Loading serves no requests, so it changes to the version at once.
 func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) Rollout {
 	r := Rollout{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
 	loadingCount := 0
@@ -79,8 +81,9 @@
 	return r
 }
 
-// fewestStreams returns the index of the serving replica with another version that has
-// the fewest streams and so drains first, or -1 if all such replicas are chosen already.
+// fewestStreams returns the index of the serving replica with the fewest streams among those
+// that have another version and are not chosen yet, or -1 if there is none. That replica
+// finishes its streams first.
 func fewestStreams(version string, replicas []RolloutReplica, chosen []int) int {
 	best := -1
 	for i := range replicas {
@@ -95,7 +98,8 @@
 	return best
 }
 
-// roundingTolerance keeps a product such as 0.3 of 10 from becoming 2.9999.
+// roundingTolerance is added before a product is rounded down. Without it, 0.29 of 100
+// replicas would be 28, because the product is 28.999999999999996.
 const roundingTolerance = 1e-9
 
 func maxUnavailable(fraction float64, replicas int) int {
--- a/decide/placement/rollout_test.go
+++ b/decide/placement/rollout_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A roll-out leaves at least the stated fraction of a failure domain's replicas in
-// service, whatever else is down.
+// Without the bound on unavailable replicas, a roll-out takes too many replicas of a failure
+// domain out of service. Replicas that are down for other reasons count against the bound.
 func TestNextRollout(t *testing.T) {
 	ready := func(name, version string, runningStreams int) RolloutReplica {
 		return RolloutReplica{name, version, Ready, runningStreams}
@@ -46,11 +46,11 @@
 	}
 }
 
-// Whatever the states of the replicas, those that stop serving and those that don't serve
-// together stay within the bound, unless it was exceeded before.
+// For any states of the replicas, a roll-out stops a serving replica only if the number of
+// replicas out of service stays within the bound.
 func TestRolloutKeepsToMaxUnavailable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		maxFraction := rapid.Float64Range(0, 1).Draw(t, "part")
+		maxFraction := rapid.Float64Range(0, 1).Draw(t, "maximum fraction")
 		var replicas []RolloutReplica
 		servingCount := 0
 		for i := range rapid.IntRange(1, 30).Draw(t, "replicas") {
--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -1,31 +1,42 @@
-// Package reroute decides how a request continues when its path has lost a stage: on a
-// path that bypasses the lost replica, or, after its last event, at another first
-// replica.
+// Package reroute decides how a request continues when its path has lost a stage, which is
+// a replica with the layers that it runs.
+//
+// # Terms
+//
+//   - The request bypasses the lost replica if it keeps its first replica and runs the
+//     lost layers on other replicas.
+//   - The request migrates if another first replica continues it after the last event
+//     that the caller has received.
+//   - The request crosses if its path leads from one failure domain to another. A
+//     transfer is the data of one request that crosses the links between failure
+//     domains.
 //
 // # Load pattern
 //
 // A replica dies whose layers no other replica of its failure domain holds. All streams
-// of the domain run through it, dozens at once. For each of them the replica that takes
-// over the lost layers must prefill the prompt and the generated tokens again.
+// of the domain run through this replica, dozens at once. For each of them the replica
+// that takes over the lost layers must prefill the prompt and the generated tokens again.
 //
-// # Failure without it
+// # Failure without this package
 //
-// All streams bypass the lost replica through another failure domain. The data between
-// two layers is many times the text, and it crosses twice, over links that all domains
-// share, one transfer after another: 25 MB each way for a usual request, at 1.4 GB a
-// second. Every stream of the domain pauses for up to a second and more.
+// All streams bypass the lost replica through another failure domain. The data that passes
+// between two layers is many times the size of the text. It crosses twice, over links that
+// all domains share, one transfer after another: 25 MB each way for a usual request, at 1.4
+// GB a second. Every stream of the domain pauses for up to a second and more.
 //
 // # Rules
 //
-//   - A request bypasses the lost replica if it can be on time that way: the links
-//     that the path crosses are free enough, and the replica that takes over doesn't
-//     have too much prefill for other streams that lost the same stage.
-//   - Otherwise the request migrates as a whole to another failure domain if that is
-//     sooner. Only its text is sent there, and many replicas share the prefill.
-//   - If neither another first replica nor a free link is available, the request crosses
-//     and waits for its transfer.
-//   - A replica that is only draining serves on for seconds. Requests that must cross
-//     then do so one at a time (Idle), and the others stay.
+//   - A request bypasses the lost replica if its next event comes in time on the bypass.
+//     For this, earlier transfers on the links must end soon enough. The replica that
+//     takes over must not have too much prefill for other streams that lost the same
+//     stage.
+//   - Otherwise the request migrates to another failure domain if its next event comes
+//     sooner there. Only its text is sent to the other domain, and the many replicas of
+//     that domain share the prefill of such requests.
+//   - If the request can't migrate, it crosses and waits for its transfer.
+//   - A replica that is only draining continues to serve for seconds. Requests that must
+//     cross to leave it do so one at a time (Idle). The other requests stay on their paths
+//     until then.
 //
 // A node knows only its own transfers. A lost replica affects the streams of all nodes
 // of the domain alike, so a node multiplies its own transfers by the number of nodes.
@@ -37,46 +48,47 @@
 type Action uint8
 
 const (
-	// Stay leaves the request on its path because there is no other way now.
+	// Stay leaves the request on its path, because it can neither bypass nor migrate now.
 	Stay Action = iota
-	// Bypass keeps the first replica and routes the request around the lost one.
+	// Bypass keeps the first replica of the request and runs the lost layers on other
+	// replicas.
 	Bypass
-	// Migrate continues the request after its last event at another first replica.
+	// Migrate continues the request at another first replica, after its last event.
 	Migrate
 )
 
-// String names the action for log lines.
+// String returns the action as log lines show it.
 func (a Action) String() string {
 	return [...]string{"stay", "around", "elsewhere"}[a]
 }
 
-// LinkBacklog tracks what this node has sent over the links between failure domains. It is
-// not safe for concurrent use.
+// LinkBacklog tracks the transfers that rerouted requests of this node have begun on the links
+// between failure domains. It is not safe for concurrent use.
 type LinkBacklog struct {
-	pendingBytes float64 // not yet transferred at the last update
+	pendingBytes float64 // not yet transferred at the time updated
 	updated      time.Time
 }
 
 // Estimate holds the costs of rerouting a request.
 type Estimate struct {
-	// Bytes is the data that the added crossings of the bypass transfer, zero if the
-	// bypass adds no crossings.
+	// Bytes is the size of the request's transfer on the bypass. It is zero if the bypass
+	// crosses between failure domains no more often than the present path.
 	Bytes float64
-	// BytesPerSecond is the bandwidth of the links; zero means no limit.
+	// BytesPerSecond is the bandwidth that all nodes share on the links between failure
+	// domains. Zero means that it has no limit.
 	BytesPerSecond float64
 	// Nodes is the number of nodes whose streams are affected in the same way.
 	Nodes int
-	// BypassPrefill is the prefill time of the slowest replica that takes over on the
-	// bypass, and MigratePrefill that of the slowest on the path from another first
-	// replica.
+	// BypassPrefill is the time until the slowest new stage of the bypass has prefilled the
+	// request. MigratePrefill is the same time for the path from another first replica.
 	BypassPrefill, MigratePrefill time.Duration
-	// MaxWait is the wait up to which a bypass is on time: the rest of the allowed pause
-	// once the loss is known.
+	// MaxWait is how long the request may wait for its next event on a bypass: the rest of
+	// the allowed pause after the loss has been detected.
 	MaxWait time.Duration
 }
 
-// TransferTime returns how long the transfer of a request would take behind the transfers
-// of all nodes.
+// TransferTime returns the time until the transfer of a request would end, behind the earlier
+// transfers of all nodes.
 func (l *LinkBacklog) TransferTime(now time.Time, e Estimate) time.Duration {
 	if e.BytesPerSecond <= 0 {
 		return 0
@@ -93,26 +105,27 @@
 	return l.TransferTime(now, e) + e.BypassPrefill
 }
 
-// Idle reports whether a request that need not move at once may cross now: this node has no
-// transfer on the links, so the request waits only for its own.
+// Idle reports whether a request that need not be rerouted at once may cross now: this node
+// has no unfinished transfer on the links, so the request waits only for its own transfer.
 func (l *LinkBacklog) Idle(now time.Time, e Estimate) bool {
 	return e.Bytes == 0 || l.remaining(now, e) == 0
 }
 
-// AddTransfer records the transfer of a request.
+// AddTransfer records that the transfer of a request begins.
 func (l *LinkBacklog) AddTransfer(now time.Time, e Estimate) {
 	l.pendingBytes, l.updated = l.remaining(now, e)+e.Bytes, now
 }
 
-// remaining returns this node's backlog in bytes. It drains at the node's even share of the
-// bandwidth.
+// remaining returns how many bytes of this node's transfers are not transferred yet. They
+// are assumed to drain at the bandwidth divided by the number of nodes.
 func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
 	bytesPerSecond := e.BytesPerSecond / float64(max(1, e.Nodes))
 	return max(0, l.pendingBytes-bytesPerSecond*now.Sub(l.updated).Seconds())
 }
 
-// Decide chooses between a bypass, if there is one, and the migration to another first
-// replica, if it is allowed and the prefill ends sooner there.
+// Decide returns the action for a request by the rules of the package. canBypass says that
+// there is a path which bypasses the lost replica. canMigrate says that the request may
+// continue at another first replica.
 func (l *LinkBacklog) Decide(now time.Time, canBypass bool, e Estimate, canMigrate bool) Action {
 	switch {
 	case canBypass && l.bypassTime(now, e) <= e.MaxWait:
--- a/decide/reroute/reroute_test.go
+++ b/decide/reroute/reroute_test.go
@@ -7,18 +7,19 @@
 
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// crossingEstimate returns the estimate for a prompt of 900 tokens that crosses twice: 53 MB
-// at 1.4 GB a second.
+// crossingEstimate returns the estimate for a request of 900 tokens whose bypass crosses
+// twice: a transfer of 53 MB at 1.4 GB a second.
 func crossingEstimate(nodes int) Estimate {
 	return Estimate{Bytes: 53e6, BytesPerSecond: 1.4e9, Nodes: nodes, MaxWait: maxWait}
 }
 
-// maxWait is the rest of an allowed pause of 0.3 s.
+// maxWait is the rest of an allowed pause of 0.3 s after the loss has been detected.
 const maxWait = 120 * time.Millisecond
 
 // Forty streams of a failure domain lose a stage at once, twenty at each of two nodes. If
-// all of them bypass it one after the other, the last waits for three seconds. The first
-// ones bypass, the others migrate, and no stream waits longer than allowed.
+// all of them bypass the lost replica, their transfers follow one after the other, and the
+// last stream waits for about 1.5 s. So the first streams bypass, the others migrate,
+// and no stream waits longer than allowed.
 func TestSimultaneousLossesSplitBetweenActions(t *testing.T) {
 	var links LinkBacklog
 	actionCounts := map[Action]int{}
@@ -35,7 +36,7 @@
 	if actionCounts[Bypass] < 1 || actionCounts[Bypass] > 2 || actionCounts[Stay] > 0 || longestWait > maxWait {
 		t.Errorf("actions %v, longest wait %v", actionCounts, longestWait)
 	}
-	// Without another first replica all streams cross one after the other.
+	// If no stream can migrate, all streams bypass, and their transfers queue.
 	var bypassOnlyLinks LinkBacklog
 	for range 20 {
 		if action := bypassOnlyLinks.Decide(start, true, crossingEstimate(2), false); action != Bypass {
@@ -75,7 +76,7 @@
 	}
 }
 
-// The backlog of the links drains at their bandwidth.
+// The backlog of transfers drains at the bandwidth of the links.
 func TestBacklogDrains(t *testing.T) {
 	var links LinkBacklog
 	for range 10 {
@@ -90,9 +91,9 @@
 }
 
 // Forty streams of two nodes run through a draining replica, and no other replica of the
-// domain holds its layers. If all cross at once, each pauses for a second. If they cross
-// one at a time, each waits only for its own transfer, and all have moved before the
-// replica ends.
+// domain holds its layers. If all streams cross at once, each pauses for a second. If they
+// cross one at a time, each waits only for its own transfer. All streams must have left the
+// replica before it stops.
 func TestDrainingStreamsCrossOneAtATime(t *testing.T) {
 	var links LinkBacklog
 	crossedStreams := 0
