--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -1,6 +1,7 @@
 package layers
 
-// fillEmpty gives each empty replica the window of layers that gains most.
+// fillEmpty gives each replica without layers the window of layers with the highest gain
+// from one more holder.
 func (c *coverage) fillEmpty() []Order {
 	var orders []Order
 	for i := range c.replicas {
@@ -14,51 +15,56 @@
 	return orders
 }
 
-// bestWindow returns the window of n layers that gains most from a holder. Among equal
-// windows that contain layers without a holder it returns the first, so that spans adjoin
-// and leave no gaps too small for a replica; among other equal windows the last.
+// bestWindow returns the window of n layers with the highest sum of gains (layerGain) from
+// one more holder with the given memory. Of windows with equal sums that contain a layer
+// without a holder, it returns the first: so spans adjoin, and no gap is left that is too
+// small for a replica. Of other windows with equal sums it returns the last.
 func (c *coverage) bestWindow(n int, memoryMB float64) Span {
-	added := c.model.TokenCapacity(memoryMB, n)
-	best, gain := Span{0, n}, -1.0
+	addedCapacity := c.model.TokenCapacity(memoryMB, n)
+	best, bestGain := Span{0, n}, -1.0
 	for from := 0; from+n <= c.model.Layers; from++ {
-		sum := 0.0
+		gainSum := 0.0
 		for l := from; l < from+n; l++ {
-			sum += c.layerGain(l, added)
+			gainSum += c.layerGain(l, addedCapacity)
 		}
-		if sum > gain+gainTolerance || sum > gain-gainTolerance && sum < uncoveredGain {
-			best, gain = Span{from, from + n}, sum
+		if gainSum > bestGain+gainTolerance || gainSum > bestGain-gainTolerance && gainSum < uncoveredGain {
+			best, bestGain = Span{from, from + n}, gainSum
 		}
 	}
 	return best
 }
 
-// gainTolerance is the difference in gain below which windows count as equal.
+// gainTolerance is the difference between two sums of gains up to which they count as
+// equal.
 const gainTolerance = 1e-9
 
 const (
-	// uncoveredGain outweighs any gain of layers that have a holder.
+	// uncoveredGain is the gain of a layer from its first holder. It outweighs the gain of
+	// layers that have a holder.
 	uncoveredGain = 100
-	// secondHolderGain is the gain from a second holder beyond its capacity: the loss of
-	// one replica no longer stops the domain.
+	// secondHolderGain is the gain of a layer from a second holder, in addition to the gain
+	// from the capacity: the loss of one replica no longer stops the domain.
 	secondHolderGain = 0.5
 )
 
-// layerGain returns the gain of a layer from a holder that adds the given capacity: the
-// fraction of the new capacity that is added, and more for the first and second holder.
-func (c *coverage) layerGain(layer int, added float64) float64 {
+// layerGain returns the gain of a layer from one more holder: how much the plan prefers to
+// place a holder there. The gain is addedCapacity divided by the layer's capacity with it.
+// For a layer with one holder secondHolderGain is added. For a layer without a holder the
+// gain is uncoveredGain.
+func (c *coverage) layerGain(layer int, addedCapacity float64) float64 {
 	if c.holders[layer] == 0 {
 		return uncoveredGain
 	}
-	gain := added / (c.capacity[layer] + added)
+	gain := addedCapacity / (c.capacity[layer] + addedCapacity)
 	if c.holders[layer] == 1 {
 		gain += secondHolderGain
 	}
 	return gain
 }
 
-// shrink lets replicas that hold more than TargetFill give back layers that have other
-// holders.
-func (c *coverage) shrink() []Order {
+// shrinkOverfilled takes layers that have other holders from replicas that hold more layers
+// than TargetFill allows.
+func (c *coverage) shrinkOverfilled() []Order {
 	var orders []Order
 	for i := range c.replicas {
 		r := &c.replicas[i]
@@ -80,5 +86,5 @@
 	return orders
 }
 
-// minShrinkLayers is the minimum number of layers that justifies an order.
+// minShrinkLayers is the minimum number of layers for which shrinkOverfilled gives an order.
 const minShrinkLayers = 2
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -8,74 +8,77 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// partialPath is the cheapest known path up to a boundary between layers whose last stage
-// is in a given failure domain. Its fields describe the last stage.
+// partialPath is the cheapest known path from the first layer of the query to a boundary
+// between layers, among the paths whose last stage is in a given failure domain. cost is
+// that of the whole partial path, in milliseconds; the other fields describe its last
+// stage.
 type partialPath struct {
 	cost         float64
-	prevBoundary int // index of the boundary at which the stage begins
-	prevDomain   int // of the stage before
+	prevBoundary int // index of the boundary at which the last stage begins
+	prevDomain   int // index of the domain of the stage before the last
 	replica      *replicaState
 }
 
-// search computes a shortest path over the boundaries between layers. The state is the
-// boundary and the domain of the last stage, because only a change of domain has a cost.
-// limit bounds the utilization of each replica.
-func (s *Selector) search(now time.Time, q Query, usable []*replicaState, limit float64) Path {
+// search computes the cheapest path over the boundaries between layers. It keeps one
+// partial path for each boundary and domain of the last stage: the cost of the next hop
+// depends only on these two. utilizationLimit bounds the utilization of each replica.
+func (s *Selector) search(now time.Time, q Query, usable []*replicaState, utilizationLimit float64) Path {
 	bounds := boundaries(q.Layers, usable)
-	domains, index := domainsOf(q.Domain, usable)
+	domains, domainIndexes := domainsOf(q.Domain, usable)
 	cheapest := make([]partialPath, len(bounds)*len(domains))
 	for i := range cheapest {
 		cheapest[i].cost = math.Inf(1)
 	}
-	cell := func(boundary, domain int) *partialPath { return &cheapest[boundary*len(domains)+domain] }
-	cell(0, 0).cost = 0
+	partialPathTo := func(boundary, domain int) *partialPath { return &cheapest[boundary*len(domains)+domain] }
+	partialPathTo(0, 0).cost = 0
 	factors := s.costFactors(now, usable)
 	for to := 1; to < len(bounds); to++ {
 		for k, r := range usable {
 			if r.Holds.To < bounds[to] {
 				continue
 			}
-			domain := index[k]
+			domain := domainIndexes[k]
 			for from := to - 1; from >= 0 && bounds[from] >= r.Holds.From; from-- {
 				if from == 0 && len(q.FirstReplicas) > 0 && !slices.Contains(q.FirstReplicas, r.ID) {
 					continue
 				}
-				stageMillis, ok := s.stageCost(now, r, bounds[to]-bounds[from], q.Tokens, limit, factors[k])
+				stageMillis, ok := s.stageCost(now, r, bounds[to]-bounds[from], q.Tokens, utilizationLimit, factors[k])
 				if !ok {
 					continue
 				}
 				stageMillis += prefillCostFactor * r.prefill.remaining(now)
-				for last := range domains {
-					total := cell(from, last).cost + stageMillis + crossingCost(from == 0 && q.Layers.From == 0, last, domain)
-					if total < cell(to, domain).cost {
-						*cell(to, domain) = partialPath{cost: total, prevBoundary: from, prevDomain: last, replica: r}
+				for previousDomain := range domains {
+					total := partialPathTo(from, previousDomain).cost + stageMillis + crossingCost(from == 0 && q.Layers.From == 0, previousDomain, domain)
+					if total < partialPathTo(to, domain).cost {
+						*partialPathTo(to, domain) = partialPath{cost: total, prevBoundary: from, prevDomain: previousDomain, replica: r}
 					}
 				}
 			}
 		}
 	}
-	return reconstruct(bounds, len(domains), cheapest)
+	return reconstructPath(bounds, len(domains), cheapest)
 }
 
-// crossingCost returns the cost of a hop from one domain to another. The hop to the first
-// stage starts at this node.
-func crossingCost(first bool, last, domain int) float64 {
+// crossingCost returns the cost of a change of domain on a hop, in milliseconds. The hop to
+// the first stage starts in the domain of this node.
+func crossingCost(toFirstStage bool, fromDomain, toDomain int) float64 {
 	switch {
-	case last == domain:
+	case fromDomain == toDomain:
 		return 0
-	case first:
+	case toFirstStage:
 		return remoteEntryMillis
 	default:
 		return crossDomainMillis
 	}
 }
 
-// boundaries returns the sorted layers at which a stage may begin or end.
-func boundaries(run layers.Span, usable []*replicaState) []int {
-	bounds := []int{run.From, run.To}
+// boundaries returns the sorted layer numbers at which a stage may begin or end: the ends
+// of the span and of the spans that replicas hold.
+func boundaries(span layers.Span, usable []*replicaState) []int {
+	bounds := []int{span.From, span.To}
 	for _, r := range usable {
 		for _, bound := range []int{r.Holds.From, r.Holds.To} {
-			if bound > run.From && bound < run.To {
+			if bound > span.From && bound < span.To {
 				bounds = append(bounds, bound)
 			}
 		}
@@ -84,24 +87,24 @@
 	return slices.Compact(bounds)
 }
 
-// domainsOf returns the failure domains, this node's own first, and the index of each
-// replica's domain.
-func domainsOf(own string, usable []*replicaState) (domains []string, index []int) {
+// domainsOf returns the failure domains, this node's own first, and for each replica the
+// index of its domain in that list.
+func domainsOf(own string, usable []*replicaState) (domains []string, domainIndexes []int) {
 	domains = []string{own}
-	index = make([]int, len(usable))
+	domainIndexes = make([]int, len(usable))
 	for k, r := range usable {
 		i := slices.Index(domains, r.Domain)
 		if i < 0 {
 			i = len(domains)
 			domains = append(domains, r.Domain)
 		}
-		index[k] = i
+		domainIndexes[k] = i
 	}
-	return domains, index
+	return domains, domainIndexes
 }
 
-// costFactors returns the random cost factor of each replica, raised for replicas that
-// have just refused for lack of capacity.
+// costFactors returns the random cost factor of each replica, multiplied by avoidFactor for
+// a replica that is to be avoided now (avoidUntil).
 func (s *Selector) costFactors(now time.Time, usable []*replicaState) []float64 {
 	factors := make([]float64, len(usable))
 	for k, r := range usable {
@@ -113,38 +116,40 @@
 	return factors
 }
 
-// avoidFactor makes a replica that has just refused for lack of capacity the last choice
-// in its domain.
+// avoidFactor is the factor on the cost of a replica that is to be avoided. It makes the
+// replica the last choice in its domain.
 const avoidFactor = 8
 
-// stageCost returns the cost of count layers on a replica, in milliseconds a step, and
-// whether the replica has the capacity.
-func (s *Selector) stageCost(now time.Time, r *replicaState, count int, tokens, limit, factor float64) (float64, bool) {
-	extra := tokens * float64(count)
+// stageCost returns the cost of a stage that runs layerCount layers on a replica, in
+// milliseconds per decode step. It returns false if the replica has too little capacity for
+// the tokens.
+func (s *Selector) stageCost(now time.Time, r *replicaState, layerCount int, tokens, utilizationLimit, costFactor float64) (float64, bool) {
+	extra := tokens * float64(layerCount)
 	utilization := s.utilization(now, r, extra)
-	if utilization > limit || !math.IsInf(limit, 1) && !s.mayReserve(now, r, extra, limit) {
+	if utilization > utilizationLimit || !math.IsInf(utilizationLimit, 1) && !s.mayReserve(now, r, extra, utilizationLimit) {
 		return 0, false
 	}
 	utilization = min(utilization, 0.99)
-	return hopMillis + factor*float64(count)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
+	return hopMillis + costFactor*float64(layerCount)*(r.LayerMillis*r.slowdown*r.slowdown+slowLayerMillis*utilization/(1-utilization)), true
 }
 
-// reconstruct follows the partial paths back from the last layer and merges the stages of
-// one replica.
-func reconstruct(bounds []int, domains int, cheapest []partialPath) Path {
-	last := len(bounds) - 1
-	best := -1
-	for d := range domains {
-		if p := cheapest[last*domains+d]; p.replica != nil && (best < 0 || p.cost < cheapest[last*domains+best].cost) {
-			best = d
+// reconstructPath follows the cheapest partial paths back from the last boundary and merges
+// stages that run on the same replica. It returns nil if no path reaches the last boundary
+// or the path has more than MaxStages stages.
+func reconstructPath(bounds []int, domainCount int, cheapest []partialPath) Path {
+	lastBoundary := len(bounds) - 1
+	bestDomain := -1
+	for d := range domainCount {
+		if p := cheapest[lastBoundary*domainCount+d]; p.replica != nil && (bestDomain < 0 || p.cost < cheapest[lastBoundary*domainCount+bestDomain].cost) {
+			bestDomain = d
 		}
 	}
-	if best < 0 {
+	if bestDomain < 0 {
 		return nil
 	}
 	var path Path
-	for boundary, domain := last, best; boundary > 0; {
-		p := cheapest[boundary*domains+domain]
+	for boundary, domain := lastBoundary, bestDomain; boundary > 0; {
+		p := cheapest[boundary*domainCount+domain]
 		path = append(path, Stage{
 			Replica: p.replica.ID, Address: p.replica.Address, Domain: p.replica.Domain,
 			Layers: layers.Span{From: bounds[p.prevBoundary], To: bounds[boundary]},
@@ -159,8 +164,9 @@
 	return path
 }
 
-// mergeRepeated gives all layers between two stages of one replica to that replica, which
-// holds them too. An engine refuses a path that contains its replica twice.
+// mergeRepeated joins two stages on the same replica into one that also runs the layers
+// between them. The replica holds these layers too, because it holds a single span. An
+// engine refuses a path that contains its replica twice.
 func mergeRepeated(path Path) Path {
 	for i := 0; i < len(path); i++ {
 		for j := len(path) - 1; j > i; j-- {
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -8,128 +8,134 @@
 // ErrNoFit means that the model doesn't fit in the memory of the chain.
 var ErrNoFit = errors.New("placement: the chain's memory does not hold the model")
 
-// Model describes the model to place.
+// Model describes the model whose layers are divided.
 type Model struct {
 	// Layers is the number of layers.
 	Layers int
-	// LayerBytes is the memory of one layer with its share of the KV cache.
+	// LayerBytes is the memory of one layer: its weights and its part of the KV cache.
 	LayerBytes int64
 }
 
-// Accelerator is one engine of a chain.
+// Accelerator is one engine of a chain, with the accelerator on which it runs.
 type Accelerator struct {
-	// Endpoint is the engine's name.
+	// Endpoint is the name of the engine's endpoint.
 	Endpoint string
-	// LayerMicros is the time of one token in one layer, in microseconds.
+	// LayerMicros is the time that one token takes in one layer, in microseconds.
 	LayerMicros float64
-	// MemoryBytes is the memory for layers.
+	// MemoryBytes is the memory for layers and their KV cache.
 	MemoryBytes int64
 }
 
-// Chain lists engines in the order in which a token may pass through them. A
-// partition may leave out some of them.
+// Chain lists engines in the order in which a token may pass through them. A partition
+// need not use all engines of the chain.
 type Chain struct {
 	Accelerators []Accelerator
-	// LinkMicros[i][j], for i < j, is the transfer time from accelerator i to j, in
-	// microseconds.
+	// LinkMicros[i][j], for i < j, is the time to transfer one token's data from
+	// accelerator i to accelerator j, in microseconds.
 	LinkMicros [][]float64
 }
 
 // Stage is an engine with the first and last layer that it is to hold, both inclusive.
 type Stage struct {
+	// Endpoint is the name of the engine's endpoint.
 	Endpoint    string
 	First, Last int
 }
 
-// Partition assigns the layers of a model to engines of a chain. A hop is the time of a
-// stage's layers and of its outgoing link; a stage starts its next token only when the
-// hop is over.
+// Partition divides the layers of a model over engines of a chain. A stage starts its next
+// token only after the hop of the present token: the computation of its layers and the
+// transfer to the next stage.
 type Partition struct {
 	Stages []Stage
-	// Bottleneck is the longest hop and Total the sum of all hops, in microseconds.
+	// Bottleneck is the time of the longest hop and Total the sum of the times of all hops,
+	// in microseconds.
 	Bottleneck, Total float64
 }
 
-// BestPartition returns the partition with the least bottleneck, and of these the one
-// with the least total. Its running time grows with the square of the number of engines
-// and of the number of layers.
+// BestPartition returns the partition with the shortest bottleneck. If several partitions
+// have it, BestPartition returns the one with the least total. The running time of
+// BestPartition grows with the square of the number of engines times the square of the
+// number of layers.
 func BestPartition(model Model, chain Chain) (Partition, error) {
-	minBottleneck := newSearch(model, chain, math.Inf(1), math.Max)
-	if math.IsInf(minBottleneck.value, 1) {
+	minBottleneck := runSearch(model, chain, math.Inf(1), math.Max)
+	if math.IsInf(minBottleneck.bestCost, 1) {
 		return Partition{}, ErrNoFit
 	}
-	// A prefix with the least bottleneck need not have the least total, so a second
-	// pass minimises the total under the bottleneck found by the first.
-	minTotal := newSearch(model, chain, minBottleneck.value, func(a, b float64) float64 { return a + b })
-	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.value, Total: minTotal.value}, nil
+	// The stages with the shortest bottleneck need not have the least total. So a second
+	// search minimises the total over partitions whose hops are no longer than that
+	// bottleneck.
+	minTotal := runSearch(model, chain, minBottleneck.bestCost, func(a, b float64) float64 { return a + b })
+	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.bestCost, Total: minTotal.bestCost}, nil
 }
 
-// searchState is a state of the search: a stage that runs on an accelerator and begins at
-// a layer.
+// searchState is a state of the search: the next stage runs on an accelerator and begins at
+// a layer. Both are indexes.
 type searchState struct{ accelerator, layer int }
 
-// transition is the best transition into a state: the state before it and the value of
-// all hops so far.
+// transition is the cheapest transition into a state: the state before it and the combined
+// cost of all hops up to the state.
 type transition struct {
-	value    float64
+	cost     float64
 	previous searchState
 }
 
-// search is a dynamic programme over states. maxHop bounds each hop; combine folds the
-// hops into the value that is minimised.
+// search finds the partition with the least cost by dynamic programming over states. No hop
+// may take longer than maxHopMicros. combine returns the cost of a partial partition with
+// one more hop: the longest hop in the first search, the sum of all hops in the second.
 type search struct {
-	model     Model
-	chain     Chain
-	maxHop    float64
-	combine   func(a, b float64) float64
-	best      [][]transition
-	lastState searchState // of the last stage
-	value     float64
-}
-
-func newSearch(model Model, chain Chain, maxHop float64, combine func(a, b float64) float64) *search {
-	s := &search{model: model, chain: chain, maxHop: maxHop, combine: combine, value: math.Inf(1)}
-	s.best = make([][]transition, len(chain.Accelerators))
-	for accelerator := range s.best {
-		s.best[accelerator] = make([]transition, model.Layers)
-		for layer := range s.best[accelerator] {
-			s.best[accelerator][layer] = transition{value: math.Inf(1)}
+	model           Model
+	chain           Chain
+	maxHopMicros    float64
+	combine         func(a, b float64) float64
+	bestTransitions [][]transition
+	lastState       searchState // of the last stage
+	bestCost        float64
+}
+
+func runSearch(model Model, chain Chain, maxHopMicros float64, combine func(a, b float64) float64) *search {
+	s := &search{model: model, chain: chain, maxHopMicros: maxHopMicros, combine: combine, bestCost: math.Inf(1)}
+	s.bestTransitions = make([][]transition, len(chain.Accelerators))
+	for accelerator := range s.bestTransitions {
+		s.bestTransitions[accelerator] = make([]transition, model.Layers)
+		for layer := range s.bestTransitions[accelerator] {
+			s.bestTransitions[accelerator][layer] = transition{cost: math.Inf(1)}
 		}
 		if model.Layers > 0 {
-			s.best[accelerator][0] = transition{previous: searchState{accelerator: -1}}
+			s.bestTransitions[accelerator][0] = transition{previous: searchState{accelerator: -1}}
 		}
 	}
-	for accelerator := range s.best {
-		for layer := range s.best[accelerator] {
+	for accelerator := range s.bestTransitions {
+		for layer := range s.bestTransitions[accelerator] {
 			s.extend(searchState{accelerator, layer})
 		}
 	}
 	return s
 }
 
-// extend tries every number of layers on the accelerator of a state, and every later
-// accelerator for the next stage.
+// extend tries every number of layers for the stage of a state, and every later accelerator
+// for the stage after it.
 func (s *search) extend(state searchState) {
-	value := s.best[state.accelerator][state.layer].value
-	if math.IsInf(value, 1) {
+	costSoFar := s.bestTransitions[state.accelerator][state.layer].cost
+	if math.IsInf(costSoFar, 1) {
 		return
 	}
 	accelerator := s.chain.Accelerators[state.accelerator]
 	for layers := 1; layers <= s.maxLayers(state); layers++ {
-		compute := float64(layers) * accelerator.LayerMicros
+		computeMicros := float64(layers) * accelerator.LayerMicros
 		end := state.layer + layers
 		if end == s.model.Layers {
-			s.finish(state, value, compute)
+			s.recordLastStage(state, costSoFar, computeMicros)
 			return
 		}
-		for to := state.accelerator + 1; to < len(s.best); to++ {
-			hop := compute + s.chain.LinkMicros[state.accelerator][to]
-			s.relax(searchState{to, end}, state, value, hop)
+		for nextAccelerator := state.accelerator + 1; nextAccelerator < len(s.bestTransitions); nextAccelerator++ {
+			hopMicros := computeMicros + s.chain.LinkMicros[state.accelerator][nextAccelerator]
+			s.relax(searchState{nextAccelerator, end}, state, costSoFar, hopMicros)
 		}
 	}
 }
 
-// maxLayers returns the number of layers that fit on the accelerator of a state.
+// maxLayers returns the maximum number of layers of a stage that begins at a state: the
+// remaining layers, as far as they fit on its accelerator.
 func (s *search) maxLayers(from searchState) int {
 	remaining := s.model.Layers - from.layer
 	if s.model.LayerBytes <= 0 {
@@ -139,32 +145,34 @@
 	return int(min(int64(remaining), max(fits, 0)))
 }
 
-// relax records a transition if it improves the value of its target state.
-func (s *search) relax(to, from searchState, before, hop float64) {
-	if hop > s.maxHop {
+// relax records a transition between two states if it lowers the cost of its target state.
+func (s *search) relax(to, from searchState, costSoFar, hopMicros float64) {
+	if hopMicros > s.maxHopMicros {
 		return
 	}
-	if after := s.combine(before, hop); after < s.best[to.accelerator][to.layer].value {
-		s.best[to.accelerator][to.layer] = transition{value: after, previous: from}
+	if cost := s.combine(costSoFar, hopMicros); cost < s.bestTransitions[to.accelerator][to.layer].cost {
+		s.bestTransitions[to.accelerator][to.layer] = transition{cost: cost, previous: from}
 	}
 }
 
-// finish records a last stage if it improves the value of the whole partition.
-func (s *search) finish(from searchState, before, hop float64) {
-	if hop > s.maxHop {
+// recordLastStage records the last stage of a partition if the partition costs less than
+// the best one so far.
+func (s *search) recordLastStage(from searchState, costSoFar, hopMicros float64) {
+	if hopMicros > s.maxHopMicros {
 		return
 	}
-	if after := s.combine(before, hop); after < s.value {
-		s.value = after
+	if cost := s.combine(costSoFar, hopMicros); cost < s.bestCost {
+		s.bestCost = cost
 		s.lastState = from
 	}
 }
 
-// stages follows the best transitions back from the last stage.
+// stages returns the stages of the best partition. It follows the cheapest transitions back
+// from the last stage.
 func (s *search) stages() []Stage {
 	var reversed []Stage
 	end := s.model.Layers
-	for state := s.lastState; state.accelerator >= 0; state = s.best[state.accelerator][state.layer].previous {
+	for state := s.lastState; state.accelerator >= 0; state = s.bestTransitions[state.accelerator][state.layer].previous {
 		endpoint := s.chain.Accelerators[state.accelerator].Endpoint
 		reversed = append(reversed, Stage{Endpoint: endpoint, First: state.layer, Last: end - 1})
 		end = state.layer
@@ -176,30 +184,30 @@
 	return stages
 }
 
-// Evaluate returns a partition with its cost on a chain, and false if the chain lacks one
-// of its engines or orders them differently.
+// Evaluate returns a partition with its bottleneck and total on a chain. It returns false
+// if the chain lacks an engine of the partition or has the engines in another order.
 func Evaluate(p Partition, chain Chain) (Partition, bool) {
-	measured := Partition{Stages: p.Stages}
+	evaluated := Partition{Stages: p.Stages}
 	for i, stage := range p.Stages {
-		index := chain.index(stage.Endpoint)
+		index := chain.acceleratorIndex(stage.Endpoint)
 		if index < 0 {
 			return Partition{}, false
 		}
-		hop := float64(stage.Last-stage.First+1) * chain.Accelerators[index].LayerMicros
+		hopMicros := float64(stage.Last-stage.First+1) * chain.Accelerators[index].LayerMicros
 		if i+1 < len(p.Stages) {
-			next := chain.index(p.Stages[i+1].Endpoint)
-			if next <= index {
+			nextIndex := chain.acceleratorIndex(p.Stages[i+1].Endpoint)
+			if nextIndex <= index {
 				return Partition{}, false
 			}
-			hop += chain.LinkMicros[index][next]
+			hopMicros += chain.LinkMicros[index][nextIndex]
 		}
-		measured.Bottleneck = max(measured.Bottleneck, hop)
-		measured.Total += hop
+		evaluated.Bottleneck = max(evaluated.Bottleneck, hopMicros)
+		evaluated.Total += hopMicros
 	}
-	return measured, len(p.Stages) > 0
+	return evaluated, len(p.Stages) > 0
 }
 
-func (c Chain) index(endpoint string) int {
+func (c Chain) acceleratorIndex(endpoint string) int {
 	for i := range c.Accelerators {
 		if c.Accelerators[i].Endpoint == endpoint {
 			return i
--- a/decide/reroute/reroute_test.go
+++ b/decide/reroute/reroute_test.go
@@ -7,49 +7,50 @@
 
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// crossingEstimate returns the estimate for a prompt of 900 tokens that crosses twice: 53 MB
-// at 1.4 GB a second.
+// crossingEstimate returns the estimate for a request of 900 tokens whose bypass crosses
+// twice: a transfer of 53 MB at 1.4 GB a second.
 func crossingEstimate(nodes int) Estimate {
 	return Estimate{Bytes: 53e6, BytesPerSecond: 1.4e9, Nodes: nodes, MaxWait: maxWait}
 }
 
-// maxWait is the rest of an allowed pause of 0.3 s.
+// maxWait is the rest of an allowed pause of 0.3 s after the loss has been detected.
 const maxWait = 120 * time.Millisecond
 
 // Forty streams of a failure domain lose a stage at once, twenty at each of two nodes. If
-// all of them bypass it one after the other, the last waits for three seconds. The first
-// ones bypass, the others migrate, and no stream waits longer than allowed.
+// all of them bypass the lost replica, their transfers follow one after the other, and the
+// last stream waits for about 1.5 s. So the first streams bypass, the others migrate,
+// and no stream waits longer than allowed.
 func TestSimultaneousLossesSplitBetweenActions(t *testing.T) {
 	var links LinkBacklog
-	actions := map[Action]int{}
-	longest := time.Duration(0)
+	actionCounts := map[Action]int{}
+	longestWait := time.Duration(0)
 	for range 20 {
 		estimate := crossingEstimate(2)
 		action := links.Decide(start, true, estimate, true)
-		actions[action]++
+		actionCounts[action]++
 		if action == Bypass {
-			longest = max(longest, links.TransferTime(start, estimate))
+			longestWait = max(longestWait, links.TransferTime(start, estimate))
 			links.AddTransfer(start, estimate)
 		}
 	}
-	if actions[Bypass] < 1 || actions[Bypass] > 2 || actions[Stay] > 0 || longest > maxWait {
-		t.Errorf("actions %v, longest wait %v", actions, longest)
+	if actionCounts[Bypass] < 1 || actionCounts[Bypass] > 2 || actionCounts[Stay] > 0 || longestWait > maxWait {
+		t.Errorf("actions %v, longest wait %v", actionCounts, longestWait)
 	}
-	// Without another first replica all streams cross one after the other.
-	var alone LinkBacklog
+	// If no stream can migrate, all streams bypass, and their transfers queue.
+	var bypassOnlyLinks LinkBacklog
 	for range 20 {
-		if action := alone.Decide(start, true, crossingEstimate(2), false); action != Bypass {
+		if action := bypassOnlyLinks.Decide(start, true, crossingEstimate(2), false); action != Bypass {
 			t.Fatalf("action %v without another first replica", action)
 		}
-		alone.AddTransfer(start, crossingEstimate(2))
+		bypassOnlyLinks.AddTransfer(start, crossingEstimate(2))
 	}
-	if wait := alone.TransferTime(start, crossingEstimate(2)); wait < 1400*time.Millisecond {
+	if wait := bypassOnlyLinks.TransferTime(start, crossingEstimate(2)); wait < 1400*time.Millisecond {
 		t.Errorf("the last stream waits %v", wait)
 	}
 }
 
 func TestDecide(t *testing.T) {
-	local := Estimate{BytesPerSecond: 1.4e9, Nodes: 6}
+	noAddedCrossings := Estimate{BytesPerSecond: 1.4e9, Nodes: 6}
 	for _, c := range []struct {
 		name       string
 		canBypass  bool
@@ -57,7 +58,7 @@
 		canMigrate bool
 		want       Action
 	}{
-		{"no added crossings", true, local, true, Bypass},
+		{"no added crossings", true, noAddedCrossings, true, Bypass},
 		{"a single crossing by one node", true, crossingEstimate(1), true, Bypass},
 		{"crossings by nine nodes", true, crossingEstimate(9), true, Migrate},
 		{"the prefill on the bypass is too long", true, Estimate{BypassPrefill: 300 * time.Millisecond, MigratePrefill: 90 * time.Millisecond, MaxWait: maxWait}, true, Migrate},
@@ -75,7 +76,7 @@
 	}
 }
 
-// The backlog of the links drains at their bandwidth.
+// The backlog of transfers drains at the bandwidth of the links.
 func TestBacklogDrains(t *testing.T) {
 	var links LinkBacklog
 	for range 10 {
@@ -90,25 +91,25 @@
 }
 
 // Forty streams of two nodes run through a draining replica, and no other replica of the
-// domain holds its layers. If all cross at once, each pauses for a second. If they cross
-// one at a time, each waits only for its own transfer, and all have moved before the
-// replica ends.
+// domain holds its layers. If all streams cross at once, each pauses for a second. If they
+// cross one at a time, each waits only for its own transfer. All streams must have left the
+// replica before it stops.
 func TestDrainingStreamsCrossOneAtATime(t *testing.T) {
 	var links LinkBacklog
-	crossed := 0
-	for at := time.Duration(0); at < 2*time.Second; at += 10 * time.Millisecond {
-		now := start.Add(at)
+	crossedStreams := 0
+	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 10 * time.Millisecond {
+		now := start.Add(elapsed)
 		if !links.Idle(now, crossingEstimate(2)) {
 			continue
 		}
 		if wait := links.TransferTime(now, crossingEstimate(2)); wait > 80*time.Millisecond {
-			t.Errorf("at %v a stream would wait %v", at, wait)
+			t.Errorf("at %v a stream would wait %v", elapsed, wait)
 		}
 		links.AddTransfer(now, crossingEstimate(2))
-		crossed++
+		crossedStreams++
 	}
-	if crossed < 20 {
-		t.Errorf("%d of 20 streams moved within two seconds", crossed)
+	if crossedStreams < 20 {
+		t.Errorf("%d of 20 streams moved within two seconds", crossedStreams)
 	}
 	if !links.Idle(start, Estimate{}) {
 		t.Error("a stream without added crossings must not wait")
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -139,7 +139,7 @@
 	return waitqueue.Request{ID: m.lastWaiterID, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
 }
 
-func errorOf(reason paths.Reason) error {
+func errorOf(reason paths.Outcome) error {
 	if reason == paths.NoCapacity {
 		return ErrNoCapacity
 	}
@@ -160,7 +160,7 @@
 
 // reserve reserves a path, unless other requests wait that come first. A request that gets no
 // path at its first try is queued.
-func (m *ModelTargets) reserve(q Query, w waitqueue.Request, firstTry bool) (Target, paths.Reason, bool) {
+func (m *ModelTargets) reserve(q Query, w waitqueue.Request, firstTry bool) (Target, paths.Outcome, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
