--- a/decide/retry/retry.go
+++ b/decide/retry/retry.go
@@ -8,77 +8,78 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Defaults of Config; doc.go gives their grounds.
+// Defaults of Config; the package comment gives the reasons.
 const (
-	DefaultShare       = 0.1
-	DefaultBurst       = 100
-	DefaultFloor       = 0.2
-	DefaultMaxAttempts = 3
-	DefaultBaseDelay   = 25 * time.Millisecond
-	DefaultMaxDelay    = time.Second
+	DefaultRetryRatio          = 0.1
+	DefaultBurst               = 100
+	DefaultMinRetriesPerSecond = 0.2
+	DefaultMaxAttempts         = 3
+	DefaultBaseDelay           = 25 * time.Millisecond
+	DefaultMaxDelay            = time.Second
 )
 
-// Config sets a Budget. Zero values take the defaults.
+// Config configures a Budget. Zero values take the defaults.
 type Config struct {
-	// Share is the retries earned per success.
-	Share float64
-	// Burst is the most retries that can be saved up; a new Budget holds them, or
-	// Start if that is set.
-	Burst float64
-	Start float64
-	// Floor is the retries earned per second whatever succeeds.
-	Floor float64
-	// Window, if set, bounds the retries of any span of this length instead of saving
-	// them up: Burst, and Share for each success in it. Floor is not used then, and of
-	// Start the rest of Burst counts as spent when the Budget is made.
+	// RetryRatio is the number of retries earned per success.
+	RetryRatio float64
+	// Burst is the largest number of retries that can be saved up. A new Budget holds
+	// InitialRetries, or Burst if InitialRetries is zero.
+	Burst          float64
+	InitialRetries float64
+	// MinRetriesPerSecond is the number of retries earned per second without any success.
+	MinRetriesPerSecond float64
+	// Window, if set, replaces saving up by a limit for any period of this length:
+	// Burst retries plus RetryRatio for each success in the period.
+	// MinRetriesPerSecond is then not used. Burst minus InitialRetries counts as
+	// spent when the Budget is first used.
 	Window time.Duration
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts is the largest number of attempts of one request, including the first.
 	MaxAttempts int
-	// BaseDelay is the longest wait before the second attempt; it doubles with
-	// each further one up to MaxDelay.
+	// BaseDelay is the longest delay before the second attempt. The delay doubles with
+	// each further attempt, up to MaxDelay.
 	BaseDelay time.Duration
 	MaxDelay  time.Duration
-	// Seed of the jitter; nodes take different ones.
+	// Seed seeds the jitter; each node uses a different seed.
 	Seed uint64
 }
 
 // Attempt describes a failed attempt.
 type Attempt struct {
-	// Made is the number of attempts made so far, this one included.
-	Made    int
-	Failure health.Failure
-	// Repeatable is set if the request may run twice. Otherwise it is tried
-	// again only if NotRun is set or Failure proves that it did not run.
-	Repeatable bool
+	// AttemptsMade is the number of attempts made so far, this one included.
+	AttemptsMade int
+	Failure      health.Failure
+	// Idempotent is set if the request may run twice. Any other request is retried
+	// only if NotRun is set or Failure proves that the request did not run.
+	Idempotent bool
 	// NotRun is set if the caller of Allow knows that the request did not run.
 	NotRun bool
-	// Deadline of the request; zero for none.
+	// Deadline is the deadline of the request; zero means no deadline.
 	Deadline time.Time
-	// Need is the shortest time in which an attempt can succeed.
-	Need time.Duration
+	// MinDuration is the shortest time that a successful attempt takes.
+	MinDuration time.Duration
 	// Alternatives is the number of other endpoints that could be tried.
 	Alternatives int
 }
 
-// Reason says why an attempt is or is not tried again.
+// Reason says why an attempt is or is not retried.
 type Reason uint8
 
 const (
 	// Allowed is the only reason that comes with Retry set.
 	Allowed Reason = iota
-	// NotAFailure means that the attempt succeeded or its caller gave up.
+	// NotAFailure means that the attempt succeeded or its caller canceled the request.
 	NotAFailure
-	// Overload means that the endpoint refused for want of room.
+	// Overload means that the endpoint refused the request for lack of capacity.
 	Overload
-	// MayHaveRun means that the request may not repeat and perhaps ran.
+	// MayHaveRun means that the request is not idempotent and may have run.
 	MayHaveRun
 	// TooManyAttempts means that MaxAttempts is reached.
 	TooManyAttempts
 	// NoAlternative means that no other endpoint is left.
 	NoAlternative
-	// DeadlineTooNear means that a further attempt would end too late.
+	// DeadlineTooNear means that a further attempt would end after the deadline.
 	DeadlineTooNear
-	// BudgetSpent means that the service fails too often to retry.
+	// BudgetSpent means that no retry is left in the budget.
 	BudgetSpent
 )
 
@@ -94,104 +95,104 @@
 	return "invalid"
 }
 
-// Decision is the answer of Allow.
+// Decision is the result of Allow.
 type Decision struct {
 	Retry bool
-	// After is how long to wait before the retry.
-	After  time.Duration
+	// Delay is the time to wait before the retry.
+	Delay  time.Duration
 	Reason Reason
-	// Left is the budget after the decision, in retries, for the log line.
-	Left float64
+	// Remaining is the number of retries left after the decision, for the log line.
+	Remaining float64
 }
 
-// Budget holds the retries that a service has earned.
+// Budget limits the retries of one service on one node.
 type Budget struct {
-	cfg    Config
-	purse  purse
-	random *rand.Rand
+	cfg     Config
+	limiter limiter
+	rng     *rand.Rand
 }
 
-// New returns a Budget that holds Config.Start.
+// New returns a Budget that holds Config.InitialRetries.
 func New(cfg Config) *Budget {
 	cfg = withDefaults(cfg)
-	return &Budget{cfg: cfg, purse: newPurse(cfg), random: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed))}
+	return &Budget{cfg: cfg, limiter: newLimiter(cfg), rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed))}
 }
 
-func newPurse(cfg Config) purse {
-	start := cmp.Or(cfg.Start, cfg.Burst)
+func newLimiter(cfg Config) limiter {
+	initial := cmp.Or(cfg.InitialRetries, cfg.Burst)
 	if cfg.Window > 0 {
-		return newWindow(cfg, cfg.Burst-start)
+		return newSlidingWindow(cfg, cfg.Burst-initial)
 	}
-	return &bucket{share: cfg.Share, burst: cfg.Burst, floor: cfg.Floor, tokens: start}
+	return &tokenBucket{ratio: cfg.RetryRatio, burst: cfg.Burst, minPerSecond: cfg.MinRetriesPerSecond, availableRetries: initial}
 }
 
 func withDefaults(cfg Config) Config {
-	cfg.Share = cmp.Or(cfg.Share, DefaultShare)
+	cfg.RetryRatio = cmp.Or(cfg.RetryRatio, DefaultRetryRatio)
 	cfg.Burst = cmp.Or(cfg.Burst, DefaultBurst)
-	cfg.Floor = cmp.Or(cfg.Floor, DefaultFloor)
+	cfg.MinRetriesPerSecond = cmp.Or(cfg.MinRetriesPerSecond, DefaultMinRetriesPerSecond)
 	cfg.MaxAttempts = cmp.Or(cfg.MaxAttempts, DefaultMaxAttempts)
 	cfg.BaseDelay = cmp.Or(cfg.BaseDelay, DefaultBaseDelay)
 	cfg.MaxDelay = cmp.Or(cfg.MaxDelay, DefaultMaxDelay)
 	return cfg
 }
 
-// Success credits the budget for a complete answer.
-func (b *Budget) Success(now time.Time) { b.purse.success(now) }
+// Success credits the budget for a complete response.
+func (b *Budget) Success(now time.Time) { b.limiter.recordSuccess(now) }
 
-// Left is how many retries may be made now.
-func (b *Budget) Left(now time.Time) float64 { return b.purse.left(now) }
+// Remaining returns the number of retries that may be made now.
+func (b *Budget) Remaining(now time.Time) float64 { return b.limiter.available(now) }
 
-// SetBurst changes the most retries that a Budget with a Window allows besides the share
-// of the successes. A larger one counts after a window.
+// SetBurst changes Config.Burst of a Budget with a Window; other Budgets ignore the
+// call. A larger burst takes effect one Window later.
 func (b *Budget) SetBurst(now time.Time, burst float64) {
-	if w, ok := b.purse.(*window); ok {
+	if w, ok := b.limiter.(*slidingWindow); ok {
 		w.setBurst(now, burst)
 	}
 }
 
-// Allow decides on a failed attempt and, if it may be tried again, charges the
-// budget for the retry.
+// Allow decides whether a failed attempt may be retried. If so, it charges the budget
+// for the retry.
 func (b *Budget) Allow(now time.Time, a Attempt) Decision {
-	left := b.purse.left(now)
-	after := b.delay(a.Made)
-	reason := b.refusal(now.Add(after), left, a)
+	remaining := b.limiter.available(now)
+	after := b.backoff(a.AttemptsMade)
+	reason := b.refusal(now.Add(after), remaining, a)
 	if reason != Allowed {
-		return Decision{Reason: reason, Left: left}
+		return Decision{Reason: reason, Remaining: remaining}
 	}
-	b.purse.spend(now)
-	return Decision{Retry: true, After: after, Reason: Allowed, Left: left - 1}
+	b.limiter.spend(now)
+	return Decision{Retry: true, Delay: after, Reason: Allowed, Remaining: remaining - 1}
 }
 
-// refusal returns why an attempt that would start at the given time may not be
-// made, or Allowed. The budget comes last, so that it is charged only for
-// retries that are made.
-func (b *Budget) refusal(start time.Time, left float64, a Attempt) Reason {
+// refusal returns why a retry that would start at the given time may not be made, or
+// Allowed. The budget is checked last: BudgetSpent is reported only if nothing else
+// forbids the retry.
+func (b *Budget) refusal(start time.Time, remaining float64, a Attempt) Reason {
 	switch {
 	case a.Failure == health.None || a.Failure == health.Canceled:
 		return NotAFailure
 	case a.Failure == health.Overloaded:
 		return Overload
-	case !a.Repeatable && !a.NotRun && !a.Failure.ProvesNotRun():
+	case !a.Idempotent && !a.NotRun && !a.Failure.ProvesNotRun():
 		return MayHaveRun
-	case a.Made >= b.cfg.MaxAttempts:
+	case a.AttemptsMade >= b.cfg.MaxAttempts:
 		return TooManyAttempts
 	case a.Alternatives <= 0:
 		return NoAlternative
-	case !a.Deadline.IsZero() && start.Add(a.Need).After(a.Deadline):
+	case !a.Deadline.IsZero() && start.Add(a.MinDuration).After(a.Deadline):
 		return DeadlineTooNear
-	case left < 1:
+	case remaining < 1:
 		return BudgetSpent
 	}
 	return Allowed
 }
 
-// delay draws the wait before the next attempt: between half and the whole of
-// the doubled base delay.
-func (b *Budget) delay(made int) time.Duration {
+// backoff draws the delay before the next attempt, uniformly between half and all of
+// the exponential backoff.
+func (b *Budget) backoff(attemptsMade int) time.Duration {
 	d := b.cfg.BaseDelay
-	for i := 1; i < made && d < b.cfg.MaxDelay; i++ {
+	for i := 1; i < attemptsMade && d < b.cfg.MaxDelay; i++ {
 		d *= 2
 	}
 	d = min(d, b.cfg.MaxDelay)
-	return d/2 + time.Duration(b.random.Float64()*float64(d/2))
+	return d/2 + time.Duration(b.rng.Float64()*float64(d/2))
 }
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -12,21 +12,22 @@
 
 var epoch = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// load counts the attempts that endpoints get for a number of calls of which
-// all, or the given part, fail; attempts come 10 ms apart.
-func load(calls int, failing float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (sent, failed int) {
-	now, debt := epoch, 0.0
+// countAttempts returns how many attempts the endpoints receive for the given number
+// of calls, and how many calls fail. The given part of all attempts fails; attempts
+// are 10 ms apart.
+func countAttempts(calls int, failing float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (sent, failed int) {
+	now, failureDebt := epoch, 0.0
 	for range calls {
-		for made := 1; ; made++ {
+		for attempts := 1; ; attempts++ {
 			sent++
 			now = now.Add(10 * time.Millisecond)
-			debt += failing
-			if debt < 1 {
+			failureDebt += failing
+			if failureDebt < 1 {
 				success(now)
 				break
 			}
-			debt--
-			if !allow(now, Attempt{Made: made, Failure: health.Internal, Repeatable: true, Alternatives: 9}) {
+			failureDebt--
+			if !allow(now, Attempt{AttemptsMade: attempts, Failure: health.Internal, Idempotent: true, Alternatives: 9}) {
 				failed++
 				break
 			}
@@ -35,52 +36,52 @@
 	return sent, failed
 }
 
-// Callers of a service that is down get their error soon, and the endpoints get
-// hardly more than the callers send, so that they can come up again. Three
-// attempts each, the baseline, triple the load for as long as it lasts.
-func TestStorm(t *testing.T) {
-	three := func(_ time.Time, a Attempt) bool { return a.Made < DefaultMaxAttempts }
+// Without a retry budget, a service that is down receives three attempts per call.
+// This triples its load for the whole outage and keeps it from recovering.
+func TestBudgetLimitsRetryStorm(t *testing.T) {
+	threeAttempts := func(_ time.Time, a Attempt) bool { return a.AttemptsMade < DefaultMaxAttempts }
 	for _, c := range []struct {
-		name    string
-		failing float64
-		most    float64 // attempts a call
-		failed  float64 // calls
-	}{{"down", 1, 1.05, 1}, {"half down", 0.5, 1.12, 0.5}, {"failing one call in twenty", 0.05, 1.06, 0}} {
+		name        string
+		failing     float64 // part of the attempts
+		maxAttempts float64 // per call
+		maxFailed   float64 // part of the calls
+	}{{"down", 1, 1.05, 1}, {"half down", 0.5, 1.12, 0.5}, {"failing one attempt in twenty", 0.05, 1.06, 0}} {
 		Convey("Given a service that is "+c.name, t, func() {
 			const calls = 10000
 			b := New(Config{})
 			budget := func(now time.Time, a Attempt) bool { return b.Allow(now, a).Retry }
-			sent, failed := load(calls, c.failing, budget, b.Success)
-			base, baseFailed := load(calls, c.failing, three, func(time.Time) {})
-			t.Logf("attempts a call: budget %.2f, three each %.2f; failed %d, %d", float64(sent)/calls, float64(base)/calls, failed, baseFailed)
-			So(float64(sent)/calls, ShouldBeLessThanOrEqualTo, c.most)
-			So(float64(failed)/calls, ShouldBeLessThanOrEqualTo, c.failed)
+			sent, failed := countAttempts(calls, c.failing, budget, b.Success)
+			base, baseFailed := countAttempts(calls, c.failing, threeAttempts, func(time.Time) {})
+			t.Logf("attempts per call: with budget %.2f, with three attempts each %.2f; failed calls %d, %d", float64(sent)/calls, float64(base)/calls, failed, baseFailed)
+			So(float64(sent)/calls, ShouldBeLessThanOrEqualTo, c.maxAttempts)
+			So(float64(failed)/calls, ShouldBeLessThanOrEqualTo, c.maxFailed)
 		})
 	}
 }
 
-// An order sent twice is delivered twice, and a retry to a full service fills it
-// further. Each reason that forbids one must be told.
-func TestReasons(t *testing.T) {
-	ok := Attempt{Made: 1, Failure: health.Broken, Repeatable: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
+// If an order is retried after it may have run, the goods are delivered twice. If
+// a request is retried after an overload, the overload gets worse. Allow must
+// forbid such retries and return the reason.
+func TestAllowReasons(t *testing.T) {
+	ok := Attempt{AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
 	for _, c := range []struct {
 		name   string
 		change func(a *Attempt)
 		want   Reason
 	}{
-		{"a repeatable call that broke", func(a *Attempt) {}, Allowed},
-		{"an answer", func(a *Attempt) { a.Failure = health.None }, NotAFailure},
-		{"a caller that gave up", func(a *Attempt) { a.Failure = health.Canceled }, NotAFailure},
+		{"an idempotent call whose connection broke", func(a *Attempt) {}, Allowed},
+		{"a successful attempt", func(a *Attempt) { a.Failure = health.None }, NotAFailure},
+		{"a call canceled by its caller", func(a *Attempt) { a.Failure = health.Canceled }, NotAFailure},
 		{"a full endpoint", func(a *Attempt) { a.Failure = health.Overloaded }, Overload},
-		{"an order that broke", func(a *Attempt) { a.Repeatable = false }, MayHaveRun},
-		{"an order that timed out", func(a *Attempt) { a.Repeatable, a.Failure = false, health.Timeout }, MayHaveRun},
-		{"an order that found no endpoint", func(a *Attempt) { a.Repeatable, a.Failure = false, health.Unreachable }, Allowed},
-		{"an order that met a leaving endpoint", func(a *Attempt) { a.Repeatable, a.Failure = false, health.Leaving }, Allowed},
-		{"an order known not to have run", func(a *Attempt) { a.Repeatable, a.NotRun = false, true }, Allowed},
-		{"a third attempt", func(a *Attempt) { a.Made = 3 }, TooManyAttempts},
+		{"an order whose connection broke", func(a *Attempt) { a.Idempotent = false }, MayHaveRun},
+		{"an order that timed out", func(a *Attempt) { a.Idempotent, a.Failure = false, health.Timeout }, MayHaveRun},
+		{"an order sent to an unreachable endpoint", func(a *Attempt) { a.Idempotent, a.Failure = false, health.Unreachable }, Allowed},
+		{"an order refused by a draining endpoint", func(a *Attempt) { a.Idempotent, a.Failure = false, health.Leaving }, Allowed},
+		{"an order known not to have run", func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, Allowed},
+		{"a third attempt", func(a *Attempt) { a.AttemptsMade = 3 }, TooManyAttempts},
 		{"no other endpoint", func(a *Attempt) { a.Alternatives = 0 }, NoAlternative},
-		{"no time left", func(a *Attempt) { a.Need = time.Second }, DeadlineTooNear},
-		{"no deadline", func(a *Attempt) { a.Need, a.Deadline = time.Hour, time.Time{} }, Allowed},
+		{"no time left", func(a *Attempt) { a.MinDuration = time.Second }, DeadlineTooNear},
+		{"no deadline", func(a *Attempt) { a.MinDuration, a.Deadline = time.Hour, time.Time{} }, Allowed},
 	} {
 		Convey("Given "+c.name, t, func() {
 			a := ok
@@ -90,7 +91,7 @@
 			So(d.Retry, ShouldEqual, c.want == Allowed)
 		})
 	}
-	Convey("Given a spent budget, the floor earns one retry each 5 s", t, func() {
+	Convey("Given a spent budget, the minimum rate earns one retry every 5 s", t, func() {
 		b := New(Config{Burst: 1})
 		So(b.Allow(epoch, ok).Retry, ShouldBeTrue)
 		So(b.Allow(epoch, ok).Reason, ShouldEqual, BudgetSpent)
@@ -99,32 +100,32 @@
 	})
 }
 
-// Callers that failed together must not return together: the delays differ, and
-// stay within the stated bounds, so that no retry is later than its caller can
-// reckon with.
-func TestDelayAndBudget(t *testing.T) {
+// If calls that failed together are retried together, they overload the endpoints
+// again. The backoff is therefore jittered, and it stays within half and all of the
+// exponential delay.
+func TestBackoffAndBudgetBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Config{Seed: rapid.Uint64().Draw(t, "seed")})
 		now, retries, successes := epoch, 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "calls") {
-			if rapid.IntRange(0, 3).Draw(t, "ends") == 0 {
+			if rapid.IntRange(0, 3).Draw(t, "outcome") == 0 {
 				b.Success(now)
 				successes++
 				continue
 			}
 			made := rapid.IntRange(1, 2).Draw(t, "made")
-			d := b.Allow(now, Attempt{Made: made, Failure: health.Broken, Repeatable: true, Alternatives: 1})
+			d := b.Allow(now, Attempt{AttemptsMade: made, Failure: health.Broken, Idempotent: true, Alternatives: 1})
 			if !d.Retry {
 				continue
 			}
 			retries++
-			longest := DefaultBaseDelay << (made - 1)
-			if d.After < longest/2 || d.After > longest {
-				t.Fatalf("delay %v after %d attempts", d.After, made)
+			maxDelay := DefaultBaseDelay << (made - 1)
+			if d.Delay < maxDelay/2 || d.Delay > maxDelay {
+				t.Fatalf("backoff %v after %d attempts, want %v to %v", d.Delay, made, maxDelay/2, maxDelay)
 			}
 		}
-		if float64(retries) > DefaultBurst+DefaultShare*float64(successes)+1e-6 {
-			t.Fatalf("%d retries on %d successes", retries, successes)
+		if float64(retries) > DefaultBurst+DefaultRetryRatio*float64(successes)+1e-6 {
+			t.Fatalf("%d retries for %d successes exceed the budget", retries, successes)
 		}
 	})
 }
--- a/node/site/services.go
+++ b/node/site/services.go
@@ -275,7 +275,7 @@
 		start = part
 	}
 	return retrybudget.New(retry.Config{
-		Share: b.RetryRatio * budgetPart, Burst: part, Start: start, Window: b.RetryWindow, Seed: n.seed,
+		RetryRatio: b.RetryRatio * budgetPart, Burst: part, InitialRetries: start, Window: b.RetryWindow, Seed: n.seed,
 	}, time.Now)
 }
 
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -19,9 +19,9 @@
 // twice.
 func (c *chooser) mayRetry(ctx context.Context) error {
 	d := c.answer.At.Retry.Allow(retry.Attempt{
-		Made:         c.attemptsThatCount(),
+		AttemptsMade: c.attemptsThatCount(),
 		Failure:      c.whyNext(),
-		Repeatable:   true,
+		Idempotent:   true,
 		NotRun:       c.last.NotRun,
 		Deadline:     c.answer.Deadline,
 		Alternatives: 1, // Choose finds out whether there is one
@@ -30,7 +30,7 @@
 		return fmt.Errorf("not tried again: %s", d.Reason)
 	}
 	if !c.patient() {
-		return pause(ctx, d.After)
+		return pause(ctx, d.Delay)
 	}
 	return pause(ctx, c.partwayPause())
 }
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -180,7 +180,7 @@
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failed), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
 		Figures: map[string]float64{
-			"not_run": boolFigure(res.notRun()), "sends": float64(req.attempts), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Left),
+			"not_run": boolFigure(res.notRun()), "sends": float64(req.attempts), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
 		},
 	})
 	if d.Retry {
@@ -244,7 +244,7 @@
 		failure = health.Internal
 	}
 	return req.Budget.Allow(retry.Attempt{
-		Made: 1, Failure: failure, Repeatable: req.Route.Idempotent(), NotRun: res.notRun(),
+		AttemptsMade: 1, Failure: failure, Idempotent: req.Route.Idempotent(), NotRun: res.notRun(),
 		Deadline: req.Deadline, Alternatives: 1,
 	})
 }
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -152,7 +152,7 @@
 // returns false if the budget is spent.
 func (m *pathMonitor) migrate(next targets.Target, reason string) bool {
 	decision := m.attempt.req.Budget.Allow(retry.Attempt{
-		Made: 1, Failure: health.Broken, Repeatable: true, Deadline: m.attempt.req.Deadline, Alternatives: 1,
+		AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Deadline: m.attempt.req.Deadline, Alternatives: 1,
 	})
 	if !decision.Retry {
 		return false
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -70,7 +70,7 @@
 // Reservations that leak would add up until the node refuses every request.
 func TestReservationOfACancelledMigrationIsReleased(t *testing.T) {
 	m := twoReplicaModel()
-	budget := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
+	budget := retrybudget.New(retry.Config{Burst: 1, MinRetriesPerSecond: 1e-9}, time.Now)
 	monitor, cancel := silentStream(t, m, budget, time.Minute)
 	defer cancel()
 	req, target, now := monitor.attempt.req, monitor.attempt.target, time.Now()
--- a/route/retrybudget/retrybudget.go
+++ b/route/retrybudget/retrybudget.go
@@ -28,10 +28,10 @@
 func (b *Budget) SetShare(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if share == b.cfg.Share {
+	if share == b.cfg.RetryRatio {
 		return
 	}
-	b.cfg.Share = share
+	b.cfg.RetryRatio = share
 	b.budget = retry.New(b.cfg)
 }
 
@@ -53,7 +53,7 @@
 func (b *Budget) Left() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget.Left(b.now()) >= 1
+	return b.budget.Remaining(b.now()) >= 1
 }
 
 // Success credits the budget for a complete answer.
