--- a/decide/waitqueue/waitqueue.go
+++ b/decide/waitqueue/waitqueue.go
@@ -1,35 +1,38 @@
-// Package waitqueue orders the requests that wait on one node for room on a model's
+// Package waitqueue orders the requests that wait on one node for capacity on a model's
 // replicas.
 //
 // # Load pattern
 //
-// More comes for some seconds than the replicas have room for: a burst of twice the
-// usual, or the usual with a failure domain less. Whoever is not served within its
-// objective is worth a part only, and whoever is refused nothing.
+// For some seconds the offered load exceeds the capacity of the replicas: a burst of
+// twice the usual load, or the usual load with a failure domain down. A response after
+// the request's time objective is worth less than one in time. A refused request is
+// worth nothing.
 //
-// # Without it
+// # Failures with first-in-first-out order
 //
-// In order of arrival the wait grows until all are just too late: the room goes to
-// those who have waited longest, and everybody is served late or not at all, for as
-// long as the burst lasts.
+// The wait grows until every request is just too late. Free capacity goes to the
+// requests that have waited longest, so every response is late or missing for as long
+// as the burst lasts.
 //
 // # Rules
 //
-//   - Those who can still be on time go before those who can't any more; these get what
-//     room is left until they give up.
-//   - Within that, by rank; within a rank in order of arrival. Nobody is passed over
-//     because he needs much: a large request that waits holds those behind it back, or
-//     it would never find room beside small ones.
-//   - Teams have no shares here: the operator gives them ranks and nothing else, and
-//     shares that are the same for all would starve the large ones.
+//   - A request that can still be on time goes before every late request. Late requests
+//     get the remaining capacity until their callers give up.
+//   - Among these requests, a lower Priority value goes first, and requests of the same
+//     priority go in order of arrival. A request that needs much capacity is not passed
+//     over: it holds back the requests behind it. Otherwise it would never find capacity
+//     beside small requests.
+//   - Teams have no shares in this queue. The operator configures priorities only, and
+//     equal shares for all teams would starve the large teams.
 //
 // # Use
 //
-//	q.Add(now, waitqueue.Request{ID: 1, Rank: 0, OnTimeUntil: t})
-//	id, ok := q.First(now) // may go as soon as there is room for it
+//	q.Add(now, waitqueue.Request{ID: 1, Priority: 0, OnTimeUntil: t})
+//	id, ok := q.First(now) // may start as soon as there is capacity for it
 //	q.Remove(id)
 //
-// It is a pure state machine: the caller locks, and looks again when room comes free.
+// The queue is a pure state machine: the caller locks, and calls First again when
+// capacity is released.
 package waitqueue
 
 import (
@@ -38,12 +41,13 @@
 	"time"
 )
 
-// Request is one that waits.
+// Request is a waiting request.
 type Request struct {
 	ID uint64
-	// Rank orders requests, 0 first.
-	Rank int
-	// OnTimeUntil is up to when an answer that begins is on time; zero for always.
+	// Priority orders requests; 0 goes first.
+	Priority int
+	// OnTimeUntil is the time before which a response must begin to be on time. Zero
+	// means that the response is always on time.
 	OnTimeUntil time.Time
 }
 
@@ -51,17 +55,17 @@
 	return !r.OnTimeUntil.IsZero() && !now.Before(r.OnTimeUntil)
 }
 
-// Queue is the requests that wait for one model. The zero value is empty and ready. It
-// is not safe for concurrent use.
+// Queue holds the requests that wait for one model. The zero value is an empty queue. A
+// Queue is not safe for concurrent use.
 type Queue struct {
-	// onTime and late are each ordered by rank, then by arrival; for late ones that is
-	// the moment at which they became late.
+	// onTime is ordered by priority, then by arrival. late is ordered by priority, then
+	// by the time at which a request became late.
 	onTime, late []Request
 }
 
-// Add puts a request behind those of its rank.
+// Add puts a request behind the waiting requests of the same priority.
 func (q *Queue) Add(now time.Time, r Request) {
-	q.settle(now)
+	q.moveLate(now)
 	if r.late(now) {
 		q.late = insert(q.late, r)
 		return
@@ -70,23 +74,23 @@
 }
 
 func insert(list []Request, r Request) []Request {
-	at, _ := slices.BinarySearchFunc(list, r.Rank+1, func(e Request, rank int) int { return cmp.Compare(e.Rank, rank) })
+	at, _ := slices.BinarySearchFunc(list, r.Priority+1, func(e Request, priority int) int { return cmp.Compare(e.Priority, priority) })
 	return slices.Insert(list, at, r)
 }
 
-// Remove takes a request out, because it goes or has given up. It says whether it
-// waited.
+// Remove removes a request that starts or whose caller has given up. It reports whether
+// the request was waiting.
 func (q *Queue) Remove(id uint64) bool {
-	is := func(r Request) bool { return r.ID == id }
+	matches := func(r Request) bool { return r.ID == id }
 	before := q.Len()
-	q.onTime = slices.DeleteFunc(q.onTime, is)
-	q.late = slices.DeleteFunc(q.late, is)
+	q.onTime = slices.DeleteFunc(q.onTime, matches)
+	q.late = slices.DeleteFunc(q.late, matches)
 	return q.Len() < before
 }
 
-// First is the request that is to go next; ok is false if none waits.
+// First returns the request that starts next; ok is false if none waits.
 func (q *Queue) First(now time.Time) (id uint64, ok bool) {
-	q.settle(now)
+	q.moveLate(now)
 	switch {
 	case len(q.onTime) > 0:
 		return q.onTime[0].ID, true
@@ -96,20 +100,20 @@
 	return 0, false
 }
 
-// Before says whether one that waits is to go before a newcomer.
-func (q *Queue) Before(now time.Time, r Request) bool {
-	q.settle(now)
-	if len(q.onTime) > 0 && q.onTime[0].Rank <= r.Rank {
+// MustWait reports whether a waiting request goes before the new request r.
+func (q *Queue) MustWait(now time.Time, r Request) bool {
+	q.moveLate(now)
+	if len(q.onTime) > 0 && q.onTime[0].Priority <= r.Priority {
 		return true
 	}
-	return r.late(now) && (len(q.onTime) > 0 || len(q.late) > 0 && q.late[0].Rank <= r.Rank)
+	return r.late(now) && (len(q.onTime) > 0 || len(q.late) > 0 && q.late[0].Priority <= r.Priority)
 }
 
-// Len is how many wait.
+// Len returns the number of waiting requests.
 func (q *Queue) Len() int { return len(q.onTime) + len(q.late) }
 
-// settle moves those who have become late behind the others.
-func (q *Queue) settle(now time.Time) {
+// moveLate moves the requests that have become late from onTime to late.
+func (q *Queue) moveLate(now time.Time) {
 	kept := q.onTime[:0]
 	for _, r := range q.onTime {
 		if r.late(now) {
--- a/decide/waitqueue/waitqueue_test.go
+++ b/decide/waitqueue/waitqueue_test.go
@@ -9,12 +9,12 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
+var epoch = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+func timeAt(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// order empties a queue.
-func order(q *Queue, now time.Time) []uint64 {
+// drain removes all requests and returns their IDs in the order of First.
+func drain(q *Queue, now time.Time) []uint64 {
 	var ids []uint64
 	for {
 		id, ok := q.First(now)
@@ -26,75 +26,75 @@
 	}
 }
 
-func TestOrder(t *testing.T) {
+func TestServiceOrder(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		now  time.Time
 		want []uint64
 	}{
-		{"all can be on time: by rank, then arrival", at(0), []uint64{2, 4, 1, 3}},
-		{"the first has become late", at(150), []uint64{2, 4, 3, 1}},
-		{"late ones by rank as well", at(350), []uint64{4, 2, 1, 3}},
+		{"all requests can be on time: by priority, then by arrival", timeAt(0), []uint64{2, 4, 1, 3}},
+		{"request 1 has become late", timeAt(150), []uint64{2, 4, 3, 1}},
+		{"late requests are ordered by priority as well", timeAt(350), []uint64{4, 2, 1, 3}},
 	} {
 		var q Queue
-		q.Add(at(0), Request{ID: 1, Rank: 1, OnTimeUntil: at(100)})
-		q.Add(at(0), Request{ID: 2, Rank: 0, OnTimeUntil: at(300)})
-		q.Add(at(0), Request{ID: 3, Rank: 1, OnTimeUntil: at(200)})
-		q.Add(at(0), Request{ID: 4, Rank: 0})
-		if got := order(&q, c.now); !slices.Equal(got, c.want) {
+		q.Add(timeAt(0), Request{ID: 1, Priority: 1, OnTimeUntil: timeAt(100)})
+		q.Add(timeAt(0), Request{ID: 2, Priority: 0, OnTimeUntil: timeAt(300)})
+		q.Add(timeAt(0), Request{ID: 3, Priority: 1, OnTimeUntil: timeAt(200)})
+		q.Add(timeAt(0), Request{ID: 4, Priority: 0})
+		if got := drain(&q, c.now); !slices.Equal(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-func TestNewcomer(t *testing.T) {
+func TestNewRequestWaitsBehindEqualPriority(t *testing.T) {
 	var q Queue
-	newcomer := Request{ID: 9, Rank: 1, OnTimeUntil: at(1000)}
-	if q.Before(at(0), newcomer) {
-		t.Error("nobody waits")
+	newRequest := Request{ID: 9, Priority: 1, OnTimeUntil: timeAt(1000)}
+	if q.MustWait(timeAt(0), newRequest) {
+		t.Error("new request has to wait, but the queue is empty")
 	}
-	q.Add(at(0), Request{ID: 1, Rank: 2, OnTimeUntil: at(100)})
-	if q.Before(at(0), newcomer) {
-		t.Error("only a less urgent one waits")
+	q.Add(timeAt(0), Request{ID: 1, Priority: 2, OnTimeUntil: timeAt(100)})
+	if q.MustWait(timeAt(0), newRequest) {
+		t.Error("new request has to wait, but the waiting request has a lower priority")
 	}
-	q.Add(at(0), Request{ID: 2, Rank: 1, OnTimeUntil: at(100)})
-	if !q.Before(at(0), newcomer) {
-		t.Error("one of its rank waits")
+	q.Add(timeAt(0), Request{ID: 2, Priority: 1, OnTimeUntil: timeAt(100)})
+	if !q.MustWait(timeAt(0), newRequest) {
+		t.Error("new request goes before a waiting request of the same priority")
 	}
-	if q.Before(at(200), newcomer) {
-		t.Error("those who wait are late, the newcomer is not")
+	if q.MustWait(timeAt(200), newRequest) {
+		t.Error("new request has to wait, but all waiting requests are late")
 	}
 }
 
-// burst plays a node with room for ten requests of 300 ms each, to which twice as many
-// come as it can take, and returns how many callers are answered on time (the answer
-// begins within 300 ms) and late (within 600). After that callers give up.
-// Without the rules nobody says when it is late.
-func burst(rules bool) (onTime, late int) {
-	const room, length, every = 10, 300, 15
-	random := rand.New(rand.NewPCG(1, 1))
+// simulateBurst simulates a node that runs ten requests of 300 ms each at a time and
+// receives twice the load that it can serve. It returns the number of requests that
+// start on time (within 300 ms) and late (within 600 ms). Callers give up after 600 ms.
+// If byDeadline is false, OnTimeUntil is not set and the queue is first in, first out.
+func simulateBurst(byDeadline bool) (onTime, late int) {
+	const capacity, serviceMs, meanGapMs = 10, 300, 15
+	rng := rand.New(rand.NewPCG(1, 1))
 	var q Queue
 	arrived := map[uint64]int{}
-	var ends []int
+	var endTimes []int
 	for ms, id := 0, uint64(0); ms < 20000; ms++ {
-		ends = slices.DeleteFunc(ends, func(end int) bool { return end <= ms })
-		if random.IntN(every) == 0 {
+		endTimes = slices.DeleteFunc(endTimes, func(end int) bool { return end <= ms })
+		if rng.IntN(meanGapMs) == 0 {
 			id++
 			arrived[id] = ms
 			r := Request{ID: id}
-			if rules {
-				r.OnTimeUntil = at(ms + 300)
+			if byDeadline {
+				r.OnTimeUntil = timeAt(ms + 300)
 			}
-			q.Add(at(ms), r)
+			q.Add(timeAt(ms), r)
 		}
-		for waiting, since := range arrived {
-			if ms-since >= 600 {
-				q.Remove(waiting)
-				delete(arrived, waiting)
+		for id, arrivedAt := range arrived {
+			if ms-arrivedAt >= 600 {
+				q.Remove(id)
+				delete(arrived, id)
 			}
 		}
-		for len(ends) < room {
-			first, ok := q.First(at(ms))
+		for len(endTimes) < capacity {
+			first, ok := q.First(timeAt(ms))
 			if !ok {
 				break
 			}
@@ -105,70 +105,72 @@
 				late++
 			}
 			delete(arrived, first)
-			ends = append(ends, ms+length)
+			endTimes = append(endTimes, ms+serviceMs)
 		}
 	}
 	return onTime, late
 }
 
-// A burst of twice the room lasts for 20 s. In order of arrival nearly everybody who is
-// answered is answered late; by the rules most are on time, and as many are answered.
-func TestBurst(t *testing.T) {
-	onTime, late := burst(true)
-	inTurn, inTurnLate := burst(false)
-	t.Logf("by the rules %d on time and %d late, in order of arrival %d and %d", onTime, late, inTurn, inTurnLate)
-	if onTime < 9*(onTime+late)/10 || inTurn > onTime/3 {
-		t.Errorf("by the rules %d on time and %d late, in order of arrival %d and %d", onTime, late, inTurn, inTurnLate)
+// If a burst of twice the capacity is served in order of arrival for 20 s, nearly every
+// served request starts late. With on-time requests first, as many requests are served
+// and most of them start on time.
+func TestBurstKeepsMostRequestsOnTime(t *testing.T) {
+	onTime, late := simulateBurst(true)
+	fifoOnTime, fifoLate := simulateBurst(false)
+	t.Logf("on-time requests first: %d on time and %d late; FIFO: %d and %d", onTime, late, fifoOnTime, fifoLate)
+	if onTime < 9*(onTime+late)/10 || fifoOnTime > onTime/3 {
+		t.Errorf("on-time requests first: %d on time and %d late; FIFO: %d and %d", onTime, late, fifoOnTime, fifoLate)
 	}
-	if onTime+late < 95*(inTurn+inTurnLate)/100 {
-		t.Errorf("%d answered, %d in order of arrival", onTime+late, inTurn+inTurnLate)
+	if onTime+late < 95*(fifoOnTime+fifoLate)/100 {
+		t.Errorf("%d requests served, %d with FIFO", onTime+late, fifoOnTime+fifoLate)
 	}
 }
 
-// Whatever comes, gives up and becomes late, each request goes once, and none that can
-// be on time goes behind one of its rank or a lower one that came later or can't.
-func TestAnyHistory(t *testing.T) {
+// For any sequence of arrivals, cancellations and missed objectives, each request starts
+// at most once. No request that can be on time waits behind a late request, a request of
+// lower priority, or a later request of the same priority.
+func TestOrderUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
 		waiting := map[uint64]Request{}
-		now := start
+		now := epoch
 		for id := uint64(1); id <= 60; id++ {
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "pause")) * time.Millisecond)
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0, 1:
-				r := Request{ID: id, Rank: rapid.IntRange(0, 2).Draw(t, "rank"), OnTimeUntil: now.Add(time.Duration(rapid.IntRange(-50, 200).Draw(t, "time")) * time.Millisecond)}
+				r := Request{ID: id, Priority: rapid.IntRange(0, 2).Draw(t, "priority"), OnTimeUntil: now.Add(time.Duration(rapid.IntRange(-50, 200).Draw(t, "time")) * time.Millisecond)}
 				waiting[id] = r
 				q.Add(now, r)
 			case 2:
 				first, ok := q.First(now)
 				if ok != (len(waiting) > 0) {
-					t.Fatalf("%t with %d waiting", ok, len(waiting))
+					t.Fatalf("First returned ok=%t with %d requests waiting", ok, len(waiting))
 				}
 				if !ok {
 					continue
 				}
-				taken, known := waiting[first]
+				started, known := waiting[first]
 				if !known {
-					t.Fatalf("%d goes a second time, or had given up", first)
+					t.Fatalf("request %d starts, but it has started before or was removed", first)
 				}
 				for _, r := range waiting {
-					if !r.late(now) && (taken.late(now) || r.Rank < taken.Rank || r.Rank == taken.Rank && r.ID < first) {
-						t.Fatalf("%+v goes before %+v", taken, r)
+					if !r.late(now) && (started.late(now) || r.Priority < started.Priority || r.Priority == started.Priority && r.ID < first) {
+						t.Fatalf("request %+v starts before %+v", started, r)
 					}
 				}
 				q.Remove(first)
 				delete(waiting, first)
 			case 3:
-				for given := range waiting {
-					if !q.Remove(given) {
-						t.Fatalf("%d was not there", given)
+				for id := range waiting {
+					if !q.Remove(id) {
+						t.Fatalf("waiting request %d was not in the queue", id)
 					}
-					delete(waiting, given)
+					delete(waiting, id)
 					break
 				}
 			}
 			if q.Len() != len(waiting) {
-				t.Fatalf("%d wait, want %d", q.Len(), len(waiting))
+				t.Fatalf("Len is %d, want %d", q.Len(), len(waiting))
 			}
 		}
 	})
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -136,7 +136,7 @@
 	m.lastWaiterID++
 	wake := make(chan struct{}, 1)
 	m.wakes[m.lastWaiterID] = wake
-	return waitqueue.Request{ID: m.lastWaiterID, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
+	return waitqueue.Request{ID: m.lastWaiterID, Priority: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
 }
 
 func errorOf(reason paths.Outcome) error {
@@ -164,7 +164,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	if firstTry && m.waiting.Before(now, w) {
+	if firstTry && m.waiting.MustWait(now, w) {
 		m.waiting.Add(now, w)
 		return Target{}, paths.NoCapacity, false
 	}
