--- a/decide/admission/dispatch.go
+++ b/decide/admission/dispatch.go
@@ -64,7 +64,7 @@
 // now can't be used by any waiting request, or dispatch would have started that request.
 func (q *Queue) canStartNow(it *item) bool {
 	freeSlots := q.slots - q.meter.runningCount
-	lengthAllowed := it.length == short || q.longRunning < q.longSlots
+	lengthAllowed := it.jobLength == short || q.longRunning < q.longSlots
 	return lengthAllowed && (freeSlots > q.forecast.headroom || (freeSlots > 0 && q.belowShare(it.team)))
 }
 
@@ -84,7 +84,7 @@
 	it.startedAt = now
 	it.team.runningCount++
 	q.meter.addRunning(now, it.Cost)
-	if it.length == long {
+	if it.jobLength == long {
 		q.longRunning++
 	}
 	it.team.queues[it.Class].charge(it, q.cfg.credit())
@@ -97,7 +97,7 @@
 	t := it.team
 	t.runningCount--
 	q.meter.removeRunning(it.startedAt, it.Cost)
-	if it.length == long {
+	if it.jobLength == long {
 		q.longRunning--
 	}
 	q.flows.Correct(t.flow, cost-it.Cost)
@@ -118,7 +118,7 @@
 
 func (q *Queue) dequeue(it *item) {
 	t := it.team
-	t.queues[it.Class].lists[it.length].remove(it)
+	t.queues[it.Class].lists[it.jobLength].remove(it)
 	q.waitingCount--
 	q.waitingWork -= it.Cost
 	if q.waitingCount == 0 {
@@ -133,7 +133,7 @@
 	if it.Class == Order {
 		return laneOrder
 	}
-	if it.length == long {
+	if it.jobLength == long {
 		return laneLong
 	}
 	return laneShort
--- a/decide/admission/doc.go
+++ b/decide/admission/doc.go
@@ -21,8 +21,8 @@
 //   - A slot runs one request at a time on a replica.
 //   - The cost of a request is measured in tokens. The work of several requests is the
 //     sum of their expected costs.
-//   - A long job is a request whose expected cost is at least Config.LongCost. All other
-//     requests, and all orders, are short.
+//   - The job length of a request is long if its expected cost is at least
+//     Config.LongCost. All other requests, and all orders, are short.
 //   - The demand of a team is the work that it offers, in tokens per second. A hot team
 //     has a demand far above its share by weight.
 //   - The drain rate is the work that the node's slots finish, in tokens per second.
--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -11,9 +11,9 @@
 	"github.com/cicadatack/cicadatack/decide/internal/sim"
 )
 
-// newFleet returns the load and the replicas of the benchmark: three nodes with unequal
-// shares of the requests send to replicas with 96 slots together. Callers wait up to 4 s
-// for a response that takes 0.5 s.
+// newFleet returns the simulated fleet of the benchmark. Three nodes receive unequal shares
+// of the requests and send them to six replicas with 16 slots each. A response takes 0.5 s,
+// and callers wait for it up to 4 s.
 func newFleet(offeredLoad float64, seed uint64) sim.Fleet {
 	return sim.Fleet{
 		NodeShares: []float64{0.4, 0.35, 0.25}, ReplicaCount: 6, SlotsPerReplica: 16, TokenTime: 20 * time.Millisecond, TokensPerAnswer: 25,
--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -113,10 +113,10 @@
 }
 
 func (q *Queue) recompute(now time.Time) {
-	rate := q.meter.slotRate(now)
+	slotRate := q.meter.slotRate(now)
 	f := &q.forecast
 	f.computedAt = now
-	f.drainRate = rate * q.slotShare.meanAt(now)
+	f.drainRate = slotRate * q.slotShare.meanAt(now)
 	f.stalled = q.meter.stalled(now)
 	q.longSlots = q.slots
 	q.measureDemand(now)
@@ -129,9 +129,9 @@
 	for _, t := range q.teamList {
 		t.rate = f.allJobs.rate(t.demand[short]+t.demand[long], t.flow.Weight())
 	}
-	q.longSlots = q.slots - q.shortReserve(rate)
-	f.headroom = max(f.headroom, q.lowDemandHeadroom(rate))
-	f.longJobs = allocate(rate*float64(q.longSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
+	q.longSlots = q.slots - q.shortReserve(slotRate)
+	f.headroom = max(f.headroom, q.lowDemandHeadroom(slotRate))
+	f.longJobs = allocate(slotRate*float64(q.longSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
 	for _, t := range q.teamList {
 		t.longRate = f.longJobs.rate(t.demand[long], t.flow.Weight())
 	}
@@ -154,7 +154,7 @@
 			}
 			totalDemand += t.demand[l]
 		}
-		if !t.configured && t.demand == [lengthCount]float64{} {
+		if !t.configured && t.demand == [jobLengthCount]float64{} {
 			q.removeIfIdle(t)
 		}
 	}
@@ -174,10 +174,10 @@
 // until the first long job ends. The short demand of a team counts only up to the team's
 // rate. Otherwise a team could displace the long jobs of other teams by sending many
 // short requests. Without demand for short requests no slot is kept.
-func (q *Queue) shortReserve(rate float64) int {
+func (q *Queue) shortReserve(slotRate float64) int {
 	neededSlots := 0.0
 	for _, t := range q.teamList {
-		neededSlots += min(t.demand[short], t.rate) / rate
+		neededSlots += min(t.demand[short], t.rate) / slotRate
 	}
 	reserve := math.Ceil(neededSlots + math.Sqrt(neededSlots))
 	return int(min(reserve, math.Floor(float64(q.slots)*maxShortFraction)))
@@ -230,7 +230,7 @@
 // Without this headroom, a hot team holds every slot, and the first request of another
 // team waits until a request of the hot team finishes. With long responses and few slots
 // this wait is a large part of a second.
-func (q *Queue) lowDemandHeadroom(rate float64) int {
+func (q *Queue) lowDemandHeadroom(slotRate float64) int {
 	neededSlots := 0.0
 	anyHot := false
 	for _, t := range q.teamList {
@@ -239,7 +239,7 @@
 			continue
 		}
 		if demand <= t.rate {
-			neededSlots += demand / rate
+			neededSlots += demand / slotRate
 		}
 		anyHot = anyHot || demand > hotFactor*q.forecast.allJobs.minRatePerWeight*t.flow.Weight()
 	}
--- a/decide/admission/list.go
+++ b/decide/admission/list.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// length tells long jobs from short requests.
-type length uint8
+// jobLength says whether a request is short or a long job.
+type jobLength uint8
 
 const (
-	short length = iota
+	short jobLength = iota
 	long
-	lengthCount = 2
+	jobLengthCount = 2
 )
 
-func (l length) other() length { return long - l }
+func (l jobLength) other() jobLength { return long - l }
 
 // item is a waiting or running request. The fields that a sweep reads come first, because
 // with thousands of waiting requests a sweep spends most of its time on loading them
 // from memory.
 type item struct {
-	next    *item
-	prev    *item
-	team    *team
-	block   *block // set while the request waits
-	length  length
-	running bool
+	next      *item
+	prev      *item
+	team      *team
+	block     *block // set while the request waits
+	jobLength jobLength
+	running   bool
 	Request
 	offeredAt     time.Time
 	startedAt     time.Time
@@ -50,7 +50,7 @@
 	earliestDeadline time.Time
 }
 
-// list holds the waiting requests of one team, class and length in order of arrival. It
+// list holds the waiting requests of one team, class and job length in order of arrival. It
 // is a linked list, so that canceling a request takes constant time at any position.
 type list struct {
 	head       *item
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -13,7 +13,8 @@
 )
 
 const (
-	// slots is the share of one of 8 nodes of 40 replicas with 32 slots each.
+	// slots is the number of slots of one node: 40 replicas with 32 slots each are shared by
+	// 8 nodes.
 	slots    = 160
 	slotRate = 100.0            // tokens per second
 	capacity = slots * slotRate // tokens per second
--- a/decide/admission/predict.go
+++ b/decide/admission/predict.go
@@ -12,34 +12,34 @@
 // expected tokens.
 type position struct {
 	higherClassAhead float64 // the team's work in higher classes
-	sameLengthAhead  float64 // the team's work in the same class and length
-	otherLengthAhead float64 // the team's work in the same class and the other length
+	sameLengthAhead  float64 // the team's work in the same class and job length
+	otherLengthAhead float64 // the team's work in the same class, the other job length
 	longAhead        float64 // the team's work in long jobs of all classes
-	length           length
+	jobLength        jobLength
 }
 
-// advance moves the position behind the given work of the same class and length.
+// advance moves the position behind the given work of the same class and job length.
 func (p *position) advance(cost float64) {
 	p.sameLengthAhead += cost
-	if p.length == long {
+	if p.jobLength == long {
 		p.longAhead += cost
 	}
 }
 
-// predict returns the expected wait of a request at the position: the team's debt and the
+// predictWait returns the expected wait of a request at the position: the team's debt and the
 // work ahead of the position, divided by the team's forecast rate.
 //
 // Short requests that arrive later may overtake a long job. The long jobs of the same
 // class therefore get the part of the team's rate that its short requests leave, but at
 // least half of the rate. A long job also waits for all long jobs ahead, which use only
 // a part of the slots.
-func (q *Queue) predict(t *team, p position) time.Duration {
+func (q *Queue) predictWait(t *team, p position) time.Duration {
 	f := &q.forecast
 	if f.drainRate <= 0 {
 		return 0
 	}
 	wait := (q.flows.Debt(t.flow) + p.higherClassAhead + p.sameLengthAhead + p.otherLengthAhead) / t.rate
-	if p.length == long {
+	if p.jobLength == long {
 		ownRate := max(t.rate/2, t.rate-t.demand[short])
 		wait = max(wait, p.sameLengthAhead/ownRate, p.longAhead/t.longRate)
 	}
--- a/decide/admission/queue.go
+++ b/decide/admission/queue.go
@@ -95,7 +95,7 @@
 	}
 	q.recomputeIfStale(now)
 	it := q.newItem(now, r)
-	it.team.offeredWork[it.length].add(now, it.Cost)
+	it.team.offeredWork[it.jobLength].add(now, it.Cost)
 	q.demandStep.add(now, it.Cost)
 	if q.admit(now, it) {
 		q.enqueue(now, it)
@@ -267,7 +267,7 @@
 	}
 	*it = item{Request: r, team: q.getOrAddTeam(r.Team), offeredAt: now}
 	if r.Cost >= q.cfg.LongCost && r.Class != Order {
-		it.length = long
+		it.jobLength = long
 	}
 	return it
 }
--- a/decide/admission/refuse.go
+++ b/decide/admission/refuse.go
@@ -39,7 +39,7 @@
 		q.refuse(now, it, Stalled, unboundedWait, stalledRetryAfter)
 		return false
 	}
-	wait := q.predict(it.team, q.tailPosition(it))
+	wait := q.predictWait(it.team, q.tailPosition(it))
 	it.predictedWait = wait
 	late := wait - scale(it.Deadline.Sub(now), admitFraction)
 	if late > 0 {
@@ -53,64 +53,64 @@
 	return true
 }
 
-// tailPosition returns the position of a new request at the end of its class and length.
+// tailPosition returns the position of a new request at the end of its class and job length.
 func (q *Queue) tailPosition(it *item) position {
 	t := it.team
 	c := &t.queues[it.Class]
-	ahead := c.lists[it.length].cost
+	ahead := c.lists[it.jobLength].cost
 	return position{
 		higherClassAhead: t.higherClassWork(it.Class),
 		sameLengthAhead:  ahead,
-		otherLengthAhead: c.otherAhead(it.length, ahead),
+		otherLengthAhead: c.otherAhead(it.jobLength, ahead),
 		longAhead:        t.longWork(),
-		length:           it.length,
+		jobLength:        it.jobLength,
 	}
 }
 
-// sweep refuses the waiting requests that will miss their deadline. It returns the earliest
+// sweep refuses the waiting requests that will miss their deadline. It returns the earliestDeadline
 // deadline of the remaining requests, or the zero time if none waits.
 //
 // After a loss of capacity the queue holds requests that were admitted correctly but can't
 // be served in time any more. They are refused now, while their callers can still use
 // another service. If they waited until their deadlines, they would also count as work
 // ahead of new requests.
-func (q *Queue) sweep(now time.Time) (earliest time.Time) {
+func (q *Queue) sweep(now time.Time) (earliestDeadline time.Time) {
 	for _, t := range q.teamList {
 		if t.flow.Waiting() {
-			earliest = earlier(earliest, q.sweepTeam(now, t))
+			earliestDeadline = earlier(earliestDeadline, q.sweepTeam(now, t))
 		}
 	}
-	return earliest
+	return earliestDeadline
 }
 
-func (q *Queue) sweepTeam(now time.Time, t *team) (earliest time.Time) {
+func (q *Queue) sweepTeam(now time.Time, t *team) (earliestDeadline time.Time) {
 	var p position
 	for class := range t.queues {
 		p.higherClassAhead = t.higherClassWork(Class(class))
 		for l := range t.queues[class].lists {
-			p.length = length(l)
-			earliest = earlier(earliest, q.sweepList(now, t, &t.queues[class], &p))
+			p.jobLength = jobLength(l)
+			earliestDeadline = earlier(earliestDeadline, q.sweepList(now, t, &t.queues[class], &p))
 		}
 	}
-	return earliest
+	return earliestDeadline
 }
 
-// sweepList sweeps the requests of one class and length and advances the position. It skips
+// sweepList sweeps the requests of one class and job length and advances the position. It skips
 // blocks in which no request can be late.
-func (q *Queue) sweepList(now time.Time, t *team, c *classQueue, p *position) (earliest time.Time) {
+func (q *Queue) sweepList(now time.Time, t *team, c *classQueue, p *position) (earliestDeadline time.Time) {
 	p.sameLengthAhead = 0
-	for b := c.lists[p.length].firstBlock; b != nil; b = b.next {
+	for b := c.lists[p.jobLength].firstBlock; b != nil; b = b.next {
 		if q.allOnTime(now, t, c, b, *p) {
 			p.advance(b.cost)
-			earliest = earlier(earliest, b.earliestDeadline)
+			earliestDeadline = earlier(earliestDeadline, b.earliestDeadline)
 			continue
 		}
-		earliest = earlier(earliest, q.sweepBlock(now, c, b, p))
+		earliestDeadline = earlier(earliestDeadline, q.sweepBlock(now, c, b, p))
 	}
-	return earliest
+	return earliestDeadline
 }
 
-// allOnTime reports whether the last request of the block would start before the earliest
+// allOnTime reports whether the last request of the block would start before the earliestDeadline
 // deadline in the block. Then no request of the block will be late, because the predicted
 // wait grows with the position.
 func (q *Queue) allOnTime(now time.Time, t *team, c *classQueue, b *block, p position) bool {
@@ -118,23 +118,23 @@
 		return false
 	}
 	p.advance(b.cost)
-	p.otherLengthAhead = c.otherAhead(p.length, p.sameLengthAhead)
+	p.otherLengthAhead = c.otherAhead(p.jobLength, p.sameLengthAhead)
 	return !q.missesDeadline(t, p, b.earliestDeadline.Sub(now))
 }
 
-func (q *Queue) sweepBlock(now time.Time, c *classQueue, b *block, p *position) (earliest time.Time) {
+func (q *Queue) sweepBlock(now time.Time, c *classQueue, b *block, p *position) (earliestDeadline time.Time) {
 	b.each(func(it *item) {
-		p.otherLengthAhead = c.otherAhead(p.length, p.sameLengthAhead)
+		p.otherLengthAhead = c.otherAhead(p.jobLength, p.sameLengthAhead)
 		if q.shedIfLate(now, it, *p) {
 			return
 		}
 		p.advance(it.Cost)
-		earliest = earlier(earliest, it.Deadline)
+		earliestDeadline = earlier(earliestDeadline, it.Deadline)
 	})
 	if b.waitingCount > 0 {
-		b.earliestDeadline = earliest
+		b.earliestDeadline = earliestDeadline
 	}
-	return earliest
+	return earliestDeadline
 }
 
 // earlier returns the earlier of two times. The zero time means that no time is set.
@@ -161,7 +161,7 @@
 	if !q.missesDeadline(it.team, p, remaining) {
 		return false
 	}
-	wait := q.predict(it.team, p)
+	wait := q.predictWait(it.team, p)
 	q.dequeue(it)
 	q.refuse(now, it, TooLate, wait, q.retryAfter(now, it, wait-scale(remaining, shedFraction)))
 	return true
@@ -170,7 +170,7 @@
 // missesDeadline reports whether a request at the position will miss a deadline that is the
 // given time away.
 func (q *Queue) missesDeadline(t *team, p position, remaining time.Duration) bool {
-	return q.slots > 0 && q.predict(t, p) > scale(remaining, shedFraction)
+	return q.slots > 0 && q.predictWait(t, p) > scale(remaining, shedFraction)
 }
 
 // retryAfter returns the time after which a refused request is expected to be admitted. late
@@ -203,9 +203,9 @@
 }
 
 // refuse adds the final verdict on a request that is in no list.
-func (q *Queue) refuse(now time.Time, it *item, reason Reason, wait, retryAfter time.Duration) {
+func (q *Queue) refuse(now time.Time, it *item, reason Reason, predictedWait, retryAfter time.Duration) {
 	v := q.verdict(now, it, Refuse, reason)
-	v.Predicted = wait
+	v.Predicted = predictedWait
 	v.RetryAfter = retryAfter
 	q.verdicts = append(q.verdicts, v)
 	q.recycle(it)
--- a/decide/admission/share.go
+++ b/decide/admission/share.go
@@ -34,18 +34,18 @@
 
 // update sets the current number of slots of the node and of all usable replicas. It reports
 // whether replicas were lost.
-func (s *slotShare) update(now time.Time, slots, total int) (lost bool) {
-	lost = total < s.totalSlots || slots == 0
+func (s *slotShare) update(now time.Time, slots, total int) (replicasLost bool) {
+	replicasLost = total < s.totalSlots || slots == 0
 	switch {
 	case s.slots == 0 || slots == 0:
 		s.meanSlots = float64(slots)
-	case lost:
+	case replicasLost:
 		s.meanSlots = s.meanAt(now) * float64(total) / float64(s.totalSlots)
 	default:
 		s.meanSlots = s.meanAt(now)
 	}
 	s.slots, s.totalSlots, s.updatedAt = slots, total, now
-	return lost
+	return replicasLost
 }
 
 // restartMean restarts the mean when the node's slots have just been filled, because other
--- a/decide/admission/step.go
+++ b/decide/admission/step.go
@@ -22,9 +22,9 @@
 // stepDetector detects a sudden rise of the total demand.
 //
 // After a quiet period, the demand measured over rateWindow takes seconds to show such a
-// rise. Without this detector, a node that got twice its capacity after a pause of 8 s
-// predicted too short waits, as if each team could use the rate that the other teams did
-// not seem to need. One refusal in ten then came after three seconds.
+// rise. Without this detector, a node that was offered twice its capacity after a pause of
+// 8 s predicted waits that were too short: it assumed that each team could use the rate
+// that the other teams did not seem to need. One refusal in ten came after three seconds.
 type stepDetector struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
--- a/decide/admission/team.go
+++ b/decide/admission/team.go
@@ -13,12 +13,12 @@
 	flow         *fairness.Flow[*team]
 	queues       [classCount]classQueue
 	runningCount int
-	configured   bool                     // SetTeam was called
-	offeredWork  [lengthCount]decayingSum // expected tokens
-	demand       [lengthCount]float64     // expected tokens per second at the last forecast
-	rate         float64                  // forecast rate, expected tokens per second
-	longRate     float64                  // forecast rate of the long jobs
-	lastRetryAt  time.Time                // the time at which the last refused caller was told to retry
+	configured   bool                        // SetTeam was called
+	offeredWork  [jobLengthCount]decayingSum // expected tokens
+	demand       [jobLengthCount]float64     // expected tokens per second at the last forecast
+	rate         float64                     // forecast rate, expected tokens per second
+	longRate     float64                     // forecast rate of the long jobs
+	lastRetryAt  time.Time                   // the time at which the last refused caller was told to retry
 }
 
 // idle reports whether the team has no waiting and no running request.
@@ -53,7 +53,7 @@
 	return nil
 }
 
-// each calls visit for every waiting request, by class, length and arrival. visit may remove
+// each calls visit for every waiting request, by class, job length and arrival. visit may remove
 // the request that it receives.
 func (t *team) each(visit func(*item)) {
 	for c := range t.queues {
@@ -64,21 +64,21 @@
 }
 
 // classQueue holds the waiting requests of one team and class. While short requests and long
-// jobs both wait, each length gets half of the work that the class is served. In a single
-// list the short requests would wait behind each long job. If short requests always went
-// first, a team that sends enough of them would never get its long jobs served.
+// jobs both wait, both job lengths are served the same amount of work. In a single list the
+// short requests would wait behind each long job. If short requests always went first, a
+// team that sends enough of them would never get its long jobs served.
 type classQueue struct {
-	lists       [lengthCount]list
-	virtualTime [lengthCount]float64 // work served per length, in tokens
+	lists       [jobLengthCount]list
+	virtualTime [jobLengthCount]float64 // work served per job length, in tokens
 }
 
 func (c *classQueue) cost() float64 { return c.lists[short].cost + c.lists[long].cost }
 
-// push adds a request. A length that was idle has not saved up credit; package fairness
+// push adds a request. A job length that was idle has not saved up credit; package fairness
 // treats idle teams in the same way. The first long job goes behind the short requests that
 // are already waiting, because their predicted waits do not include it.
 func (c *classQueue) push(it *item) {
-	l := it.length
+	l := it.jobLength
 	if c.lists[l].head == nil {
 		c.virtualTime[l] = max(c.virtualTime[l], c.virtualTime[l.other()])
 	}
@@ -88,9 +88,9 @@
 	c.lists[l].push(it)
 }
 
-// otherAhead returns the work of the other length that is served before a request of length
-// l, where ahead is the work of length l that is served before the request.
-func (c *classQueue) otherAhead(l length, ahead float64) float64 {
+// otherAhead returns the work of the other job length that is served before a request of job
+// length l. ahead is the work of job length l that is served before this request.
+func (c *classQueue) otherAhead(l jobLength, ahead float64) float64 {
 	other := c.lists[l.other()]
 	lead := c.virtualTime[l] + ahead - c.virtualTime[l.other()]
 	if other.head == nil || lead < 0 {
@@ -99,9 +99,9 @@
 	return min(lead+other.head.Cost, other.cost)
 }
 
-// firstItem returns the oldest request of the length with the lower virtual time, or the
-// oldest short request if the virtual times are equal. If no long job may start, short
-// requests go first, so that a long job does not block them.
+// firstItem returns the oldest request of the job length with the lower virtual time, or the
+// oldest short request if the virtual times are equal. While no long job may start, long
+// jobs are passed over, so that they do not block short requests.
 func (c *classQueue) firstItem(longAllowed bool) *item {
 	s := c.lists[short].head
 	l := c.lists[long].head
@@ -117,9 +117,9 @@
 	return l
 }
 
-// charge adds the expected cost of a started request to the virtual time of its length. A
-// length that could not be served for a while catches up by at most credit, in tokens.
+// charge adds the expected cost of a started request to the virtual time of its job length. A
+// job length that could not be served for a while catches up by at most credit, in tokens.
 func (c *classQueue) charge(it *item, credit float64) {
-	l := it.length
+	l := it.jobLength
 	c.virtualTime[l] = max(c.virtualTime[l], c.virtualTime[l.other()]-credit) + it.Cost
 }
--- a/decide/admission/types.go
+++ b/decide/admission/types.go
@@ -183,7 +183,7 @@
 // will miss its deadline.
 const TickInterval = 100 * time.Millisecond
 
-// credit is the most work, in tokens, by which a team or a length may be behind its
+// credit is the most work, in tokens, by which a team or a job length may be behind its
 // share and still catch up.
 func (c Config) credit() float64 { return maxCreditJobs * c.LongCost }
 
--- a/decide/retry/doc.go
+++ b/decide/retry/doc.go
@@ -23,8 +23,8 @@
 //     times the callers' load. Three attempts per request would triple the load.
 //   - DefaultBurst 100: losing a third of the endpoints breaks a third of a node's
 //     streams at once. At the target size a node serves about 50 requests a second
-//     of 7 s each, and a third of these is 117 streams. A burst of 100 retries saves
-//     most of them and equals 2 s of the node's load.
+//     of 7 s each. A third of the streams that run at a time is then 117. A burst of
+//     100 retries saves most of these streams and equals 2 s of the node's load.
 //   - DefaultMinRetriesPerSecond 0.2: a service with little traffic earns hardly any
 //     retries from successes. One retry every 5 s does no harm there.
 //   - Backoff of 25 ms to 1 s, with the second half of each delay jittered: the first
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -15,13 +15,13 @@
 // countAttempts returns how many attempts the endpoints receive for the given number
 // of calls, and how many calls fail. The given part of all attempts fails; attempts
 // are 10 ms apart.
-func countAttempts(calls int, failing float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (sent, failed int) {
+func countAttempts(calls int, failureRatio float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (sent, failed int) {
 	now, failureDebt := epoch, 0.0
 	for range calls {
 		for attempts := 1; ; attempts++ {
 			sent++
 			now = now.Add(10 * time.Millisecond)
-			failureDebt += failing
+			failureDebt += failureRatio
 			if failureDebt < 1 {
 				success(now)
 				break
@@ -41,17 +41,17 @@
 func TestBudgetLimitsRetryStorm(t *testing.T) {
 	threeAttempts := func(_ time.Time, a Attempt) bool { return a.AttemptsMade < DefaultMaxAttempts }
 	for _, c := range []struct {
-		name        string
-		failing     float64 // part of the attempts
-		maxAttempts float64 // per call
-		maxFailed   float64 // part of the calls
+		name         string
+		failureRatio float64 // part of the attempts that fail
+		maxAttempts  float64 // per call
+		maxFailed    float64 // part of the calls
 	}{{"down", 1, 1.05, 1}, {"half down", 0.5, 1.12, 0.5}, {"failing one attempt in twenty", 0.05, 1.06, 0}} {
 		Convey("Given a service that is "+c.name, t, func() {
 			const calls = 10000
 			b := New(Config{})
 			budget := func(now time.Time, a Attempt) bool { return b.Allow(now, a).Retry }
-			sent, failed := countAttempts(calls, c.failing, budget, b.Success)
-			base, baseFailed := countAttempts(calls, c.failing, threeAttempts, func(time.Time) {})
+			sent, failed := countAttempts(calls, c.failureRatio, budget, b.Success)
+			base, baseFailed := countAttempts(calls, c.failureRatio, threeAttempts, func(time.Time) {})
 			t.Logf("attempts per call: with budget %.2f, with three attempts each %.2f; failed calls %d, %d", float64(sent)/calls, float64(base)/calls, failed, baseFailed)
 			So(float64(sent)/calls, ShouldBeLessThanOrEqualTo, c.maxAttempts)
 			So(float64(failed)/calls, ShouldBeLessThanOrEqualTo, c.maxFailed)
