--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -8,8 +8,8 @@
 // bucket is a token bucket that may go into debt by one request, so that a
 // request larger than the burst is slow but not impossible.
 type bucket struct {
-	level float64 // tokens
-	at    time.Time
+	tokens    float64 // tokens
+	updatedAt time.Time
 }
 
 // refill adds to the team's bucket what has accrued. It goes from one end of a
@@ -17,26 +17,26 @@
 // or run out would count for time in which the rate was another node's.
 func (t *team) refill(now time.Time, burst time.Duration) {
 	b := &t.bucket
-	if b.at.IsZero() {
-		b.at = now
-		b.level = t.rate(now) * burst.Seconds()
+	if b.updatedAt.IsZero() {
+		b.updatedAt = now
+		b.tokens = t.rate(now) * burst.Seconds()
 	}
-	for now.After(b.at) {
-		next := t.nextEnd(b.at, now)
-		b.level += t.rate(b.at) * next.Sub(b.at).Seconds()
-		b.level = min(b.level, t.rate(next)*burst.Seconds())
-		b.at = next
+	for now.After(b.updatedAt) {
+		next := t.nextLoanEnd(b.updatedAt, now)
+		b.tokens += t.rate(b.updatedAt) * next.Sub(b.updatedAt).Seconds()
+		b.tokens = min(b.tokens, t.rate(next)*burst.Seconds())
+		b.updatedAt = next
 	}
 }
 
-// nextEnd returns the first end of a loan after the given time, or now if
+// nextLoanEnd returns the first end of a loan after the given time, or now if
 // there is none before.
-func (t *team) nextEnd(after, now time.Time) time.Time {
+func (t *team) nextLoanEnd(after, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
-		next = p.owed.endIn(after, next)
-		for _, l := range p.lent {
-			next = l.endIn(after, next)
+		next = p.borrowedLoan.endBetween(after, next)
+		for _, l := range p.lentLoans {
+			next = l.endBetween(after, next)
 		}
 	}
 	return next
@@ -44,32 +44,32 @@
 
 // take books the cost if the bucket is not in debt.
 func (b *bucket) take(cost float64) bool {
-	if b.level <= 0 {
+	if b.tokens <= 0 {
 		return false
 	}
-	b.level -= cost
+	b.tokens -= cost
 	return true
 }
 
-// comeBack says when a refused caller will find room: when the debt is paid off
+// retryAfter says when a refused caller will find room: when the debt is paid off
 // and those told to come back before it have been let through, at their part of
 // the rate. The debt alone is paid in milliseconds; told only that, all who are
 // beyond the limit would come back at once, again and again.
-func (t *team) comeBack(now time.Time, cost float64) time.Duration {
+func (t *team) retryAfter(now time.Time, cost float64) time.Duration {
 	rate := t.rate(now)
 	if rate <= 0 {
 		return maxRetryAfter
 	}
-	room := now.Add(toDuration(-t.bucket.level / rate))
-	if t.returnsAt.After(room) {
-		room = t.returnsAt
+	retryAt := now.Add(toDuration(-t.bucket.tokens / rate))
+	if t.lastRetryAt.After(retryAt) {
+		retryAt = t.lastRetryAt
 	}
-	room = room.Add(toDuration(cost / (returnPart * rate)))
-	t.returnsAt = room
-	if last := now.Add(maxRetryAfter); room.After(last) {
-		t.returnsAt = last
+	retryAt = retryAt.Add(toDuration(cost / (retryRateShare * rate)))
+	t.lastRetryAt = retryAt
+	if latest := now.Add(maxRetryAfter); retryAt.After(latest) {
+		t.lastRetryAt = latest
 	}
-	return max(t.returnsAt.Sub(now), minRetryAfter)
+	return max(t.lastRetryAt.Sub(now), minRetryAfter)
 }
 
 func toDuration(seconds float64) time.Duration {
@@ -78,23 +78,23 @@
 
 // demand measures offered tokens per second.
 type demand struct {
-	sum float64
-	at  time.Time
+	decayedSum float64
+	updatedAt  time.Time
 }
 
 func (d *demand) add(now time.Time, cost float64, window time.Duration) {
-	d.sum = d.faded(now, window) + cost
-	d.at = now
+	d.decayedSum = d.decayed(now, window) + cost
+	d.updatedAt = now
 }
 
 func (d *demand) perSecond(now time.Time, window time.Duration) float64 {
-	return d.faded(now, window) / window.Seconds()
+	return d.decayed(now, window) / window.Seconds()
 }
 
-func (d *demand) faded(now time.Time, window time.Duration) float64 {
-	age := now.Sub(d.at)
-	if d.sum == 0 || age <= 0 {
-		return d.sum
+func (d *demand) decayed(now time.Time, window time.Duration) float64 {
+	age := now.Sub(d.updatedAt)
+	if d.decayedSum == 0 || age <= 0 {
+		return d.decayedSum
 	}
-	return d.sum * math.Exp(-age.Seconds()/window.Seconds())
+	return d.decayedSum * math.Exp(-age.Seconds()/window.Seconds())
 }
--- a/decide/limits/meet_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -10,17 +10,17 @@
 	"github.com/cicadatack/cicadatack/decide/limits"
 )
 
-// meetings is the homes of a team as nodes of a large fleet: each makes an
+// largeFleet is the homes of a team as nodes of a large fleet: each makes an
 // exchange a second, in turns, and only some of them with another home.
-type meetings struct {
+type largeFleet struct {
 	homes
-	// next returns the home that a node exchanges with in a second, or -1.
-	next func(now time.Time, second, node int) int
+	// nextPeer returns the home that a node exchanges with in a second, or -1.
+	nextPeer func(now time.Time, second, node int) int
 }
 
-// inTurn is a node that goes round the homes of its four teams on each fourth
+// roundRobin is a node that goes round the homes of its four teams on each fourth
 // turn, whatever they need: this team's have every fourth of these turns.
-func inTurn(n int) func(time.Time, int, int) int {
+func roundRobin(n int) func(time.Time, int, int) int {
 	const teams, turns = 4, 4
 	return func(_ time.Time, second, node int) int {
 		second += node
@@ -31,13 +31,13 @@
 	}
 }
 
-// asNeeded is a node that follows Meet: on each fourth turn, with more than two to
+// onDemand is a node that follows Meet: on each fourth turn, with more than two to
 // meet on two of four, and with more than nine on three.
-func asNeeded(h homes) func(time.Time, int, int) int {
+func onDemand(h homes) func(time.Time, int, int) int {
 	return func(now time.Time, second, node int) int {
-		names := h[node].Meet(now)
-		least := [4]int{3, len(h), 10, 1}[(second+node)%4]
-		if len(names) < least {
+		names := h[node].ExchangePeers(now)
+		minPeers := [4]int{3, len(h), 10, 1}[(second+node)%4]
+		if len(names) < minPeers {
 			return -1
 		}
 		for peer := range h {
@@ -51,18 +51,18 @@
 
 // run plays the demands and returns the part of the limit let through from 120 s
 // to 300 s, the highest sum of rates and the questions a second and node.
-func (m meetings) run(demand func(at float64, node int) float64) (through, highest, questions float64) {
+func (m largeFleet) run(demand func(at float64, node int) float64) (through, highest, requests float64) {
 	const step, end, from = 50 * time.Millisecond, 300 * time.Second, 120 * time.Second
 	rng := rand.New(rand.NewPCG(3, 4))
-	asked := 0
+	sent := 0
 	for at := time.Duration(0); at < end; at += step {
 		now := sim.Start.Add(at)
 		tick := int(at / step)
 		for node := range m.homes {
 			if (tick+node)%20 == 0 {
-				if peer := m.next(now, tick/20, node); peer >= 0 {
+				if peer := m.nextPeer(now, tick/20, node); peer >= 0 {
 					m.exchange(now, node, peer)
-					asked++
+					sent++
 				}
 			}
 			for calls := demand(at.Seconds(), node) * step.Seconds() / cost; rng.Float64() < calls; calls-- {
@@ -80,19 +80,19 @@
 			highest = max(highest, sum/limit)
 		}
 	}
-	return through / (end - from).Seconds() / limit, highest, float64(asked) / end.Seconds() / float64(len(m.homes))
+	return through / (end - from).Seconds() / limit, highest, float64(sent) / end.Seconds() / float64(len(m.homes))
 }
 
-// hot gives 90% of the limit to some of the homes and the rest to the others.
-func hot(n, hot int, moves float64) func(float64, int) float64 {
+// hotDemand gives 90% of the limit to some of the homes and the rest to the others.
+func hotDemand(n, hotHomes int, movePeriod float64) func(float64, int) float64 {
 	return func(at float64, node int) float64 {
-		if moves > 0 {
-			node = (node + hot*int(at/moves)) % n
+		if movePeriod > 0 {
+			node = (node + hotHomes*int(at/movePeriod)) % n
 		}
-		if node < hot {
-			return 0.9 * limit / float64(hot)
+		if node < hotHomes {
+			return 0.9 * limit / float64(hotHomes)
 		}
-		return 0.1 * limit / float64(n-hot)
+		return 0.1 * limit / float64(n-hotHomes)
 	}
 }
 
@@ -101,27 +101,27 @@
 // more than the even part of a quarter. Asking only when something is lacking, and
 // those who lend first, they get nearly all of their demand. Never do the rates
 // add up to more than the limit.
-func TestHomesMeetAsNeeded(t *testing.T) {
-	former := limits.Config{Lease: 20 * time.Second}
-	present := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
+func TestOnDemandExchangeLetsMoreThrough(t *testing.T) {
+	fixedLease := limits.Config{Lease: 20 * time.Second}
+	leasePerHome := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
 	for _, c := range []struct {
 		homes, hot int
-		// moves is when other homes become the hot ones; zero: never.
-		moves, least float64
+		// movePeriod is when other homes become the hot ones; zero: never.
+		movePeriod, minThrough float64
 	}{{3, 1, 0, 0.95}, {9, 1, 0, 0.84}, {9, 2, 0, 0.93}, {37, 1, 0, 0.78}, {37, 9, 0, 0.85}, {37, 18, 0, 0.83}, {9, 2, 60, 0}, {37, 9, 60, 0}} {
-		before := meetings{homes: newLeasedHomes(c.homes, limit, former)}
-		before.next = inTurn(c.homes)
-		after := meetings{homes: newLeasedHomes(c.homes, limit, present)}
-		after.next = asNeeded(after.homes)
-		was, _, wasAsked := before.run(hot(c.homes, c.hot, c.moves))
-		is, sum, asked := after.run(hot(c.homes, c.hot, c.moves))
+		byTurns := largeFleet{homes: newLeasedHomes(c.homes, limit, fixedLease)}
+		byTurns.nextPeer = roundRobin(c.homes)
+		asNeeded := largeFleet{homes: newLeasedHomes(c.homes, limit, leasePerHome)}
+		asNeeded.nextPeer = onDemand(asNeeded.homes)
+		byTurnsThrough, _, byTurnsRequests := byTurns.run(hotDemand(c.homes, c.hot, c.movePeriod))
+		asNeededThrough, highestSum, asNeededRequests := asNeeded.run(hotDemand(c.homes, c.hot, c.movePeriod))
 		t.Logf("%2d homes, %2d have 90%% of the limit, others each %v s: in turn %.3f let through, %.3f questions/s a node; as needed %.3f, %.3f",
-			c.homes, c.hot, c.moves, was, wasAsked, is, asked)
-		if is < c.least || is < was {
-			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, is, c.least)
+			c.homes, c.hot, c.movePeriod, byTurnsThrough, byTurnsRequests, asNeededThrough, asNeededRequests)
+		if asNeededThrough < c.minThrough || asNeededThrough < byTurnsThrough {
+			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, asNeededThrough, c.minThrough)
 		}
-		if sum > 1+1e-9 {
-			t.Errorf("rates add up to %v of the limit", sum)
+		if highestSum > 1+1e-9 {
+			t.Errorf("rates add up to %v of the limit", highestSum)
 		}
 	}
 }
@@ -129,23 +129,23 @@
 // A home has what it needs, and one has callers for less than its part. Neither
 // takes part in more exchanges than it has loans to renew; with its callers gone
 // the first meets its lenders once more, to give back.
-func TestHomesMeetNoMoreThanNeeded(t *testing.T) {
+func TestNoExchangeWithoutNeed(t *testing.T) {
 	h := newHomes(9, limit)
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
-	if got := h[0].Meet(at(0)); len(got) > 0 {
+	if got := h[0].ExchangePeers(at(0)); len(got) > 0 {
 		t.Fatalf("a home without callers meets %v", got)
 	}
 	h[0].Allow(at(0), team, 0.6*limit) // over the window of 2 s, 0.3 of the limit
-	if got := h[0].Meet(at(0)); len(got) != 8 {
+	if got := h[0].ExchangePeers(at(0)); len(got) != 8 {
 		t.Fatalf("a home that lacks most of its demand meets %v", got)
 	}
 	for _, lender := range []int{5, 7, 8} {
 		h.exchange(at(0), 0, lender)
 	}
-	if got := h[0].Meet(at(0)); len(got) > 0 {
+	if got := h[0].ExchangePeers(at(0)); len(got) > 0 {
 		t.Errorf("a home that has what it needs meets %v", got)
 	}
-	if got := h[0].Meet(at(4.5)); !slices.Equal(got, []string{name(5), name(7), name(8)}) {
+	if got := h[0].ExchangePeers(at(4.5)); !slices.Equal(got, []string{name(5), name(7), name(8)}) {
 		t.Errorf("to renew its loans it meets %v", got)
 	}
 	for _, lender := range []int{5, 7, 8} {
--- a/decide/limits/splitter.go
+++ b/decide/limits/splitter.go
@@ -30,11 +30,11 @@
 	defaultDemandWindow = 2 * time.Second
 	defaultHeadroom     = 1.25
 
-	// fewHomes can all be asked again within Config.Lease.
-	fewHomes = 4
-	// leaseSlack homes are added by the lender: its list of homes may differ from
+	// baseLeaseHomes can all be asked again within Config.Lease.
+	baseLeaseHomes = 4
+	// homeCountSlack homes are added by the lender: its list of homes may differ from
 	// the borrower's by so many, and the loan must not end there first.
-	leaseSlack = 2
+	homeCountSlack = 2
 
 	// maxRetryAfter bounds what a refused caller is told; it is told where the
 	// node's rate is zero.
@@ -42,9 +42,9 @@
 	// minRetryAfter keeps a refused caller from coming back within the time
 	// that a refusal and a new call take together.
 	minRetryAfter = 100 * time.Millisecond
-	// returnPart is the part of the rate at which refused callers are told to
+	// retryRateShare is the part of the rate at which refused callers are told to
 	// come back. The rest is for those who call meanwhile.
-	returnPart = 0.5
+	retryRateShare = 0.5
 )
 
 func (c Config) withDefaults() Config {
@@ -75,15 +75,15 @@
 	Home     bool    // whether this node is one of the team's homes
 }
 
-// Ask is one team's entry in a question to a peer.
-type Ask struct {
+// LoanRequest is one team's entry in a question to a peer.
+type LoanRequest struct {
 	Team   string
 	Demand float64 // of the asking node, tokens per second
-	// Keep is how much of earlier loans the asking node still uses, tokens per
+	// InUse is how much of earlier loans the asking node still uses, tokens per
 	// second.
-	Keep float64
-	// Asked is the asking node's time in nanoseconds. It orders its questions.
-	Asked int64
+	InUse float64
+	// SentAt is the asking node's time in nanoseconds. It orders its questions.
+	SentAt int64
 }
 
 // Loan is one team's entry in the answer.
@@ -120,9 +120,9 @@
 	}
 	t.limit = tokensPerSecond
 	t.homes = slices.Clone(homes)
-	t.even = 0
+	t.evenShare = 0
 	if slices.Contains(homes, s.cfg.Self) {
-		t.even = tokensPerSecond / float64(len(homes))
+		t.evenShare = tokensPerSecond / float64(len(homes))
 	}
 }
 
@@ -137,7 +137,7 @@
 	}
 	p := t.peer(node)
 	p.demand = cleanRate(tokensPerSecond, t.limit)
-	p.heard = now
+	p.lastHeard = now
 }
 
 // cleanRate bounds a rate from a message: a demand above the limit asks for no
@@ -163,7 +163,7 @@
 	if t.bucket.take(cost) {
 		return true, 0, share
 	}
-	return false, t.comeBack(now, cost), share
+	return false, t.retryAfter(now, cost), share
 }
 
 // Correct books the difference between actual and expected cost, in tokens.
@@ -173,7 +173,7 @@
 		return
 	}
 	t.refill(now, s.cfg.Burst)
-	t.bucket.level -= diff
+	t.bucket.tokens -= diff
 }
 
 // Share returns the present figures; ok is false if the team has no limit.
@@ -189,7 +189,7 @@
 	return Share{
 		Limit:    t.limit,
 		Rate:     t.rate(now),
-		Even:     t.even,
+		Even:     t.evenShare,
 		Lent:     t.lent(now),
 		Borrowed: t.borrowed(now),
 		Demand:   t.offered.perSecond(now, s.cfg.DemandWindow),
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -19,8 +19,8 @@
 	cost  = 100.0   // of a request
 )
 
-// split is how a node decides on a request: the splitter or a baseline.
-type split interface {
+// policy is how a node decides on a request: the splitter or a baseline.
+type policy interface {
 	allow(now time.Time, node int) bool
 	exchange(now time.Time, from, to int)
 	demand(now time.Time, node int, tokensPerSecond float64)
@@ -53,46 +53,46 @@
 }
 
 func (h homes) exchange(now time.Time, from, to int) {
-	loans := h[to].Lend(now, name(from), h[from].Ask(now, name(to)))
+	loans := h[to].Lend(now, name(from), h[from].RequestLoans(now, name(to)))
 	h[from].Borrow(now, now, name(to), loans)
 }
 
 func (h homes) demand(time.Time, int, float64) {}
 
-// byHeardDemand is the baseline that works each share out from the demands
+// lastKnownDemand is the baseline that works each share out from the demands
 // last heard of. Alone it hears nobody and takes all.
-type byHeardDemand struct {
+type lastKnownDemand struct {
 	homes
-	heard [][]float64 // by node, of each node
+	known [][]float64 // by node, of each node
 }
 
-func newByHeardDemand(n int) *byHeardDemand {
-	b := &byHeardDemand{homes: newHomes(n, limit)}
+func newLastKnownDemand(n int) *lastKnownDemand {
+	b := &lastKnownDemand{homes: newHomes(n, limit)}
 	for range n {
-		b.heard = append(b.heard, make([]float64, n))
+		b.known = append(b.known, make([]float64, n))
 	}
 	return b
 }
 
-func (b *byHeardDemand) demand(_ time.Time, node int, rate float64) { b.heard[node][node] = rate }
+func (b *lastKnownDemand) demand(_ time.Time, node int, rate float64) { b.known[node][node] = rate }
 
-func (b *byHeardDemand) exchange(_ time.Time, from, to int) {
-	b.heard[from][to] = b.heard[to][to]
+func (b *lastKnownDemand) exchange(_ time.Time, from, to int) {
+	b.known[from][to] = b.known[to][to]
 }
 
-func (b *byHeardDemand) allow(now time.Time, node int) bool {
+func (b *lastKnownDemand) allow(now time.Time, node int) bool {
 	sum := 0.0
-	for _, d := range b.heard[node] {
+	for _, d := range b.known[node] {
 		sum += d
 	}
-	b.homes[node].SetTeam(team, limit*b.heard[node][node]/sum, []string{name(node)})
+	b.homes[node].SetTeam(team, limit*b.known[node][node]/sum, []string{name(node)})
 	return b.homes.allow(now, node)
 }
 
-// play offers the nodes' demands for a minute, with exchanges each second
+// simulate offers the nodes' demands for a minute, with exchanges each second
 // between those that hear each other, and returns the tokens per second let
 // through from one time to the other.
-func play(s split, demand func(at float64, node int) float64, hears func(at float64, from, to int) bool, n int, from, to float64) float64 {
+func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, from, to float64) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
 	const step = 0.01
@@ -101,7 +101,7 @@
 		now := sim.Start.Add(time.Duration(at * float64(time.Second)))
 		for node := range n {
 			s.demand(now, node, demand(at, node))
-			if peer := (node + 1 + i/100%(n-1)) % n; i%100 == node && hears(at, node, peer) {
+			if peer := (node + 1 + i/100%(n-1)) % n; i%100 == node && connected(at, node, peer) {
 				s.exchange(now, node, peer)
 			}
 			for calls := demand(at, node) * step / cost; rng.Float64() < calls; calls-- {
@@ -114,15 +114,15 @@
 	return sum / (to - from)
 }
 
-func always(float64, int, int) bool       { return true }
-func even(at float64, node int) float64   { return 2 * limit }
-func skewed(at float64, node int) float64 { return limit * []float64{0.9, 0.05, 0.05}[node] }
-func moves(at float64, node int) float64  { return skewed(at, (node+int(at/20))%3) }
-func silentAfter(t float64) func(float64, int, int) bool {
+func always(float64, int, int) bool           { return true }
+func overloaded(at float64, node int) float64 { return 2 * limit }
+func skewed(at float64, node int) float64     { return limit * []float64{0.9, 0.05, 0.05}[node] }
+func skewMoves(at float64, node int) float64  { return skewed(at, (node+int(at/20))%3) }
+func connectedUntil(t float64) func(float64, int, int) bool {
 	return func(at float64, _, _ int) bool { return at < t }
 }
 
-func TestLimitOverHomes(t *testing.T) {
+func TestTeamLimitAcrossHomes(t *testing.T) {
 	// A team's callers see their limit, not a part of it, when most of them
 	// connect to one home, and no more than it when the homes lose each other.
 	// Baselines: the whole limit on each node gives a multiple of it; even
@@ -130,46 +130,46 @@
 	// heard of give a multiple as soon as nodes fall silent.
 	Convey("Three homes", t, func() {
 		for _, c := range []struct {
-			why        string
-			demand     func(float64, int) float64
-			hears      func(float64, int, int) bool
-			from, to   float64
-			least      float64 // part of the limit let through
-			whole, own float64 // the least of the baselines: whole limit, heard demand
-			even       float64 // the most of even shares
+			name                       string
+			demand                     func(float64, int) float64
+			connected                  func(float64, int, int) bool
+			from, to                   float64
+			minPart                    float64 // part of the limit let through
+			minWholeEach, minLastKnown float64 // the least of the baselines: whole limit, heard demand
+			maxEven                    float64 // the most of even shares
 		}{
-			{"asked for too much", even, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
+			{"asked for too much", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
 			{"most callers at one", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
-			{"most callers at another every 20 s", moves, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
+			{"most callers at another every 20 s", skewMoves, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
 			{"silent from 20 s, skewed before and even after", func(at float64, n int) float64 {
 				if at < 20 {
 					return skewed(at, n)
 				}
-				return even(at, n)
-			}, silentAfter(20), 30, 60, 0.98, 2.9, 1.5, 1.01},
-			{"the first hears nobody", even, func(_ float64, from, _ int) bool { return from != 0 }, 10, 60, 0.98, 2.9, 1.3, 1.01},
+				return overloaded(at, n)
+			}, connectedUntil(20), 30, 60, 0.98, 2.9, 1.5, 1.01},
+			{"the first hears nobody", overloaded, func(_ float64, from, _ int) bool { return from != 0 }, 10, 60, 0.98, 2.9, 1.3, 1.01},
 		} {
-			part := func(s split) float64 { return play(s, c.demand, c.hears, 3, c.from, c.to) / limit }
-			whole := homes{}
+			part := func(s policy) float64 { return simulate(s, c.demand, c.connected, 3, c.from, c.to) / limit }
+			wholeEach := homes{}
 			for i := range 3 {
 				h := limits.New(limits.Config{Self: name(i)})
 				h.SetTeam(team, limit, []string{name(i)})
-				whole = append(whole, h)
+				wholeEach = append(wholeEach, h)
 			}
-			got, w, o, e := part(newHomes(3, limit)), part(whole), part(newByHeardDemand(3)), part(silentHomes{newHomes(3, limit)})
-			t.Logf("%s: let through over limit %.3f; whole limit each %.2f, by heard demand %.2f, even shares %.2f", c.why, got, w, o, e)
-			So(got, ShouldBeBetweenOrEqual, c.least, 1+1/(c.to-c.from)+0.001) // Burst is a second
-			So(w, ShouldBeGreaterThan, c.whole)
-			So(o, ShouldBeGreaterThan, c.own)
-			So(e, ShouldBeLessThan, c.even)
+			got, wholeEachPart, lastKnownPart, evenPart := part(newHomes(3, limit)), part(wholeEach), part(newLastKnownDemand(3)), part(disconnectedHomes{newHomes(3, limit)})
+			t.Logf("%s: let through over limit %.3f; whole limit each %.2f, by heard demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
+			So(got, ShouldBeBetweenOrEqual, c.minPart, 1+1/(c.to-c.from)+0.001) // Burst is a second
+			So(wholeEachPart, ShouldBeGreaterThan, c.minWholeEach)
+			So(lastKnownPart, ShouldBeGreaterThan, c.minLastKnown)
+			So(evenPart, ShouldBeLessThan, c.maxEven)
 		}
 	})
 }
 
-// silentHomes never exchange: even shares.
-type silentHomes struct{ homes }
+// disconnectedHomes never exchange: even shares.
+type disconnectedHomes struct{ homes }
 
-func (silentHomes) exchange(time.Time, int, int) {}
+func (disconnectedHomes) exchange(time.Time, int, int) {}
 
 func TestSumStaysWithinBound(t *testing.T) {
 	// Whatever is lost, late, repeated or one-way, and however the nodes' clocks
@@ -188,20 +188,20 @@
 	clock := func(node int) time.Time { return now.Add(time.Duration(node) * time.Hour) }
 	type message struct {
 		from, to int
-		asked    time.Time
-		asks     []limits.Ask
+		sentAt   time.Time
+		requests []limits.LoanRequest
 		loans    []limits.Loan
 	}
-	type passed struct {
+	type admitted struct {
 		at   time.Time
 		cost float64
 	}
-	var asks, answers []message
-	var log []passed
+	var requests, answers []message
+	var admissions []admitted
 	largest := 0.0
 	node := rapid.IntRange(0, n-1)
-	// any gives one of the last messages: late, repeated or never.
-	any := func(t *rapid.T, from []message) (m message, ok bool) {
+	// pickRecent gives one of the last messages: late, repeated or never.
+	pickRecent := func(t *rapid.T, from []message) (m message, ok bool) {
 		if len(from) == 0 {
 			return m, false
 		}
@@ -214,26 +214,26 @@
 			for range rapid.IntRange(1, 30).Draw(t, "calls") {
 				cost := rapid.Float64Range(1, 3000).Draw(t, "cost")
 				if ok, _, _ := h[i].Allow(clock(i), team, cost); ok {
-					log = append(log, passed{now, cost})
+					admissions = append(admissions, admitted{now, cost})
 					largest = max(largest, cost)
 				}
 			}
 		},
 		"ask": func(t *rapid.T) {
 			m := message{from: node.Draw(t, "from"), to: node.Draw(t, "to")}
-			m.asked = clock(m.from)
-			m.asks = h[m.from].Ask(m.asked, name(m.to))
-			asks = append(asks, m)
+			m.sentAt = clock(m.from)
+			m.requests = h[m.from].RequestLoans(m.sentAt, name(m.to))
+			requests = append(requests, m)
 		},
 		"lend": func(t *rapid.T) {
-			if m, ok := any(t, asks); ok {
-				m.loans = h[m.to].Lend(clock(m.to), name(m.from), m.asks)
+			if m, ok := pickRecent(t, requests); ok {
+				m.loans = h[m.to].Lend(clock(m.to), name(m.from), m.requests)
 				answers = append(answers, m)
 			}
 		},
 		"borrow": func(t *rapid.T) {
-			if m, ok := any(t, answers); ok {
-				h[m.from].Borrow(clock(m.from), m.asked, name(m.to), m.loans)
+			if m, ok := pickRecent(t, answers); ok {
+				h[m.from].Borrow(clock(m.from), m.sentAt, name(m.to), m.loans)
 			}
 		},
 		"time": func(t *rapid.T) {
@@ -249,18 +249,18 @@
 				t.Fatalf("rates add up to %v", sum)
 			}
 			through := 0.0
-			for i := len(log) - 1; i >= 0; i-- {
-				through += log[i].cost
-				bound := limit*(now.Sub(log[i].at).Seconds()+1) + float64(n)*largest
+			for i := len(admissions) - 1; i >= 0; i-- {
+				through += admissions[i].cost
+				bound := limit*(now.Sub(admissions[i].at).Seconds()+1) + float64(n)*largest
 				if through > bound*(1+1e-9) {
-					t.Fatalf("%v let through in %v, bound %v", through, now.Sub(log[i].at), bound)
+					t.Fatalf("%v let through in %v, bound %v", through, now.Sub(admissions[i].at), bound)
 				}
 			}
 		},
 	})
 }
 
-func TestLateQuestion(t *testing.T) {
+func TestLateRequestKeepsLaterLoan(t *testing.T) {
 	// The borrower uses a loan that the lender has forgotten, and the team gets
 	// more than its limit. A question that comes late is answered after the next
 	// one; its loan must not stand for the later loan, because a repeat of the
@@ -269,13 +269,13 @@
 		h := newHomes(2, limit)
 		now := sim.Start
 		h[0].Allow(now, team, 5*limit)
-		first := h[0].Ask(now, name(1))
+		first := h[0].RequestLoans(now, name(1))
 		second := now.Add(time.Millisecond)
-		asks := h[0].Ask(second, name(1))
-		h[0].Borrow(second, second, name(1), h[1].Lend(second, name(0), asks))
+		requests := h[0].RequestLoans(second, name(1))
+		h[0].Borrow(second, second, name(1), h[1].Lend(second, name(0), requests))
 		h[1].Lend(second, name(0), first)
 		h[1].Allow(second, team, 5*limit)
-		h[1].Lend(second, name(0), asks)
+		h[1].Lend(second, name(0), requests)
 		a, _ := h[0].Share(second, team)
 		b, _ := h[1].Share(second, team)
 		So(a.Borrowed, ShouldBeGreaterThan, 0)
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -21,9 +21,9 @@
 	Homes() []string
 	// Ask returns what to ask a peer now; Borrow gets the same time with the
 	// answer, which tells the last question from those before.
-	Ask(now time.Time, peer string) []limits.Ask
+	Ask(now time.Time, peer string) []limits.LoanRequest
 	// Lend answers a peer's questions.
-	Lend(peer string, asks []limits.Ask) []limits.Loan
+	Lend(peer string, asks []limits.LoanRequest) []limits.Loan
 	// Borrow takes a peer's answer to what was asked at a time.
 	Borrow(asked time.Time, peer string, loans []limits.Loan)
 }
@@ -31,23 +31,23 @@
 // noLimits is a node that splits no limit.
 type noLimits struct{}
 
-func (noLimits) Homes() []string                         { return nil }
-func (noLimits) Ask(time.Time, string) []limits.Ask      { return nil }
-func (noLimits) Lend(string, []limits.Ask) []limits.Loan { return nil }
-func (noLimits) Borrow(time.Time, string, []limits.Loan) {}
+func (noLimits) Homes() []string                                 { return nil }
+func (noLimits) Ask(time.Time, string) []limits.LoanRequest      { return nil }
+func (noLimits) Lend(string, []limits.LoanRequest) []limits.Loan { return nil }
+func (noLimits) Borrow(time.Time, string, []limits.Loan)         {}
 
-func asksToWire(asks []limits.Ask) []*exchange.Ask {
+func asksToWire(asks []limits.LoanRequest) []*exchange.Ask {
 	out := make([]*exchange.Ask, 0, min(len(asks), maxLoans))
 	for _, a := range asks[:min(len(asks), maxLoans)] {
-		out = append(out, &exchange.Ask{Team: a.Team, Demand: a.Demand, Keep: a.Keep, Asked: a.Asked})
+		out = append(out, &exchange.Ask{Team: a.Team, Demand: a.Demand, Keep: a.InUse, Asked: a.SentAt})
 	}
 	return out
 }
 
-func asksFromWire(list []*exchange.Ask) []limits.Ask {
-	out := make([]limits.Ask, 0, min(len(list), maxLoans))
+func asksFromWire(list []*exchange.Ask) []limits.LoanRequest {
+	out := make([]limits.LoanRequest, 0, min(len(list), maxLoans))
 	for _, a := range list[:min(len(list), maxLoans)] {
-		out = append(out, limits.Ask{Team: a.GetTeam(), Demand: a.GetDemand(), Keep: a.GetKeep(), Asked: a.GetAsked()})
+		out = append(out, limits.LoanRequest{Team: a.GetTeam(), Demand: a.GetDemand(), InUse: a.GetKeep(), SentAt: a.GetAsked()})
 	}
 	return out
 }
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -59,13 +59,13 @@
 	return others
 }
 
-func (l *testLimits) Ask(now time.Time, peer string) []limits.Ask {
+func (l *testLimits) Ask(now time.Time, peer string) []limits.LoanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.splitter.Ask(now, peer)
+	return l.splitter.RequestLoans(now, peer)
 }
 
-func (l *testLimits) Lend(peer string, asks []limits.Ask) []limits.Loan {
+func (l *testLimits) Lend(peer string, asks []limits.LoanRequest) []limits.Loan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.asked.Add(int64(len(asks)))
@@ -105,7 +105,7 @@
 // No more are looked at than an exchange may carry, so a faulty peer costs no
 // more than a sound one.
 func TestLoansAreBounded(t *testing.T) {
-	asks := make([]limits.Ask, 10*maxLoans)
+	asks := make([]limits.LoanRequest, 10*maxLoans)
 	for i := range asks {
 		asks[i].Team = fmt.Sprintf("team-%03d", i)
 	}
--- a/route/teamlimiter/teamlimiter.go
+++ b/route/teamlimiter/teamlimiter.go
@@ -54,18 +54,18 @@
 func (l *Limiter) Homes() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.splitter.Meet(l.now())
+	return l.splitter.ExchangePeers(l.now())
 }
 
 // Ask returns what to ask a peer for.
-func (l *Limiter) Ask(now time.Time, peer string) []limits.Ask {
+func (l *Limiter) Ask(now time.Time, peer string) []limits.LoanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.splitter.Ask(now, peer)
+	return l.splitter.RequestLoans(now, peer)
 }
 
 // Lend answers a peer's questions.
-func (l *Limiter) Lend(peer string, asks []limits.Ask) []limits.Loan {
+func (l *Limiter) Lend(peer string, asks []limits.LoanRequest) []limits.Loan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.splitter.Lend(l.now(), peer, asks)
