--- a/decide/doc.go
+++ b/decide/doc.go
@@ -1,8 +1,8 @@
-// Package decide is the root of the decision modules: whom the router serves,
-// who waits, who is refused and where work goes.
+// Package decide is the root of the decision modules. They decide which requests
+// the router accepts, queues or refuses, and where it sends them.
 //
-// Every package below it is a pure state machine. Inputs are typed messages and
-// the current time; outputs are values for the caller to act on. None opens a
-// connection, starts a goroutine or reads a clock, so each can be read and
-// tested alone. `make test` checks the imports.
+// Every package below this one is a pure state machine: it takes typed messages
+// and the current time, and returns values for the caller to act on. None of them
+// opens a connection, starts a goroutine or reads a clock, so each can be read and
+// tested in isolation. `make test` checks the imports.
 package decide
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// bucket is a token bucket that may go into debt by one request, so that a
-// request larger than the burst is slow but not impossible.
+// bucket is a token bucket that one request may overdraw, so that a request larger than
+// the burst is delayed but not impossible.
 type bucket struct {
-	tokens    float64 // tokens
+	tokens    float64 // negative while in debt
 	updatedAt time.Time
 }
 
-// refill adds to the team's bucket what has accrued. It goes from one end of a
-// loan to the next: at one rate for the whole time, a loan that has just come in
-// or run out would count for time in which the rate was another node's.
+// refill adds the tokens accrued since the last refill. It advances from one loan end to
+// the next, because the rate changes there: a single rate for the whole interval would
+// also apply to time in which another node used that rate.
 func (t *team) refill(now time.Time, burst time.Duration) {
 	b := &t.bucket
 	if b.updatedAt.IsZero() {
@@ -29,8 +29,8 @@
 	}
 }
 
-// nextLoanEnd returns the first end of a loan after the given time, or now if
-// there is none before.
+// nextLoanEnd returns the earliest end of a loan between after and now, or now if no loan
+// ends in between.
 func (t *team) nextLoanEnd(after, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
@@ -42,7 +42,7 @@
 	return next
 }
 
-// take books the cost if the bucket is not in debt.
+// take deducts the cost unless the bucket is in debt.
 func (b *bucket) take(cost float64) bool {
 	if b.tokens <= 0 {
 		return false
@@ -51,10 +51,10 @@
 	return true
 }
 
-// retryAfter says when a refused caller will find room: when the debt is paid off
-// and those told to come back before it have been let through, at their part of
-// the rate. The debt alone is paid in milliseconds; told only that, all who are
-// beyond the limit would come back at once, again and again.
+// retryAfter returns when a refused caller will be admitted: once the debt is paid off
+// and the callers refused earlier have been served, at retryRateShare of the rate. The
+// debt alone is paid off within milliseconds. If callers were told only that time, all
+// callers beyond the limit would retry at once, again and again.
 func (t *team) retryAfter(now time.Time, cost float64) time.Duration {
 	rate := t.rate(now)
 	if rate <= 0 {
@@ -76,7 +76,7 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// demand measures offered tokens per second.
+// demand is an exponentially decaying average of the offered tokens per second.
 type demand struct {
 	decayedSum float64
 	updatedAt  time.Time
--- a/decide/limits/doc.go
+++ b/decide/limits/doc.go
@@ -1,58 +1,62 @@
-// Package limits holds a team to its token rate over the whole environment,
-// although each node counts only what it serves itself.
+// Package limits enforces a team's token rate over the whole environment,
+// although each node counts only the requests that it serves itself.
 //
 // # Load pattern
 //
-// A team's callers connect to a few home nodes, unevenly: most of the traffic
-// of a franchise group may come in at one of three. Nodes stop, pause and lose
-// each other while this goes on.
+// A team's callers connect to a few home nodes, unevenly: one of three homes may
+// get most of a team's traffic. Meanwhile nodes stop, pause and lose contact with
+// each other.
 //
-// # Without it
+// # Failure without it
 //
 // If each node allows the whole limit, a team with n homes gets n times its
-// limit. With fixed even shares a team whose callers sit at one home gets 1/n
-// of what it pays for. If each node works its share out from the demands it
-// has last heard of, nodes that don't hear each other add up to n times again.
+// limit. With fixed even shares, a team whose callers all connect to one home
+// gets 1/n of its limit. If each node computes its share from the last demands
+// that it received, nodes that lose contact again add up to n times the limit.
 //
 // # Use
 //
-// Each home owns the even part of the limit. What it does not need it lends to
-// the homes that do, for a lease that grows with their number. Nodes ask each other in their regular
-// exchange, one question at a time to a peer; a loan goes only into the answer:
+// Each home owns an even share of the limit. A home lends the part that it does
+// not need to homes that need more. Each loan is a lease, which is longer the more
+// homes the team has. Nodes request loans in their regular exchange, one request
+// at a time per peer, and a loan is granted only in the response:
 //
-//	peers := s.Meet(now)                     // whom to exchange with
-//	asks := s.Ask(now, peer)                 // the asking node sends these
-//	loans := s.Lend(now, asker, asks)        // the other one answers
-//	s.Borrow(now, askedAt, peer, loans)      // askedAt: the time given to Ask
+//	peers := s.ExchangePeers(now)              // peers to exchange with
+//	requests := s.RequestLoans(now, peer)      // sent by the borrower
+//	loans := s.Lend(now, borrower, requests)   // response of the lender
+//	s.Borrow(now, sentAt, peer, loans)         // sentAt: the time given to RequestLoans
 //
 //	ok, retryAfter, share := s.Allow(now, "bogor", 300)
 //	s.Correct(now, "bogor", actual-300)
 //
-// # The bound
+// # Bound
 //
-// While the homes agree on the team's limit and homes, the sum of their rates
-// is never above the limit, whatever messages are lost, late or one-way: the
-// lender takes a loan off its own rate until the lease after the answer left, the
-// borrower uses it until the lease after its question left, which is earlier. No
-// clocks are compared. A loan is given back early only by the borrower's word, in
-// a later question, that it has stopped using it. In any time T a team gets at most
+// While the homes agree on the team's limit and on its list of homes, the sum of
+// their rates never exceeds the limit, even if messages are lost, delayed or
+// delivered in one direction only. The lender subtracts a loan from its own rate
+// until one lease after it sent the response. The borrower uses the loan until one
+// lease after it sent the request, which is earlier. Clocks of different nodes are
+// never compared. A loan ends early only when the borrower states in a later
+// request that it has stopped using it. In any time T a team gets at most
 //
 //	limit * (T + Burst) + one request per home (+ what Correct adds)
 //
-// Beyond the bound: a home that restarts has forgotten what it lent, which adds
-// at most its even part for one lease; while nodes disagree on the limit or the
-// homes, each allows what its own view gives, and a loan made under the old
-// view lasts its lease. Lists of homes that differ by up to two in length leave the
-// lender's lease the longer one.
+// Two cases exceed the bound. A home that restarts has lost its record of what it
+// lent, which adds at most its even share for one lease. While nodes disagree on
+// the limit or the homes, each node allows what its own view gives, and a loan
+// granted under the old view lasts for its lease. If two lists of homes differ in
+// length by at most two, the lender's lease is still the longer one.
 //
-// A silent peer's loans run out, and both sides are back at the even split
-// after the lease.
+// The loans of a peer that stops answering expire, so both sides are back at the
+// even split after one lease.
 //
-// # Grounds for the figures
+// # Reasons for the values
 //
-// Lease spans several exchanges of about a second, so that one lost message
-// does not move the split. LeasePerHome is what one more question takes a node that
-// asks in three of four seconds: with 37 homes and 20 s, loans run out while the
-// node looks for more (0.39 of the limit at one hot home, 0.81 with 61 s). Headroom keeps at home what demand may grow by
-// before the next exchange. Burst lets requests of a second come in together.
+// Lease spans several exchanges, which are about a second apart, so that one lost
+// message does not change the split. LeasePerHome is the time per additional
+// request of a node that sends one in three of four seconds. With 37 homes and a
+// lease of 20 s, loans expire while the node still looks for more: one hot home
+// gets 0.39 of the limit, and 0.81 with a lease of 61 s. Headroom reserves
+// capacity for the growth of demand until the next exchange. Burst admits the
+// requests of one second at once.
 package limits
--- a/decide/limits/exchangepeers.go
+++ b/decide/limits/exchangepeers.go
@@ -7,43 +7,46 @@
 	"time"
 )
 
-// renewAfterShare of a lease after the question, a loan that is in use is asked for
-// again, before any new lender is: loans that run out while the node looks for
-// more would have it run after its own tail.
+// renewAfterShare is the part of a lease after which a loan in use is requested again,
+// before any new lender is asked. Otherwise existing loans would expire while the node
+// looks for more, and it would never reach its demand.
 const renewAfterShare = 0.7
 
-// candidate is a peer that a team of this node has to do with.
+// candidate is a peer with which this node should exchange for a team's limit.
 type candidate struct {
 	node string
-	// renew: a loan is to be asked for again, or to be given back.
+	// renew is set if a loan has to be renewed or released.
 	renew       bool
 	lastRequest time.Time
 }
 
 // ExchangePeers returns the peers that this node should exchange with for its teams'
-// limits, the most urgent first: those whose loans are to be renewed or given
-// back, then, while a team lacks some of its limit here, its other homes in turn.
+// limits, the most urgent first. Peers whose loans are due for renewal or release come
+// first. While a team's demand here exceeds its rate, the team's other homes follow, the
+// least recently asked first.
 //
-// Without it a node goes round all homes of its teams whether or not it needs
-// them. At 2,200 nodes these are 144, met each 576 s, while loans last 20 s: they
-// run out, and the even split is left. A node that asks only for what it lacks
-// needs few lenders, as it can itself serve but a few times its even part.
+// Without it, a node contacts all homes of its teams in turn, whether or not it needs
+// them. With 2,200 nodes these are 144 homes, each contacted every 576 s, while loans
+// last 20 s: the loans expire and only the even split is left. A node that requests only
+// what it lacks needs few lenders, because it can serve only a few times its even share
+// itself.
 func (s *Splitter) ExchangePeers(now time.Time) []string {
 	byNode := map[string]candidate{}
 	for _, name := range slices.Sorted(maps.Keys(s.teams)) {
-		for _, m := range s.teams[name].candidates(now, s.cfg) {
-			byNode[m.node] = m.merge(byNode[m.node])
+		for _, c := range s.teams[name].candidates(now, s.cfg) {
+			byNode[c.node] = c.merge(byNode[c.node])
 		}
 	}
 	all := slices.SortedFunc(maps.Values(byNode), compareUrgency)
 	names := make([]string, 0, len(all))
-	for _, m := range all {
-		names = append(names, m.node)
+	for _, c := range all {
+		names = append(names, c.node)
 	}
 	return names
 }
 
-// candidates lists the team's. A node that is no home borrows like the others.
+// candidates returns the peers to exchange with for this team. A node that is not a home
+// borrows like a home.
 func (t *team) candidates(now time.Time, cfg Config) []candidate {
 	if len(t.peers) == 0 && t.offered.decayedSum == 0 {
 		return nil
@@ -54,27 +57,27 @@
 		if node == cfg.Self {
 			continue
 		}
-		m := candidate{node: node}
+		c := candidate{node: node}
 		borrowing := false
 		if p := t.findPeer(node); p != nil {
-			m.lastRequest = p.lastRequest
+			c.lastRequest = p.lastRequest
 			borrowing = p.borrowedLoan.rateAt(now) > 0
 		}
-		m.renew = borrowing && now.Sub(m.lastRequest) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
-		if m.renew || short && !borrowing {
-			all = append(all, m)
+		c.renew = borrowing && now.Sub(c.lastRequest) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
+		if c.renew || short && !borrowing {
+			all = append(all, c)
 		}
 	}
 	return all
 }
 
-// merge joins what two teams have to do with one peer.
-func (m candidate) merge(other candidate) candidate {
-	m.renew = m.renew || other.renew
-	if other.lastRequest.After(m.lastRequest) {
-		m.lastRequest = other.lastRequest
+// merge combines the candidates of two teams for the same peer.
+func (c candidate) merge(other candidate) candidate {
+	c.renew = c.renew || other.renew
+	if other.lastRequest.After(c.lastRequest) {
+		c.lastRequest = other.lastRequest
 	}
-	return m
+	return c
 }
 
 func compareUrgency(a, b candidate) int {
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -10,16 +10,16 @@
 	"github.com/cicadatack/cicadatack/decide/limits"
 )
 
-// largeFleet is the homes of a team as nodes of a large fleet: each makes an
-// exchange a second, in turns, and only some of them with another home.
+// largeFleet simulates the homes of a team in a large fleet. Each node makes one exchange
+// a second, and only some of these are with another home of the team.
 type largeFleet struct {
 	homes
 	// nextPeer returns the home that a node exchanges with in a second, or -1.
 	nextPeer func(now time.Time, second, node int) int
 }
 
-// roundRobin is a node that goes round the homes of its four teams on each fourth
-// turn, whatever they need: this team's have every fourth of these turns.
+// roundRobin contacts the homes of a node's four teams in turn on every fourth exchange,
+// whatever they need. This team's homes get every fourth of these exchanges.
 func roundRobin(n int) func(time.Time, int, int) int {
 	const teams, turns = 4, 4
 	return func(_ time.Time, second, node int) int {
@@ -31,8 +31,8 @@
 	}
 }
 
-// onDemand is a node that follows Meet: on each fourth turn, with more than two to
-// meet on two of four, and with more than nine on three.
+// onDemand follows ExchangePeers. A node uses one exchange of four for it, two if more
+// than two peers are due, and three if more than nine are.
 func onDemand(h homes) func(time.Time, int, int) int {
 	return func(now time.Time, second, node int) int {
 		names := h[node].ExchangePeers(now)
@@ -49,41 +49,43 @@
 	}
 }
 
-// run plays the demands and returns the part of the limit let through from 120 s
-// to 300 s, the highest sum of rates and the questions a second and node.
-func (m largeFleet) run(demand func(at float64, node int) float64) (through, highest, requests float64) {
+// run simulates the demands and returns the part of the limit let through from 120 s to
+// 300 s, the highest sum of rates as a part of the limit, and the requests per second and
+// node.
+func (f largeFleet) run(demand func(at float64, node int) float64) (through, highest, requests float64) {
 	const step, end, from = 50 * time.Millisecond, 300 * time.Second, 120 * time.Second
 	rng := rand.New(rand.NewPCG(3, 4))
 	sent := 0
 	for at := time.Duration(0); at < end; at += step {
 		now := sim.Start.Add(at)
 		tick := int(at / step)
-		for node := range m.homes {
+		for node := range f.homes {
 			if (tick+node)%20 == 0 {
-				if peer := m.nextPeer(now, tick/20, node); peer >= 0 {
-					m.exchange(now, node, peer)
+				if peer := f.nextPeer(now, tick/20, node); peer >= 0 {
+					f.exchange(now, node, peer)
 					sent++
 				}
 			}
 			for calls := demand(at.Seconds(), node) * step.Seconds() / cost; rng.Float64() < calls; calls-- {
-				if m.allow(now, node) && at >= from {
+				if f.allow(now, node) && at >= from {
 					through += cost
 				}
 			}
 		}
 		if tick%20 == 0 {
 			sum := 0.0
-			for _, h := range m.homes {
+			for _, h := range f.homes {
 				share, _ := h.Share(now, team)
 				sum += share.Rate
 			}
 			highest = max(highest, sum/limit)
 		}
 	}
-	return through / (end - from).Seconds() / limit, highest, float64(sent) / end.Seconds() / float64(len(m.homes))
+	return through / (end - from).Seconds() / limit, highest, float64(sent) / end.Seconds() / float64(len(f.homes))
 }
 
-// hotDemand gives 90% of the limit to some of the homes and the rest to the others.
+// hotDemand gives 90% of the limit to some of the homes and the rest to the others. Every
+// movePeriod seconds, unless it is zero, other homes become the hot ones.
 func hotDemand(n, hotHomes int, movePeriod float64) func(float64, int) float64 {
 	return func(at float64, node int) float64 {
 		if movePeriod > 0 {
@@ -96,17 +98,18 @@
 	}
 }
 
-// A team's callers sit near a quarter of its homes. Going round all homes, a node
-// meets each so seldom that loans run out in between, and the callers get little
-// more than the even part of a quarter. Asking only when something is lacking, and
-// those who lend first, they get nearly all of their demand. Never do the rates
-// add up to more than the limit.
+// Guards against a team that gets little of its limit when its callers connect to a
+// quarter of its homes. With exchanges in turn, a node contacts each home so rarely that
+// loans expire in between, and callers get little more than the even shares of these
+// homes. With ExchangePeers they get nearly all of their demand. The rates never add up
+// to more than the limit.
 func TestOnDemandExchangeLetsMoreThrough(t *testing.T) {
 	fixedLease := limits.Config{Lease: 20 * time.Second}
 	leasePerHome := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
 	for _, c := range []struct {
 		homes, hot int
-		// movePeriod is when other homes become the hot ones; zero: never.
+		// movePeriod is the time in seconds after which other homes become the hot ones;
+		// zero means never.
 		movePeriod, minThrough float64
 	}{{3, 1, 0, 0.95}, {9, 1, 0, 0.84}, {9, 2, 0, 0.93}, {37, 1, 0, 0.78}, {37, 9, 0, 0.85}, {37, 18, 0, 0.83}, {9, 2, 60, 0}, {37, 9, 60, 0}} {
 		byTurns := largeFleet{homes: newLeasedHomes(c.homes, limit, fixedLease)}
@@ -115,7 +118,7 @@
 		asNeeded.nextPeer = onDemand(asNeeded.homes)
 		byTurnsThrough, _, byTurnsRequests := byTurns.run(hotDemand(c.homes, c.hot, c.movePeriod))
 		asNeededThrough, highestSum, asNeededRequests := asNeeded.run(hotDemand(c.homes, c.hot, c.movePeriod))
-		t.Logf("%2d homes, %2d have 90%% of the limit, others each %v s: in turn %.3f let through, %.3f questions/s a node; as needed %.3f, %.3f",
+		t.Logf("%2d homes, %2d with 90%% of the demand, changing every %v s: round robin lets %.3f through with %.3f requests/s per node; on demand %.3f with %.3f",
 			c.homes, c.hot, c.movePeriod, byTurnsThrough, byTurnsRequests, asNeededThrough, asNeededRequests)
 		if asNeededThrough < c.minThrough || asNeededThrough < byTurnsThrough {
 			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, asNeededThrough, c.minThrough)
@@ -126,27 +129,27 @@
 	}
 }
 
-// A home has what it needs, and one has callers for less than its part. Neither
-// takes part in more exchanges than it has loans to renew; with its callers gone
-// the first meets its lenders once more, to give back.
+// Guards against exchanges that no home needs. A home that has borrowed enough contacts
+// only the lenders whose loans it has to renew. Once its callers are gone, it contacts
+// them once more to release the loans.
 func TestNoExchangeWithoutNeed(t *testing.T) {
 	h := newHomes(9, limit)
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
 	if got := h[0].ExchangePeers(at(0)); len(got) > 0 {
-		t.Fatalf("a home without callers meets %v", got)
+		t.Fatalf("a home without callers exchanges with %v", got)
 	}
-	h[0].Allow(at(0), team, 0.6*limit) // over the window of 2 s, 0.3 of the limit
+	h[0].Allow(at(0), team, 0.6*limit) // over the window of 2 s this is 0.3 of the limit
 	if got := h[0].ExchangePeers(at(0)); len(got) != 8 {
-		t.Fatalf("a home that lacks most of its demand meets %v", got)
+		t.Fatalf("a home that lacks most of its demand exchanges with %v", got)
 	}
 	for _, lender := range []int{5, 7, 8} {
 		h.exchange(at(0), 0, lender)
 	}
 	if got := h[0].ExchangePeers(at(0)); len(got) > 0 {
-		t.Errorf("a home that has what it needs meets %v", got)
+		t.Errorf("a home that has borrowed enough exchanges with %v", got)
 	}
 	if got := h[0].ExchangePeers(at(4.5)); !slices.Equal(got, []string{name(5), name(7), name(8)}) {
-		t.Errorf("to renew its loans it meets %v", got)
+		t.Errorf("to renew its loans it exchanges with %v", got)
 	}
 	for _, lender := range []int{5, 7, 8} {
 		h.exchange(at(5.9), 0, lender)
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// team is one team's state on this node.
+// team is the state of one team on this node.
 type team struct {
 	limit       float64
 	homes       []string
 	evenShare   float64
 	offered     demand
 	bucket      bucket
-	lastRetryAt time.Time // when the last refused caller was told to come back
-	peers       []*peer   // few, and in order of first contact: sums are deterministic
+	lastRetryAt time.Time // retry time given to the last refused caller
+	peers       []*peer   // few, in order of first contact, so that sums are deterministic
 }
 
-// peer is what this node knows of the team on another one.
+// peer is the state of the team on another node, as known here.
 type peer struct {
 	node         string
 	demand       float64
 	lastHeard    time.Time
-	lentLoans    []loan // that may be in force
-	borrowedLoan loan   // borrowed from the peer
+	lentLoans    []loan // loans to the peer that may be in force
+	borrowedLoan loan   // loan from the peer
 	lastRequest  time.Time
 }
 
@@ -31,7 +31,7 @@
 type loan struct {
 	rate          float64
 	until         time.Time
-	requestSentAt int64 // Ask.Asked of the question
+	requestSentAt int64 // LoanRequest.SentAt of the request
 }
 
 func (l loan) rateAt(now time.Time) float64 {
@@ -41,7 +41,7 @@
 	return 0
 }
 
-// endBetween returns the loan's end if it lies between the two times, else to.
+// endBetween returns the end of the loan if it lies between the two times, otherwise to.
 func (l loan) endBetween(from, to time.Time) time.Time {
 	if l.until.After(from) && l.until.Before(to) {
 		return l.until
@@ -67,10 +67,10 @@
 	return p
 }
 
-// lentRate returns the highest loan to the peer in force. A newer answer replaces
-// an older one for the borrower, but it may have been lost: until the older,
-// larger loan has run out or its borrower has said what it keeps, the lender has
-// to reckon with it.
+// lentRate returns the highest loan to the peer that is in force. For the borrower a
+// newer response replaces an older one, but the newer response may have been lost. The
+// lender therefore counts the older, larger loan until it has expired or the borrower has
+// reported how much of it is in use.
 func (p *peer) lentRate(now time.Time) float64 {
 	highest := 0.0
 	for _, l := range p.lentLoans {
@@ -79,10 +79,10 @@
 	return highest
 }
 
-// releaseUnused notes how much of the loans answered to earlier questions is still in
-// use. It gives back at once what the borrower does not need any more, and
-// settles whether earlier answers have arrived. A question that comes late or
-// twice says nothing of loans made since.
+// releaseUnused reduces the loans granted for earlier requests to the rate that the
+// borrower still uses. That frees unused capacity at once and covers the case that a
+// response was lost. A request that arrives late or twice says nothing about loans
+// granted since it was sent.
 func (p *peer) releaseUnused(request LoanRequest) {
 	for i := range p.lentLoans {
 		if p.lentLoans[i].requestSentAt < request.SentAt {
@@ -91,9 +91,10 @@
 	}
 }
 
-// addLoan adds a loan and drops those that it covers. An answer to a question that
-// came late covers none made to later ones: a repeat of those questions would
-// settle it, and the loan that it stood for would be forgotten.
+// addLoan adds a loan and drops the loans that it covers. A response to a delayed request
+// covers no loan granted for a later request. Otherwise a repeat of the later request
+// would release the remaining loan, and the lender would no longer count the later loan
+// that it replaced.
 func (p *peer) addLoan(now time.Time, l loan) {
 	p.lentLoans = slices.DeleteFunc(p.lentLoans, func(old loan) bool {
 		return old.rateAt(now) == 0 || (old.rateAt(now) <= l.rate && old.requestSentAt <= l.requestSentAt)
@@ -119,25 +120,26 @@
 	return sum
 }
 
-// rate is what this node allows, in tokens per second.
+// rate returns the rate that this node allows, in tokens per second.
 func (t *team) rate(now time.Time) float64 {
 	return max(t.evenShare-t.lent(now), 0) + t.borrowed(now)
 }
 
-// borrowerLease is how long this node uses a loan, from its question.
-func (t *team) borrowerLease(cfg Config) time.Duration { return cfg.leaseForHomes(len(t.homes)) }
+// borrowerLease is how long this node uses a loan, counted from its request.
+func (t *team) borrowerLease(cfg Config) time.Duration { return cfg.leaseFor(len(t.homes)) }
 
-// lenderLease is how long this node reckons with a loan to another, from its answer.
+// lenderLease is how long this node subtracts a loan to another node, counted from its
+// response.
 func (t *team) lenderLease(cfg Config) time.Duration {
-	return cfg.leaseForHomes(len(t.homes) + homeCountSlack)
+	return cfg.leaseFor(len(t.homes) + homeCountSlack)
 }
 
-func (c Config) leaseForHomes(homes int) time.Duration {
+func (c Config) leaseFor(homes int) time.Duration {
 	return c.Lease + time.Duration(max(0, homes-baseLeaseHomes))*c.LeasePerHome
 }
 
-// expirePeers drops peers that are silent and have no part in a loan, so that nodes
-// which come and go do not add up.
+// expirePeers drops peers that have been silent for a lease and have no loan in force.
+// Without it, nodes that come and go would accumulate.
 func (t *team) expirePeers(now time.Time, cfg Config) {
 	lease := t.borrowerLease(cfg)
 	t.peers = slices.DeleteFunc(t.peers, func(p *peer) bool {
@@ -146,8 +148,8 @@
 	})
 }
 
-// shortfall is what the peer lacks beyond its own even part, if it has been heard
-// of lately.
+// shortfall returns the demand of the peer beyond its own even share, or 0 if the peer
+// has not been heard from within a lease.
 func (t *team) shortfall(now time.Time, p *peer, cfg Config) float64 {
 	if now.Sub(p.lastHeard) > t.borrowerLease(cfg) {
 		return 0
@@ -159,8 +161,9 @@
 	return max(cfg.Headroom*p.demand-evenShare, 0)
 }
 
-// lendableRate returns what may be lent to the asker: its part, by need, of what this
-// node has over its own demand, and no more than it has not lent already.
+// lendableRate returns the rate to lend to the borrower. It is the borrower's part of
+// this node's surplus, in proportion to the shortfalls of all peers, and at most what is
+// not lent to others.
 func (t *team) lendableRate(now time.Time, borrower *peer, cfg Config) float64 {
 	shortfall := t.shortfall(now, borrower, cfg)
 	if shortfall == 0 {
@@ -180,9 +183,9 @@
 	return max(min(fairPart, unlent, shortfall), 0)
 }
 
-// RequestLoans returns what to put into a question to the peer, for each team that has
-// a home there. From now on this node uses of the peer's loans only what it
-// says it keeps, and takes no answer to an earlier question.
+// RequestLoans returns the entries of a request to the peer, one for each team that has a
+// home there. From now on this node uses no more of the peer's loans than the request
+// states, and ignores the response to any earlier request.
 func (s *Splitter) RequestLoans(now time.Time, node string) []LoanRequest {
 	var requests []LoanRequest
 	for _, name := range slices.Sorted(maps.Keys(s.teams)) {
@@ -204,8 +207,8 @@
 	return LoanRequest{Team: name, Demand: demand, InUse: p.borrowedLoan.rateAt(now), SentAt: now.UnixNano()}
 }
 
-// Lend returns the answer to a peer's question. From now on the loans are off
-// this node's rate, whether or not the answer arrives.
+// Lend returns the response to a peer's request. From now on the loans are subtracted
+// from this node's rate, whether or not the response arrives.
 func (s *Splitter) Lend(now time.Time, borrower string, requests []LoanRequest) []Loan {
 	loans := make([]Loan, 0, len(requests))
 	for _, request := range requests {
@@ -225,10 +228,10 @@
 	return loans
 }
 
-// Borrow takes the answer to this node's question. Asked is the time at which
-// the question was sent, by this node's clock: the lease counts from there, so
-// that it ends here before it ends at the lender, however long the answer or
-// this process was held up. An answer to any but the last question is ignored.
+// Borrow applies the response to a request of this node. sentAt is the time at which the
+// request was sent, by this node's clock. The lease counts from sentAt, so it ends here
+// before it ends at the lender, however long the response or this process was delayed. A
+// response to any request but the last is ignored.
 func (s *Splitter) Borrow(now, sentAt time.Time, node string, loans []Loan) {
 	for _, l := range loans {
 		t, ok := s.teams[l.Team]
--- a/decide/limits/splitter.go
+++ b/decide/limits/splitter.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Config sets up a Splitter. The zero value of each field but Self means its
-// default.
+// Config configures a Splitter. Each field except Self has a default, which applies if
+// the field is zero.
 type Config struct {
-	// Self is this node's name, as in the lists of homes.
+	// Self is the name of this node as it appears in the lists of homes.
 	Self string
-	// Lease is how long a loan between nodes lasts. Two homes have to
-	// exchange at least twice in it.
+	// Lease is the duration of a loan between nodes. Two homes have to exchange at least
+	// twice within it.
 	Lease time.Duration
-	// LeasePerHome is added for each home beyond fewHomes: a node asks one peer
-	// after the other, so it comes back to each later.
+	// LeasePerHome is added to Lease for each home beyond baseLeaseHomes: a node sends
+	// requests to one peer after another, so it returns to each peer later.
 	LeasePerHome time.Duration
-	// Burst is how much unused allowance a node keeps, as time at its rate.
+	// Burst is the unused allowance that a node accumulates, as time at its rate.
 	Burst time.Duration
-	// DemandWindow is the time constant of the measured demand.
+	// DemandWindow is the time constant of the demand average.
 	DemandWindow time.Duration
-	// Headroom is the factor on its own demand that a node keeps at home.
+	// Headroom is the multiple of its own demand that a node does not lend.
 	Headroom float64
 }
 
@@ -30,20 +30,22 @@
 	defaultDemandWindow = 2 * time.Second
 	defaultHeadroom     = 1.25
 
-	// baseLeaseHomes can all be asked again within Config.Lease.
+	// baseLeaseHomes is the number of homes that can all be reached again within
+	// Config.Lease.
 	baseLeaseHomes = 4
-	// homeCountSlack homes are added by the lender: its list of homes may differ from
-	// the borrower's by so many, and the loan must not end there first.
+	// homeCountSlack is the number of homes that the lender adds when it computes the
+	// lease. The lists of homes of lender and borrower may differ in length by this many,
+	// and the loan must not end at the lender first.
 	homeCountSlack = 2
 
-	// maxRetryAfter bounds what a refused caller is told; it is told where the
-	// node's rate is zero.
+	// maxRetryAfter is the longest retry time given to a refused caller, and the retry
+	// time while the node's rate is zero.
 	maxRetryAfter = time.Minute
-	// minRetryAfter keeps a refused caller from coming back within the time
-	// that a refusal and a new call take together.
+	// minRetryAfter keeps a refused caller from retrying within the time that a refusal
+	// and a new call take together.
 	minRetryAfter = 100 * time.Millisecond
-	// retryRateShare is the part of the rate at which refused callers are told to
-	// come back. The rest is for those who call meanwhile.
+	// retryRateShare is the part of the rate that is reserved for retries of refused
+	// callers. The rest is for new calls.
 	retryRateShare = 0.5
 )
 
@@ -63,51 +65,50 @@
 	return c
 }
 
-// Share is this node's part of a team's limit. All rates are in tokens per
-// second.
+// Share is this node's part of a team's limit. All rates are in tokens per second.
 type Share struct {
-	Limit    float64 // of the whole environment; zero if the team has none
-	Rate     float64 // what this node allows now
-	Even     float64 // this node's own part
+	Limit    float64 // over the whole environment; zero if the team has no limit
+	Rate     float64 // currently allowed by this node
+	Even     float64 // even share that this node owns; zero if it is not a home
 	Lent     float64
 	Borrowed float64
 	Demand   float64 // measured on this node
 	Home     bool    // whether this node is one of the team's homes
 }
 
-// LoanRequest is one team's entry in a question to a peer.
+// LoanRequest is the entry for one team in a request to a peer.
 type LoanRequest struct {
 	Team   string
-	Demand float64 // of the asking node, tokens per second
-	// InUse is how much of earlier loans the asking node still uses, tokens per
+	Demand float64 // of the borrower, tokens per second
+	// InUse is the rate of earlier loans that the borrower still uses, in tokens per
 	// second.
 	InUse float64
-	// SentAt is the asking node's time in nanoseconds. It orders its questions.
+	// SentAt is the borrower's clock in nanoseconds. It orders the borrower's requests.
 	SentAt int64
 }
 
-// Loan is one team's entry in the answer.
+// Loan is the entry for one team in the response.
 type Loan struct {
 	Team   string
-	Demand float64 // of the answering node, tokens per second
-	Rate   float64 // lent to the asking node, tokens per second
+	Demand float64 // of the lender, tokens per second
+	Rate   float64 // lent to the borrower, tokens per second
 }
 
-// Splitter counts the teams' work on one node. It is not safe for concurrent
-// use: the caller locks.
+// Splitter counts the teams' tokens on one node. It is not safe for concurrent use; the
+// caller locks.
 type Splitter struct {
 	cfg   Config
 	teams map[string]*team
 }
 
-// New returns a Splitter that limits no team.
+// New returns a Splitter without limits.
 func New(cfg Config) *Splitter {
 	return &Splitter{cfg: cfg.withDefaults(), teams: make(map[string]*team)}
 }
 
-// SetTeam sets a team's limit over the whole environment and the names of its
-// home nodes. A limit of zero or less means none. Loans in force stay, but for
-// those of a removed team.
+// SetTeam sets a team's limit over the whole environment and the names of its home nodes.
+// A limit of zero or less removes the limit and the team's loans; otherwise loans in
+// force stay.
 func (s *Splitter) SetTeam(name string, tokensPerSecond float64, homes []string) {
 	if tokensPerSecond <= 0 {
 		s.RemoveTeam(name)
@@ -126,10 +127,10 @@
 	}
 }
 
-// RemoveTeam ends a team's limit.
+// RemoveTeam removes a team's limit.
 func (s *Splitter) RemoveTeam(name string) { delete(s.teams, name) }
 
-// Demand notes what a peer needs, from an exchange. Lend and Borrow call it.
+// Demand records a peer's demand as received in an exchange. Lend and Borrow call it.
 func (s *Splitter) Demand(now time.Time, name, node string, tokensPerSecond float64) {
 	t, ok := s.teams[name]
 	if !ok || node == s.cfg.Self {
@@ -140,8 +141,8 @@
 	p.lastHeard = now
 }
 
-// cleanRate bounds a rate from a message: a demand above the limit asks for no
-// more than all of it, and what is not a number would spoil every sum.
+// cleanRate bounds a rate from a message. It caps a rate above the limit, and maps NaN,
+// which would corrupt every sum, to zero.
 func cleanRate(rate, limit float64) float64 {
 	if !(rate > 0) {
 		return 0
@@ -149,9 +150,9 @@
 	return min(rate, limit)
 }
 
-// Allow tells whether a request of the given expected cost, in tokens, is
-// within the team's limit, and books it if so. Otherwise retryAfter says when
-// this node's allowance will have recovered.
+// Allow reports whether a request of the given expected cost, in tokens, is within the
+// team's limit, and deducts the cost if it is. Otherwise retryAfter is the time after
+// which this node's allowance will have recovered.
 func (s *Splitter) Allow(now time.Time, name string, cost float64) (ok bool, retryAfter time.Duration, share Share) {
 	t, limited := s.teams[name]
 	if !limited {
@@ -166,7 +167,7 @@
 	return false, t.retryAfter(now, cost), share
 }
 
-// Correct books the difference between actual and expected cost, in tokens.
+// Correct deducts the difference between actual and expected cost, in tokens.
 func (s *Splitter) Correct(now time.Time, name string, diff float64) {
 	t, ok := s.teams[name]
 	if !ok {
@@ -176,7 +177,7 @@
 	t.bucket.tokens -= diff
 }
 
-// Share returns the present figures; ok is false if the team has no limit.
+// Share returns the current values; ok is false if the team has no limit.
 func (s *Splitter) Share(now time.Time, name string) (share Share, ok bool) {
 	t, ok := s.teams[name]
 	if !ok {
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -16,17 +16,17 @@
 const (
 	team  = "bogor"
 	limit = 10000.0 // tokens per second
-	cost  = 100.0   // of a request
+	cost  = 100.0   // tokens per request
 )
 
-// policy is how a node decides on a request: the splitter or a baseline.
+// policy decides on requests at each node: the splitter or a baseline.
 type policy interface {
 	allow(now time.Time, node int) bool
 	exchange(now time.Time, from, to int)
 	demand(now time.Time, node int, tokensPerSecond float64)
 }
 
-// homes is a set of splitters that exchange.
+// homes is a set of splitters that exchange loans.
 type homes []*limits.Splitter
 
 func name(i int) string { return fmt.Sprintf("node-%d", i) }
@@ -59,11 +59,11 @@
 
 func (h homes) demand(time.Time, int, float64) {}
 
-// lastKnownDemand is the baseline that works each share out from the demands
-// last heard of. Alone it hears nobody and takes all.
+// lastKnownDemand is the baseline in which each node computes its share from the last
+// demands that it received. A node that receives none takes the whole limit.
 type lastKnownDemand struct {
 	homes
-	known [][]float64 // by node, of each node
+	known [][]float64 // by receiving node, then by sending node
 }
 
 func newLastKnownDemand(n int) *lastKnownDemand {
@@ -89,9 +89,8 @@
 	return b.homes.allow(now, node)
 }
 
-// simulate offers the nodes' demands for a minute, with exchanges each second
-// between those that hear each other, and returns the tokens per second let
-// through from one time to the other.
+// simulate offers the nodes' demands for a minute. Nodes that are connected exchange once
+// a second. It returns the tokens per second let through between from and to.
 func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, from, to float64) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
@@ -122,32 +121,32 @@
 	return func(at float64, _, _ int) bool { return at < t }
 }
 
+// Guards against two failures: callers that get only a part of their limit when most of
+// them connect to one home, and a team that gets more than its limit when the homes lose
+// contact. The baselines show both. The whole limit at each node gives a multiple of the
+// limit. Even shares give a third of it when all callers connect to one home. Shares
+// computed from the last known demand give a multiple as soon as nodes lose contact.
 func TestTeamLimitAcrossHomes(t *testing.T) {
-	// A team's callers see their limit, not a part of it, when most of them
-	// connect to one home, and no more than it when the homes lose each other.
-	// Baselines: the whole limit on each node gives a multiple of it; even
-	// shares give a third where the callers are; shares by the demand last
-	// heard of give a multiple as soon as nodes fall silent.
 	Convey("Three homes", t, func() {
 		for _, c := range []struct {
 			name                       string
 			demand                     func(float64, int) float64
 			connected                  func(float64, int, int) bool
 			from, to                   float64
-			minPart                    float64 // part of the limit let through
-			minWholeEach, minLastKnown float64 // the least of the baselines: whole limit, heard demand
-			maxEven                    float64 // the most of even shares
+			minPart                    float64 // part of the limit that is let through
+			minWholeEach, minLastKnown float64 // minimum that the baselines let through
+			maxEven                    float64 // maximum that the even split lets through
 		}{
-			{"asked for too much", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
-			{"most callers at one", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
-			{"most callers at another every 20 s", skewMoves, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
-			{"silent from 20 s, skewed before and even after", func(at float64, n int) float64 {
+			{"demand above the limit everywhere", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
+			{"most callers at one home", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
+			{"most callers at another home every 20 s", skewMoves, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
+			{"no contact after 20 s, skewed demand before and even demand after", func(at float64, n int) float64 {
 				if at < 20 {
 					return skewed(at, n)
 				}
 				return overloaded(at, n)
 			}, connectedUntil(20), 30, 60, 0.98, 2.9, 1.5, 1.01},
-			{"the first hears nobody", overloaded, func(_ float64, from, _ int) bool { return from != 0 }, 10, 60, 0.98, 2.9, 1.3, 1.01},
+			{"the first home receives nothing", overloaded, func(_ float64, from, _ int) bool { return from != 0 }, 10, 60, 0.98, 2.9, 1.3, 1.01},
 		} {
 			part := func(s policy) float64 { return simulate(s, c.demand, c.connected, 3, c.from, c.to) / limit }
 			wholeEach := homes{}
@@ -157,8 +156,8 @@
 				wholeEach = append(wholeEach, h)
 			}
 			got, wholeEachPart, lastKnownPart, evenPart := part(newHomes(3, limit)), part(wholeEach), part(newLastKnownDemand(3)), part(disconnectedHomes{newHomes(3, limit)})
-			t.Logf("%s: let through over limit %.3f; whole limit each %.2f, by heard demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
-			So(got, ShouldBeBetweenOrEqual, c.minPart, 1+1/(c.to-c.from)+0.001) // Burst is a second
+			t.Logf("%s: part of the limit let through %.3f; whole limit each %.2f, last known demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
+			So(got, ShouldBeBetweenOrEqual, c.minPart, 1+1/(c.to-c.from)+0.001) // Burst is one second
 			So(wholeEachPart, ShouldBeGreaterThan, c.minWholeEach)
 			So(lastKnownPart, ShouldBeGreaterThan, c.minLastKnown)
 			So(evenPart, ShouldBeLessThan, c.maxEven)
@@ -166,15 +165,16 @@
 	})
 }
 
-// disconnectedHomes never exchange: even shares.
+// disconnectedHomes never exchange, so each keeps its even share.
 type disconnectedHomes struct{ homes }
 
 func (disconnectedHomes) exchange(time.Time, int, int) {}
 
+// Guards against homes that together exceed the limit, whichever messages are lost,
+// delayed, repeated or delivered in one direction only, and however much the nodes'
+// clocks differ. The rates of all homes never add up to more than the limit, and the
+// tokens let through in any interval stay within the documented bound.
 func TestSumStaysWithinBound(t *testing.T) {
-	// Whatever is lost, late, repeated or one-way, and however the nodes' clocks
-	// differ, the rates of all homes never add up to more than the limit, and
-	// what they let through in any time stays within the stated bound.
 	for range 20 {
 		rapid.Check(t, checkBound)
 	}
@@ -200,7 +200,8 @@
 	var admissions []admitted
 	largest := 0.0
 	node := rapid.IntRange(0, n-1)
-	// pickRecent gives one of the last messages: late, repeated or never.
+	// pickRecent returns one of the last five messages, so messages arrive late,
+	// repeatedly or never.
 	pickRecent := func(t *rapid.T, from []message) (m message, ok bool) {
 		if len(from) == 0 {
 			return m, false
@@ -260,12 +261,12 @@
 	})
 }
 
+// Guards against a lender that no longer counts a loan which the borrower still uses, so
+// that the team gets more than its limit. A delayed request is answered after the
+// following one. The loan granted for it must not replace the later loan, because a
+// repeat of the later request states that the earlier loan is unused.
 func TestLateRequestKeepsLaterLoan(t *testing.T) {
-	// The borrower uses a loan that the lender has forgotten, and the team gets
-	// more than its limit. A question that comes late is answered after the next
-	// one; its loan must not stand for the later loan, because a repeat of the
-	// later question says that the earlier loan is not used.
-	Convey("A late question and a repeat do not hide a loan", t, func() {
+	Convey("A delayed request and a repeated one do not hide a loan", t, func() {
 		h := newHomes(2, limit)
 		now := sim.Start
 		h[0].Allow(now, team, 5*limit)
@@ -285,8 +286,8 @@
 
 func TestLoansAreCountedOnce(t *testing.T) {
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
-	Convey("What is lent to one home is not lent to another", t, func() {
-		// The second borrower would get again what the first one uses.
+	Convey("A rate lent to one home is not lent to another", t, func() {
+		// Otherwise the second borrower would get the rate that the first one uses.
 		h := newHomes(3, limit)
 		sum := 0.0
 		for _, borrower := range []int{1, 2} {
@@ -300,8 +301,8 @@
 		So(sum, ShouldAlmostEqual, limit, 1e-6)
 	})
 	Convey("A loan counts until its end, not until the next request", t, func() {
-		// A home in debt pays it off at its own rate once the loan is over; at
-		// the loan's rate, both homes would count the same time.
+		// After the loan has ended, a home in debt pays it off at its own rate. At the
+		// rate with the loan, both homes would use the same capacity.
 		h := newHomes(2, limit)
 		h[0].Allow(at(0), team, 5*limit)
 		h.exchange(at(0), 0, 1)
@@ -314,7 +315,7 @@
 }
 
 func TestAllow(t *testing.T) {
-	Convey("Refused callers are told when there is room, one after the other, and then find it", t, func() {
+	Convey("Refused callers get successive retry times and are admitted at them", t, func() {
 		s := newHomes(1, limit)[0]
 		ok, _, share := s.Allow(sim.Start, team, 3*limit)
 		So(ok, ShouldBeTrue)
@@ -332,7 +333,7 @@
 			So(ok, ShouldBeTrue)
 		}
 	})
-	Convey("A team without a limit passes, a node that is no home lets nothing through", t, func() {
+	Convey("A team without a limit is admitted; a node that is not a home admits nothing", t, func() {
 		s := limits.New(limits.Config{Self: "elsewhere"})
 		ok, _, _ := s.Allow(sim.Start, team, 1e9)
 		So(ok, ShouldBeTrue)
