--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -217,7 +217,7 @@
 // It is optional: it tells sooner than Finished that a replica is not frozen.
 func (b *Balancer) Started(now time.Time, id string, firstToken time.Duration) {
 	if m := b.members[id]; m != nil {
-		b.health.Heard(now, m.health, firstToken)
+		b.health.FirstResponse(now, m.health, firstToken)
 	}
 }
 
@@ -253,7 +253,7 @@
 
 func (b *Balancer) observe(now time.Time, m *member, r Result) {
 	if !r.Started {
-		b.health.Heard(now, m.health, r.Total)
+		b.health.FirstResponse(now, m.health, r.Total)
 	}
 	if r.Failure == health.None {
 		b.meanTime = average(b.meanTime, r.Total.Seconds())
@@ -340,7 +340,7 @@
 func (b *Balancer) judge(now time.Time) {
 	if b.health.Due(now) {
 		b.endRefusals(now)
-		b.health.Judge(now)
+		b.health.Evaluate(now)
 		b.refresh(now)
 	}
 }
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -104,7 +104,7 @@
 				b.Finished(epoch, id, Result{Failure: health.Unreachable})
 			}
 		}
-		So(b.health.Out(), ShouldEqual, 1)
+		So(b.health.OutOfRotation(), ShouldEqual, 1)
 		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.Consecutive}})
 		So(b.Changes(), ShouldBeEmpty)
 		status := b.Status(epoch)
@@ -162,7 +162,7 @@
 			b.Sent(epoch, "replica-0", 1)
 			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.Broken})
 		}
-		So(b.health.Out(), ShouldEqual, 1)
+		So(b.health.OutOfRotation(), ShouldEqual, 1)
 		So(b.Capacity(epoch), ShouldEqual, 64)
 		b.SetLeaving(epoch, "replica-1", true)
 		So(b.Capacity(epoch), ShouldEqual, 64)
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	for _, m := range b.probing {
-		if m.health.WantsProbe() && !excluded(q, m) {
+		if m.health.NeedsProbe() && !excluded(q, m) {
 			return m
 		}
 	}
--- a/decide/health/config.go
+++ b/decide/health/config.go
@@ -7,19 +7,19 @@
 
 // Defaults of Config; doc.go gives their grounds.
 const (
-	DefaultInterval        = 500 * time.Millisecond
-	DefaultMinSamples      = 5
-	DefaultMaxConsecutive  = 3
-	DefaultErrorShare      = 0.5
-	DefaultLatencyFactor   = 3.0
-	DefaultLatencyFloor    = 50 * time.Millisecond
-	DefaultSilenceFactor   = 5.0
-	DefaultSilenceFloor    = time.Second
-	DefaultBaseEjection    = 5 * time.Second
-	DefaultMaxEjection     = time.Minute
-	DefaultMaxEjectedShare = 0.5
-	DefaultMaxLostShare    = 0.75
-	DefaultProbes          = 2
+	DefaultInterval             = 500 * time.Millisecond
+	DefaultMinSamples           = 5
+	DefaultMaxConsecutive       = 3
+	DefaultErrorShare           = 0.5
+	DefaultLatencyFactor        = 3.0
+	DefaultLatencyFloor         = 50 * time.Millisecond
+	DefaultSilenceFactor        = 5.0
+	DefaultSilenceFloor         = time.Second
+	DefaultBaseEjection         = 5 * time.Second
+	DefaultMaxEjection          = time.Minute
+	DefaultMaxEjectedShare      = 0.5
+	DefaultMaxUnresponsiveShare = 0.75
+	DefaultProbes               = 2
 )
 
 // Config sets a Detector. Zero values take the defaults.
@@ -47,8 +47,8 @@
 	MaxEjection  time.Duration
 	// MaxEjectedShare is the largest part of the endpoints up to which slow and
 	// erring ones are ejected, MaxLostShare up to which unanswering ones are.
-	MaxEjectedShare float64
-	MaxLostShare    float64
+	MaxEjectedShare      float64
+	MaxUnresponsiveShare float64
 	// Probes in a row must succeed before an endpoint returns.
 	Probes int
 	// Seed of the jitter; nodes take different ones.
@@ -67,7 +67,7 @@
 	c.BaseEjection = cmp.Or(c.BaseEjection, DefaultBaseEjection)
 	c.MaxEjection = cmp.Or(c.MaxEjection, DefaultMaxEjection)
 	c.MaxEjectedShare = cmp.Or(c.MaxEjectedShare, DefaultMaxEjectedShare)
-	c.MaxLostShare = cmp.Or(c.MaxLostShare, DefaultMaxLostShare)
+	c.MaxUnresponsiveShare = cmp.Or(c.MaxUnresponsiveShare, DefaultMaxUnresponsiveShare)
 	c.Probes = cmp.Or(c.Probes, DefaultProbes)
 	return c
 }
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -9,38 +9,38 @@
 const (
 	delayGain   = 0.2 // of the moving average of delays
 	failureGain = 0.1 // of the moving average of failures
-	// commonFailures is the failure share of the median endpoint above which
+	// commonFailureShare is the failure share of the median endpoint above which
 	// failures speak against the requests, not against single endpoints.
-	commonFailures = 0.25
-	// minGroup is the smallest group that has a median of its own.
-	minGroup    = 3
-	maxSlowness = 4.0
-	// jitter is the part by which the time of an ejection varies, so that nodes
+	commonFailureShare = 0.25
+	// minGroupSize is the smallest group that has a median of its own.
+	minGroupSize = 3
+	maxSlowness  = 4.0
+	// ejectionJitter is the part by which the time of an ejection varies, so that nodes
 	// which lost an endpoint together do not probe it together.
-	jitter = 0.2
+	ejectionJitter = 0.2
 )
 
 // Detector finds outliers in a set of endpoints.
 type Detector struct {
-	cfg       Config
-	endpoints []*Endpoint
-	out       int // ejected or probing
-	version   uint64
-	next      time.Time
-	common    bool               // failures are common to all
-	median    float64            // delay over all, seconds
-	groups    map[string]float64 // median delay by group, of this judgement
-	random    *rand.Rand
-	scratch   []float64
+	cfg            Config
+	endpoints      []*Endpoint
+	outOfRotation  int // ejected or probing
+	version        uint64
+	nextEvaluation time.Time
+	commonFailure  bool               // failures are common to all
+	medianDelay    float64            // delay over all, seconds
+	groupMedians   map[string]float64 // median delay by group, of this judgement
+	random         *rand.Rand
+	scratch        []float64
 }
 
 // New returns a Detector without endpoints.
 func New(cfg Config) *Detector {
 	cfg = withDefaults(cfg)
 	return &Detector{
-		cfg:    cfg,
-		groups: make(map[string]float64),
-		random: rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1)),
+		cfg:          cfg,
+		groupMedians: make(map[string]float64),
+		random:       rand.New(rand.NewPCG(cfg.Seed, cfg.Seed+1)),
 	}
 }
 
@@ -60,34 +60,34 @@
 	}
 	d.endpoints = slices.Delete(d.endpoints, i, i+1)
 	if e.state != Healthy {
-		d.out--
+		d.outOfRotation--
 	}
 }
 
 // Version changes whenever an endpoint changes its state.
 func (d *Detector) Version() uint64 { return d.version }
 
-// Out returns how many endpoints are ejected or probing.
-func (d *Detector) Out() int { return d.out }
+// OutOfRotation returns how many endpoints are ejected or probing.
+func (d *Detector) OutOfRotation() int { return d.outOfRotation }
 
 // Due reports whether Judge should be called.
-func (d *Detector) Due(now time.Time) bool { return !now.Before(d.next) }
+func (d *Detector) Due(now time.Time) bool { return !now.Before(d.nextEvaluation) }
 
 // Sent records a request to the endpoint.
 func (d *Detector) Sent(now time.Time, e *Endpoint) {
-	if e.waiting == 0 || e.state == Probing {
-		e.heard = now
+	if e.unanswered == 0 || e.state == Probing {
+		e.lastHeard = now
 	}
-	e.waiting++
-	e.probed = e.state == Probing
+	e.unanswered++
+	e.probeInFlight = e.state == Probing
 }
 
-// Heard records the first sign of an answer to a request, or its end if there
+// FirstResponse records the first sign of an answer to a request, or its end if there
 // was none before, after the given time.
-func (d *Detector) Heard(now time.Time, e *Endpoint, after time.Duration) {
-	e.waiting = max(0, e.waiting-1)
-	e.heard = now
-	e.sign = average(e.sign, after.Seconds(), delayGain)
+func (d *Detector) FirstResponse(now time.Time, e *Endpoint, after time.Duration) {
+	e.unanswered = max(0, e.unanswered-1)
+	e.lastHeard = now
+	e.responseTime = movingAverage(e.responseTime, after.Seconds(), delayGain)
 }
 
 // ObserveDelay records the delay of an answer that is still underway; its end
@@ -95,54 +95,54 @@
 // health: an endpoint that breaks every stream starts them all in good time.
 func (d *Detector) ObserveDelay(now time.Time, e *Endpoint, delay time.Duration) {
 	e.recordDelay(delay)
-	if e.state == Probing && d.slow(delay.Seconds(), d.median) {
-		d.judgeProbe(now, e, Outcome{Delay: delay, Age: delay})
+	if e.state == Probing && d.isSlow(delay.Seconds(), d.medianDelay) {
+		d.recordProbe(now, e, Outcome{Delay: delay, Age: delay})
 	}
 }
 
 // Observe records the end of a request.
 func (d *Detector) Observe(now time.Time, e *Endpoint, o Outcome) {
 	if o.Failure == Canceled {
-		d.probeGone(now, e, o)
+		d.probeCanceled(now, e, o)
 		return
 	}
 	e.record(o)
 	switch e.state {
 	case Healthy:
-		d.judgeConsecutive(now, e)
+		d.checkConsecutive(now, e)
 	case Probing:
-		d.judgeProbe(now, e, o)
+		d.recordProbe(now, e, o)
 	}
 }
 
-// probeGone lets another probe go out if the caller of the last one gave up;
+// probeCanceled lets another probe go out if the caller of the last one gave up;
 // else an endpoint whose probe was cancelled would stay out for good.
-func (d *Detector) probeGone(now time.Time, e *Endpoint, o Outcome) {
-	if e.state == Probing && !now.Add(-o.Age).Before(e.probing) {
-		e.probed = false
+func (d *Detector) probeCanceled(now time.Time, e *Endpoint, o Outcome) {
+	if e.state == Probing && !now.Add(-o.Age).Before(e.probingSince) {
+		e.probeInFlight = false
 	}
 }
 
-func (d *Detector) judgeConsecutive(now time.Time, e *Endpoint) {
-	if e.consecutive >= d.cfg.MaxConsecutive && !d.common {
+func (d *Detector) checkConsecutive(now time.Time, e *Endpoint) {
+	if e.consecutive >= d.cfg.MaxConsecutive && !d.commonFailure {
 		d.eject(now, e, Consecutive)
 	}
 }
 
-// judgeProbe takes only requests sent since the probing began: those from
+// recordProbe takes only requests sent since the probing began: those from
 // before the ejection tell of the old fault.
-func (d *Detector) judgeProbe(now time.Time, e *Endpoint, o Outcome) {
-	if now.Add(-o.Age).Before(e.probing) {
+func (d *Detector) recordProbe(now time.Time, e *Endpoint, o Outcome) {
+	if now.Add(-o.Age).Before(e.probingSince) {
 		return
 	}
-	e.probed = false
-	if o.Failure.Faulty() || d.slow(o.Delay.Seconds(), d.median) {
-		d.out-- // eject counts it again
+	e.probeInFlight = false
+	if o.Failure.Faulty() || d.isSlow(o.Delay.Seconds(), d.medianDelay) {
+		d.outOfRotation-- // eject counts it again
 		d.eject(now, e, ProbeFailed)
 		return
 	}
-	e.probesOK++
-	if e.probesOK >= d.cfg.Probes {
+	e.probesSucceeded++
+	if e.probesSucceeded >= d.cfg.Probes {
 		d.restore(e, o)
 	}
 }
@@ -151,41 +151,41 @@
 	e.state = Healthy
 	e.delay = o.Delay.Seconds()
 	e.samples, e.consecutive, e.failures, e.slowness = 0, 0, 0, 1
-	d.out--
+	d.outOfRotation--
 	d.version++
 }
 
 // eject leaves the endpoint out, unless too many are out already: then the
 // cause is likely common, and those left would be drowned by the load of all.
 func (d *Detector) eject(now time.Time, e *Endpoint, cause Cause) {
-	if d.out+1 > d.most(cause) {
-		d.giveUp(e)
+	if d.outOfRotation+1 > d.maxOut(cause) {
+		d.keepInRotation(e)
 		return
 	}
-	if now.Sub(e.ejected) > 2*d.cfg.MaxEjection {
-		e.times = 0
+	if now.Sub(e.ejectedAt) > 2*d.cfg.MaxEjection {
+		e.ejections = 0
 	}
-	e.times++
+	e.ejections++
 	e.state, e.cause = Ejected, cause
-	e.ejected = now
-	e.until = now.Add(d.ejectionTime(e.times))
-	e.probesOK, e.probed = 0, false
-	d.out++
+	e.ejectedAt = now
+	e.ejectedUntil = now.Add(d.ejectionTime(e.ejections))
+	e.probesSucceeded, e.probeInFlight = 0, false
+	d.outOfRotation++
 	d.version++
 }
 
-// most returns how many endpoints may be out if one more goes for the cause.
+// maxOut returns how many endpoints may be out if one more goes for the cause.
 // Slow and erring endpoints still do work, unanswering ones do none.
-func (d *Detector) most(cause Cause) int {
-	share := d.cfg.MaxLostShare
+func (d *Detector) maxOut(cause Cause) int {
+	share := d.cfg.MaxUnresponsiveShare
 	if cause == Slow || cause == ErrorShare {
 		share = d.cfg.MaxEjectedShare
 	}
 	return int(share * float64(len(d.endpoints)))
 }
 
-// giveUp leaves in use an endpoint that may not be ejected.
-func (d *Detector) giveUp(e *Endpoint) {
+// keepInRotation leaves in use an endpoint that may not be ejected.
+func (d *Detector) keepInRotation(e *Endpoint) {
 	if e.state != Healthy {
 		e.state = Healthy
 		d.version++
@@ -198,76 +198,76 @@
 		t *= 2
 	}
 	t = min(t, d.cfg.MaxEjection)
-	return t + time.Duration((d.random.Float64()*2-1)*jitter*float64(t))
+	return t + time.Duration((d.random.Float64()*2-1)*ejectionJitter*float64(t))
 }
 
-// Judge compares the endpoints with each other, ejects outliers and lets those
+// Evaluate compares the endpoints with each other, ejects outliers and lets those
 // whose time is over be probed.
-func (d *Detector) Judge(now time.Time) {
-	d.next = now.Add(d.cfg.Interval)
-	clear(d.groups)
-	d.common = d.medianOf("", (*Endpoint).failureShare) > commonFailures
-	d.median = d.medianOf("", (*Endpoint).typicalDelay)
-	silence := d.medianOf("", (*Endpoint).typicalSign)
+func (d *Detector) Evaluate(now time.Time) {
+	d.nextEvaluation = now.Add(d.cfg.Interval)
+	clear(d.groupMedians)
+	d.commonFailure = d.medianOf("", (*Endpoint).failureShare) > commonFailureShare
+	d.medianDelay = d.medianOf("", (*Endpoint).typicalDelay)
+	typicalResponse := d.medianOf("", (*Endpoint).typicalResponseTime)
 	for _, e := range d.endpoints {
 		switch e.state {
 		case Healthy:
-			d.judgeHealthy(now, e, silence)
+			d.evaluateHealthy(now, e, typicalResponse)
 		case Ejected:
 			d.endEjection(now, e)
 		case Probing:
-			if e.probed { // else what is outstanding is from before the ejection
-				d.judgeSilence(now, e, silence, ProbeFailed)
+			if e.probeInFlight { // else what is outstanding is from before the ejection
+				d.checkSilence(now, e, typicalResponse, ProbeFailed)
 			}
 		}
 	}
 }
 
-func (d *Detector) judgeHealthy(now time.Time, e *Endpoint, silence float64) {
-	if d.judgeSilence(now, e, silence, Silent) {
+func (d *Detector) evaluateHealthy(now time.Time, e *Endpoint, typicalResponse float64) {
+	if d.checkSilence(now, e, typicalResponse, Silent) {
 		return
 	}
 	if e.samples < d.cfg.MinSamples {
 		return
 	}
 	median := d.medianFor(e)
-	e.slowness = slowness(e.delay, median)
+	e.slowness = relativeDelay(e.delay, median)
 	switch {
-	case e.failures > d.cfg.ErrorShare && !d.common:
+	case e.failures > d.cfg.ErrorShare && !d.commonFailure:
 		d.eject(now, e, ErrorShare)
-	case d.slow(e.delay, median):
+	case d.isSlow(e.delay, median):
 		d.eject(now, e, Slow)
 	}
 }
 
-func (d *Detector) judgeSilence(now time.Time, e *Endpoint, typical float64, cause Cause) bool {
-	if e.waiting == 0 || typical == 0 {
+func (d *Detector) checkSilence(now time.Time, e *Endpoint, typicalResponse float64, cause Cause) bool {
+	if e.unanswered == 0 || typicalResponse == 0 {
 		return false
 	}
-	limit := typical*d.cfg.SilenceFactor + d.cfg.SilenceFloor.Seconds()
-	if now.Sub(e.heard).Seconds() < limit {
+	limit := typicalResponse*d.cfg.SilenceFactor + d.cfg.SilenceFloor.Seconds()
+	if now.Sub(e.lastHeard).Seconds() < limit {
 		return false
 	}
 	if e.state == Probing {
-		d.out-- // eject counts it again
+		d.outOfRotation-- // eject counts it again
 	}
 	d.eject(now, e, cause)
 	return true
 }
 
 func (d *Detector) endEjection(now time.Time, e *Endpoint) {
-	if now.Before(e.until) {
+	if now.Before(e.ejectedUntil) {
 		return
 	}
-	e.state, e.probing = Probing, now
+	e.state, e.probingSince = Probing, now
 	d.version++
 }
 
-func (d *Detector) slow(delay, median float64) bool {
+func (d *Detector) isSlow(delay, median float64) bool {
 	return median > 0 && delay > median*d.cfg.LatencyFactor && delay > median+d.cfg.LatencyFloor.Seconds()
 }
 
-func slowness(delay, median float64) float64 {
+func relativeDelay(delay, median float64) float64 {
 	if median == 0 {
 		return 1
 	}
@@ -277,15 +277,15 @@
 // medianFor is the median delay of the endpoint's group, or of all if the group
 // is too small.
 func (d *Detector) medianFor(e *Endpoint) float64 {
-	m, known := d.groups[e.group]
+	m, known := d.groupMedians[e.group]
 	if !known {
 		m = d.medianOf(e.group, (*Endpoint).typicalDelay)
-		d.groups[e.group] = m
+		d.groupMedians[e.group] = m
 	}
 	if m > 0 {
 		return m
 	}
-	return d.median
+	return d.medianDelay
 }
 
 // medianOf returns the lower median over the endpoints of the group that have
@@ -302,7 +302,7 @@
 		}
 	}
 	n := len(d.scratch)
-	if n == 0 || (group != "" && n < minGroup) {
+	if n == 0 || (group != "" && n < minGroupSize) {
 		return 0
 	}
 	slices.Sort(d.scratch)
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -52,25 +52,25 @@
 
 // Endpoint is what a Detector knows of one endpoint.
 type Endpoint struct {
-	group    string
-	state    State
-	cause    Cause
-	until    time.Time // end of the ejection
-	ejected  time.Time
-	probing  time.Time // start of the probing
-	probed   bool      // a probe is out
-	probesOK int
-	times    int // ejections in a row
-
-	delay       float64 // moving average, seconds
-	failures    float64 // moving average, 0 to 1
-	sign        float64 // moving average of the time to a first sign, seconds
-	slowness    float64
-	samples     int
-	consecutive int
-
-	waiting int // requests without a first sign
-	heard   time.Time
+	group           string
+	state           State
+	cause           Cause
+	ejectedUntil    time.Time // end of the ejection
+	ejectedAt       time.Time
+	probingSince    time.Time // start of the probing
+	probeInFlight   bool      // a probe is out
+	probesSucceeded int
+	ejections       int // ejections in a row
+
+	delay        float64 // moving average, seconds
+	failures     float64 // moving average, 0 to 1
+	responseTime float64 // moving average of the time to a first sign, seconds
+	slowness     float64
+	samples      int
+	consecutive  int
+
+	unanswered int // requests without a first sign
+	lastHeard  time.Time
 }
 
 // State returns the endpoint's state.
@@ -82,8 +82,8 @@
 // Slowness returns the endpoint's delay over that of the median, 1 to 4.
 func (e *Endpoint) Slowness() float64 { return e.slowness }
 
-// WantsProbe reports whether the next request may go to the endpoint as a probe.
-func (e *Endpoint) WantsProbe() bool { return e.state == Probing && !e.probed }
+// NeedsProbe reports whether the next request may go to the endpoint as a probe.
+func (e *Endpoint) NeedsProbe() bool { return e.state == Probing && !e.probeInFlight }
 
 // Outcome is what became known of one request.
 type Outcome struct {
@@ -111,19 +111,19 @@
 
 func (e *Endpoint) recordDelay(delay time.Duration) {
 	if delay > 0 {
-		e.delay = average(e.delay, delay.Seconds(), delayGain)
+		e.delay = movingAverage(e.delay, delay.Seconds(), delayGain)
 		e.samples++
 	}
 }
 
-// average moves old towards v; an old value of zero stands for none.
-func average(old, v, gain float64) float64 {
+// movingAverage moves old towards v; an old value of zero stands for none.
+func movingAverage(old, value, gain float64) float64 {
 	if old == 0 {
-		return v
+		return value
 	}
-	return old + (v-old)*gain
+	return old + (value-old)*gain
 }
 
-func (e *Endpoint) failureShare() (float64, bool) { return e.failures, true }
-func (e *Endpoint) typicalDelay() (float64, bool) { return e.delay, e.delay > 0 }
-func (e *Endpoint) typicalSign() (float64, bool)  { return e.sign, e.sign > 0 }
+func (e *Endpoint) failureShare() (float64, bool)        { return e.failures, true }
+func (e *Endpoint) typicalDelay() (float64, bool)        { return e.delay, e.delay > 0 }
+func (e *Endpoint) typicalResponseTime() (float64, bool) { return e.responseTime, e.responseTime > 0 }
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -12,42 +12,42 @@
 
 const step = 100 * time.Millisecond
 
-// rig answers for n endpoints. Each step every endpoint that takes requests
+// harness answers for n endpoints. Each step every endpoint that takes requests
 // gets one, and answer says what becomes of it; nil is the good answer.
-type rig struct {
+type harness struct {
 	*Detector
-	now  time.Time
-	eps  []*Endpoint
-	sent []int
+	now       time.Time
+	endpoints []*Endpoint
+	sent      []int
 }
 
-func newRig(n int, cfg Config) *rig {
-	r := &rig{Detector: New(cfg), now: epoch, sent: make([]int, n)}
+func newHarness(n int, cfg Config) *harness {
+	r := &harness{Detector: New(cfg), now: epoch, sent: make([]int, n)}
 	for range n {
-		r.eps = append(r.eps, r.Track("bandung"))
+		r.endpoints = append(r.endpoints, r.Track("bandung"))
 	}
 	return r
 }
 
-type answers map[int]Outcome
+type outcomes map[int]Outcome
 
-var good = Outcome{Delay: step, Age: step}
+var goodOutcome = Outcome{Delay: step, Age: step}
 
 // run lets time pass. Endpoints in silent get requests and give no sign.
-func (r *rig) run(d time.Duration, bad answers, silent ...int) {
+func (r *harness) run(d time.Duration, bad outcomes, silent ...int) {
 	for end := r.now.Add(d); r.now.Before(end); r.now = r.now.Add(step) {
 		if r.Due(r.now) {
-			r.Judge(r.now)
+			r.Evaluate(r.now)
 		}
-		for i, e := range r.eps {
-			if e.State() == Healthy || e.WantsProbe() {
+		for i, e := range r.endpoints {
+			if e.State() == Healthy || e.NeedsProbe() {
 				r.request(i, e, bad, silent)
 			}
 		}
 	}
 }
 
-func (r *rig) request(i int, e *Endpoint, bad answers, silent []int) {
+func (r *harness) request(i int, e *Endpoint, bad outcomes, silent []int) {
 	r.Sent(r.now, e)
 	r.sent[i]++
 	for _, s := range silent {
@@ -57,9 +57,9 @@
 	}
 	o, ok := bad[i]
 	if !ok {
-		o = good
+		o = goodOutcome
 	}
-	r.Heard(r.now.Add(o.Age), e, o.Age)
+	r.FirstResponse(r.now.Add(o.Age), e, o.Age)
 	r.Observe(r.now.Add(o.Age), e, o)
 }
 
@@ -68,37 +68,37 @@
 func TestEjection(t *testing.T) {
 	fails := func(f Failure) Outcome { return Outcome{Age: step, Failure: f} }
 	for _, c := range []struct {
-		name   string
-		bad    answers
-		silent []int
-		cause  Cause
-		most   int // requests that reach it in 4 s
+		name        string
+		bad         outcomes
+		silent      []int
+		cause       Cause
+		maxRequests int // requests that reach it in 4 s
 	}{
-		{"refuses connections", answers{0: fails(Unreachable)}, nil, Consecutive, 3},
-		{"breaks every stream", answers{0: fails(Broken)}, nil, Consecutive, 3},
-		{"is ten times slower", answers{0: {Delay: 10 * step, Age: 10 * step}}, nil, Slow, 12},
+		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, Consecutive, 3},
+		{"breaks every stream", outcomes{0: fails(Broken)}, nil, Consecutive, 3},
+		{"is ten times slower", outcomes{0: {Delay: 10 * step, Age: 10 * step}}, nil, Slow, 12},
 		{"has frozen", nil, []int{0}, Silent, 22},
-		{"is full", answers{0: fails(Overloaded)}, nil, NoCause, 40},
-		{"is leaving", answers{0: fails(Leaving)}, nil, NoCause, 40},
-		{"has callers that give up", answers{0: fails(Canceled)}, nil, NoCause, 40},
-		{"is slower by less than the floor", answers{0: {Delay: step + 40*time.Millisecond}}, nil, NoCause, 40},
+		{"is full", outcomes{0: fails(Overloaded)}, nil, NoCause, 40},
+		{"is leaving", outcomes{0: fails(Leaving)}, nil, NoCause, 40},
+		{"has callers that give up", outcomes{0: fails(Canceled)}, nil, NoCause, 40},
+		{"is slower by less than the floor", outcomes{0: {Delay: step + 40*time.Millisecond}}, nil, NoCause, 40},
 	} {
 		Convey("Given an endpoint that "+c.name, t, func() {
-			r := newRig(6, Config{})
+			r := newHarness(6, Config{})
 			r.run(5*time.Second, nil)
 			before := r.sent[0]
 			r.run(4*time.Second, c.bad, c.silent...)
 			t.Log("requests that reached it:", r.sent[0]-before)
-			So(r.eps[0].Cause(), ShouldEqual, c.cause)
-			So(r.sent[0]-before, ShouldBeLessThanOrEqualTo, c.most)
-			So(r.eps[1].State(), ShouldEqual, Healthy)
+			So(r.endpoints[0].Cause(), ShouldEqual, c.cause)
+			So(r.sent[0]-before, ShouldBeLessThanOrEqualTo, c.maxRequests)
+			So(r.endpoints[1].State(), ShouldEqual, Healthy)
 		})
 	}
 }
 
 // Callers would get nothing if a common fault left no endpoint, and the few left
 // would drown. Beyond the stated part endpoints stay in use.
-func TestMostEjected(t *testing.T) {
+func TestEjectionLimit(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		endpoints int
@@ -110,19 +110,19 @@
 		{"the only one does", 1, Outcome{Failure: Unreachable}, 0},
 	} {
 		Convey("Given that "+c.name, t, func() {
-			r := newRig(c.endpoints, Config{})
-			bad := answers{}
+			r := newHarness(c.endpoints, Config{})
+			bad := outcomes{}
 			for i := range c.endpoints {
 				bad[i] = c.bad
 			}
 			r.run(4*time.Second, bad)
-			So(r.Out(), ShouldEqual, c.out)
+			So(r.OutOfRotation(), ShouldEqual, c.out)
 		})
 	}
 	Convey("Given requests that fail at every endpoint, at times four in a row, none is out", t, func() {
-		r := newRig(6, Config{})
+		r := newHarness(6, Config{})
 		for i := range 60 {
-			bad := answers{}
+			bad := outcomes{}
 			for e := range 6 {
 				if i%2 == 0 || i > 50 && i < 54 {
 					bad[e] = Outcome{Failure: Internal}
@@ -130,64 +130,64 @@
 			}
 			r.run(step, bad)
 		}
-		So(r.Out(), ShouldEqual, 0)
+		So(r.OutOfRotation(), ShouldEqual, 0)
 	})
 	Convey("Given six of eight slower, the median is theirs and none is out", t, func() {
-		r := newRig(8, Config{})
-		bad := answers{}
+		r := newHarness(8, Config{})
+		bad := outcomes{}
 		for i := range 6 {
 			bad[i] = Outcome{Delay: 10 * step}
 		}
 		r.run(10*time.Second, bad)
-		So(r.Out(), ShouldEqual, 0)
+		So(r.OutOfRotation(), ShouldEqual, 0)
 	})
 }
 
 // A caller's request is the probe, so few may be spent: one at a time after 5 s,
 // then after 10 s, 20 s and so on; a good endpoint must come back all the same.
-func TestReturn(t *testing.T) {
-	dead := answers{0: {Age: time.Millisecond, Failure: Unreachable}}
+func TestRecovery(t *testing.T) {
+	dead := outcomes{0: {Age: time.Millisecond, Failure: Unreachable}}
 	Convey("Given an endpoint dead for five minutes", t, func() {
-		r := newRig(4, Config{})
+		r := newHarness(4, Config{})
 		r.run(5*time.Minute, dead)
 		t.Log("requests in five minutes:", r.sent[0])
 		So(r.sent[0], ShouldBeLessThanOrEqualTo, 3+8)
-		So(r.eps[0].Cause(), ShouldEqual, ProbeFailed)
+		So(r.endpoints[0].Cause(), ShouldEqual, ProbeFailed)
 		r.run(75*time.Second, nil)
-		So(r.eps[0].State(), ShouldEqual, Healthy)
+		So(r.endpoints[0].State(), ShouldEqual, Healthy)
 	})
 	Convey("Given a probe whose caller gave up, another goes out", t, func() {
-		r := newRig(4, Config{})
+		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
-		r.run(10*time.Second, answers{0: {Failure: Canceled}})
-		So(r.eps[0].State(), ShouldEqual, Probing)
+		r.run(10*time.Second, outcomes{0: {Failure: Canceled}})
+		So(r.endpoints[0].State(), ShouldEqual, Probing)
 		r.run(time.Second, nil)
-		So(r.eps[0].State(), ShouldEqual, Healthy)
+		So(r.endpoints[0].State(), ShouldEqual, Healthy)
 	})
 	Convey("Given a probe that freezes, the endpoint is out again", t, func() {
-		r := newRig(4, Config{})
+		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
 		r.run(10*time.Second, nil, 0)
-		So(fmt.Sprint(r.eps[0].State() == Ejected, r.eps[0].Cause()), ShouldEqual, "true probe failed")
+		So(fmt.Sprint(r.endpoints[0].State() == Ejected, r.endpoints[0].Cause()), ShouldEqual, "true probe failed")
 	})
 	Convey("Given an endpoint that froze, what it still holds is no failed probe", t, func() {
-		r := newRig(4, Config{})
+		r := newHarness(4, Config{})
 		r.run(5*time.Second, nil)
 		r.run(3*time.Second, nil, 0)
-		So(r.eps[0].State(), ShouldEqual, Ejected)
+		So(r.endpoints[0].State(), ShouldEqual, Ejected)
 		for range 10 { // nothing is sent meanwhile
 			r.now = r.now.Add(time.Second)
-			r.Judge(r.now)
+			r.Evaluate(r.now)
 		}
-		So(r.eps[0].State(), ShouldEqual, Probing)
+		So(r.endpoints[0].State(), ShouldEqual, Probing)
 		r.run(time.Second, nil)
-		So(r.eps[0].State(), ShouldEqual, Healthy)
+		So(r.endpoints[0].State(), ShouldEqual, Healthy)
 	})
 	Convey("Given an old request that fails late, the probing does not count it", t, func() {
-		r := newRig(4, Config{})
+		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
-		r.run(10*time.Second, answers{0: {Failure: Canceled}})
-		r.Observe(r.now, r.eps[0], Outcome{Age: time.Hour, Failure: Broken})
-		So(r.eps[0].State(), ShouldEqual, Probing)
+		r.run(10*time.Second, outcomes{0: {Failure: Canceled}})
+		r.Observe(r.now, r.endpoints[0], Outcome{Age: time.Hour, Failure: Broken})
+		So(r.endpoints[0].State(), ShouldEqual, Probing)
 	})
 }
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -25,8 +25,8 @@
 	BaseEjection: time.Second,
 	MaxEjection:  8 * time.Second,
 	// With three replicas one may always be out.
-	MaxEjectedShare: 0.5,
-	MaxLostShare:    0.75,
+	MaxEjectedShare:      0.5,
+	MaxUnresponsiveShare: 0.75,
 }
 
 // NewPlain returns a Plain without replicas for a node in a failure domain.
