--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		for _, e := range w.engines {
-			p.hints.Apply(w.now, e.ID, e.events.page(w.now, p.hints.After(e.ID)))
+			p.hints.Apply(w.now, e.ID, e.events.page(w.now, p.hints.LastSequence(e.ID)))
 		}
 	}
 	w.after(pollEvery, w.pollEvents)
--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -9,20 +9,20 @@
 
 // Defaults of Config; doc.go gives their grounds.
 const (
-	DefaultEntries = 256
-	DefaultSilence = 10 * time.Second
+	DefaultEntries    = 256
+	DefaultStaleAfter = 10 * time.Second
 )
 
-// silentPolls is how many pauses between two answers a replica may be silent.
-const silentPolls = 3
+// staleAfterPolls is how many pauses between two answers a replica may be silent.
+const staleAfterPolls = 3
 
 // Config sets an Index. Zero values take the defaults.
 type Config struct {
 	// Entries bounds the prefixes kept of a replica.
 	Entries int
-	// Silence is the least time without an answer after which a replica's
+	// StaleAfter is the least time without an answer after which a replica's
 	// prefixes are not trusted.
-	Silence time.Duration
+	StaleAfter time.Duration
 }
 
 // Event says that a prefix entered or left a replica's cache.
@@ -70,138 +70,138 @@
 // Index is what a node thinks that its replicas have cached. It is for one
 // goroutine at a time.
 type Index struct {
-	entries int
-	silence time.Duration
-	parts   map[string]*part
+	maxEntries int
+	staleAfter time.Duration
+	replicas   map[string]*replicaState
 }
 
-// part is what is known of one replica.
-type part struct {
-	instance string
-	seen     uint64        // last sequence number shown
-	heard    time.Time     // of the last page
-	pause    time.Duration // between the last two
-	order    *list.List    // of uint64, the one asked for or stored last in front
-	held     map[uint64]*list.Element
+// replicaState is what is known of one replica.
+type replicaState struct {
+	instance     string
+	lastSequence uint64        // last sequence number shown
+	lastPage     time.Time     // of the last page
+	pollInterval time.Duration // between the last two
+	lru          *list.List    // of uint64, the one asked for or stored last in front
+	cached       map[uint64]*list.Element
 }
 
 // New returns an index that knows no replica.
 func New(cfg Config) *Index {
 	return &Index{
-		entries: cmp.Or(cfg.Entries, DefaultEntries),
-		silence: cmp.Or(cfg.Silence, DefaultSilence),
-		parts:   map[string]*part{},
+		maxEntries: cmp.Or(cfg.Entries, DefaultEntries),
+		staleAfter: cmp.Or(cfg.StaleAfter, DefaultStaleAfter),
+		replicas:   map[string]*replicaState{},
 	}
 }
 
 // Retain keeps the parts of these replicas and forgets all others.
 func (x *Index) Retain(replicas []string) {
-	for known := range x.parts {
-		if !slices.Contains(replicas, known) {
-			delete(x.parts, known)
+	for replica := range x.replicas {
+		if !slices.Contains(replicas, replica) {
+			delete(x.replicas, replica)
 		}
 	}
 }
 
-// Lost forgets what a replica held, and goes on from the event last seen: a part of
+// Clear forgets what a replica held, and goes on from the event last seen: a part of
 // the replica lost its cache while the one that tells the events did not.
-func (x *Index) Lost(replica string) {
-	if p := x.parts[replica]; p != nil {
-		p.order.Init()
-		clear(p.held)
+func (x *Index) Clear(replica string) {
+	if p := x.replicas[replica]; p != nil {
+		p.lru.Init()
+		clear(p.cached)
 	}
 }
 
-// After returns the sequence number to ask a replica's events after.
-func (x *Index) After(replica string) uint64 {
-	p := x.parts[replica]
+// LastSequence returns the sequence number to ask a replica's events after.
+func (x *Index) LastSequence(replica string) uint64 {
+	p := x.replicas[replica]
 	if p == nil {
 		return 0
 	}
-	return p.seen
+	return p.lastSequence
 }
 
 // Apply takes a replica's answer to a question for the events after After.
 func (x *Index) Apply(now time.Time, replica string, page Page) Change {
-	p := x.parts[replica]
+	p := x.replicas[replica]
 	change := Continued
 	switch {
 	case p == nil:
-		p = newPart(page.Instance)
-		x.parts[replica] = p
+		p = newReplicaState(page.Instance)
+		x.replicas[replica] = p
 		// What the engine stored before this node asked is not among its events
 		// any more. It is no loss: what is not known is not hinted at.
-		p.seen = before(page)
-	case p.instance != page.Instance || page.Last < p.seen:
-		*p = *newPart(page.Instance)
-		p.seen = before(page)
+		p.lastSequence = sequenceBefore(page)
+	case p.instance != page.Instance || page.Last < p.lastSequence:
+		*p = *newReplicaState(page.Instance)
+		p.lastSequence = sequenceBefore(page)
 		change = Restarted
 	default:
-		p.pause = now.Sub(p.heard)
+		p.pollInterval = now.Sub(p.lastPage)
 	}
-	p.heard = now
-	lost := x.take(p, page)
+	p.lastPage = now
+	lost := x.applyEvents(p, page)
 	if lost == 0 || change == Restarted {
 		return change
 	}
-	p.distrust(lost)
+	p.evictOldest(lost)
 	return Gapped
 }
 
-func newPart(instance string) *part {
-	return &part{instance: instance, order: list.New(), held: map[uint64]*list.Element{}}
+func newReplicaState(instance string) *replicaState {
+	return &replicaState{instance: instance, lru: list.New(), cached: map[uint64]*list.Element{}}
 }
 
-// before is the sequence number before a page's events.
-func before(page Page) uint64 {
+// sequenceBefore is the sequence number sequenceBefore a page's events.
+func sequenceBefore(page Page) uint64 {
 	if len(page.Events) == 0 {
 		return page.Last
 	}
 	return max(page.Events[0].Sequence, 1) - 1
 }
 
-// take enters a page's events and returns how many were lost before, between and
+// applyEvents enters a page's events and returns how many were lost before, between and
 // after them.
-func (x *Index) take(p *part, page Page) uint64 {
+func (x *Index) applyEvents(p *replicaState, page Page) uint64 {
 	lost := uint64(0)
 	for _, e := range page.Events {
-		if e.Sequence <= p.seen {
+		if e.Sequence <= p.lastSequence {
 			continue // known already
 		}
-		lost += e.Sequence - p.seen - 1
-		p.seen = e.Sequence
-		p.enter(e, x.entries)
+		lost += e.Sequence - p.lastSequence - 1
+		p.lastSequence = e.Sequence
+		p.applyEvent(e, x.maxEntries)
 	}
-	if page.Last > p.seen {
-		lost += page.Last - p.seen
-		p.seen = page.Last
+	if page.Last > p.lastSequence {
+		lost += page.Last - p.lastSequence
+		p.lastSequence = page.Last
 	}
 	return lost
 }
 
-func (p *part) enter(e Event, bound int) {
-	element, known := p.held[e.Prefix]
+func (p *replicaState) applyEvent(e Event, maxEntries int) {
+	element, known := p.cached[e.Prefix]
 	switch {
 	case !e.Stored && known:
-		p.drop(element)
+		p.evict(element)
 	case e.Stored && known:
-		p.order.MoveToFront(element)
+		p.lru.MoveToFront(element)
 	case e.Stored:
-		p.held[e.Prefix] = p.order.PushFront(e.Prefix)
-		if p.order.Len() > bound {
-			p.drop(p.order.Back())
+		p.cached[e.Prefix] = p.lru.PushFront(e.Prefix)
+		if p.lru.Len() > maxEntries {
+			p.evict(p.lru.Back())
 		}
 	}
 }
 
-func (p *part) drop(element *list.Element) {
-	delete(p.held, p.order.Remove(element).(uint64))
+func (p *replicaState) evict(element *list.Element) {
+	delete(p.cached, p.lru.Remove(element).(uint64))
 }
 
-// distrust forgets as many of the oldest entries as events were lost.
-func (p *part) distrust(lost uint64) {
-	for range min(lost, uint64(p.order.Len())) {
-		p.drop(p.order.Back())
+// evictOldest forgets as many of the oldest entries as events were lost.
+func (p *replicaState) evictOldest(lost uint64) {
+	for range min(lost, uint64(p.lru.Len())) {
+		p.evict(p.lru.Back())
 	}
 }
 
@@ -210,8 +210,8 @@
 // come with the most first; those that hold nothing are left out.
 func (x *Index) Holders(now time.Time, prefixes []uint64) []Holder {
 	var holders []Holder
-	for replica, p := range x.parts {
-		if blocks := x.blocks(now, p, prefixes); blocks > 0 {
+	for replica, p := range x.replicas {
+		if blocks := x.cachedBlocks(now, p, prefixes); blocks > 0 {
 			holders = append(holders, Holder{replica, blocks})
 		}
 	}
@@ -221,18 +221,18 @@
 	return holders
 }
 
-// blocks counts the prefixes from the first on that a part holds: an engine can
+// cachedBlocks counts the prefixes from the first on that a part holds: an engine can
 // use a longer one only if it has the shorter ones too.
-func (x *Index) blocks(now time.Time, p *part, prefixes []uint64) int {
-	if now.Sub(p.heard) > max(x.silence, silentPolls*p.pause) {
+func (x *Index) cachedBlocks(now time.Time, p *replicaState, prefixes []uint64) int {
+	if now.Sub(p.lastPage) > max(x.staleAfter, staleAfterPolls*p.pollInterval) {
 		return 0
 	}
 	for i, prefix := range prefixes {
-		element, held := p.held[prefix]
-		if !held {
+		element, cached := p.cached[prefix]
+		if !cached {
 			return i
 		}
-		p.order.MoveToFront(element)
+		p.lru.MoveToFront(element)
 	}
 	return len(prefixes)
 }
--- a/decide/cacheindex/cacheindex_test.go
+++ b/decide/cacheindex/cacheindex_test.go
@@ -19,9 +19,9 @@
 // What callers wait for is a prompt computed anew on an engine that was taken to
 // have it cached. Each case is a way in which a node can be wrong about that, and
 // how little it must believe after it.
-func TestTrust(t *testing.T) {
+func TestStaleEntriesAreDropped(t *testing.T) {
 	prompt := []uint64{11, 12, 13}
-	known := func(cfg Config) *Index {
+	indexed := func(cfg Config) *Index {
 		x := New(cfg)
 		x.Apply(start, "a", page("one", stored(1, 11), stored(2, 12), stored(3, 13)))
 		return x
@@ -33,71 +33,71 @@
 		return 0
 	}
 	Convey("A prompt is held as far as it is cached without a hole", t, func() {
-		x := known(Config{})
+		x := indexed(Config{})
 		So(blocks(x, start), ShouldEqual, 3)
-		So(x.After("a"), ShouldEqual, 3)
+		So(x.LastSequence("a"), ShouldEqual, 3)
 		So(x.Apply(start, "a", page("one", Event{4, 12, false})), ShouldEqual, Continued)
 		So(blocks(x, start), ShouldEqual, 1)
 	})
 	Convey("Another instance has nothing of what the last one had", t, func() {
-		x := known(Config{})
+		x := indexed(Config{})
 		So(x.Apply(start, "a", page("two", stored(4, 99))), ShouldEqual, Restarted)
 		So(blocks(x, start), ShouldEqual, 0)
 	})
 	Convey("What a later stage lost is gone, and the events go on", t, func() {
-		x := known(Config{})
-		x.Lost("a")
-		x.Lost("unknown")
+		x := indexed(Config{})
+		x.Clear("a")
+		x.Clear("unknown")
 		So(blocks(x, start), ShouldEqual, 0)
 		So(x.Apply(start, "a", page("one", stored(4, 11))), ShouldEqual, Continued)
 		So(blocks(x, start), ShouldEqual, 1)
 	})
 	Convey("A sequence that went back is a restart too", t, func() {
-		x := known(Config{})
+		x := indexed(Config{})
 		So(x.Apply(start, "a", Page{Instance: "one", Last: 1}), ShouldEqual, Restarted)
 		So(blocks(x, start), ShouldEqual, 0)
 	})
 	Convey("A gap costs as many of the oldest as events were lost", t, func() {
-		x := known(Config{})
+		x := indexed(Config{})
 		So(x.Apply(start, "a", page("one", stored(5, 99))), ShouldEqual, Gapped)
 		So(blocks(x, start), ShouldEqual, 0) // 11, the first stored, may be gone
 		So(x.Apply(start, "a", page("one", stored(6, 11))), ShouldEqual, Continued)
 		So(blocks(x, start), ShouldEqual, 3)
 		So(x.Apply(start, "a", page("one", stored(600, 99))), ShouldEqual, Gapped)
-		So(x.parts["a"].order.Len(), ShouldEqual, 0)
+		So(x.replicas["a"].lru.Len(), ShouldEqual, 0)
 	})
 	Convey("Events lost at the end of a page are a gap", t, func() {
-		x := known(Config{})
+		x := indexed(Config{})
 		So(x.Apply(start, "a", Page{Instance: "one", Last: 5}), ShouldEqual, Gapped)
-		So(x.After("a"), ShouldEqual, 5)
+		So(x.LastSequence("a"), ShouldEqual, 5)
 	})
 	Convey("Silence takes the trust away, an answer gives it back", t, func() {
-		x := known(Config{})
-		late := start.Add(DefaultSilence + time.Second)
+		x := indexed(Config{})
+		late := start.Add(DefaultStaleAfter + time.Second)
 		So(blocks(x, late), ShouldEqual, 0)
 		x.Apply(late, "a", Page{Instance: "one", Last: 3})
 		So(blocks(x, late), ShouldEqual, 3)
-		So(blocks(x, late.Add(2*DefaultSilence)), ShouldEqual, 3) // polls are that far apart
-		So(blocks(x, late.Add(4*DefaultSilence)), ShouldEqual, 0)
+		So(blocks(x, late.Add(2*DefaultStaleAfter)), ShouldEqual, 3) // polls are that far apart
+		So(blocks(x, late.Add(4*DefaultStaleAfter)), ShouldEqual, 0)
 	})
 	Convey("What is asked for stays, the rest makes room", t, func() {
-		x := known(Config{Entries: 4})
+		x := indexed(Config{Entries: 4})
 		for i := range uint64(8) {
 			x.Apply(start, "a", page("one", stored(4+i, 100+i)))
 			So(blocks(x, start), ShouldEqual, 3)
 		}
-		So(x.parts["a"].order.Len(), ShouldEqual, 4)
+		So(x.replicas["a"].lru.Len(), ShouldEqual, 4)
 	})
 	Convey("Replicas that are no longer used are forgotten", t, func() {
-		x := known(Config{})
+		x := indexed(Config{})
 		x.Retain([]string{"b"})
-		So(x.parts, ShouldBeEmpty)
+		So(x.replicas, ShouldBeEmpty)
 	})
 }
 
 // Whatever an engine answers, the index keeps its bound and never asks for a
 // sequence below what it has seen of the same instance.
-func TestAnyPage(t *testing.T) {
+func TestArbitraryPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New(Config{Entries: 5})
 		for range rapid.IntRange(1, 20).Draw(t, "pages") {
@@ -112,13 +112,13 @@
 					Stored:   rapid.Bool().Draw(t, "stored"),
 				})
 			}
-			before := x.After("a")
-			if x.Apply(start, "a", p) != Restarted && x.After("a") < before {
-				t.Fatalf("asks after %d, was %d", x.After("a"), before)
+			before := x.LastSequence("a")
+			if x.Apply(start, "a", p) != Restarted && x.LastSequence("a") < before {
+				t.Fatalf("asks after %d, was %d", x.LastSequence("a"), before)
 			}
-			part := x.parts["a"]
-			if part.order.Len() > 5 || part.order.Len() != len(part.held) {
-				t.Fatalf("%d in order, %d held", part.order.Len(), len(part.held))
+			state := x.replicas["a"]
+			if state.lru.Len() > 5 || state.lru.Len() != len(state.cached) {
+				t.Fatalf("%d in order, %d held", state.lru.Len(), len(state.cached))
 			}
 		}
 	})
--- a/route/service/prefixes.go
+++ b/route/service/prefixes.go
@@ -52,7 +52,7 @@
 func (p *Prefixes) Lost(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.index.Lost(replica)
+	p.index.Clear(replica)
 }
 
 // EventsDue is a replica whose cache events are to be asked for.
@@ -112,7 +112,7 @@
 
 // eventsOf is the question to a replica. The caller holds Prefixes.mu.
 func (s *Service) eventsOf(replica string, asked time.Time) EventsDue {
-	return EventsDue{Replica: replica, Endpoint: s.firstStage(replica), After: s.Prefixes.index.After(replica), Asked: asked}
+	return EventsDue{Replica: replica, Endpoint: s.firstStage(replica), After: s.Prefixes.index.LastSequence(replica), Asked: asked}
 }
 
 // EventsAsked notes that a replica is being asked, so that one which does not
