--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -11,17 +11,17 @@
 
 // Figures of the answers; doc.go gives their grounds.
 const (
-	ValidFor       = 20 * time.Second
-	RetryAfter     = 2 * time.Second
-	MinHomes       = 2
-	HomeHeadroom   = 4.0
-	NearPreference = 8.0
-	MaxAddresses   = 3
+	ValidFor        = 20 * time.Second
+	RetryAfter      = 2 * time.Second
+	MinHomes        = 2
+	HomeHeadroom    = 4.0
+	LocalPreference = 8.0
+	MaxAddresses    = 3
 )
 
-// minRoom is the weight of a node that says it is full. Were it zero, a team
+// minCapacity is the weight of a node that says it is full. Were it zero, a team
 // whose homes are all full would get no address.
-const minRoom = 0.02
+const minCapacity = 0.02
 
 // Member is an entry VM as this node knows it.
 type Member struct {
@@ -75,10 +75,10 @@
 	return min(nodes, max(MinHomes, int(need)))
 }
 
-// ServeOn returns how long a leaving node goes on serving new connections if
+// DrainDuration returns how long a leaving node goes on serving new connections if
 // its peers learn of it within spread.
-func ServeOn(spread time.Duration) time.Duration {
-	return spread + ValidFor
+func DrainDuration(propagation time.Duration) time.Duration {
+	return propagation + ValidFor
 }
 
 // Homes returns the IDs of the k nodes that hold the team's share of its limit,
@@ -100,7 +100,7 @@
 		return Result{ValidFor: RetryAfter}
 	}
 	homes := homesOf(q.Team, members, HomeCount(q.Share, usable))
-	chosen := choose(q, homes)
+	chosen := selectHomes(q, homes)
 	return Result{Addresses: withWeights(q, chosen), ValidFor: ValidFor}
 }
 
@@ -116,7 +116,7 @@
 
 func homesOf(team string, members []Member, k int) []Member {
 	key := rendezvous.Hash(team)
-	return spanning(members, k, func(m Member) float64 {
+	return topAcrossDomains(members, k, func(m Member) float64 {
 		if !m.usable() {
 			return 0
 		}
@@ -124,12 +124,12 @@
 	})
 }
 
-// choose picks a few homes for one caller, in proportion to their preference.
+// selectHomes picks a few homes for one caller, in proportion to their preference.
 // The caller's name is the key, so a caller keeps its nodes when it asks again
 // and the callers of a team spread over its homes.
-func choose(q Query, homes []Member) []Member {
+func selectHomes(q Query, homes []Member) []Member {
 	key := rendezvous.Hash(q.Team + "\x00" + q.Caller)
-	return spanning(homes, MaxAddresses, func(m Member) float64 {
+	return topAcrossDomains(homes, MaxAddresses, func(m Member) float64 {
 		return rendezvous.Weighted(key, rendezvous.Hash(m.ID), preference(q, m))
 	})
 }
@@ -152,14 +152,14 @@
 // preference is the room left at a node, times NearPreference in the caller's
 // failure domain.
 func preference(q Query, m Member) float64 {
-	room := max(minRoom, 1-m.Load)
+	capacity := max(minCapacity, 1-m.Load)
 	if m.FailureDomain == q.FailureDomain {
-		return room * NearPreference
+		return capacity * LocalPreference
 	}
-	return room
+	return capacity
 }
 
-// spanning returns the k members of the highest rank, but for the last one if
+// topAcrossDomains returns the k members of the highest rank, but for the last one if
 // all are in one failure domain and members of others are to be had: then it is
 // the best of those.
 //
@@ -169,19 +169,19 @@
 // as the caller tries the next when one does not answer; the other members stay
 // by rank, so that callers stay near and few homes move when a node comes or
 // goes.
-func spanning(members []Member, k int, rank func(Member) float64) []Member {
+func topAcrossDomains(members []Member, k int, rank func(Member) float64) []Member {
 	best := top(members, k, rank)
 	if len(best) < 2 || !sameDomain(best) {
 		return best
 	}
-	elsewhere := top(members, 1, func(m Member) float64 {
+	otherDomain := top(members, 1, func(m Member) float64 {
 		if m.FailureDomain == best[0].FailureDomain {
 			return 0
 		}
 		return rank(m)
 	})
-	if len(elsewhere) > 0 {
-		best[len(best)-1] = elsewhere[0]
+	if len(otherDomain) > 0 {
+		best[len(best)-1] = otherDomain[0]
 	}
 	return best
 }
--- a/decide/entrypoints/entrypoints_test.go
+++ b/decide/entrypoints/entrypoints_test.go
@@ -20,7 +20,7 @@
 	return all
 }
 
-func changed(a, b []string) (n int) {
+func countMissing(a, b []string) (n int) {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
 			n++
@@ -40,10 +40,10 @@
 		So(len(homes), ShouldEqual, k)
 		all[17].Load = 0.9
 		So(Homes("dispatch", all, k), ShouldResemble, homes)
-		gone := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.ID == homes[3] })
-		So(changed(homes, Homes("dispatch", gone, k)), ShouldEqual, 1)
-		So(changed(homes, Homes("dispatch", members(2300, 23), k)), ShouldBeLessThan, 8)
-		So(changed(homes, Homes("bakers", all, k)), ShouldBeGreaterThan, 35)
+		withoutOne := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.ID == homes[3] })
+		So(countMissing(homes, Homes("dispatch", withoutOne, k)), ShouldEqual, 1)
+		So(countMissing(homes, Homes("dispatch", members(2300, 23), k)), ShouldBeLessThan, 8)
+		So(countMissing(homes, Homes("bakers", all, k)), ShouldBeGreaterThan, 35)
 	})
 	Convey("The number of homes grows with the share, from two to all", t, func() {
 		So(HomeCount(0, 9), ShouldEqual, 2)
@@ -88,20 +88,20 @@
 		a := Answer(Query{Team: "bakers"}, []Member{{ID: "vm-0", Draining: true}})
 		So(a.Addresses, ShouldBeEmpty)
 		So(a.ValidFor, ShouldEqual, RetryAfter)
-		So(ServeOn(3*time.Second), ShouldEqual, 23*time.Second)
+		So(DrainDuration(3*time.Second), ShouldEqual, 23*time.Second)
 	})
 	Convey("Given homes in three domains, most requests stay in the caller's", t, func() {
-		near := 0.0
+		localShare := 0.0
 		for caller := range 300 {
 			q := Query{Team: "bakers", Caller: fmt.Sprint(caller), Share: 1, FailureDomain: "fd-2"}
 			for _, a := range Answer(q, members(9, 3)).Addresses {
 				if a.FailureDomain == q.FailureDomain {
-					near += a.Weight / 300
+					localShare += a.Weight / 300
 				}
 			}
 		}
-		t.Logf("share of requests in the caller's domain: %.2f", near)
-		So(near, ShouldBeGreaterThan, 0.8)
+		t.Logf("share of requests in the caller's domain: %.2f", localShare)
+		So(localShare, ShouldBeGreaterThan, 0.8)
 	})
 }
 
@@ -114,7 +114,7 @@
 		nodes, domains int
 		share          float64
 	}{{6, 3, 0}, {9, 3, 0}, {9, 3, 0.5}, {9, 2, 1}, {230, 23, 0.01}} {
-		all, alone := members(c.nodes, c.domains), 0
+		all, singleDomain := members(c.nodes, c.domains), 0
 		const teams = 100
 		for team := range teams {
 			q := Query{Team: fmt.Sprint(team), Caller: "192.0.2.7", Share: c.share, FailureDomain: "fd-1"}
@@ -123,24 +123,24 @@
 				domains[a.FailureDomain] = true
 			}
 			if len(domains) < 2 {
-				alone++
+				singleDomain++
 			}
 		}
-		if alone > 0 {
-			t.Errorf("%d nodes in %d domains, share %.2f: %d of %d answers name one domain only", c.nodes, c.domains, c.share, alone, teams)
+		if singleDomain > 0 {
+			t.Errorf("%d nodes in %d domains, share %.2f: %d of %d answers name one domain only", c.nodes, c.domains, c.share, singleDomain, teams)
 		}
 	}
 }
 
-// spreadOf returns the load of the busiest node over the mean. 240 teams, a few
+// peakLoadRatio returns the load of the busiest node over the mean. 240 teams, a few
 // of them large, have callers of whom a tenth ask again at each step. A blind
 // answer knows no loads.
-func spreadOf(nodes, callers int, headroom float64, blind bool) float64 {
+func peakLoadRatio(nodes, callers int, headroom float64, ignoreLoad bool) float64 {
 	const teams, domains, steps, meanLoad = 240, 23, 40, 0.5
 	random := rand.New(rand.NewPCG(1, 2))
-	all, at, sum := members(nodes, domains), map[string]int{}, 0.0
+	all, index, sum := members(nodes, domains), map[string]int{}, 0.0
 	for i, m := range all {
-		at[m.ID] = i
+		index[m.ID] = i
 	}
 	for i := range teams {
 		sum += 1 / float64(i+5)
@@ -156,25 +156,25 @@
 			homes = append(homes, h)
 		}
 	}
-	load, held := make([]float64, nodes), make([][]Address, len(queries))
+	load, answers := make([]float64, nodes), make([][]Address, len(queries))
 	add := func(c int, sign float64) {
-		for _, a := range held[c] {
-			load[at[a.ID]] += sign * a.Weight * float64(nodes) / float64(len(queries))
+		for _, a := range answers[c] {
+			load[index[a.ID]] += sign * a.Weight * float64(nodes) / float64(len(queries))
 		}
 	}
 	for step := range steps {
-		known := slices.Clone(load)
+		knownLoad := slices.Clone(load)
 		for c, q := range queries {
 			if step > 0 && random.IntN(10) > 0 {
 				continue
 			}
 			for i := range homes[c] {
-				if m := &homes[c][i]; !blind {
-					m.Load = known[at[m.ID]] * meanLoad
+				if m := &homes[c][i]; !ignoreLoad {
+					m.Load = knownLoad[index[m.ID]] * meanLoad
 				}
 			}
 			add(c, -1)
-			held[c] = withWeights(q, choose(q, homes[c]))
+			answers[c] = withWeights(q, selectHomes(q, homes[c]))
 			add(c, 1)
 		}
 	}
@@ -183,21 +183,21 @@
 
 // Callers of a team whose homes are full wait though other nodes are idle: the
 // hashes of teams collide. Answers that know the loads move callers on.
-func TestSpread(t *testing.T) {
+func TestLoadSpread(t *testing.T) {
 	Convey("Given 240 teams over 230 nodes", t, func() {
-		busiest, blind := spreadOf(230, 2000, HomeHeadroom, false), spreadOf(230, 2000, HomeHeadroom, true)
-		t.Logf("busiest node over the mean: %.2f, blind %.2f", busiest, blind)
+		busiest, ignoringLoad := peakLoadRatio(230, 2000, HomeHeadroom, false), peakLoadRatio(230, 2000, HomeHeadroom, true)
+		t.Logf("busiest node over the mean: %.2f, blind %.2f", busiest, ignoringLoad)
 		So(busiest, ShouldBeLessThan, 1.8)
-		So(busiest, ShouldBeLessThan, blind*2/3)
+		So(busiest, ShouldBeLessThan, ignoringLoad*2/3)
 	})
 }
 
-// BenchmarkSpread prints the spread at the target size.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkLoadSpread prints the spread at the target size.
+func BenchmarkLoadSpread(b *testing.B) {
 	for _, headroom := range []float64{1, 2, HomeHeadroom, 8} {
 		b.Run(fmt.Sprint("headroom ", headroom), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(spreadOf(2200, 20000, headroom, false), "busiest/mean")
+				b.ReportMetric(peakLoadRatio(2200, 20000, headroom, false), "busiest/mean")
 			}
 		})
 	}
--- a/node/site/doors.go
+++ b/node/site/doors.go
@@ -30,7 +30,7 @@
 
 // serveDirectory tells callers which nodes to use.
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
-	near := entrypoints.Near(directory.Domain(r), n.entries())
+	near := entrypoints.PreferLocal(directory.Domain(r), n.entries())
 	addresses := make([]string, 0, len(near))
 	for _, m := range near {
 		addresses = append(addresses, m.Address)
