--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -36,29 +36,29 @@
 const (
 	// ValidFor is how long a claim counts: some exchanges.
 	ValidFor = 1500 * time.Millisecond
-	// Enough nodes are believed.
-	Enough = 3
-	// Confirmers is how many nodes look for themselves at what fewer have seen.
-	Confirmers = 3
-	// MostTaken is the greatest part of a service's replicas that is left out on the word
+	// Quorum nodes are believed.
+	Quorum = 3
+	// Verifiers is how many nodes look for themselves at what fewer have seen.
+	Verifiers = 3
+	// MaxExcludedShare is the greatest part of a service's replicas that is left out on the word
 	// of others.
-	MostTaken = 0.25
-	// Most is how many claims a message holds.
-	Most = 128
-	// mostNodes and mostPace bound what a claim may say.
-	mostNodes = 1 << 16
-	mostPace  = 1e4
+	MaxExcludedShare = 0.25
+	// MaxPerMessage is how many claims a message holds.
+	MaxPerMessage = 128
+	// maxNodes and mostPace bound what a claim may say.
+	maxNodes    = 1 << 16
+	maxSlowdown = 1e4
 )
 
-// Claim is what one or more nodes have seen of a replica.
-type Claim struct {
+// Observation is what one or more nodes have seen of a replica.
+type Observation struct {
 	Replica string
-	// Lost says that it accepts no connection.
-	Lost bool
-	// TurnsAway says that it lives and refuses what it is sent although it has room.
-	TurnsAway bool
-	// Pace is, of one that is not lost, how much slower than its kind it says it is.
-	Pace float64
+	// Unreachable says that it accepts no connection.
+	Unreachable bool
+	// Refusing says that it lives and refuses what it is sent although it has room.
+	Refusing bool
+	// Slowdown is, of one that is not lost, how much slower than its kind it says it is.
+	Slowdown float64
 	// Age is how long ago it was seen.
 	Age time.Duration
 	// Nodes is how many have seen it.
@@ -66,65 +66,65 @@
 }
 
 // valid says whether a node could have made the claim, and it still counts.
-func (c Claim) valid() bool {
-	known := c.Replica != "" && c.Nodes > 0 && c.Nodes <= mostNodes && c.Age >= 0 && c.Age < ValidFor
-	return known && (c.Lost || c.TurnsAway || c.Pace >= 1 && c.Pace <= mostPace)
+func (c Observation) valid() bool {
+	known := c.Replica != "" && c.Nodes > 0 && c.Nodes <= maxNodes && c.Age >= 0 && c.Age < ValidFor
+	return known && (c.Unreachable || c.Refusing || c.Slowdown >= 1 && c.Slowdown <= maxSlowdown)
 }
 
-// saying is what one node told last.
-type saying struct {
-	at     time.Time
-	hub    bool
-	claims []Claim
+// message is what one node told last.
+type message struct {
+	received     time.Time
+	hub          bool
+	observations []Observation
 }
 
-// Board is what one node has been told. The zero value is ready. It is not safe for
+// Aggregator is what one node has been told. The zero value is ready. It is not safe for
 // concurrent use.
-type Board struct {
-	told map[string]saying
+type Aggregator struct {
+	latest map[string]message
 }
 
-// Tell notes what a node told: its own claims, or, as a hub, those of several. It says how
+// Record notes what a node told: its own claims, or, as a hub, those of several. It says how
 // many were passed over.
-func (b *Board) Tell(now time.Time, node string, hub bool, claims []Claim) (dropped int) {
-	if b.told == nil {
-		b.told = map[string]saying{}
+func (b *Aggregator) Record(now time.Time, node string, hub bool, observations []Observation) (dropped int) {
+	if b.latest == nil {
+		b.latest = map[string]message{}
 	}
-	for name, s := range b.told {
-		if now.Sub(s.at) >= ValidFor {
-			delete(b.told, name)
+	for name, s := range b.latest {
+		if now.Sub(s.received) >= ValidFor {
+			delete(b.latest, name)
 		}
 	}
-	kept := make([]Claim, 0, min(len(claims), Most))
-	for _, c := range claims {
-		if !c.valid() || len(kept) == Most {
+	kept := make([]Observation, 0, min(len(observations), MaxPerMessage))
+	for _, c := range observations {
+		if !c.valid() || len(kept) == MaxPerMessage {
 			dropped++
 			continue
 		}
 		kept = append(kept, c)
 	}
-	b.told[node] = saying{at: now, hub: hub, claims: kept}
+	b.latest[node] = message{received: now, hub: hub, observations: kept}
 	return dropped
 }
 
-// Follow forgets all but what one hub told: that holds what any other told before.
-func (b *Board) Follow(hub string) {
-	for node := range b.told {
+// KeepOnly forgets all but what one hub told: that holds what any other told before.
+func (b *Aggregator) KeepOnly(hub string) {
+	for node := range b.latest {
 		if node != hub {
-			delete(b.told, node)
+			delete(b.latest, node)
 		}
 	}
 }
 
-// Others is what others have seen.
-func (b *Board) Others(now time.Time) []Claim {
-	return b.merge(now, nil, func(string, saying) bool { return true })
+// FromOthers is what others have seen.
+func (b *Aggregator) FromOthers(now time.Time) []Observation {
+	return b.merge(now, nil, func(string, message) bool { return true })
 }
 
-// Answer is what a node that asked is told: another hub what was seen here and told by
+// ReplyTo is what a node that asked is told: another hub what was seen here and told by
 // those that ask here, any other node all but its own.
-func (b *Board) Answer(now time.Time, own []Claim, asker string, hub bool) []Claim {
-	return b.merge(now, own, func(node string, s saying) bool {
+func (b *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
+	return b.merge(now, own, func(node string, s message) bool {
 		if hub {
 			return !s.hub
 		}
@@ -134,104 +134,104 @@
 
 // subject is what claims are about; those that agree on it are added up.
 type subject struct {
-	replica         string
-	lost, turnsAway bool
+	replica               string
+	unreachable, refusing bool
 }
 
-func (b *Board) merge(now time.Time, own []Claim, counts func(node string, s saying) bool) []Claim {
-	merged := map[subject]Claim{}
-	add := func(c Claim) {
+func (b *Aggregator) merge(now time.Time, own []Observation, include func(node string, s message) bool) []Observation {
+	merged := map[subject]Observation{}
+	add := func(c Observation) {
 		if !c.valid() {
 			return
 		}
-		key := subject{c.Replica, c.Lost, c.TurnsAway}
+		key := subject{c.Replica, c.Unreachable, c.Refusing}
 		known, ok := merged[key]
 		if !ok {
 			merged[key] = c
 			return
 		}
-		known.Nodes = min(known.Nodes+c.Nodes, mostNodes)
+		known.Nodes = min(known.Nodes+c.Nodes, maxNodes)
 		if c.Age < known.Age {
-			known.Age, known.Pace = c.Age, c.Pace
+			known.Age, known.Slowdown = c.Age, c.Slowdown
 		}
 		merged[key] = known
 	}
 	for _, c := range own {
 		add(c)
 	}
-	for node, s := range b.told {
-		if !counts(node, s) {
+	for node, s := range b.latest {
+		if !include(node, s) {
 			continue
 		}
-		for _, c := range s.claims {
-			c.Age += now.Sub(s.at)
+		for _, c := range s.observations {
+			c.Age += now.Sub(s.received)
 			add(c)
 		}
 	}
-	return youngest(merged)
+	return newestFirst(merged)
 }
 
-func youngest(merged map[subject]Claim) []Claim {
-	list := make([]Claim, 0, len(merged))
+func newestFirst(merged map[subject]Observation) []Observation {
+	list := make([]Observation, 0, len(merged))
 	for _, c := range merged {
 		list = append(list, c)
 	}
-	slices.SortFunc(list, func(x, y Claim) int {
+	slices.SortFunc(list, func(x, y Observation) int {
 		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Replica, y.Replica))
 	})
-	return list[:min(len(list), Most)]
+	return list[:min(len(list), MaxPerMessage)]
 }
 
 // View is what a node knows itself of the replicas of one service.
 type View struct {
 	// Node is its name, Near those of all nodes of its failure domain.
-	Node string
-	Near []string
-	// Known says whether a replica is one of the service, Lost whether it is taken for
+	Node        string
+	DomainNodes []string
+	// Known says whether a replica is one of the service, Suspected whether it is taken for
 	// lost.
-	Known, Lost func(replica string) bool
-	// Replicas is how many there are, Taken how many of them are taken for lost.
-	Replicas, Taken int
+	Known, Suspected func(replica string) bool
+	// Replicas is how many there are, SuspectedCount how many of them are taken for lost.
+	Replicas, SuspectedCount int
 }
 
-// Verdict is what a node does about claims.
-type Verdict struct {
-	// Believe are claims that it takes for true, Look those of which it looks at the
+// Decision is what a node does about claims.
+type Decision struct {
+	// Accept are claims that it takes for true, Verify those of which it looks at the
 	// replica.
-	Believe, Look []Claim
+	Accept, Verify []Observation
 }
 
-// Judge decides on what others have seen.
-func Judge(claims []Claim, v View) Verdict {
-	var verdict Verdict
-	room := int(math.Floor(float64(v.Replicas)*MostTaken)) - v.Taken
-	for _, c := range claims {
-		if !v.Known(c.Replica) || c.Lost && v.Lost(c.Replica) {
+// Evaluate decides on what others have seen.
+func Evaluate(observations []Observation, v View) Decision {
+	var decision Decision
+	allowance := int(math.Floor(float64(v.Replicas)*MaxExcludedShare)) - v.SuspectedCount
+	for _, c := range observations {
+		if !v.Known(c.Replica) || c.Unreachable && v.Suspected(c.Replica) {
 			continue
 		}
 		switch {
-		case c.Nodes >= Enough && !c.Lost && !c.TurnsAway:
-			verdict.Believe = append(verdict.Believe, c)
-		case c.Nodes >= Enough && room > 0:
-			room--
-			verdict.Believe = append(verdict.Believe, c)
-		case c.TurnsAway: // there is nothing to look at: it answers all but requests
-		case v.Confirms(c.Replica):
-			verdict.Look = append(verdict.Look, c)
+		case c.Nodes >= Quorum && !c.Unreachable && !c.Refusing:
+			decision.Accept = append(decision.Accept, c)
+		case c.Nodes >= Quorum && allowance > 0:
+			allowance--
+			decision.Accept = append(decision.Accept, c)
+		case c.Refusing: // there is nothing to look at: it answers all but requests
+		case v.Verifies(c.Replica):
+			decision.Verify = append(decision.Verify, c)
 		}
 	}
-	return verdict
+	return decision
 }
 
-// Confirms says whether the node is one of those that look at a replica for all.
-func (v View) Confirms(replica string) bool {
+// Verifies says whether the node is one of those that look at a replica for all.
+func (v View) Verifies(replica string) bool {
 	key := rendezvous.Hash(replica)
 	own := rendezvous.Score(key, rendezvous.Hash(v.Node))
-	before := 0
-	for _, name := range v.Near {
+	ranked := 0
+	for _, name := range v.DomainNodes {
 		if name != v.Node && rendezvous.Score(key, rendezvous.Hash(name)) > own {
-			before++
+			ranked++
 		}
 	}
-	return before < Confirmers
+	return ranked < Verifiers
 }
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -31,18 +31,18 @@
 	name   string
 	now    func() time.Time
 	own    func() map[string]float64
-	seen   func() []peerreports.Claim
+	seen   func() []peerreports.Observation
 	client *http.Client
 
 	mu       sync.Mutex
 	board    reservations.Board
-	evidence peerreports.Board
+	evidence peerreports.Aggregator
 	dropped  int
 }
 
 // New returns an Exchange of a node that knows nothing. own says what this node has
 // booked now, seen which replicas it has seen lost or slow.
-func New(name string, now func() time.Time, own func() map[string]float64, seen func() []peerreports.Claim) *Exchange {
+func New(name string, now func() time.Time, own func() map[string]float64, seen func() []peerreports.Observation) *Exchange {
 	return &Exchange{
 		name: name, now: now, own: own, seen: seen,
 		client: &http.Client{Timeout: timeout, Transport: &http.Transport{IdleConnTimeout: 30 * time.Second}},
@@ -64,11 +64,11 @@
 
 // Claims are what other nodes have seen of replicas, and how many claims were passed over
 // since the last call as no node would make them.
-func (e *Exchange) Claims() (claims []peerreports.Claim, dropped int) {
+func (e *Exchange) Claims() (claims []peerreports.Observation, dropped int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	dropped, e.dropped = e.dropped, 0
-	return e.evidence.Others(e.now()), dropped
+	return e.evidence.FromOthers(e.now()), dropped
 }
 
 // AsHub tells the other hubs of the failure domain what is known here, and hears what
@@ -79,7 +79,7 @@
 		own, seen := e.held(), e.seen()
 		e.mu.Lock()
 		local := e.board.Local(e.now(), own)
-		claims := e.evidence.Answer(e.now(), seen, hub.Name, true)
+		claims := e.evidence.ReplyTo(e.now(), seen, hub.Name, true)
 		e.mu.Unlock()
 		answer, err := e.call(ctx, hub, true, local, claims)
 		if err != nil {
@@ -110,7 +110,7 @@
 
 func (e *Exchange) held() reservations.Held { return reservations.Held{Nodes: 1, Amounts: e.own()} }
 
-func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Held, claims []peerreports.Claim) (*bookingspb.ExchangeResponse, error) {
+func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Held, claims []peerreports.Observation) (*bookingspb.ExchangeResponse, error) {
 	peer := bookingspb.NewBookingsProtobufClient("http://"+to.Address, e.client)
 	answer, err := peer.Exchange(ctx, &bookingspb.ExchangeRequest{Node: e.name, Hub: hub, Held: toWire(held), Claims: claimsToWire(claims)})
 	return answer, Error.Wrap(err)
@@ -121,10 +121,10 @@
 	defer e.mu.Unlock()
 	if alone {
 		e.board.Follow(from.Name)
-		e.evidence.Follow(from.Name)
+		e.evidence.KeepOnly(from.Name)
 	}
 	e.board.Tell(e.now(), from.Name, true, fromWire(answer.GetHeld()))
-	e.dropped += e.evidence.Tell(e.now(), from.Name, true, claimsFromWire(answer.GetClaims()))
+	e.dropped += e.evidence.Record(e.now(), from.Name, true, claimsFromWire(answer.GetClaims()))
 }
 
 // server answers other nodes.
@@ -137,29 +137,29 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	e.dropped += e.evidence.Tell(now, request.GetNode(), request.GetHub(), claimsFromWire(request.GetClaims()))
+	e.dropped += e.evidence.Record(now, request.GetNode(), request.GetHub(), claimsFromWire(request.GetClaims()))
 	e.board.Tell(now, request.GetNode(), request.GetHub(), fromWire(request.GetHeld()))
 	answer := e.board.Answer(now, own, request.GetNode(), request.GetHub())
-	claims := e.evidence.Answer(now, seen, request.GetNode(), request.GetHub())
+	claims := e.evidence.ReplyTo(now, seen, request.GetNode(), request.GetHub())
 	return &bookingspb.ExchangeResponse{Held: toWire(answer), Claims: claimsToWire(claims)}, nil
 }
 
-func claimsToWire(claims []peerreports.Claim) []*bookingspb.Claim {
+func claimsToWire(claims []peerreports.Observation) []*bookingspb.Claim {
 	wire := make([]*bookingspb.Claim, 0, len(claims))
 	for _, c := range claims {
 		wire = append(wire, &bookingspb.Claim{
-			Replica: c.Replica, Lost: c.Lost, TurnsAway: c.TurnsAway, Pace: float32(c.Pace),
+			Replica: c.Replica, Lost: c.Unreachable, TurnsAway: c.Refusing, Pace: float32(c.Slowdown),
 			AgeMillis: int32(c.Age.Milliseconds()), Nodes: int32(c.Nodes),
 		})
 	}
 	return wire
 }
 
-func claimsFromWire(wire []*bookingspb.Claim) []peerreports.Claim {
-	claims := make([]peerreports.Claim, 0, len(wire))
+func claimsFromWire(wire []*bookingspb.Claim) []peerreports.Observation {
+	claims := make([]peerreports.Observation, 0, len(wire))
 	for _, c := range wire {
-		claims = append(claims, peerreports.Claim{
-			Replica: c.GetReplica(), Lost: c.GetLost(), TurnsAway: c.GetTurnsAway(), Pace: float64(c.GetPace()),
+		claims = append(claims, peerreports.Observation{
+			Replica: c.GetReplica(), Unreachable: c.GetLost(), Refusing: c.GetTurnsAway(), Slowdown: float64(c.GetPace()),
 			Age: time.Duration(c.GetAgeMillis()) * time.Millisecond, Nodes: int(c.GetNodes()),
 		})
 	}
--- a/fleet/bookings/bookings_test.go
+++ b/fleet/bookings/bookings_test.go
@@ -17,9 +17,9 @@
 	server *httptest.Server
 }
 
-func start(t *testing.T, name string, booked float64, seen ...peerreports.Claim) node {
+func start(t *testing.T, name string, booked float64, seen ...peerreports.Observation) node {
 	t.Helper()
-	e := New(name, time.Now, func() map[string]float64 { return map[string]float64{"r": booked} }, func() []peerreports.Claim { return seen })
+	e := New(name, time.Now, func() map[string]float64 { return map[string]float64{"r": booked} }, func() []peerreports.Observation { return seen })
 	server := httptest.NewServer(e.Handler())
 	t.Cleanup(server.Close)
 	t.Cleanup(e.Close)
@@ -80,9 +80,9 @@
 // node hears of both, with how many have seen them, and none hears its own word.
 func TestClaimsAreTold(t *testing.T) {
 	ctx := context.Background()
-	lost := peerreports.Claim{Replica: "r", Lost: true, Nodes: 1}
-	away := peerreports.Claim{Replica: "u", TurnsAway: true, Nodes: 1}
-	hub := start(t, "hub", 1, peerreports.Claim{Replica: "s", Pace: 4, Nodes: 1})
+	lost := peerreports.Observation{Replica: "r", Unreachable: true, Nodes: 1}
+	away := peerreports.Observation{Replica: "u", Refusing: true, Nodes: 1}
+	hub := start(t, "hub", 1, peerreports.Observation{Replica: "s", Slowdown: 4, Nodes: 1})
 	a, b, c := start(t, "a", 1, lost), start(t, "b", 1, lost, away), start(t, "c", 1)
 	for _, leaf := range []node{a, b, c} {
 		if err := leaf.AsLeaf(ctx, []Peer{hub.peer}); err != nil {
@@ -97,7 +97,7 @@
 		got := map[string]int{}
 		for _, claim := range claims {
 			got[claim.Replica] = claim.Nodes
-			if claim.TurnsAway != (claim.Replica == "u") {
+			if claim.Refusing != (claim.Replica == "u") {
 				t.Errorf("%s: %+v", n.name, claim)
 			}
 		}
--- a/node/site/peers.go
+++ b/node/site/peers.go
@@ -64,15 +64,15 @@
 }
 
 // heed does what is to be done about what other nodes have seen of a model's replicas.
-func (n *Node) heed(ctx context.Context, service string, model *targets.Model, claims []peerreports.Claim) {
+func (n *Node) heed(ctx context.Context, service string, model *targets.Model, claims []peerreports.Observation) {
 	near, _ := n.peers(n.settings.Domain)
 	verdict := model.Judge(n.settings.Node, near, claims)
-	for _, c := range verdict.Believe {
-		if c.Lost {
+	for _, c := range verdict.Accept {
+		if c.Unreachable {
 			n.log.Info("replica out of reach of other nodes", "service", service, "replica", c.Replica, "nodes", c.Nodes, "age_ms", c.Age.Milliseconds())
 		}
 	}
-	for _, c := range verdict.Look {
+	for _, c := range verdict.Verify {
 		go n.lookAt(ctx, service, model, c)
 	}
 }
@@ -95,12 +95,12 @@
 }
 
 // lookAt finds out for itself what another node has seen.
-func (n *Node) lookAt(ctx context.Context, service string, model *targets.Model, c peerreports.Claim) {
+func (n *Node) lookAt(ctx context.Context, service string, model *targets.Model, c peerreports.Observation) {
 	r, ok := model.Replica(c.Replica)
 	if !ok {
 		return // it is no longer listed
 	}
-	if c.Lost {
+	if c.Unreachable {
 		for _, loss := range n.prober.Lost(ctx, connprobe.Told, []string{r.Address}) {
 			if model.Doubt(r.ID, loss.Silent) {
 				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.Silent, "told_by", c.Nodes)
@@ -118,8 +118,8 @@
 }
 
 // seen is what this node has seen of all models' replicas.
-func (s *services) seen() []peerreports.Claim {
-	var all []peerreports.Claim
+func (s *services) seen() []peerreports.Observation {
+	var all []peerreports.Observation
 	for _, model := range s.allModels() {
 		all = append(all, model.Seen()...)
 	}
--- a/route/targets/seen.go
+++ b/route/targets/seen.go
@@ -49,17 +49,17 @@
 }
 
 // Seen is what this node has seen of replicas itself, of late.
-func (m *Model) Seen() []peerreports.Claim {
+func (m *Model) Seen() []peerreports.Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.knowledge.forget(now)
-	var claims []peerreports.Claim
+	var claims []peerreports.Observation
 	for id, s := range m.knowledge.seen {
 		if !s.lost && !s.away && s.pace == 0 {
 			continue
 		}
-		claims = append(claims, peerreports.Claim{Replica: id, Lost: s.lost, TurnsAway: s.away, Pace: s.pace, Age: now.Sub(s.at), Nodes: 1})
+		claims = append(claims, peerreports.Observation{Replica: id, Unreachable: s.lost, Refusing: s.away, Slowdown: s.pace, Age: now.Sub(s.at), Nodes: 1})
 	}
 	return claims
 }
@@ -73,47 +73,47 @@
 
 // Judge decides on what other nodes have seen. It takes what it may believe, and returns
 // that and the replicas that this node is to look at.
-func (m *Model) Judge(node string, near []string, claims []peerreports.Claim) peerreports.Verdict {
+func (m *Model) Judge(node string, near []string, claims []peerreports.Observation) peerreports.Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.knowledge.forget(now)
-	verdict := peerreports.Judge(claims, peerreports.View{
-		Node: node, Near: near, Known: m.book.Known, Lost: m.book.Suspected,
-		Replicas: m.book.Len(), Taken: len(m.book.Suspects()),
+	verdict := peerreports.Evaluate(claims, peerreports.View{
+		Node: node, DomainNodes: near, Known: m.book.Known, Suspected: m.book.Suspected,
+		Replicas: m.book.Len(), SuspectedCount: len(m.book.Suspects()),
 	})
-	for _, c := range verdict.Believe {
+	for _, c := range verdict.Accept {
 		m.believe(now, c)
 	}
-	look := verdict.Look[:0]
-	for _, c := range verdict.Look {
+	look := verdict.Verify[:0]
+	for _, c := range verdict.Verify {
 		seen := m.knowledge.seen[c.Replica]
 		if now.Sub(m.knowledge.looked[c.Replica]) >= lookAgain && now.Sub(seen.at) >= lookAgain {
 			m.knowledge.looked[c.Replica] = now
 			look = append(look, c)
 		}
 	}
-	verdict.Look = look
+	verdict.Verify = look
 	return verdict
 }
 
 // believe takes a claim. A replica that others have lost gets no new requests; those that
 // run through it are led away once they go silent, as it may only be leaving, and go on
 // with what it has. The caller holds the lock.
-func (m *Model) believe(now time.Time, c peerreports.Claim) {
+func (m *Model) believe(now time.Time, c peerreports.Observation) {
 	if s, ok := m.knowledge.seen[c.Replica]; ok && now.Sub(s.at) <= c.Age {
 		return // this node has seen it later
 	}
 	m.knowledge.believed[c.Replica] = now
 	switch {
-	case c.Lost:
+	case c.Unreachable:
 		m.book.Suspect(now, c.Replica, false)
 		return
-	case c.TurnsAway:
+	case c.Refusing:
 		m.book.TurnsAway(now, c.Replica)
 		return
 	}
-	m.book.SetPace(c.Replica, c.Pace)
+	m.book.SetPace(c.Replica, c.Slowdown)
 }
 
 // Followed says whether others have told of a replica of late, so that this node need not
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -318,10 +318,10 @@
 // passed on would keep itself alive.
 func TestWordOfOthersIsNotPassedOn(t *testing.T) {
 	m := halves()
-	claims := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
+	claims := []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: peerreports.Quorum}, {Replica: "b1", Slowdown: 5, Nodes: peerreports.Quorum}}
 	near := []string{"n1", "n2", "n3", "n4", "n5"}
 	verdict := m.Judge("n4", near, claims)
-	if len(verdict.Believe) != 2 || len(m.Suspects()) != 1 || !m.Followed("b1") || len(m.Slow()) != 1 {
+	if len(verdict.Accept) != 2 || len(m.Suspects()) != 1 || !m.Followed("b1") || len(m.Slow()) != 1 {
 		t.Fatalf("%+v", verdict)
 	}
 	if seen := m.Seen(); len(seen) != 0 {
@@ -352,7 +352,7 @@
 	m.Update(llm, []*replicalist.Replica{part("a1", 0, 4), part("b1", 4, 8)}, all(10))
 	looks := 0
 	for range 20 {
-		looks += len(m.Judge("n1", []string{"n1"}, []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
+		looks += len(m.Judge("n1", []string{"n1"}, []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: 1}}).Verify)
 		now = now.Add(lookAgain / 10)
 	}
 	if looks != 2 {
@@ -374,7 +374,7 @@
 	looks := 0
 	for range 40 {
 		for i, m := range nodes {
-			for _, c := range m.Judge(names[i], names, nodes[1-i].Seen()).Look {
+			for _, c := range m.Judge(names[i], names, nodes[1-i].Seen()).Verify {
 				looks++
 				m.SetPace(c.Replica, 1)
 			}
@@ -385,11 +385,11 @@
 		t.Errorf("%d looks at a replica that never was slow", looks)
 	}
 	nodes[0].SetPace("a1", 5)
-	if look := nodes[1].Judge("n2", names, nodes[0].Seen()).Look; len(look) != 1 {
+	if look := nodes[1].Judge("n2", names, nodes[0].Seen()).Verify; len(look) != 1 {
 		t.Errorf("a slow one is not looked at: %+v", look)
 	}
 	nodes[0].SetPace("a1", 1)
-	if seen := nodes[0].Seen(); len(seen) != 1 || seen[0].Pace != 1 {
+	if seen := nodes[0].Seen(); len(seen) != 1 || seen[0].Slowdown != 1 {
 		t.Errorf("that it is well again is not told: %+v", seen)
 	}
 }
@@ -419,9 +419,9 @@
 func TestRefusalsOfOthersAreHeeded(t *testing.T) {
 	m := halves()
 	near := []string{"n1", "n2", "n3", "n4"}
-	claims := []peerreports.Claim{{Replica: "a1", TurnsAway: true, Nodes: peerreports.Enough}, {Replica: "b1", TurnsAway: true, Nodes: 1}}
+	claims := []peerreports.Observation{{Replica: "a1", Refusing: true, Nodes: peerreports.Quorum}, {Replica: "b1", Refusing: true, Nodes: 1}}
 	verdict := m.Judge("n4", near, claims)
-	if len(verdict.Believe) != 1 || len(verdict.Look) != 0 || len(m.Suspects()) != 0 {
+	if len(verdict.Accept) != 1 || len(verdict.Verify) != 0 || len(m.Suspects()) != 0 {
 		t.Fatalf("%+v", verdict)
 	}
 	target := take(t, m, 10)
@@ -432,7 +432,7 @@
 		t.Errorf("passed on: %+v", seen)
 	}
 	m.Ended(target, Result{Fault: "a2", NoRoom: true})
-	if seen := m.Seen(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].TurnsAway {
+	if seen := m.Seen(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].Refusing {
 		t.Errorf("what this node was refused: %+v", seen)
 	}
 }
