--- a/decide/storereaders/storereaders.go
+++ b/decide/storereaders/storereaders.go
@@ -43,24 +43,24 @@
 	Name, Domain string
 	// Address is where it is asked; "" if it can't be.
 	Address string
-	// Entered is set if it has an entry of its own; the others are listed by one that has.
-	Entered bool
-	// Link is what its VM may send, in Mbit/s; 0 if that is not known.
-	Link float64
+	// HasEntry is set if it has an entry of its own; the others are listed by one that has.
+	HasEntry bool
+	// LinkMbps is what its VM may send, in Mbit/s; 0 if that is not known.
+	LinkMbps float64
 }
 
-// reader says whether a member may be one of its domain's readers.
-func (m Member) reader() bool { return m.Entered && m.Address != "" }
+// eligible says whether a member may be one of its domain's readers.
+func (m Member) eligible() bool { return m.HasEntry && m.Address != "" }
 
-// Of returns the nodes that read for a failure domain, in order.
-func Of(domain string, members []Member) []Member {
-	list := filter(members, func(m Member) bool { return m.Domain == domain && m.reader() })
+// ForDomain returns the nodes that read for a failure domain, in order.
+func ForDomain(domain string, members []Member) []Member {
+	list := selectSorted(members, func(m Member) bool { return m.Domain == domain && m.eligible() })
 	return list[:min(len(list), PerDomain)]
 }
 
-// filter returns some of the members, each once, those with more of a link first, and by
+// selectSorted returns some of the members, each once, those with more of a link first, and by
 // name.
-func filter(members []Member, keep func(Member) bool) []Member {
+func selectSorted(members []Member, keep func(Member) bool) []Member {
 	var list []Member
 	for _, m := range members {
 		if keep(m) {
@@ -68,96 +68,96 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b Member) int {
-		return cmp.Or(cmp.Compare(b.Link, a.Link), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(b.LinkMbps, a.LinkMbps), cmp.Compare(a.Name, b.Name))
 	})
 	return slices.CompactFunc(list, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// Reads says whether a node is one of its domain's readers. Where there is none, every
+// IsReader says whether a node is one of its domain's readers. Where there is none, every
 // node is.
-func Reads(name, domain string, members []Member) bool {
-	list := Of(domain, members)
-	return len(list) == 0 || rank(name, list) >= 0
+func IsReader(name, domain string, members []Member) bool {
+	list := ForDomain(domain, members)
+	return len(list) == 0 || indexOf(name, list) >= 0
 }
 
-// Enters says whether a node needs an entry of its own: a reader, the first of the others
+// NeedsEntry says whether a node needs an entry of its own: a reader, the first of the others
 // where readers are missing, and any where there is none.
-func Enters(name, domain string, members []Member) bool {
-	list := Of(domain, members)
-	if len(list) == 0 || rank(name, list) >= 0 {
+func NeedsEntry(name, domain string, members []Member) bool {
+	list := ForDomain(domain, members)
+	if len(list) == 0 || indexOf(name, list) >= 0 {
 		return true
 	}
-	others := filter(members, func(m Member) bool { return m.Domain == domain && rank(m.Name, list) < 0 })
-	place := rank(name, others)
-	if place < 0 || place >= PerDomain {
+	others := selectSorted(members, func(m Member) bool { return m.Domain == domain && indexOf(m.Name, list) < 0 })
+	position := indexOf(name, others)
+	if position < 0 || position >= PerDomain {
 		return false
 	}
-	least := list[len(list)-1].Link
-	return place < PerDomain-len(list) || least > 0 && others[place].Link >= betterTimes*least
+	weakestLink := list[len(list)-1].LinkMbps
+	return position < PerDomain-len(list) || weakestLink > 0 && others[position].LinkMbps >= replaceLinkFactor*weakestLink
 }
 
-// betterTimes: a node with so many times the link of a reader takes its place. All nodes
+// replaceLinkFactor: a node with so many times the link of a reader takes its place. All nodes
 // of the domain ask the first reader.
-const betterTimes = 2
+const replaceLinkFactor = 2
 
-// Lost is how a node stands that could not read the store.
-type Lost struct {
-	// Soon is between two tries of one that nobody reads for.
-	Soon time.Duration
-	// Failed is how often it has tried in vain, Near how many nodes its failure domain has.
-	Failed, Near int
-	// Reader is set for one of the domain's readers, Told if a reader before it was
+// RetryState is how a node stands that could not read the store.
+type RetryState struct {
+	// BaseInterval is between two tries of one that nobody reads for.
+	BaseInterval time.Duration
+	// Failures is how often it has tried in vain, DomainSize how many nodes its failure domain has.
+	Failures, DomainSize int
+	// IsReader is set for one of the domain's readers, ReaderReached if a reader before it was
 	// reached, though with nothing young to tell.
-	Reader, Told bool
+	IsReader, ReaderReached bool
 	// Starting is set until it has a configuration.
 	Starting bool
 }
 
 const (
-	// behind times Soon is between two tries of a reader that others come before.
-	behind = 3
-	// mostDoublings of the pause of a node that knows of no reader.
-	mostDoublings = 2
+	// backupReaderFactor times Soon is between two tries of a reader that others come before.
+	backupReaderFactor = 3
+	// maxDoublings of the pause of a node that knows of no reader.
+	maxDoublings = 2
 )
 
-// Retry is the mean pause before the store is tried again. The first reader tries often:
+// RetryInterval is the mean pause before the store is tried again. The first reader tries often:
 // it finds out for all when the store is back. The nodes that it reads for share the
 // tries by which they find out whether they reach the store where their readers don't.
 // Who knows of nobody tries less and less often: the whole fleet may do so at once. So does
 // a node that starts: until it has a configuration it serves nobody.
-func Retry(l Lost) time.Duration {
+func RetryInterval(s RetryState) time.Duration {
 	switch {
-	case l.Told && l.Reader:
-		return behind * l.Soon
-	case l.Told && !l.Starting:
-		return time.Duration(max(1, l.Near)) * l.Soon
-	case l.Reader && l.Near > 0:
-		return l.Soon
+	case s.ReaderReached && s.IsReader:
+		return backupReaderFactor * s.BaseInterval
+	case s.ReaderReached && !s.Starting:
+		return time.Duration(max(1, s.DomainSize)) * s.BaseInterval
+	case s.IsReader && s.DomainSize > 0:
+		return s.BaseInterval
 	}
-	return l.Soon << min(max(0, l.Failed-1), mostDoublings)
+	return s.BaseInterval << min(max(0, s.Failures-1), maxDoublings)
 }
 
-func rank(name string, list []Member) int {
+func indexOf(name string, list []Member) int {
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == name })
 }
 
-// Ask returns whom a node asks before it reads for itself, in order: a reader those
+// ReadersToAsk returns whom a node asks before it reads for itself, in order: a reader those
 // before it, any other node all readers. What the first that reaches the store tells is
 // the youngest, so the questions can't be shared.
-func Ask(name, domain string, members []Member) []Member {
-	list := Of(domain, members)
-	if own := rank(name, list); own >= 0 {
+func ReadersToAsk(name, domain string, members []Member) []Member {
+	list := ForDomain(domain, members)
+	if own := indexOf(name, list); own >= 0 {
 		list = list[:own]
 	}
-	return Peers(name, 0, list)
+	return CallableFrom(name, 0, list)
 }
 
-// Peers returns those of a list that a node can call, beginning with one drawn for it.
-func Peers(name string, draw int, list []Member) []Member {
+// CallableFrom returns those of a list that a node can call, beginning with one drawn for it.
+func CallableFrom(name string, offset int, list []Member) []Member {
 	list = slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return m.Name == name || m.Address == "" })
 	if len(list) == 0 {
 		return nil
 	}
-	first := draw % len(list)
+	first := offset % len(list)
 	return append(list[first:], list[:first]...)
 }
--- a/decide/storereaders/storereaders_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -7,13 +7,13 @@
 )
 
 // fleet is one in which the first nodes of each domain have entries of their own.
-func fleet(domains, each, entered int) []Member {
+func fleet(domains, perDomain, withEntry int) []Member {
 	var list []Member
 	for d := range domains {
-		for i := range each {
+		for i := range perDomain {
 			m := Member{Name: fmt.Sprintf("n%d-%02d", d, i), Domain: fmt.Sprint("d", d)}
-			if i < entered {
-				m.Address, m.Entered = "a", true
+			if i < withEntry {
+				m.Address, m.HasEntry = "a", true
 			}
 			list = append(list, m)
 		}
@@ -22,12 +22,12 @@
 }
 
 // Three of each domain may read, in a small fleet every node.
-func TestWhoReads(t *testing.T) {
+func TestReadersPerDomain(t *testing.T) {
 	for _, c := range []struct{ each, want int }{{2, 2}, {3, 3}, {28, 3}, {700, 3}} {
 		members := fleet(3, c.each, 3)
 		reading := 0
 		for _, m := range members {
-			if Reads(m.Name, m.Domain, members) {
+			if IsReader(m.Name, m.Domain, members) {
 				reading++
 			}
 		}
@@ -35,46 +35,46 @@
 			t.Errorf("%d nodes a domain: %d read, want %d", c.each, reading, 3*c.want)
 		}
 	}
-	if Reads("new", "d0", fleet(1, 50, 3)) {
+	if IsReader("new", "d0", fleet(1, 50, 3)) {
 		t.Error("a node that is not listed yet has readers to ask")
 	}
-	if !Reads("new", "d1", fleet(1, 50, 3)) {
+	if !IsReader("new", "d1", fleet(1, 50, 3)) {
 		t.Error("a node whose domain has no reader has nobody to ask")
 	}
 }
 
 // A node that is not listed yet asks the readers, so that it gets listed without a call
 // to the store; one that can't be asked is nobody's reader.
-func TestWhoIsAsked(t *testing.T) {
+func TestReadersToAsk(t *testing.T) {
 	members := fleet(2, 50, 3)
 	members[0].Address = "" // entered, as no reader heard it
 	for _, name := range []string{"n0-40", "new"} {
 		got := ""
-		for _, m := range Ask(name, "d0", members) {
+		for _, m := range ReadersToAsk(name, "d0", members) {
 			got += m.Name + " "
 		}
 		if got != "n0-01 n0-02 " {
 			t.Errorf("%s asks %s", name, got)
 		}
 	}
-	if asked := Ask("n0-01", "d0", members); len(asked) != 0 {
+	if asked := ReadersToAsk("n0-01", "d0", members); len(asked) != 0 {
 		t.Errorf("the first reader asks %v", asked)
 	}
 }
 
 // While all is well one node of a domain reads; if it is lost, or loses the store, the
 // next does. Were all to read that may, a fleet would pay three times for the same.
-func TestOneReadsWhileAllIsWell(t *testing.T) {
+func TestOneReaderPerDomainReads(t *testing.T) {
 	for _, each := range []int{1, 2, 3, 28} {
 		members := fleet(3, each, 3)
 		for lost := range min(each, PerDomain) {
 			reading := 0
 			for _, m := range members {
 				answered := false
-				for _, asked := range Ask(m.Name, m.Domain, members) {
-					answered = answered || rank(asked.Name, Of(m.Domain, members)) >= lost
+				for _, asked := range ReadersToAsk(m.Name, m.Domain, members) {
+					answered = answered || indexOf(asked.Name, ForDomain(m.Domain, members)) >= lost
 				}
-				if rank(m.Name, Of(m.Domain, members)) >= lost && !answered {
+				if indexOf(m.Name, ForDomain(m.Domain, members)) >= lost && !answered {
 					reading++
 				}
 			}
@@ -87,7 +87,7 @@
 
 // Guards against a lease for each node: whatever the size, three of a domain have entries,
 // those that are missing are replaced, and a new node displaces none.
-func TestWhoHasAnEntry(t *testing.T) {
+func TestEntriesPerDomain(t *testing.T) {
 	for _, c := range []struct {
 		name                string
 		each, entered, want int
@@ -103,7 +103,7 @@
 		members := fleet(1, c.each, c.entered)
 		entering := 0
 		for _, m := range members {
-			if Enters(m.Name, m.Domain, members) {
+			if NeedsEntry(m.Name, m.Domain, members) {
 				entering++
 			}
 		}
@@ -111,7 +111,7 @@
 			t.Errorf("%s: %d of %d nodes have entries, want %d", c.name, entering, c.each, c.want)
 		}
 		first := len(members) == 0 || c.entered == 0
-		if Enters("a-new-one", "d0", members) != first {
+		if NeedsEntry("a-new-one", "d0", members) != first {
 			t.Errorf("%s: a new node enters: %v", c.name, !first)
 		}
 	}
@@ -123,25 +123,25 @@
 func TestLargeNodesBecomeReaders(t *testing.T) {
 	members := fleet(1, 40, 3)
 	for i := range members {
-		members[i].Link = 20
+		members[i].LinkMbps = 20
 		if i >= 35 {
-			members[i].Link = 200
+			members[i].LinkMbps = 200
 		}
 	}
 	for range 3 {
 		for i, m := range members {
-			members[i].Entered = Enters(m.Name, m.Domain, members)
+			members[i].HasEntry = NeedsEntry(m.Name, m.Domain, members)
 			members[i].Address = ""
-			if members[i].Entered {
+			if members[i].HasEntry {
 				members[i].Address = "a"
 			}
 		}
 	}
 	got := ""
-	for _, m := range Of("d0", members) {
+	for _, m := range ForDomain("d0", members) {
 		got += m.Name + " "
 	}
-	entered := filter(members, func(m Member) bool { return m.Entered })
+	entered := selectSorted(members, func(m Member) bool { return m.HasEntry })
 	if got != "n0-35 n0-36 n0-37 " || len(entered) != PerDomain {
 		t.Errorf("%s read, %d have entries", got, len(entered))
 	}
@@ -150,31 +150,31 @@
 // Guards against a fleet that calls a lost store without end. Eight seconds without the
 // store cost about as many calls with 42 nodes a domain as with three, and the first
 // reader finds out within a third of a second that it is back.
-func TestTriesWhileTheStoreIsLost(t *testing.T) {
-	const away, soon = 8 * time.Second, 300 * time.Millisecond
-	tries := func(near int) int {
-		members, made := fleet(1, near, 3), 0
+func TestRetryRateDuringStoreOutage(t *testing.T) {
+	const outage, baseInterval = 8 * time.Second, 300 * time.Millisecond
+	countTries := func(domainSize int) int {
+		members, tries := fleet(1, domainSize, 3), 0
 		for _, m := range members {
-			l := Lost{Soon: soon, Near: near, Reader: Reads(m.Name, m.Domain, members), Told: len(Ask(m.Name, m.Domain, members)) > 0}
-			for at := time.Duration(0); at < away; at += Retry(l) {
-				made++
-				l.Failed++
+			l := RetryState{BaseInterval: baseInterval, DomainSize: domainSize, IsReader: IsReader(m.Name, m.Domain, members), ReaderReached: len(ReadersToAsk(m.Name, m.Domain, members)) > 0}
+			for at := time.Duration(0); at < outage; at += RetryInterval(l) {
+				tries++
+				l.Failures++
 			}
 		}
-		return made
+		return tries
 	}
-	small, large := tries(3), tries(42)
-	if alone := tries(1); alone < int(away/soon) {
-		t.Errorf("the first reader tries %d times", alone)
+	small, large := countTries(3), countTries(42)
+	if single := countTries(1); single < int(outage/baseInterval) {
+		t.Errorf("the first reader tries %d times", single)
 	}
 	if large > 2*small {
 		t.Errorf("%d calls with 3 nodes, %d with 42", small, large)
 	}
-	unknown := Lost{Soon: soon, Reader: true}
-	for at, made := time.Duration(0), 0; at < away; at += Retry(unknown) {
-		made++
-		unknown.Failed++
-		if made > 10 {
+	unknown := RetryState{BaseInterval: baseInterval, IsReader: true}
+	for at, tries := time.Duration(0), 0; at < outage; at += RetryInterval(unknown) {
+		tries++
+		unknown.Failures++
+		if tries > 10 {
 			t.Fatal("a node that knows of no other tries as often as the first reader of a domain")
 		}
 	}
@@ -183,16 +183,16 @@
 // A hundred nodes of a failure domain start at once, and the first try of one at the store
 // fails while its readers have nothing to tell yet. Were it to share its tries with the
 // others, it would serve nobody for half a minute.
-func TestNodeThatStartsDoesNotShareTries(t *testing.T) {
-	const soon = 300 * time.Millisecond
-	l := Lost{Soon: soon, Near: 100, Told: true, Failed: 1}
-	if shared := Retry(l); shared < 10*time.Second {
+func TestStartingNodeRetriesOnItsOwn(t *testing.T) {
+	const baseInterval = 300 * time.Millisecond
+	l := RetryState{BaseInterval: baseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
+	if shared := RetryInterval(l); shared < 10*time.Second {
 		t.Errorf("one that serves tries again after %v", shared)
 	}
 	l.Starting = true
-	for l.Failed = 1; l.Failed < 10; l.Failed++ {
-		if pause := Retry(l); pause > soon<<mostDoublings {
-			t.Errorf("one that starts tries again after %v, having failed %d times", pause, l.Failed)
+	for l.Failures = 1; l.Failures < 10; l.Failures++ {
+		if pause := RetryInterval(l); pause > baseInterval<<maxDoublings {
+			t.Errorf("one that starts tries again after %v, having failed %d times", pause, l.Failures)
 		}
 	}
 }
--- a/node/site/doors.go
+++ b/node/site/doors.go
@@ -74,7 +74,7 @@
 
 // stateOf says how a node is known: by an entry of its own, or as one that a reader lists.
 func stateOf(m node) string {
-	if m.Entered {
+	if m.HasEntry {
 		return "entered"
 	}
 	return "listed"
--- a/node/site/follow.go
+++ b/node/site/follow.go
@@ -179,8 +179,8 @@
 	}
 	n.poll.failed++
 	near, _ := n.peers(n.settings.Domain)
-	pause := storereaders.Retry(storereaders.Lost{
-		Soon: n.timing.PollSoon, Failed: n.poll.failed, Near: len(near), Reader: n.reads(), Told: reached,
+	pause := storereaders.RetryInterval(storereaders.RetryState{
+		BaseInterval: n.timing.PollSoon, Failures: n.poll.failed, DomainSize: len(near), IsReader: n.reads(), ReaderReached: reached,
 		Starting: n.rules.Load() == nil,
 	})
 	n.poll.next = time.Now().Add(pause/2 + rand.N(pause+1))
@@ -218,7 +218,7 @@
 // says whether one had anything young enough, and whether any was reached.
 func (n *Node) ask(ctx context.Context) (told, reached bool) {
 	young := time.Duration(float64(n.pollEvery()) * youngPart)
-	for _, m := range storereaders.Ask(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	for _, m := range storereaders.ReadersToAsk(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		answer, ok := n.askOne(ctx, m.Address, young)
 		reached = reached || answer.Reached
 		if ok {
@@ -258,5 +258,5 @@
 
 // reads says whether this node reads the store itself.
 func (n *Node) reads() bool {
-	return storereaders.Reads(n.settings.Node, n.settings.Domain, n.members.readers())
+	return storereaders.IsReader(n.settings.Node, n.settings.Domain, n.members.readers())
 }
--- a/node/site/listing.go
+++ b/node/site/listing.go
@@ -153,7 +153,7 @@
 // needsEntry says whether this node needs an entry of its own: as a reader, or as no
 // reader has heard it for as long as it would have been listed.
 func (n *Node) needsEntry() bool {
-	if storereaders.Enters(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	if storereaders.NeedsEntry(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		return true
 	}
 	heard := n.listing.heard
@@ -170,7 +170,7 @@
 		Name: n.settings.Node, Domain: n.settings.Domain, Callers: n.settings.Callers.String(),
 		Link: n.settings.LinkMbps, Leaving: n.leavingFor() > 0, Near: n.listing.near(time.Now()),
 	}
-	if storereaders.Enters(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	if storereaders.NeedsEntry(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		m.Peers = n.peersAddress()
 	}
 	return m
@@ -272,7 +272,7 @@
 		}
 		return
 	}
-	for _, m := range storereaders.Ask(n.settings.Node, n.settings.Domain, n.members.readers()) {
+	for _, m := range storereaders.ReadersToAsk(n.settings.Node, n.settings.Domain, n.members.readers()) {
 		if err := n.asker.Leave(ctx, m.Address, n.settings.Node); err != nil {
 			n.log.Debug("reader not told", "node", m.Name, "error", err)
 		}
--- a/node/site/listing_test.go
+++ b/node/site/listing_test.go
@@ -221,7 +221,7 @@
 	}, false)
 	got := map[string]string{}
 	for _, n := range m.get() {
-		got[n.Name] = fmt.Sprint(n.Callers, " ", n.Entered, " ", n.Address)
+		got[n.Name] = fmt.Sprint(n.Callers, " ", n.HasEntry, " ", n.Address)
 	}
 	want := map[string]string{"a": "a:1 true " + peer, "b": "b:2 true ", "c": "c:1 false ", "e": "e:1 false "}
 	if !maps.Equal(got, want) {
--- a/node/site/members.go
+++ b/node/site/members.go
@@ -91,14 +91,14 @@
 	for _, e := range entries {
 		for _, near := range e.Near {
 			if near.Valid() && !entries[near.Name].Leaving {
-				known[near.Name] = node{Member: storereaders.Member{Name: near.Name, Domain: e.Domain, Link: near.Link}, Callers: near.Callers}
+				known[near.Name] = node{Member: storereaders.Member{Name: near.Name, Domain: e.Domain, LinkMbps: near.Link}, Callers: near.Callers}
 			}
 		}
 	}
 	for _, e := range entries {
 		if !e.Leaving {
 			known[e.Name] = node{
-				Member: storereaders.Member{Name: e.Name, Domain: e.Domain, Address: e.Peers, Entered: true, Link: e.Link}, Callers: e.Callers,
+				Member: storereaders.Member{Name: e.Name, Domain: e.Domain, Address: e.Peers, HasEntry: true, LinkMbps: e.Link}, Callers: e.Callers,
 			}
 		}
 	}
@@ -162,10 +162,10 @@
 // the first of the domain's readers, or, where it has none, of all nodes with an entry.
 func (n *Node) keeps(domain string) bool {
 	list := n.members.readers()
-	if own := storereaders.Of(domain, list); len(own) > 0 {
+	if own := storereaders.ForDomain(domain, list); len(own) > 0 {
 		return own[0].Name == n.settings.Node
 	}
-	entered := slices.DeleteFunc(list, func(m storereaders.Member) bool { return !m.Entered })
+	entered := slices.DeleteFunc(list, func(m storereaders.Member) bool { return !m.HasEntry })
 	own := slices.DeleteFunc(slices.Clone(entered), func(m storereaders.Member) bool { return m.Domain != domain })
 	if len(own) == 0 {
 		own = entered
--- a/node/site/peers.go
+++ b/node/site/peers.go
@@ -53,8 +53,8 @@
 
 func (n *Node) exchangeBookings(ctx context.Context) error {
 	var hubs []bookings.Peer
-	may := storereaders.Of(n.settings.Domain, n.members.readers())
-	for _, m := range storereaders.Peers(n.settings.Node, int(n.seed%storereaders.PerDomain), may) {
+	may := storereaders.ForDomain(n.settings.Domain, n.members.readers())
+	for _, m := range storereaders.CallableFrom(n.settings.Node, int(n.seed%storereaders.PerDomain), may) {
 		hubs = append(hubs, bookings.Peer{Name: m.Name, Address: m.Address})
 	}
 	if n.reads() {
