--- a/decide/stall/stall.go
+++ b/decide/stall/stall.go
@@ -38,70 +38,70 @@
 const (
 	// weight of a new gap in the mean, and of the square of its distance from it in the
 	// variance.
-	meanWeight = 1.0 / 8
-	devWeight  = 1.0 / 4
-	// unusualDevs is by how many standard deviations an unusual gap is over the mean: of
+	meanWeight     = 1.0 / 8
+	varianceWeight = 1.0 / 4
+	// timeoutDeviations is by how many standard deviations an unusual gap is over the mean: of
 	// gaps that are spread normally one in a hundred million is.
-	unusualDevs = 5.6
-	// least is the shortest silence that is looked at, and settled the number of gaps
+	timeoutDeviations = 5.6
+	// minTimeout is the shortest silence that is looked at, and settled the number of gaps
 	// after which a stream's pace is known.
-	least   = 45 * time.Millisecond
-	settled = 4
-	// limitParts: no silence of more than this part of the pause that is on time is
+	minTimeout = 45 * time.Millisecond
+	minGaps    = 4
+	// maxPauseDivisor: no silence of more than this part of the pause that is on time is
 	// taken for usual; of a stream that is late no silence of more than lateTimes it.
-	limitParts = 2
-	lateTimes  = 2
+	maxPauseDivisor  = 2
+	slowStreamFactor = 2
 )
 
-// Pace is how a stream's events come. The zero value knows nothing yet. It is not safe
+// Detector is how a stream's events come. The zero value knows nothing yet. It is not safe
 // for concurrent use.
-type Pace struct {
-	gaps      int
-	mean, dev float64 // nanoseconds; dev is the standard deviation
-	longest   time.Duration
+type Detector struct {
+	gapCount   int
+	mean, dev  float64 // nanoseconds; dev is the standard deviation
+	longestGap time.Duration
 }
 
-// Heard notes the gap before an event.
-func (p *Pace) Heard(gap time.Duration) {
-	p.gaps++
-	p.longest = max(p.longest, gap)
-	g := float64(gap)
-	if p.gaps == 1 {
-		p.mean, p.dev = g, g/2
+// ObserveGap notes the gap before an event.
+func (p *Detector) ObserveGap(gap time.Duration) {
+	p.gapCount++
+	p.longestGap = max(p.longestGap, gap)
+	value := float64(gap)
+	if p.gapCount == 1 {
+		p.mean, p.dev = value, value/2
 		return
 	}
-	off := g - p.mean
+	deviation := value - p.mean
 	variance := p.dev * p.dev
-	p.dev = math.Sqrt(variance + devWeight*(off*off-variance))
-	p.mean += meanWeight * off
+	p.dev = math.Sqrt(variance + varianceWeight*(deviation*deviation-variance))
+	p.mean += meanWeight * deviation
 }
 
-// Vain notes that a path was looked at and nothing was lost: the stream is as slow as
+// FalseAlarm notes that a path was looked at and nothing was lost: the stream is as slow as
 // that now, and is looked at later until its gaps are usual again.
-func (p *Pace) Vain(silent time.Duration) {
-	p.dev = max(p.dev, (float64(silent)*vainFactor-p.mean)/unusualDevs)
+func (p *Detector) FalseAlarm(silent time.Duration) {
+	p.dev = max(p.dev, (float64(silent)*falseAlarmFactor-p.mean)/timeoutDeviations)
 }
 
-// vainFactor times the silence that was looked at in vain is what is looked at next.
-const vainFactor = 1.5
+// falseAlarmFactor times the silence that was looked at in vain is what is looked at next.
+const falseAlarmFactor = 1.5
 
-// Patience is the silence after which the path of a stream is looked at whose pauses are
+// Timeout is the silence after which the path of a stream is looked at whose pauses are
 // on time up to a limit.
-func (p *Pace) Patience(limit time.Duration) time.Duration {
-	most := limit / limitParts
-	if p.longest > limit {
-		most = limit * lateTimes
+func (p *Detector) Timeout(maxPause time.Duration) time.Duration {
+	maxTimeout := maxPause / maxPauseDivisor
+	if p.longestGap > maxPause {
+		maxTimeout = maxPause * slowStreamFactor
 	}
-	if p.gaps < settled {
-		return most
+	if p.gapCount < minGaps {
+		return maxTimeout
 	}
-	return min(most, max(least, time.Duration(p.mean+unusualDevs*p.dev)))
+	return min(maxTimeout, max(minTimeout, time.Duration(p.mean+timeoutDeviations*p.dev)))
 }
 
-// Again is how long after a look in vain the path of a stream is looked at again that has
+// RecheckAfter is how long after a look in vain the path of a stream is looked at again that has
 // been silent for a while: when that has doubled, or the pause is late. What ended its
 // parts after the silence began is rare, and a fleet whose replicas are slow would be
 // looked at by all its streams again and again.
-func Again(silent, limit time.Duration) time.Duration {
-	return max(least/2, min(silent, limit-silent))
+func RecheckAfter(silent, maxPause time.Duration) time.Duration {
+	return max(minTimeout/2, min(silent, maxPause-silent))
 }
--- a/route/relay/watch.go
+++ b/route/relay/watch.go
@@ -37,7 +37,7 @@
 	// last is when events last came, counted from the attempt's beginning; pace how they
 	// usually do, and patience the silence after which the path is looked at.
 	last     atomic.Int64
-	pace     stall.Pace
+	pace     stall.Detector
 	patience atomic.Int64
 	// vain is the silence of the last look that found nothing, until the next event.
 	vain atomic.Int64
@@ -96,16 +96,16 @@
 func (w *watch) heard() {
 	now := w.a.q.s.Now().Sub(w.a.begun)
 	if vain := w.vain.Swap(0); vain > 0 {
-		w.pace.Vain(time.Duration(vain))
+		w.pace.FalseAlarm(time.Duration(vain))
 	}
 	if last := w.last.Swap(int64(now)); last > 0 {
-		w.pace.Heard(now - time.Duration(last))
+		w.pace.ObserveGap(now - time.Duration(last))
 	}
 	if w.timer == nil {
 		return
 	}
 	w.a.target.Flight.Heard()
-	patience := w.pace.Patience(w.a.q.maxPause())
+	patience := w.pace.Timeout(w.a.q.maxPause())
 	w.patience.Store(int64(patience))
 	w.timer.Reset(patience)
 }
@@ -173,7 +173,7 @@
 	silent, late := w.silentFor(), w.a.q.maxPause()
 	w.vain.Store(int64(silent))
 	if silent < late {
-		w.timer.Reset(stall.Again(silent, late))
+		w.timer.Reset(stall.RecheckAfter(silent, late))
 		return
 	}
 	w.timer.Reset(stallAgain)
