--- a/decide/shardowner/shardowner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -18,7 +18,7 @@
 	return all
 }
 
-func choice(live []string) *Nodes {
+func newPicker(live []string) *Picker {
 	n := New()
 	n.SetLive(live)
 	return n
@@ -28,18 +28,18 @@
 // each move makes two nodes write one shard for a while.
 func TestPick(t *testing.T) {
 	Convey("Given nine nodes and 256 shards", t, func() {
-		nine, eight, held, moved := choice(names(9)), choice(names(8)), map[string]int{}, 0
+		nine, eight, owned, moved := newPicker(names(9)), newPicker(names(8)), map[string]int{}, 0
 		for i := range 256 {
 			shard := fmt.Sprint(i)
-			was := nine.Pick(start, shard)
-			held[was]++
-			if now := eight.Pick(start, shard); now != was && was != "vm-8" {
+			before := nine.Pick(start, shard)
+			owned[before]++
+			if now := eight.Pick(start, shard); now != before && before != "vm-8" {
 				moved++
 			}
 		}
-		So(len(held), ShouldEqual, 9)
+		So(len(owned), ShouldEqual, 9)
 		So(moved, ShouldEqual, 0)
-		for _, n := range held {
+		for _, n := range owned {
 			So(n, ShouldBeLessThan, 2*256/9)
 		}
 	})
@@ -52,13 +52,13 @@
 // shard stops answering; a hundred operations that waited for it fail together.
 // The next node takes the shard, and one operation a pause finds out whether
 // the owner is back.
-func TestSilentOwner(t *testing.T) {
+func TestUnresponsiveOwner(t *testing.T) {
 	Convey("Given a shard whose owner has not answered", t, func() {
-		n := choice(names(3))
+		n := newPicker(names(3))
 		first := n.Pick(start, "7")
-		So(n.Failed(start, first), ShouldEqual, MinPause)
+		So(n.RecordFailure(start, first), ShouldEqual, MinBackoff)
 		for range 100 {
-			So(n.Failed(start, first), ShouldEqual, 0)
+			So(n.RecordFailure(start, first), ShouldEqual, 0)
 		}
 		second := n.Pick(start, "7")
 		So(second, ShouldNotEqual, first)
@@ -69,11 +69,11 @@
 				at = at.Add(pause * time.Second)
 				So(n.Pick(at, "7"), ShouldEqual, first)
 				So(n.Pick(at, "7"), ShouldEqual, second)
-				So(n.Failed(at, first), ShouldEqual, min(2*pause*time.Second, MaxPause))
+				So(n.RecordFailure(at, first), ShouldEqual, min(2*pause*time.Second, MaxBackoff))
 			}
 		})
 		Convey("it is used again once it has answered", func() {
-			n.Answered(first)
+			n.RecordAnswer(first)
 			So(n.Pick(start, "7"), ShouldEqual, first)
 			So(n.Pick(start, "7"), ShouldEqual, first)
 		})
--- a/e2e/faultmatrix/order_test.go
+++ b/e2e/faultmatrix/order_test.go
@@ -163,7 +163,7 @@
 	nodes := shardowner.New()
 	nodes.SetLive([]string{"entry-1", "entry-2", "entry-3"})
 	key := ledger.Key{Team: harness.Team, Service: harness.Plain, Key: orderKey}
-	if got := nodes.Pick(time.Now(), shardowner.Shard(key.Shard())); got != "entry-1" {
+	if got := nodes.Pick(time.Now(), shardowner.ShardName(key.Shard())); got != "entry-1" {
 		t.Errorf("the order's shard is owned by %s", got)
 	}
 }
--- a/node/server/orders.go
+++ b/node/server/orders.go
@@ -22,7 +22,7 @@
 	server *Server
 
 	mu     sync.Mutex
-	owners *shardowner.Nodes
+	owners *shardowner.Picker
 	// stamp is of the members that owners was last given; so many were live, and
 	// this node owned so many shards.
 	stamp        *fleet.Member
@@ -38,7 +38,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.followLive()
-	picked := p.owners.Pick(time.Now(), shardowner.Shard(shard))
+	picked := p.owners.Pick(time.Now(), shardowner.ShardName(shard))
 	if picked == p.server.settings.Name {
 		return ""
 	}
@@ -89,7 +89,7 @@
 
 func (p *orderPeers) failed(node string, err error) {
 	p.mu.Lock()
-	pause := p.owners.Failed(time.Now(), node)
+	pause := p.owners.RecordFailure(time.Now(), node)
 	p.mu.Unlock()
 	if pause > 0 {
 		p.server.log.Warn("orders not taken by a peer, it is left out", "node", node, "pause", pause, "error", err)
@@ -98,7 +98,7 @@
 
 func (p *orderPeers) answered(node string) {
 	p.mu.Lock()
-	back := p.owners.Answered(node)
+	back := p.owners.RecordAnswer(node)
 	p.mu.Unlock()
 	if back {
 		p.server.log.Info("orders taken by a peer again", "node", node)
--- a/node/server/orders_test.go
+++ b/node/server/orders_test.go
@@ -81,22 +81,22 @@
 	p := newOrderPeers(&Server{settings: settings.Settings{Name: "near"}, log: hclog.NewNullLogger()})
 	p.owners.SetLive([]string{"far", "other"})
 	now := time.Now()
-	first := p.owners.Pick(now, shardowner.Shard(0))
+	first := p.owners.Pick(now, shardowner.ShardName(0))
 	p.Refused(first)
-	second := p.owners.Pick(now, shardowner.Shard(0))
+	second := p.owners.Pick(now, shardowner.ShardName(0))
 	if second == first || second == "" {
 		t.Fatalf("%q refused, and %q is asked next", first, second)
 	}
-	later := now.Add(shardowner.MinPause + time.Second)
-	if got := p.owners.Pick(later, shardowner.Shard(0)); got != first {
+	later := now.Add(shardowner.MinBackoff + time.Second)
+	if got := p.owners.Pick(later, shardowner.ShardName(0)); got != first {
 		t.Fatalf("after its pause %q is asked, not %q", got, first)
 	}
 	p.Refused(first)
-	if got := p.owners.Pick(now.Add(shardowner.MinPause+shardowner.MinPause/2), shardowner.Shard(0)); got != second {
+	if got := p.owners.Pick(now.Add(shardowner.MinBackoff+shardowner.MinBackoff/2), shardowner.ShardName(0)); got != second {
 		t.Errorf("it refused again, and after as short a pause %q is asked", got)
 	}
 	p.answered(first)
-	if got := p.owners.Pick(later, shardowner.Shard(0)); got != first {
+	if got := p.owners.Pick(later, shardowner.ShardName(0)); got != first {
 		t.Errorf("it answered, and %q is asked", got)
 	}
 }
--- a/node/server/share.go
+++ b/node/server/share.go
@@ -77,6 +77,6 @@
 	live := p.server.liveMembers()
 	p.owners.SetLive(live)
 	p.live = len(live)
-	p.shards = p.owners.Owned(p.server.settings.Name, ledger.Shards)
+	p.shards = p.owners.OwnedShards(p.server.settings.Name, ledger.Shards)
 	p.stamp = stamp
 }
