--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -32,8 +32,8 @@
 // ValidFor is how long what was told counts: three exchanges may be lost.
 const ValidFor = time.Second
 
-// Held is what some nodes have booked together.
-type Held struct {
+// Totals is what some nodes have booked together.
+type Totals struct {
 	// Nodes is how many.
 	Nodes int
 	// Amounts are by replica, in tokens times layers.
@@ -41,8 +41,8 @@
 }
 
 // Plus is the sum of two.
-func (h Held) Plus(other Held) Held {
-	sum := Held{Nodes: h.Nodes + other.Nodes, Amounts: maps.Clone(h.Amounts)}
+func (h Totals) Plus(other Totals) Totals {
+	sum := Totals{Nodes: h.Nodes + other.Nodes, Amounts: maps.Clone(h.Amounts)}
 	if sum.Amounts == nil {
 		sum.Amounts = map[string]float64{}
 	}
@@ -52,64 +52,64 @@
 	return sum
 }
 
-// entry is what one node told last.
-type entry struct {
-	at   time.Time
-	hub  bool
-	held Held
+// report is what one node told last.
+type report struct {
+	received time.Time
+	hub      bool
+	totals   Totals
 }
 
-// Board is what one node has been told. The zero value is ready. It is not safe for
+// Aggregator is what one node has been told. The zero value is ready. It is not safe for
 // concurrent use.
-type Board struct {
-	told map[string]entry
+type Aggregator struct {
+	latest map[string]report
 }
 
-// Tell notes what a node told: its own bookings, or, as a hub, a sum.
-func (b *Board) Tell(now time.Time, node string, hub bool, held Held) {
-	if b.told == nil {
-		b.told = map[string]entry{}
+// Record notes what a node told: its own bookings, or, as a hub, a sum.
+func (b *Aggregator) Record(now time.Time, node string, hub bool, totals Totals) {
+	if b.latest == nil {
+		b.latest = map[string]report{}
 	}
-	for name, e := range b.told {
-		if now.Sub(e.at) >= ValidFor {
-			delete(b.told, name)
+	for name, e := range b.latest {
+		if now.Sub(e.received) >= ValidFor {
+			delete(b.latest, name)
 		}
 	}
-	b.told[node] = entry{at: now, hub: hub, held: held}
+	b.latest[node] = report{received: now, hub: hub, totals: totals}
 }
 
-// Follow forgets all but what one hub told: its sum holds what any other told before.
-func (b *Board) Follow(hub string) {
-	maps.DeleteFunc(b.told, func(node string, _ entry) bool { return node != hub })
+// KeepOnly forgets all but what one hub told: its sum holds what any other told before.
+func (b *Aggregator) KeepOnly(hub string) {
+	maps.DeleteFunc(b.latest, func(node string, _ report) bool { return node != hub })
 }
 
-// Others is what all other nodes have booked, as far as it is known.
-func (b *Board) Others(now time.Time) Held {
-	return b.sum(now, func(string, entry) bool { return true })
+// FromOthers is what all other nodes have booked, as far as it is known.
+func (b *Aggregator) FromOthers(now time.Time) Totals {
+	return b.sum(now, func(string, report) bool { return true })
 }
 
-// Local is what a hub tells the others: its own and what it was told directly.
-func (b *Board) Local(now time.Time, own Held) Held {
-	return own.Plus(b.sum(now, func(_ string, e entry) bool { return !e.hub }))
+// HubTotals is what a hub tells the others: its own and what it was told directly.
+func (b *Aggregator) HubTotals(now time.Time, own Totals) Totals {
+	return own.Plus(b.sum(now, func(_ string, e report) bool { return !e.hub }))
 }
 
-// Answer is what a node that asked is told: another hub the local sum, any other node
+// ReplyTo is what a node that asked is told: another hub the local sum, any other node
 // all that is known but for its own.
-func (b *Board) Answer(now time.Time, own Held, asker string, hub bool) Held {
+func (b *Aggregator) ReplyTo(now time.Time, own Totals, asker string, hub bool) Totals {
 	if hub {
-		return b.Local(now, own)
+		return b.HubTotals(now, own)
 	}
-	return own.Plus(b.sum(now, func(node string, _ entry) bool { return node != asker }))
+	return own.Plus(b.sum(now, func(node string, _ report) bool { return node != asker }))
 }
 
-func (b *Board) sum(now time.Time, counts func(node string, e entry) bool) Held {
-	sum := Held{Amounts: map[string]float64{}}
-	for node, e := range b.told {
-		if now.Sub(e.at) >= ValidFor || !counts(node, e) {
+func (b *Aggregator) sum(now time.Time, include func(node string, e report) bool) Totals {
+	sum := Totals{Amounts: map[string]float64{}}
+	for node, e := range b.latest {
+		if now.Sub(e.received) >= ValidFor || !include(node, e) {
 			continue
 		}
-		sum.Nodes += e.held.Nodes
-		for replica, amount := range e.held.Amounts {
+		sum.Nodes += e.totals.Nodes
+		for replica, amount := range e.totals.Amounts {
 			sum.Amounts[replica] += amount
 		}
 	}
--- a/decide/reservations/reservations_test.go
+++ b/decide/reservations/reservations_test.go
@@ -8,37 +8,37 @@
 
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-func held(amount float64) Held {
-	return Held{Nodes: 1, Amounts: map[string]float64{"r": amount}}
+func oneNode(amount float64) Totals {
+	return Totals{Nodes: 1, Amounts: map[string]float64{"r": amount}}
 }
 
 // domain plays the exchanges of a failure domain: the first hubs nodes are hubs, the
 // others each ask one.
 type domain struct {
-	boards []Board
-	own    []float64
-	hubs   int
+	aggregators []Aggregator
+	own         []float64
+	hubs        int
 }
 
 func (d *domain) name(i int) string { return fmt.Sprint("n", i) }
 
 func (d *domain) exchange(now time.Time, i int) {
-	for _, hub := range d.asks(i) {
+	for _, hub := range d.hubsOf(i) {
 		asHub := i < d.hubs
-		tells := held(d.own[i])
+		sent := oneNode(d.own[i])
 		if asHub {
-			tells = d.boards[i].Local(now, tells)
+			sent = d.aggregators[i].HubTotals(now, sent)
 		}
-		d.boards[hub].Tell(now, d.name(i), asHub, tells)
-		answer := d.boards[hub].Answer(now, held(d.own[hub]), d.name(i), asHub)
+		d.aggregators[hub].Record(now, d.name(i), asHub, sent)
+		answer := d.aggregators[hub].ReplyTo(now, oneNode(d.own[hub]), d.name(i), asHub)
 		if !asHub {
-			d.boards[i].Follow(d.name(hub))
+			d.aggregators[i].KeepOnly(d.name(hub))
 		}
-		d.boards[i].Tell(now, d.name(hub), true, answer)
+		d.aggregators[i].Record(now, d.name(hub), true, answer)
 	}
 }
 
-func (d *domain) asks(i int) []int {
+func (d *domain) hubsOf(i int) []int {
 	if i >= d.hubs {
 		return []int{i % d.hubs}
 	}
@@ -53,9 +53,9 @@
 
 // After two rounds each node knows what all others have booked, once, however many hubs
 // there are.
-func TestEachKnowsTheOthers(t *testing.T) {
+func TestEachNodeCountsAllOthersOnce(t *testing.T) {
 	for _, c := range []struct{ nodes, hubs int }{{1, 1}, {2, 2}, {3, 3}, {9, 3}, {27, 3}, {5, 1}} {
-		d := &domain{boards: make([]Board, c.nodes), hubs: c.hubs}
+		d := &domain{aggregators: make([]Aggregator, c.nodes), hubs: c.hubs}
 		total := 0.0
 		for i := range c.nodes {
 			d.own = append(d.own, float64(i+1))
@@ -69,7 +69,7 @@
 			now = now.Add(300 * time.Millisecond)
 		}
 		for i := range c.nodes {
-			others := d.boards[i].Others(now)
+			others := d.aggregators[i].FromOthers(now)
 			if others.Nodes != c.nodes-1 || others.Amounts["r"] != total-d.own[i] {
 				t.Errorf("%d nodes, %d hubs: node %d knows of %d others with %v, want %v", c.nodes, c.hubs, i, others.Nodes, others.Amounts["r"], total-d.own[i])
 			}
@@ -79,19 +79,19 @@
 
 // A node dies or is cut off: what it told counts for a while and then no more. One that
 // turns to another hub is not counted twice by itself.
-func TestWhatWasToldEnds(t *testing.T) {
-	var b Board
-	b.Tell(start, "a", false, held(5))
-	b.Tell(start.Add(ValidFor/2), "b", false, held(7))
-	if got := b.Others(start.Add(ValidFor - 1)); got.Nodes != 2 || got.Amounts["r"] != 12 {
+func TestReportsExpire(t *testing.T) {
+	var b Aggregator
+	b.Record(start, "a", false, oneNode(5))
+	b.Record(start.Add(ValidFor/2), "b", false, oneNode(7))
+	if got := b.FromOthers(start.Add(ValidFor - 1)); got.Nodes != 2 || got.Amounts["r"] != 12 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Others(start.Add(ValidFor)); got.Nodes != 1 || got.Amounts["r"] != 7 {
+	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 1 || got.Amounts["r"] != 7 {
 		t.Errorf("%+v", got)
 	}
-	b.Follow("c")
-	b.Tell(start.Add(ValidFor), "c", true, Held{Nodes: 9, Amounts: map[string]float64{"r": 20}})
-	if got := b.Others(start.Add(ValidFor)); got.Nodes != 9 || got.Amounts["r"] != 20 {
+	b.KeepOnly("c")
+	b.Record(start.Add(ValidFor), "c", true, Totals{Nodes: 9, Amounts: map[string]float64{"r": 20}})
+	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 9 || got.Amounts["r"] != 20 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -35,7 +35,7 @@
 	client *http.Client
 
 	mu       sync.Mutex
-	board    reservations.Board
+	board    reservations.Aggregator
 	evidence peerreports.Aggregator
 	dropped  int
 }
@@ -56,10 +56,10 @@
 func (e *Exchange) Close() { e.client.CloseIdleConnections() }
 
 // Others is what other nodes have booked, as far as it is known.
-func (e *Exchange) Others() reservations.Held {
+func (e *Exchange) Others() reservations.Totals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.board.Others(e.now())
+	return e.board.FromOthers(e.now())
 }
 
 // Claims are what other nodes have seen of replicas, and how many claims were passed over
@@ -78,7 +78,7 @@
 	for _, hub := range hubs {
 		own, seen := e.held(), e.seen()
 		e.mu.Lock()
-		local := e.board.Local(e.now(), own)
+		local := e.board.HubTotals(e.now(), own)
 		claims := e.evidence.ReplyTo(e.now(), seen, hub.Name, true)
 		e.mu.Unlock()
 		answer, err := e.call(ctx, hub, true, local, claims)
@@ -108,9 +108,9 @@
 	return last
 }
 
-func (e *Exchange) held() reservations.Held { return reservations.Held{Nodes: 1, Amounts: e.own()} }
+func (e *Exchange) held() reservations.Totals { return reservations.Totals{Nodes: 1, Amounts: e.own()} }
 
-func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Held, claims []peerreports.Observation) (*bookingspb.ExchangeResponse, error) {
+func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Totals, claims []peerreports.Observation) (*bookingspb.ExchangeResponse, error) {
 	peer := bookingspb.NewBookingsProtobufClient("http://"+to.Address, e.client)
 	answer, err := peer.Exchange(ctx, &bookingspb.ExchangeRequest{Node: e.name, Hub: hub, Held: toWire(held), Claims: claimsToWire(claims)})
 	return answer, Error.Wrap(err)
@@ -120,10 +120,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if alone {
-		e.board.Follow(from.Name)
+		e.board.KeepOnly(from.Name)
 		e.evidence.KeepOnly(from.Name)
 	}
-	e.board.Tell(e.now(), from.Name, true, fromWire(answer.GetHeld()))
+	e.board.Record(e.now(), from.Name, true, fromWire(answer.GetHeld()))
 	e.dropped += e.evidence.Record(e.now(), from.Name, true, claimsFromWire(answer.GetClaims()))
 }
 
@@ -138,8 +138,8 @@
 	defer e.mu.Unlock()
 	now := e.now()
 	e.dropped += e.evidence.Record(now, request.GetNode(), request.GetHub(), claimsFromWire(request.GetClaims()))
-	e.board.Tell(now, request.GetNode(), request.GetHub(), fromWire(request.GetHeld()))
-	answer := e.board.Answer(now, own, request.GetNode(), request.GetHub())
+	e.board.Record(now, request.GetNode(), request.GetHub(), fromWire(request.GetHeld()))
+	answer := e.board.ReplyTo(now, own, request.GetNode(), request.GetHub())
 	claims := e.evidence.ReplyTo(now, seen, request.GetNode(), request.GetHub())
 	return &bookingspb.ExchangeResponse{Held: toWire(answer), Claims: claimsToWire(claims)}, nil
 }
@@ -166,7 +166,7 @@
 	return claims
 }
 
-func toWire(held reservations.Held) *bookingspb.Held {
+func toWire(held reservations.Totals) *bookingspb.Held {
 	wire := &bookingspb.Held{Nodes: int32(held.Nodes)}
 	for replica, amount := range held.Amounts {
 		wire.Replicas = append(wire.Replicas, replica)
@@ -177,8 +177,8 @@
 
 // fromWire reads what another node told. Of lists of different lengths, which no node
 // writes, the part that both have counts.
-func fromWire(wire *bookingspb.Held) reservations.Held {
-	held := reservations.Held{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
+func fromWire(wire *bookingspb.Held) reservations.Totals {
+	held := reservations.Totals{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
 	amounts := wire.GetAmounts()
 	for i, replica := range wire.GetReplicas() {
 		if i < len(amounts) && amounts[i] > 0 {
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -376,7 +376,7 @@
 
 // SetOthers notes what the other nodes of this one's failure domain have booked, as far
 // as it is known.
-func (m *Model) SetOthers(held reservations.Held) {
+func (m *Model) SetOthers(held reservations.Totals) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.book.SetOthers(m.domain, held.Nodes, held.Amounts)
