--- a/decide/nodelist/nodelist.go
+++ b/decide/nodelist/nodelist.go
@@ -31,87 +31,87 @@
 )
 
 const (
-	// Lives is how long a node is listed after it was last heard of.
-	Lives = 3 * time.Second
-	// Most is how many nodes one list holds.
-	Most = 1024
-	// mostBytes bounds a name or an address.
-	mostBytes = 100
+	// TTL is how long a node is listed after it was last heard of.
+	TTL = 3 * time.Second
+	// MaxNodes is how many nodes one list holds.
+	MaxNodes = 1024
+	// maxFieldBytes bounds a name or an address.
+	maxFieldBytes = 100
 )
 
 // Node is one that is listed.
 type Node struct {
 	Name string `json:"name"`
-	// Callers is where callers reach it.
-	Callers string `json:"callers"`
-	// Link is what its VM may send, in Mbit/s; 0 if that is not known.
-	Link float64 `json:"link,omitempty"`
+	// CallerAddress is where callers reach it.
+	CallerAddress string `json:"callers"`
+	// LinkMbps is what its VM may send, in Mbit/s; 0 if that is not known.
+	LinkMbps float64 `json:"link,omitempty"`
 }
 
 // Valid says whether a node may be listed.
 func (n Node) Valid() bool {
-	named := n.Name != "" && n.Callers != "" && len(n.Name) <= mostBytes && len(n.Callers) <= mostBytes
-	return named && n.Link >= 0 && !math.IsInf(n.Link, 0)
+	identified := n.Name != "" && n.CallerAddress != "" && len(n.Name) <= maxFieldBytes && len(n.CallerAddress) <= maxFieldBytes
+	return identified && n.LinkMbps >= 0 && !math.IsInf(n.LinkMbps, 0)
 }
 
-// Roll is the list of one node. The zero value is empty. It is not safe for concurrent
+// List is the list of one node. The zero value is empty. It is not safe for concurrent
 // use.
-type Roll struct {
-	heard map[string]heard
+type List struct {
+	entries map[string]entry
 }
 
-type heard struct {
-	node Node
-	at   time.Time
+type entry struct {
+	node      Node
+	lastHeard time.Time
 }
 
-// Tell notes that a node is there. It says whether the node is listed now: not if it may
+// Heartbeat notes that a node is there. It says whether the node is listed now: not if it may
 // not be, or if the list is full.
-func (r *Roll) Tell(now time.Time, node Node) bool {
+func (r *List) Heartbeat(now time.Time, node Node) bool {
 	if !node.Valid() {
 		return false
 	}
-	if r.heard == nil {
-		r.heard = map[string]heard{}
+	if r.entries == nil {
+		r.entries = map[string]entry{}
 	}
-	if _, known := r.heard[node.Name]; !known && len(r.heard) >= Most {
-		r.forget(now)
-		if len(r.heard) >= Most {
+	if _, known := r.entries[node.Name]; !known && len(r.entries) >= MaxNodes {
+		r.expire(now)
+		if len(r.entries) >= MaxNodes {
 			return false
 		}
 	}
-	r.heard[node.Name] = heard{node: node, at: now}
+	r.entries[node.Name] = entry{node: node, lastHeard: now}
 	return true
 }
 
-// Leaves takes a node off.
-func (r *Roll) Leaves(name string) { delete(r.heard, name) }
+// Remove takes a node off.
+func (r *List) Remove(name string) { delete(r.entries, name) }
 
-// Adopt takes over a list as if its nodes had been heard now; what was heard itself
+// Restore takes over a list as if its nodes had been heard now; what was heard itself
 // stays.
-func (r *Roll) Adopt(now time.Time, list []Node) {
+func (r *List) Restore(now time.Time, list []Node) {
 	for _, node := range list {
-		if _, known := r.heard[node.Name]; !known {
-			r.Tell(now, node)
+		if _, known := r.entries[node.Name]; !known {
+			r.Heartbeat(now, node)
 		}
 	}
 }
 
-// List returns the nodes that are there, by name.
-func (r *Roll) List(now time.Time) []Node {
-	r.forget(now)
-	list := make([]Node, 0, len(r.heard))
-	for _, h := range r.heard {
+// Nodes returns the nodes that are there, by name.
+func (r *List) Nodes(now time.Time) []Node {
+	r.expire(now)
+	list := make([]Node, 0, len(r.entries))
+	for _, h := range r.entries {
 		list = append(list, h.node)
 	}
 	slices.SortFunc(list, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-func (r *Roll) forget(now time.Time) {
-	for name, h := range r.heard {
-		if now.Sub(h.at) >= Lives {
-			delete(r.heard, name)
+func (r *List) expire(now time.Time) {
+	for name, h := range r.entries {
+		if now.Sub(h.lastHeard) >= TTL {
+			delete(r.entries, name)
 		}
 	}
 }
--- a/node/site/listing.go
+++ b/node/site/listing.go
@@ -34,7 +34,7 @@
 	heard time.Time
 
 	mu   sync.Mutex
-	roll nodelist.Roll
+	roll nodelist.List
 	// lists is set while this node has an entry and reaches the store: only then may it
 	// say that it lists others.
 	lists bool
@@ -57,13 +57,13 @@
 func (l *listing) near(now time.Time) []nodelist.Node {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.roll.List(now)
+	return l.roll.Nodes(now)
 }
 
 func (l *listing) adopt(now time.Time, list []nodelist.Node) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.roll.Adopt(now, list)
+	l.roll.Restore(now, list)
 }
 
 // Heard implements reads.Listener.
@@ -75,10 +75,10 @@
 	if p.Address != "" && p.Age > 0 && p.Age < n.Age() {
 		l.younger, l.youngerAt = p.Address, now
 	}
-	listed := l.roll.Tell(now, nodelist.Node{Name: p.Name, Callers: p.Callers, Link: p.Link})
+	listed := l.roll.Heartbeat(now, nodelist.Node{Name: p.Name, CallerAddress: p.Callers, LinkMbps: p.Link})
 	if !listed && !l.full {
 		l.full = true
-		n.log.Warn("node not listed", "node", p.Name, "most", nodelist.Most)
+		n.log.Warn("node not listed", "node", p.Name, "most", nodelist.MaxNodes)
 	}
 	return listed && l.lists && n.leavingFor() == 0
 }
@@ -87,7 +87,7 @@
 func (n *Node) Left(name string) {
 	n.listing.mu.Lock()
 	defer n.listing.mu.Unlock()
-	n.listing.roll.Leaves(name)
+	n.listing.roll.Remove(name)
 }
 
 // self is what this node says of itself when it asks.
@@ -160,7 +160,7 @@
 	if heard.IsZero() {
 		heard = n.started
 	}
-	return time.Since(heard) >= nodelist.Lives
+	return time.Since(heard) >= nodelist.TTL
 }
 
 // entry is this node's as of now. A node that is no reader can't be asked: the others
--- a/node/site/listing_test.go
+++ b/node/site/listing_test.go
@@ -120,7 +120,7 @@
 	p.until("the entry lacks it", func() bool {
 		return !slices.ContainsFunc(p.entries()["front-0"].Near, func(n nodelist.Node) bool { return n.Name == last.settings.Node })
 	})
-	if took := time.Since(before); took >= nodelist.Lives {
+	if took := time.Since(before); took >= nodelist.TTL {
 		t.Errorf("it was listed for %v", took)
 	}
 }
@@ -132,7 +132,7 @@
 	p := newPlatform(t)
 	p.chains(3, time.Millisecond)
 	old := member{Name: "front-0", Domain: "bandung", Callers: "10.0.0.1:80", Near: []nodelist.Node{
-		{Name: "front-5", Callers: "10.0.0.5:80"}, {Name: "front-6", Callers: "10.0.0.6:80"},
+		{Name: "front-5", CallerAddress: "10.0.0.5:80"}, {Name: "front-6", CallerAddress: "10.0.0.6:80"},
 	}}
 	value, err := json.Marshal(old)
 	if err != nil {
@@ -215,9 +215,9 @@
 	var m members
 	peer := netip.MustParseAddrPort("10.0.0.9:81").String()
 	m.set([]member{
-		{Name: "a", Domain: "d", Callers: "a:1", Peers: peer, Near: []nodelist.Node{{Name: "b", Callers: "b:old"}, {Name: "c", Callers: "c:1"}, {Name: "l", Callers: "l:1"}}},
+		{Name: "a", Domain: "d", Callers: "a:1", Peers: peer, Near: []nodelist.Node{{Name: "b", CallerAddress: "b:old"}, {Name: "c", CallerAddress: "c:1"}, {Name: "l", CallerAddress: "l:1"}}},
 		{Name: "b", Domain: "d", Callers: "b:2"},
-		{Name: "l", Domain: "d", Callers: "l:1", Leaving: true, Near: []nodelist.Node{{Name: "e", Callers: "e:1"}, {Name: "bad"}}},
+		{Name: "l", Domain: "d", Callers: "l:1", Leaving: true, Near: []nodelist.Node{{Name: "e", CallerAddress: "e:1"}, {Name: "bad"}}},
 	}, false)
 	got := map[string]string{}
 	for _, n := range m.get() {
--- a/node/site/members.go
+++ b/node/site/members.go
@@ -91,7 +91,7 @@
 	for _, e := range entries {
 		for _, near := range e.Near {
 			if near.Valid() && !entries[near.Name].Leaving {
-				known[near.Name] = node{Member: storereaders.Member{Name: near.Name, Domain: e.Domain, LinkMbps: near.Link}, Callers: near.Callers}
+				known[near.Name] = node{Member: storereaders.Member{Name: near.Name, Domain: e.Domain, LinkMbps: near.LinkMbps}, Callers: near.CallerAddress}
 			}
 		}
 	}
