--- a/decide/health/config.go
+++ b/decide/health/config.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Config; doc.go gives their grounds.
+// Defaults of Config; doc.go gives the reasons for the values.
 const (
 	DefaultInterval             = 500 * time.Millisecond
 	DefaultMinSamples           = 5
@@ -22,36 +22,39 @@
 	DefaultProbes               = 2
 )
 
-// Config sets a Detector. Zero values take the defaults.
+// Config configures a Detector. Zero values take the defaults.
 type Config struct {
-	// Interval between judgements.
+	// Interval is the time between evaluations.
 	Interval time.Duration
-	// MinSamples is how many answers an endpoint needs to be judged by its
-	// averages.
+	// MinSamples is the number of responses after which the averages of an endpoint are
+	// evaluated.
 	MinSamples int
-	// MaxConsecutive failures eject at once.
+	// MaxConsecutive is the number of consecutive failures that ejects an endpoint at
+	// once.
 	MaxConsecutive int
-	// ErrorShare of failures ejects.
+	// ErrorShare is the share of failures above which an endpoint is ejected.
 	ErrorShare float64
-	// LatencyFactor times the median delay, and at least LatencyFloor above it,
-	// ejects.
+	// An endpoint is ejected as slow if its delay exceeds LatencyFactor times the median
+	// and is at least LatencyFloor above the median.
 	LatencyFactor float64
 	LatencyFloor  time.Duration
-	// SilenceFactor times the median time to a first sign, and at least
-	// SilenceFloor above it, ejects if nothing is heard.
+	// An endpoint with outstanding requests is ejected as silent if it sends nothing for
+	// SilenceFactor times the median time to a first response plus SilenceFloor.
 	SilenceFactor float64
 	SilenceFloor  time.Duration
-	// BaseEjection is the time of a first ejection; it doubles with each
-	// further one up to MaxEjection.
+	// BaseEjection is the duration of a first ejection. It doubles with each further
+	// ejection up to MaxEjection.
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
-	// MaxEjectedShare is the largest part of the endpoints up to which slow and
-	// erring ones are ejected, MaxLostShare up to which unanswering ones are.
+	// MaxEjectedShare is the largest share of the endpoints that may be out of rotation
+	// after an ejection for slowness or for the share of errors. MaxUnresponsiveShare
+	// applies to the other causes.
 	MaxEjectedShare      float64
 	MaxUnresponsiveShare float64
-	// Probes in a row must succeed before an endpoint returns.
+	// Probes is the number of consecutive successful probes after which an endpoint
+	// returns.
 	Probes int
-	// Seed of the jitter; nodes take different ones.
+	// Seed of the ejection jitter. Each node takes a different one.
 	Seed uint64
 }
 
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	delayGain   = 0.2 // of the moving average of delays
-	failureGain = 0.1 // of the moving average of failures
-	// commonFailureShare is the failure share of the median endpoint above which
-	// failures speak against the requests, not against single endpoints.
+	delayGain   = 0.2 // weight of a new delay in the moving average
+	failureGain = 0.1 // weight of a new outcome in the moving average of failures
+	// commonFailureShare is the failure share of the median endpoint above which the
+	// requests or a shared dependency are taken as the cause, not single endpoints.
 	commonFailureShare = 0.25
-	// minGroupSize is the smallest group that has a median of its own.
+	// minGroupSize is the smallest group that is compared with its own median.
 	minGroupSize = 3
 	maxSlowness  = 4.0
-	// ejectionJitter is the part by which the time of an ejection varies, so that nodes
-	// which lost an endpoint together do not probe it together.
+	// ejectionJitter is the part by which the duration of an ejection varies, so that
+	// nodes that ejected an endpoint at the same time do not probe it at the same time.
 	ejectionJitter = 0.2
 )
 
@@ -24,12 +24,12 @@
 type Detector struct {
 	cfg            Config
 	endpoints      []*Endpoint
-	outOfRotation  int // ejected or probing
+	outOfRotation  int // endpoints that are ejected or probing
 	version        uint64
 	nextEvaluation time.Time
-	commonFailure  bool               // failures are common to all
-	medianDelay    float64            // delay over all, seconds
-	groupMedians   map[string]float64 // median delay by group, of this judgement
+	commonFailure  bool               // failures are common to all endpoints
+	medianDelay    float64            // over all endpoints, seconds
+	groupMedians   map[string]float64 // median delay by group, seconds; cleared by each evaluation
 	random         *rand.Rand
 	scratch        []float64
 }
@@ -44,8 +44,8 @@
 	}
 }
 
-// Track adds an endpoint. Its group holds those it is compared with, such as
-// its failure domain.
+// Track adds an endpoint. It is compared with the endpoints of its group, such as its
+// failure domain.
 func (d *Detector) Track(group string) *Endpoint {
 	e := &Endpoint{group: group, slowness: 1}
 	d.endpoints = append(d.endpoints, e)
@@ -70,7 +70,7 @@
 // OutOfRotation returns how many endpoints are ejected or probing.
 func (d *Detector) OutOfRotation() int { return d.outOfRotation }
 
-// Due reports whether Judge should be called.
+// Due reports whether Evaluate should be called.
 func (d *Detector) Due(now time.Time) bool { return !now.Before(d.nextEvaluation) }
 
 // Sent records a request to the endpoint.
@@ -82,17 +82,17 @@
 	e.probeInFlight = e.state == Probing
 }
 
-// FirstResponse records the first sign of an answer to a request, or its end if there
-// was none before, after the given time.
+// FirstResponse records the first part of a response, or the end of a request that got
+// none, after the given time.
 func (d *Detector) FirstResponse(now time.Time, e *Endpoint, after time.Duration) {
 	e.unanswered = max(0, e.unanswered-1)
 	e.lastHeard = now
 	e.responseTime = movingAverage(e.responseTime, after.Seconds(), delayGain)
 }
 
-// ObserveDelay records the delay of an answer that is still underway; its end
-// is given to Observe without a delay. The start of an answer is no proof of
-// health: an endpoint that breaks every stream starts them all in good time.
+// ObserveDelay records the delay of a response that is still in progress; its end is then
+// passed to Observe without a delay. The start of a response does not prove health: an
+// endpoint that breaks every stream also starts every stream in time.
 func (d *Detector) ObserveDelay(now time.Time, e *Endpoint, delay time.Duration) {
 	e.recordDelay(delay)
 	if e.state == Probing && d.isSlow(delay.Seconds(), d.medianDelay) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// probeCanceled lets another probe go out if the caller of the last one gave up;
-// else an endpoint whose probe was cancelled would stay out for good.
+// probeCanceled allows another probe if the caller of the last one gave up. Otherwise an
+// endpoint whose probe was canceled would stay out of rotation forever.
 func (d *Detector) probeCanceled(now time.Time, e *Endpoint, o Outcome) {
 	if e.state == Probing && !now.Add(-o.Age).Before(e.probingSince) {
 		e.probeInFlight = false
@@ -129,8 +129,8 @@
 	}
 }
 
-// recordProbe takes only requests sent since the probing began: those from
-// before the ejection tell of the old fault.
+// recordProbe evaluates the outcome of a request sent since the probing began. Older
+// requests were sent before the ejection and reflect the old fault.
 func (d *Detector) recordProbe(now time.Time, e *Endpoint, o Outcome) {
 	if now.Add(-o.Age).Before(e.probingSince) {
 		return
@@ -155,8 +155,8 @@
 	d.version++
 }
 
-// eject leaves the endpoint out, unless too many are out already: then the
-// cause is likely common, and those left would be drowned by the load of all.
+// eject takes the endpoint out of rotation, unless too many are out already. In that case
+// the cause is probably common, and the remaining endpoints would be overloaded.
 func (d *Detector) eject(now time.Time, e *Endpoint, cause Cause) {
 	if d.outOfRotation+1 > d.maxOut(cause) {
 		d.keepInRotation(e)
@@ -174,8 +174,9 @@
 	d.version++
 }
 
-// maxOut returns how many endpoints may be out if one more goes for the cause.
-// Slow and erring endpoints still do work, unanswering ones do none.
+// maxOut returns how many endpoints may be out of rotation after one more is ejected for
+// the cause. Slow endpoints and endpoints that fail some requests still do work; the
+// others do none.
 func (d *Detector) maxOut(cause Cause) int {
 	share := d.cfg.MaxUnresponsiveShare
 	if cause == Slow || cause == ErrorShare {
@@ -184,7 +185,7 @@
 	return int(share * float64(len(d.endpoints)))
 }
 
-// keepInRotation leaves in use an endpoint that may not be ejected.
+// keepInRotation keeps in use an endpoint that may not be ejected.
 func (d *Detector) keepInRotation(e *Endpoint) {
 	if e.state != Healthy {
 		e.state = Healthy
@@ -201,8 +202,8 @@
 	return t + time.Duration((d.random.Float64()*2-1)*ejectionJitter*float64(t))
 }
 
-// Evaluate compares the endpoints with each other, ejects outliers and lets those
-// whose time is over be probed.
+// Evaluate compares the endpoints with each other, ejects outliers and starts probing
+// endpoints whose ejection has ended.
 func (d *Detector) Evaluate(now time.Time) {
 	d.nextEvaluation = now.Add(d.cfg.Interval)
 	clear(d.groupMedians)
@@ -216,7 +217,7 @@
 		case Ejected:
 			d.endEjection(now, e)
 		case Probing:
-			if e.probeInFlight { // else what is outstanding is from before the ejection
+			if e.probeInFlight { // otherwise all outstanding requests are from before the ejection
 				d.checkSilence(now, e, typicalResponse, ProbeFailed)
 			}
 		}
@@ -274,8 +275,8 @@
 	return max(1, min(maxSlowness, delay/median))
 }
 
-// medianFor is the median delay of the endpoint's group, or of all if the group
-// is too small.
+// medianFor returns the median delay of the endpoint's group, or of all endpoints if the
+// group is too small.
 func (d *Detector) medianFor(e *Endpoint) float64 {
 	m, known := d.groupMedians[e.group]
 	if !known {
@@ -288,9 +289,9 @@
 	return d.medianDelay
 }
 
-// medianOf returns the lower median over the endpoints of the group that have
-// enough samples, or 0 if the group is too small. An empty group stands for
-// all, of which any number will do.
+// medianOf returns the lower median over the endpoints of the group that have enough
+// samples, or 0 if the group is too small. An empty group name stands for all endpoints,
+// for which there is no minimum size.
 func (d *Detector) medianOf(group string, value func(*Endpoint) (float64, bool)) float64 {
 	d.scratch = d.scratch[:0]
 	for _, e := range d.endpoints {
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -8,9 +8,9 @@
 const (
 	// Healthy endpoints take requests.
 	Healthy State = iota
-	// Ejected endpoints take none.
+	// Ejected endpoints take no requests.
 	Ejected
-	// Probing endpoints take one at a time.
+	// Probing endpoints take one request at a time.
 	Probing
 )
 
@@ -23,21 +23,21 @@
 	return "invalid"
 }
 
-// Cause says why an endpoint was ejected last.
+// Cause is the reason for the last ejection of an endpoint.
 type Cause uint8
 
 const (
-	// NoCause is that of an endpoint never ejected.
+	// NoCause means that the endpoint was never ejected.
 	NoCause Cause = iota
-	// Consecutive failures.
+	// Consecutive means that consecutive requests failed.
 	Consecutive
-	// ErrorShare of the answers failed.
+	// ErrorShare means that too large a share of the requests failed.
 	ErrorShare
-	// Slow against the median.
+	// Slow means that the endpoint was slow compared with the median.
 	Slow
-	// Silent with work outstanding.
+	// Silent means that the endpoint sent nothing while requests were outstanding.
 	Silent
-	// ProbeFailed after an earlier ejection.
+	// ProbeFailed means that a probe after an earlier ejection failed.
 	ProbeFailed
 )
 
@@ -50,45 +50,45 @@
 	return "invalid"
 }
 
-// Endpoint is what a Detector knows of one endpoint.
+// Endpoint is the state that a Detector keeps of one endpoint.
 type Endpoint struct {
 	group           string
 	state           State
 	cause           Cause
-	ejectedUntil    time.Time // end of the ejection
+	ejectedUntil    time.Time
 	ejectedAt       time.Time
 	probingSince    time.Time // start of the probing
-	probeInFlight   bool      // a probe is out
+	probeInFlight   bool
 	probesSucceeded int
-	ejections       int // ejections in a row
+	ejections       int // consecutive ejections
 
 	delay        float64 // moving average, seconds
 	failures     float64 // moving average, 0 to 1
-	responseTime float64 // moving average of the time to a first sign, seconds
+	responseTime float64 // moving average of the time to a first response, seconds
 	slowness     float64
 	samples      int
 	consecutive  int
 
-	unanswered int // requests without a first sign
+	unanswered int // requests without a first response
 	lastHeard  time.Time
 }
 
 // State returns the endpoint's state.
 func (e *Endpoint) State() State { return e.state }
 
-// Cause returns why the endpoint was ejected last.
+// Cause returns the reason for the last ejection.
 func (e *Endpoint) Cause() Cause { return e.cause }
 
-// Slowness returns the endpoint's delay over that of the median, 1 to 4.
+// Slowness returns the endpoint's delay relative to the median, from 1 to 4.
 func (e *Endpoint) Slowness() float64 { return e.slowness }
 
-// NeedsProbe reports whether the next request may go to the endpoint as a probe.
+// NeedsProbe reports whether the next request may be sent to the endpoint as a probe.
 func (e *Endpoint) NeedsProbe() bool { return e.state == Probing && !e.probeInFlight }
 
-// Outcome is what became known of one request.
+// Outcome is the result of one request.
 type Outcome struct {
-	// Delay that is compared between endpoints, such as the time to the first
-	// token; zero if not known.
+	// Delay is compared between endpoints, such as the time to the first token; zero if
+	// unknown.
 	Delay time.Duration
 	// Age is the time since the request was sent.
 	Age     time.Duration
@@ -116,7 +116,7 @@
 	}
 }
 
-// movingAverage moves old towards v; an old value of zero stands for none.
+// movingAverage moves old towards value; zero for old means that there is no average yet.
 func movingAverage(old, value, gain float64) float64 {
 	if old == 0 {
 		return value
--- a/decide/health/failure.go
+++ b/decide/health/failure.go
@@ -1,24 +1,26 @@
 package health
 
-// Failure says how an attempt at an endpoint ended.
+// Failure is the way in which an attempt at an endpoint ended.
 type Failure uint8
 
 const (
-	// None is a complete answer.
+	// None is a complete response.
 	None Failure = iota
-	// Unreachable means that no connection came about, so nothing ran.
+	// Unreachable means that no connection was established, so nothing ran.
 	Unreachable
-	// Timeout means that the endpoint did not answer in the time allowed.
+	// Timeout means that the endpoint did not respond in the time allowed.
 	Timeout
-	// Broken means that the answer stopped partway or was malformed.
+	// Broken means that the response stopped partway or was malformed.
 	Broken
-	// Internal means that the endpoint answered with an error of its own.
+	// Internal means that the endpoint responded with an error of its own.
 	Internal
-	// Overloaded means that the endpoint refused before work, for want of room.
+	// Overloaded means that the endpoint refused the request before doing work, for lack
+	// of capacity.
 	Overloaded
-	// Leaving means that the endpoint refused before work as it shuts down.
+	// Leaving means that the endpoint refused the request before doing work, because it
+	// is shutting down.
 	Leaving
-	// Canceled means that the caller gave up; it says nothing of the endpoint.
+	// Canceled means that the caller gave up. It says nothing about the endpoint.
 	Canceled
 )
 
@@ -33,9 +35,9 @@
 	return "invalid"
 }
 
-// Faulty reports whether the failure speaks against the endpoint's health.
-// Overload and leaving do not: a full endpoint that were ejected would push its
-// load onto the next one, which fills in turn.
+// Faulty reports whether the failure counts against the endpoint's health. Overload and
+// leaving do not: ejecting a full endpoint would shift its load to the next one, which
+// would become full in turn.
 func (f Failure) Faulty() bool {
 	switch f {
 	case Unreachable, Timeout, Broken, Internal:
@@ -44,8 +46,8 @@
 	return false
 }
 
-// ProvesNotRun reports whether the failure alone proves that the endpoint did
-// no work for the request.
+// ProvesNotRun reports whether the failure alone proves that the endpoint did no work for
+// the request.
 func (f Failure) ProvesNotRun() bool {
 	return f == Unreachable || f == Overloaded || f == Leaving
 }
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -12,8 +12,9 @@
 
 const step = 100 * time.Millisecond
 
-// harness answers for n endpoints. Each step every endpoint that takes requests
-// gets one, and answer says what becomes of it; nil is the good answer.
+// harness simulates n endpoints. In each step every endpoint that takes requests gets
+// one. The outcome of the request is looked up in an outcomes map; an endpoint without an
+// entry succeeds.
 type harness struct {
 	*Detector
 	now       time.Time
@@ -33,7 +34,7 @@
 
 var goodOutcome = Outcome{Delay: step, Age: step}
 
-// run lets time pass. Endpoints in silent get requests and give no sign.
+// run advances the time. Endpoints in silent get requests and never respond.
 func (r *harness) run(d time.Duration, bad outcomes, silent ...int) {
 	for end := r.now.Add(d); r.now.Before(end); r.now = r.now.Add(step) {
 		if r.Due(r.now) {
@@ -63,8 +64,9 @@
 	r.Observe(r.now.Add(o.Age), e, o)
 }
 
-// Callers that meet a bad endpoint get an error or wait. Each fault must be out
-// within a bound, and a run without the Detector sends it ten a second for good.
+// Guards against requests that are sent to a bad endpoint, fail there or wait. Each fault
+// must be detected within a bound on the requests that reach the endpoint; without the
+// Detector it would get ten a second.
 func TestEjection(t *testing.T) {
 	fails := func(f Failure) Outcome { return Outcome{Age: step, Failure: f} }
 	for _, c := range []struct {
@@ -96,8 +98,8 @@
 	}
 }
 
-// Callers would get nothing if a common fault left no endpoint, and the few left
-// would drown. Beyond the stated part endpoints stay in use.
+// Guards against a common fault that takes all endpoints out of rotation, or so many that
+// the rest are overloaded. Beyond the configured share, endpoints stay in use.
 func TestEjectionLimit(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -106,8 +108,8 @@
 		out       int
 	}{
 		{"all refuse connections", 8, Outcome{Failure: Unreachable}, 6},
-		{"two of two do", 2, Outcome{Failure: Unreachable}, 1},
-		{"the only one does", 1, Outcome{Failure: Unreachable}, 0},
+		{"both of two refuse connections", 2, Outcome{Failure: Unreachable}, 1},
+		{"the only one refuses connections", 1, Outcome{Failure: Unreachable}, 0},
 	} {
 		Convey("Given that "+c.name, t, func() {
 			r := newHarness(c.endpoints, Config{})
@@ -119,7 +121,7 @@
 			So(r.OutOfRotation(), ShouldEqual, c.out)
 		})
 	}
-	Convey("Given requests that fail at every endpoint, at times four in a row, none is out", t, func() {
+	Convey("Given requests that fail at every endpoint, sometimes four in a row, none is ejected", t, func() {
 		r := newHarness(6, Config{})
 		for i := range 60 {
 			bad := outcomes{}
@@ -132,7 +134,7 @@
 		}
 		So(r.OutOfRotation(), ShouldEqual, 0)
 	})
-	Convey("Given six of eight slower, the median is theirs and none is out", t, func() {
+	Convey("Given six slow endpoints of eight, they determine the median and none is ejected", t, func() {
 		r := newHarness(8, Config{})
 		bad := outcomes{}
 		for i := range 6 {
@@ -143,8 +145,9 @@
 	})
 }
 
-// A caller's request is the probe, so few may be spent: one at a time after 5 s,
-// then after 10 s, 20 s and so on; a good endpoint must come back all the same.
+// Guards against probes that cost too many requests, because a caller's request is the
+// probe: one after 5 s, the next after 10 s, 20 s and so on. A good endpoint must still
+// return to rotation.
 func TestRecovery(t *testing.T) {
 	dead := outcomes{0: {Age: time.Millisecond, Failure: Unreachable}}
 	Convey("Given an endpoint dead for five minutes", t, func() {
@@ -156,7 +159,7 @@
 		r.run(75*time.Second, nil)
 		So(r.endpoints[0].State(), ShouldEqual, Healthy)
 	})
-	Convey("Given a probe whose caller gave up, another goes out", t, func() {
+	Convey("Given a probe whose caller gave up, another probe is sent", t, func() {
 		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
 		r.run(10*time.Second, outcomes{0: {Failure: Canceled}})
@@ -164,18 +167,18 @@
 		r.run(time.Second, nil)
 		So(r.endpoints[0].State(), ShouldEqual, Healthy)
 	})
-	Convey("Given a probe that freezes, the endpoint is out again", t, func() {
+	Convey("Given a probe without a response, the endpoint is ejected again", t, func() {
 		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
 		r.run(10*time.Second, nil, 0)
 		So(fmt.Sprint(r.endpoints[0].State() == Ejected, r.endpoints[0].Cause()), ShouldEqual, "true probe failed")
 	})
-	Convey("Given an endpoint that froze, what it still holds is no failed probe", t, func() {
+	Convey("Given an endpoint that froze, its outstanding requests do not count as a failed probe", t, func() {
 		r := newHarness(4, Config{})
 		r.run(5*time.Second, nil)
 		r.run(3*time.Second, nil, 0)
 		So(r.endpoints[0].State(), ShouldEqual, Ejected)
-		for range 10 { // nothing is sent meanwhile
+		for range 10 { // no requests are sent meanwhile
 			r.now = r.now.Add(time.Second)
 			r.Evaluate(r.now)
 		}
@@ -183,7 +186,7 @@
 		r.run(time.Second, nil)
 		So(r.endpoints[0].State(), ShouldEqual, Healthy)
 	})
-	Convey("Given an old request that fails late, the probing does not count it", t, func() {
+	Convey("Given a request from before the ejection that fails late, it does not count as a probe", t, func() {
 		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
 		r.run(10*time.Second, outcomes{0: {Failure: Canceled}})
