--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -7,144 +7,145 @@
 	"time"
 )
 
-// Defaults of Config; doc.go gives their grounds.
+// Defaults of Config; doc.go gives the reasons for the values.
 const (
 	DefaultEntries    = 256
 	DefaultStaleAfter = 10 * time.Second
 )
 
-// staleAfterPolls is how many pauses between two answers a replica may be silent.
+// staleAfterPolls is the number of poll intervals without a page after which a replica's
+// entries are not used.
 const staleAfterPolls = 3
 
-// Config sets an Index. Zero values take the defaults.
+// Config configures an Index. Zero values take the defaults.
 type Config struct {
-	// Entries bounds the prefixes kept of a replica.
+	// Entries is the maximum number of prefixes kept per replica.
 	Entries int
-	// StaleAfter is the least time without an answer after which a replica's
-	// prefixes are not trusted.
+	// StaleAfter is the shortest time without a page after which a replica's entries are
+	// not used.
 	StaleAfter time.Duration
 }
 
-// Event says that a prefix entered or left a replica's cache.
+// Event reports that a prefix was added to or removed from a replica's cache.
 type Event struct {
 	Sequence uint64
 	Prefix   uint64
 	Stored   bool
 }
 
-// Page is a replica's answer to a question for its events.
+// Page is a replica's answer to a request for its events.
 type Page struct {
-	// Instance names the run of the engine's process; another one means that
-	// the cache is empty.
+	// Instance identifies the run of the engine's process. A new instance starts with an
+	// empty cache.
 	Instance string
-	// Last is the sequence number of the last event that the engine shows,
-	// also if that event was lost.
+	// Last is the sequence number of the last event that the engine published, even if
+	// that event was lost.
 	Last uint64
-	// Events are in the order of their sequence.
+	// Events are in the order of their sequence numbers.
 	Events []Event
 }
 
-// Change is what a page meant for the trust in a replica.
+// Change is the continuity of a page with the previous one.
 type Change uint8
 
 const (
-	// Continued pages follow the last one without a gap.
+	// Continued means that the page follows the previous one without a gap.
 	Continued Change = iota
-	// Gapped pages have lost events.
+	// Gapped means that events were lost.
 	Gapped
-	// Restarted pages come from another instance.
+	// Restarted means that the page comes from a new instance.
 	Restarted
 )
 
 var changeNames = [...]string{"continued", "gap", "restart"}
 
-// String returns the change in a word.
 func (c Change) String() string { return changeNames[c] }
 
-// Holder is a replica that is thought to hold the first Blocks prefixes asked for.
+// Holder is a replica that probably has the first Blocks of the requested prefixes
+// cached.
 type Holder struct {
 	Replica string
 	Blocks  int
 }
 
-// Index is what a node thinks that its replicas have cached. It is for one
-// goroutine at a time.
+// Index is a node's estimate of what its replicas have cached. It is not safe for
+// concurrent use.
 type Index struct {
 	maxEntries int
 	staleAfter time.Duration
-	replicas   map[string]*replicaState
+	states     map[string]*replicaState
 }
 
-// replicaState is what is known of one replica.
+// replicaState is the estimate for one replica.
 type replicaState struct {
 	instance     string
-	lastSequence uint64        // last sequence number shown
-	lastPage     time.Time     // of the last page
-	pollInterval time.Duration // between the last two
-	lru          *list.List    // of uint64, the one asked for or stored last in front
+	lastSequence uint64        // last published sequence number
+	lastPage     time.Time     // time of the last page
+	pollInterval time.Duration // between the last two pages
+	lru          *list.List    // of uint64 prefixes, the most recently stored or requested first
 	cached       map[uint64]*list.Element
 }
 
-// New returns an index that knows no replica.
+// New returns an empty index.
 func New(cfg Config) *Index {
 	return &Index{
 		maxEntries: cmp.Or(cfg.Entries, DefaultEntries),
 		staleAfter: cmp.Or(cfg.StaleAfter, DefaultStaleAfter),
-		replicas:   map[string]*replicaState{},
+		states:     map[string]*replicaState{},
 	}
 }
 
-// Retain keeps the parts of these replicas and forgets all others.
+// Retain keeps the entries of the given replicas and drops all others.
 func (x *Index) Retain(replicas []string) {
-	for replica := range x.replicas {
+	for replica := range x.states {
 		if !slices.Contains(replicas, replica) {
-			delete(x.replicas, replica)
+			delete(x.states, replica)
 		}
 	}
 }
 
-// Clear forgets what a replica held, and goes on from the event last seen: a part of
-// the replica lost its cache while the one that tells the events did not.
+// Clear drops the entries of a replica and keeps its sequence number. It is for a replica
+// of which one stage lost its cache while the stage that publishes the events did not.
 func (x *Index) Clear(replica string) {
-	if p := x.replicas[replica]; p != nil {
-		p.lru.Init()
-		clear(p.cached)
+	if s := x.states[replica]; s != nil {
+		s.lru.Init()
+		clear(s.cached)
 	}
 }
 
-// LastSequence returns the sequence number to ask a replica's events after.
+// LastSequence returns the sequence number after which to request a replica's events.
 func (x *Index) LastSequence(replica string) uint64 {
-	p := x.replicas[replica]
-	if p == nil {
+	s := x.states[replica]
+	if s == nil {
 		return 0
 	}
-	return p.lastSequence
+	return s.lastSequence
 }
 
-// Apply takes a replica's answer to a question for the events after After.
+// Apply records a replica's answer to a request for the events after LastSequence.
 func (x *Index) Apply(now time.Time, replica string, page Page) Change {
-	p := x.replicas[replica]
+	s := x.states[replica]
 	change := Continued
 	switch {
-	case p == nil:
-		p = newReplicaState(page.Instance)
-		x.replicas[replica] = p
-		// What the engine stored before this node asked is not among its events
-		// any more. It is no loss: what is not known is not hinted at.
-		p.lastSequence = sequenceBefore(page)
-	case p.instance != page.Instance || page.Last < p.lastSequence:
-		*p = *newReplicaState(page.Instance)
-		p.lastSequence = sequenceBefore(page)
+	case s == nil:
+		s = newReplicaState(page.Instance)
+		x.states[replica] = s
+		// Events from before this node's first request are no longer available. They
+		// do not count as lost, because unknown prefixes produce no hints.
+		s.lastSequence = sequenceBefore(page)
+	case s.instance != page.Instance || page.Last < s.lastSequence:
+		*s = *newReplicaState(page.Instance)
+		s.lastSequence = sequenceBefore(page)
 		change = Restarted
 	default:
-		p.pollInterval = now.Sub(p.lastPage)
+		s.pollInterval = now.Sub(s.lastPage)
 	}
-	p.lastPage = now
-	lost := x.applyEvents(p, page)
+	s.lastPage = now
+	lost := x.applyEvents(s, page)
 	if lost == 0 || change == Restarted {
 		return change
 	}
-	p.evictOldest(lost)
+	s.evictOldest(lost)
 	return Gapped
 }
 
@@ -152,7 +153,7 @@
 	return &replicaState{instance: instance, lru: list.New(), cached: map[uint64]*list.Element{}}
 }
 
-// sequenceBefore is the sequence number sequenceBefore a page's events.
+// sequenceBefore returns the sequence number that precedes a page's events.
 func sequenceBefore(page Page) uint64 {
 	if len(page.Events) == 0 {
 		return page.Last
@@ -160,58 +161,58 @@
 	return max(page.Events[0].Sequence, 1) - 1
 }
 
-// applyEvents enters a page's events and returns how many were lost before, between and
-// after them.
-func (x *Index) applyEvents(p *replicaState, page Page) uint64 {
+// applyEvents applies a page's events and returns how many events were lost before,
+// between and after them.
+func (x *Index) applyEvents(s *replicaState, page Page) uint64 {
 	lost := uint64(0)
 	for _, e := range page.Events {
-		if e.Sequence <= p.lastSequence {
-			continue // known already
+		if e.Sequence <= s.lastSequence {
+			continue // already applied
 		}
-		lost += e.Sequence - p.lastSequence - 1
-		p.lastSequence = e.Sequence
-		p.applyEvent(e, x.maxEntries)
+		lost += e.Sequence - s.lastSequence - 1
+		s.lastSequence = e.Sequence
+		s.applyEvent(e, x.maxEntries)
 	}
-	if page.Last > p.lastSequence {
-		lost += page.Last - p.lastSequence
-		p.lastSequence = page.Last
+	if page.Last > s.lastSequence {
+		lost += page.Last - s.lastSequence
+		s.lastSequence = page.Last
 	}
 	return lost
 }
 
-func (p *replicaState) applyEvent(e Event, maxEntries int) {
-	element, known := p.cached[e.Prefix]
+func (s *replicaState) applyEvent(e Event, maxEntries int) {
+	element, known := s.cached[e.Prefix]
 	switch {
 	case !e.Stored && known:
-		p.evict(element)
+		s.evict(element)
 	case e.Stored && known:
-		p.lru.MoveToFront(element)
+		s.lru.MoveToFront(element)
 	case e.Stored:
-		p.cached[e.Prefix] = p.lru.PushFront(e.Prefix)
-		if p.lru.Len() > maxEntries {
-			p.evict(p.lru.Back())
+		s.cached[e.Prefix] = s.lru.PushFront(e.Prefix)
+		if s.lru.Len() > maxEntries {
+			s.evict(s.lru.Back())
 		}
 	}
 }
 
-func (p *replicaState) evict(element *list.Element) {
-	delete(p.cached, p.lru.Remove(element).(uint64))
+func (s *replicaState) evict(element *list.Element) {
+	delete(s.cached, s.lru.Remove(element).(uint64))
 }
 
-// evictOldest forgets as many of the oldest entries as events were lost.
-func (p *replicaState) evictOldest(lost uint64) {
-	for range min(lost, uint64(p.lru.Len())) {
-		p.evict(p.lru.Back())
+// evictOldest drops the oldest entries, one for each lost event.
+func (s *replicaState) evictOldest(lost uint64) {
+	for range min(lost, uint64(s.lru.Len())) {
+		s.evict(s.lru.Back())
 	}
 }
 
-// Holders returns the replicas that are trusted to hold the most of the prefixes,
-// which are those of one prompt, each longer than the one before. The replicas
-// come with the most first; those that hold nothing are left out.
+// Holders returns the replicas that probably have prefixes cached, the one with the most
+// blocks first. The prefixes belong to one prompt, each longer than the one before.
+// Replicas without any of them are omitted.
 func (x *Index) Holders(now time.Time, prefixes []uint64) []Holder {
 	var holders []Holder
-	for replica, p := range x.replicas {
-		if blocks := x.cachedBlocks(now, p, prefixes); blocks > 0 {
+	for replica, s := range x.states {
+		if blocks := x.cachedBlocks(now, s, prefixes); blocks > 0 {
 			holders = append(holders, Holder{replica, blocks})
 		}
 	}
@@ -221,18 +222,18 @@
 	return holders
 }
 
-// cachedBlocks counts the prefixes from the first on that a part holds: an engine can
-// use a longer one only if it has the shorter ones too.
-func (x *Index) cachedBlocks(now time.Time, p *replicaState, prefixes []uint64) int {
-	if now.Sub(p.lastPage) > max(x.staleAfter, staleAfterPolls*p.pollInterval) {
+// cachedBlocks counts the leading prefixes that a replica has cached. An engine can use a
+// longer prefix only if it also has the shorter ones.
+func (x *Index) cachedBlocks(now time.Time, s *replicaState, prefixes []uint64) int {
+	if now.Sub(s.lastPage) > max(x.staleAfter, staleAfterPolls*s.pollInterval) {
 		return 0
 	}
 	for i, prefix := range prefixes {
-		element, cached := p.cached[prefix]
+		element, cached := s.cached[prefix]
 		if !cached {
 			return i
 		}
-		p.lru.MoveToFront(element)
+		s.lru.MoveToFront(element)
 	}
 	return len(prefixes)
 }
--- a/decide/cacheindex/cacheindex_test.go
+++ b/decide/cacheindex/cacheindex_test.go
@@ -16,9 +16,9 @@
 	return Page{Instance: instance, Last: events[len(events)-1].Sequence, Events: events}
 }
 
-// What callers wait for is a prompt computed anew on an engine that was taken to
-// have it cached. Each case is a way in which a node can be wrong about that, and
-// how little it must believe after it.
+// Guards against prompts that are computed again on an engine that supposedly had them
+// cached; callers wait for the computation. Each case is a way in which the index becomes
+// stale, and how much of it must be dropped.
 func TestStaleEntriesAreDropped(t *testing.T) {
 	prompt := []uint64{11, 12, 13}
 	indexed := func(cfg Config) *Index {
@@ -32,19 +32,19 @@
 		}
 		return 0
 	}
-	Convey("A prompt is held as far as it is cached without a hole", t, func() {
+	Convey("A prompt counts as cached up to the first missing prefix", t, func() {
 		x := indexed(Config{})
 		So(blocks(x, start), ShouldEqual, 3)
 		So(x.LastSequence("a"), ShouldEqual, 3)
 		So(x.Apply(start, "a", page("one", Event{4, 12, false})), ShouldEqual, Continued)
 		So(blocks(x, start), ShouldEqual, 1)
 	})
-	Convey("Another instance has nothing of what the last one had", t, func() {
+	Convey("A new instance starts with an empty cache", t, func() {
 		x := indexed(Config{})
 		So(x.Apply(start, "a", page("two", stored(4, 99))), ShouldEqual, Restarted)
 		So(blocks(x, start), ShouldEqual, 0)
 	})
-	Convey("What a later stage lost is gone, and the events go on", t, func() {
+	Convey("After a later stage lost its cache, the entries are dropped and the events continue", t, func() {
 		x := indexed(Config{})
 		x.Clear("a")
 		x.Clear("unknown")
@@ -52,51 +52,51 @@
 		So(x.Apply(start, "a", page("one", stored(4, 11))), ShouldEqual, Continued)
 		So(blocks(x, start), ShouldEqual, 1)
 	})
-	Convey("A sequence that went back is a restart too", t, func() {
+	Convey("A lower sequence number means a restart too", t, func() {
 		x := indexed(Config{})
 		So(x.Apply(start, "a", Page{Instance: "one", Last: 1}), ShouldEqual, Restarted)
 		So(blocks(x, start), ShouldEqual, 0)
 	})
-	Convey("A gap costs as many of the oldest as events were lost", t, func() {
+	Convey("A gap drops one of the oldest entries for each lost event", t, func() {
 		x := indexed(Config{})
 		So(x.Apply(start, "a", page("one", stored(5, 99))), ShouldEqual, Gapped)
-		So(blocks(x, start), ShouldEqual, 0) // 11, the first stored, may be gone
+		So(blocks(x, start), ShouldEqual, 0) // the oldest entry, 11, may have been evicted
 		So(x.Apply(start, "a", page("one", stored(6, 11))), ShouldEqual, Continued)
 		So(blocks(x, start), ShouldEqual, 3)
 		So(x.Apply(start, "a", page("one", stored(600, 99))), ShouldEqual, Gapped)
-		So(x.replicas["a"].lru.Len(), ShouldEqual, 0)
+		So(x.states["a"].lru.Len(), ShouldEqual, 0)
 	})
 	Convey("Events lost at the end of a page are a gap", t, func() {
 		x := indexed(Config{})
 		So(x.Apply(start, "a", Page{Instance: "one", Last: 5}), ShouldEqual, Gapped)
 		So(x.LastSequence("a"), ShouldEqual, 5)
 	})
-	Convey("Silence takes the trust away, an answer gives it back", t, func() {
+	Convey("Without pages entries become stale, and a page makes them usable again", t, func() {
 		x := indexed(Config{})
 		late := start.Add(DefaultStaleAfter + time.Second)
 		So(blocks(x, late), ShouldEqual, 0)
 		x.Apply(late, "a", Page{Instance: "one", Last: 3})
 		So(blocks(x, late), ShouldEqual, 3)
-		So(blocks(x, late.Add(2*DefaultStaleAfter)), ShouldEqual, 3) // polls are that far apart
+		So(blocks(x, late.Add(2*DefaultStaleAfter)), ShouldEqual, 3) // polls are this far apart
 		So(blocks(x, late.Add(4*DefaultStaleAfter)), ShouldEqual, 0)
 	})
-	Convey("What is asked for stays, the rest makes room", t, func() {
+	Convey("Requested entries stay, others are evicted", t, func() {
 		x := indexed(Config{Entries: 4})
 		for i := range uint64(8) {
 			x.Apply(start, "a", page("one", stored(4+i, 100+i)))
 			So(blocks(x, start), ShouldEqual, 3)
 		}
-		So(x.replicas["a"].lru.Len(), ShouldEqual, 4)
+		So(x.states["a"].lru.Len(), ShouldEqual, 4)
 	})
-	Convey("Replicas that are no longer used are forgotten", t, func() {
+	Convey("Replicas that are not retained are dropped", t, func() {
 		x := indexed(Config{})
 		x.Retain([]string{"b"})
-		So(x.replicas, ShouldBeEmpty)
+		So(x.states, ShouldBeEmpty)
 	})
 }
 
-// Whatever an engine answers, the index keeps its bound and never asks for a
-// sequence below what it has seen of the same instance.
+// Guards against an index that grows without bound, or that requests events it has
+// already applied from the same instance, whatever pages an engine sends.
 func TestArbitraryPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New(Config{Entries: 5})
@@ -114,11 +114,11 @@
 			}
 			before := x.LastSequence("a")
 			if x.Apply(start, "a", p) != Restarted && x.LastSequence("a") < before {
-				t.Fatalf("asks after %d, was %d", x.LastSequence("a"), before)
+				t.Fatalf("requests events after %d, before that after %d", x.LastSequence("a"), before)
 			}
-			state := x.replicas["a"]
+			state := x.states["a"]
 			if state.lru.Len() > 5 || state.lru.Len() != len(state.cached) {
-				t.Fatalf("%d in order, %d held", state.lru.Len(), len(state.cached))
+				t.Fatalf("%d prefixes in the LRU list, %d in the map", state.lru.Len(), len(state.cached))
 			}
 		}
 	})
