--- a/decide/entrypoints/doc.go
+++ b/decide/entrypoints/doc.go
@@ -1,31 +1,41 @@
-// Package entrypoints decides which entry VMs a caller should use.
+// Package entrypoints decides which entry VMs a caller should connect to.
 //
-// Use: Answer gives the addresses for a caller and how long they hold. Homes
-// gives the nodes that share a team's limit; HomeCount says how many a team
-// needs. All are pure functions of the member list, so every node gives the
+// # Use
+//
+// Answer returns the addresses for a caller and how long they are valid. Homes
+// returns the nodes that share a team's limit; HomeCount returns how many of them a
+// team needs. All are pure functions of the member list, so every node gives the
 // same answer from the same list.
 //
-// The load pattern it answers: callers of many teams, with no balancer before
-// the entry VMs. Without it callers of every team reach every node, so each
-// team's limit has as many parties as there are nodes, each with a share too
-// small to be of use; and callers stay on nodes that are full or leaving.
-//
-// # Leaving
-//
-// A node that is to leave says so to its peers and serves on, new connections
-// included, for ServeOn(spread). In that time the word reaches the peers
-// (spread), and then the last answer that named the node runs out (ValidFor).
-// After it no caller that keeps to its answer comes to the node; streams
-// underway are finished first in any case.
-//
-// Grounds for the figures:
-//   - ValidFor 20 s: with 2,200 nodes and, say, 100,000 callers this is 5,000
-//     questions a second, 2.3 a node; and a node can leave within half a minute.
-//   - RetryAfter 2 s is the validity of an answer given from a doubtful list.
-//   - MinHomes 2: the loss of one VM must not cut off a team. Homes, and the
-//     addresses of an answer, are in at least two failure domains if the nodes
-//     are: nor must the loss of a failure domain.
-//   - HomeHeadroom 4: callers come unevenly, and a home that is full sends them on.
-//   - NearPreference 8: entry VMs are near to each other and callers farther
-//     off, so a home elsewhere is worth using when those at hand are full.
+// # Load pattern
+//
+// Callers of many teams connect without a load balancer in front of the entry VMs.
+//
+// # Failure without it
+//
+// Callers of every team reach every node. Each team's limit is then split over all
+// nodes, and each share is too small to be useful. Callers also stay on nodes that
+// are full or draining.
+//
+// # Draining
+//
+// A node that is going to shut down tells its peers and continues to serve,
+// including new connections, for DrainDuration(propagation). In that time the news
+// reaches the peers (propagation), and then the last answer that named the node
+// expires (ValidFor). After that, no caller that respects its answer connects to the
+// node. Streams in progress are finished in any case.
+//
+// # Reasons for the values
+//
+//   - ValidFor 20 s: with 2,200 nodes and 100,000 callers, for example, this is
+//     5,000 queries a second, 2.3 per node, and a node can drain within half a minute.
+//   - RetryAfter 2 s is the validity of an answer without addresses.
+//   - MinHomes 2: the loss of one VM must not cut off a team. The homes, and the
+//     addresses of an answer, are in at least two failure domains if the nodes are,
+//     so the loss of a failure domain does not cut off a team either.
+//   - HomeHeadroom 4: callers arrive unevenly, and a full home redirects them to
+//     other homes.
+//   - LocalPreference 8: entry VMs are close to each other and callers are farther
+//     away, so a home in another failure domain is worth using when the local ones
+//     are full.
 package entrypoints
--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -9,7 +9,7 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// Figures of the answers; doc.go gives their grounds.
+// Parameters of the answers; doc.go gives the reasons for the values.
 const (
 	ValidFor        = 20 * time.Second
 	RetryAfter      = 2 * time.Second
@@ -19,20 +19,20 @@
 	MaxAddresses    = 3
 )
 
-// minCapacity is the weight of a node that says it is full. Were it zero, a team
+// minCapacity is the weight of a node that reports being full. If it were zero, a team
 // whose homes are all full would get no address.
 const minCapacity = 0.02
 
-// Member is an entry VM as this node knows it.
+// Member is an entry VM as known to this node.
 type Member struct {
 	ID            string
 	Address       string
 	FailureDomain string
-	// Load is the used part of the node, 1 for full.
+	// Load is the used part of the node's capacity; 1 means full.
 	Load float64
-	// Draining is set if the node is to leave, whoever said so.
+	// Draining is set if the node is going to shut down, whichever node reported it.
 	Draining bool
-	// Suspected is set if the node has gone silent.
+	// Suspected is set if the node has stopped responding.
 	Suspected bool
 }
 
@@ -40,50 +40,50 @@
 	return !m.Draining && !m.Suspected
 }
 
-// Query is a caller's question.
+// Query describes the caller that asks for addresses.
 type Query struct {
 	Team string
-	// Caller tells callers of a team apart, for example by address, so that
-	// they spread over a large team's homes.
+	// Caller distinguishes the callers of a team, for example by address, so that they
+	// spread over the homes of a large team.
 	Caller        string
 	FailureDomain string
-	// Share is the team's part of the whole load, 0 to 1; zero if unknown.
+	// Share is the team's part of the total load, 0 to 1; zero if unknown.
 	Share float64
 }
 
-// Address is an entry VM to use.
+// Address is an entry VM to connect to.
 type Address struct {
 	ID            string
 	Address       string
 	FailureDomain string
-	// Weight is the part of its requests that the caller should send there.
-	// The weights of an answer add up to 1.
+	// Weight is the part of its requests that the caller should send to this address. The
+	// weights of an answer add up to 1.
 	Weight float64
 }
 
-// Result is the answer to a caller. No addresses means that no node may be
-// named now; the caller asks again after ValidFor.
+// Result is the answer to a caller. Without addresses, no node can be named at present;
+// the caller asks again after ValidFor.
 type Result struct {
 	Addresses []Address
 	ValidFor  time.Duration
 }
 
-// HomeCount returns how many homes a team with the given share of the load
-// needs among the given number of nodes.
+// HomeCount returns how many homes a team with the given share of the load needs among
+// the given number of nodes.
 func HomeCount(share float64, nodes int) int {
 	need := math.Ceil(share * float64(nodes) * HomeHeadroom)
 	return min(nodes, max(MinHomes, int(need)))
 }
 
-// DrainDuration returns how long a leaving node goes on serving new connections if
-// its peers learn of it within spread.
+// DrainDuration returns how long a draining node continues to serve new connections if
+// its peers learn of the drain within propagation.
 func DrainDuration(propagation time.Duration) time.Duration {
 	return propagation + ValidFor
 }
 
-// Homes returns the IDs of the k nodes that hold the team's share of its limit,
-// highest rank first. Draining and suspected nodes are passed over. Nodes with
-// different member lists differ only in the members that the lists differ in.
+// Homes returns the IDs of the k nodes that share the team's limit, highest rank first.
+// It skips draining and suspected nodes. The results for two member lists differ only by
+// the members in which the lists differ.
 func Homes(team string, members []Member, k int) []string {
 	homes := homesOf(team, members, k)
 	ids := make([]string, len(homes))
@@ -93,7 +93,7 @@
 	return ids
 }
 
-// Answer returns the addresses that the caller should use.
+// Answer returns the addresses that the caller should connect to.
 func Answer(q Query, members []Member) Result {
 	usable := countUsable(members)
 	if usable == 0 {
@@ -124,9 +124,9 @@
 	})
 }
 
-// selectHomes picks a few homes for one caller, in proportion to their preference.
-// The caller's name is the key, so a caller keeps its nodes when it asks again
-// and the callers of a team spread over its homes.
+// selectHomes selects up to MaxAddresses homes for one caller, in proportion to their
+// preference. The caller's name is part of the key, so a caller keeps its nodes when it
+// asks again, and the callers of a team spread over its homes.
 func selectHomes(q Query, homes []Member) []Member {
 	key := rendezvous.Hash(q.Team + "\x00" + q.Caller)
 	return topAcrossDomains(homes, MaxAddresses, func(m Member) float64 {
@@ -149,8 +149,8 @@
 	return addresses
 }
 
-// preference is the room left at a node, times NearPreference in the caller's
-// failure domain.
+// preference returns the free capacity of a node, multiplied by LocalPreference if the
+// node is in the caller's failure domain.
 func preference(q Query, m Member) float64 {
 	capacity := max(minCapacity, 1-m.Load)
 	if m.FailureDomain == q.FailureDomain {
@@ -159,16 +159,16 @@
 	return capacity
 }
 
-// topAcrossDomains returns the k members of the highest rank, but for the last one if
-// all are in one failure domain and members of others are to be had: then it is
-// the best of those.
+// topAcrossDomains returns the k members of the highest rank. If all of them are in one
+// failure domain and other domains have members with a positive rank, the best of those
+// replaces the last one.
 //
-// The failure is the loss of a failure domain. A caller whose addresses are all
-// in it has nowhere to go until its answer runs out; with two homes of six nodes
-// in three domains that is a fifth of the teams. One address elsewhere is enough,
-// as the caller tries the next when one does not answer; the other members stay
-// by rank, so that callers stay near and few homes move when a node comes or
-// goes.
+// It covers the loss of a failure domain. A caller whose addresses are all in that domain
+// has no node to connect to until its answer expires; with two homes among six nodes in
+// three domains this affects a fifth of the teams. One address in another domain is
+// enough, because the caller tries the next address when one does not respond. The other
+// members stay ranked, so that callers stay local and few homes move when a node joins or
+// leaves.
 func topAcrossDomains(members []Member, k int, rank func(Member) float64) []Member {
 	best := top(members, k, rank)
 	if len(best) < 2 || !sameDomain(best) {
@@ -195,7 +195,7 @@
 	return true
 }
 
-// ranked is a member by its index and its rank.
+// ranked is the index of a member and its rank.
 type ranked struct {
 	index int
 	rank  float64
--- a/decide/entrypoints/entrypoints_test.go
+++ b/decide/entrypoints/entrypoints_test.go
@@ -29,8 +29,9 @@
 	return n
 }
 
-// A team's limit is split over its homes, so a change of the list must move few
-// of them, and a team must need few however many nodes there are.
+// Guards against limits that move between nodes: a team's limit is split over its homes,
+// so a change of the member list must change few of them. A team must also need few
+// homes, however many nodes there are.
 func TestHomes(t *testing.T) {
 	Convey("Given 2,200 nodes and a team of a two-hundredth of the load", t, func() {
 		all := members(2200, 23)
@@ -54,10 +55,10 @@
 	})
 }
 
-// A caller that is named a node which leaves or is dead loses its requests there
-// until its answer runs out. A full node is still better than no address.
+// Guards against answers that name a draining or dead node: the caller loses its requests
+// there until the answer expires. A full node is still better than no address.
 func TestAnswer(t *testing.T) {
-	Convey("Given nine nodes of which some are leaving or silent", t, func() {
+	Convey("Given nine nodes of which some are draining or suspected", t, func() {
 		all := members(9, 3)
 		all[0].Draining, all[1].Suspected, all[2].Suspected = true, true, true
 		named := map[string]bool{}
@@ -77,7 +78,7 @@
 			So(named[m.ID], ShouldBeFalse)
 		}
 	})
-	Convey("Given that all nodes are full, callers still get addresses", t, func() {
+	Convey("Given only full nodes, callers still get addresses", t, func() {
 		all := members(3, 1)
 		for i := range all {
 			all[i].Load = 1.5
@@ -105,10 +106,11 @@
 	})
 }
 
-// A failure domain is lost: its nodes are gone at once, and callers keep their
-// answers for up to ValidFor. A caller with an address elsewhere goes there by
-// itself; one without has nowhere to go. So every answer names two domains, and
-// the homes, which alone have a part of the team's limit, stand in two.
+// Guards against callers that are cut off by the loss of a failure domain. Its nodes are
+// gone at once, and callers keep their answers for up to ValidFor. A caller with an
+// address in another domain connects to it; a caller without one has no node left. Every
+// answer must therefore name two domains, and so must the homes, which alone have a part
+// of the team's limit.
 func TestLossOfAFailureDomain(t *testing.T) {
 	for _, c := range []struct {
 		nodes, domains int
@@ -127,14 +129,14 @@
 			}
 		}
 		if singleDomain > 0 {
-			t.Errorf("%d nodes in %d domains, share %.2f: %d of %d answers name one domain only", c.nodes, c.domains, c.share, singleDomain, teams)
+			t.Errorf("%d nodes in %d domains, share %.2f: %d of %d answers name only one domain", c.nodes, c.domains, c.share, singleDomain, teams)
 		}
 	}
 }
 
-// peakLoadRatio returns the load of the busiest node over the mean. 240 teams, a few
-// of them large, have callers of whom a tenth ask again at each step. A blind
-// answer knows no loads.
+// peakLoadRatio returns the load of the busiest node divided by the mean. A tenth of the
+// callers of 240 teams, a few of them large, ask again in each step. With ignoreLoad,
+// answers do not consider the nodes' loads.
 func peakLoadRatio(nodes, callers int, headroom float64, ignoreLoad bool) float64 {
 	const teams, domains, steps, meanLoad = 240, 23, 40, 0.5
 	random := rand.New(rand.NewPCG(1, 2))
@@ -145,7 +147,7 @@
 	for i := range teams {
 		sum += 1 / float64(i+5)
 	}
-	var homes [][]Member // by caller; those of a team share one
+	var homes [][]Member // by caller; the callers of a team share one slice
 	var queries []Query
 	for i := range teams {
 		share := 1 / float64(i+5) / sum
@@ -181,18 +183,19 @@
 	return slices.Max(load)
 }
 
-// Callers of a team whose homes are full wait though other nodes are idle: the
-// hashes of teams collide. Answers that know the loads move callers on.
+// Guards against callers that wait because the homes of their team are full while other
+// nodes are idle, which happens when the hashes of teams collide. Answers that consider
+// the loads move callers to other homes.
 func TestLoadSpread(t *testing.T) {
 	Convey("Given 240 teams over 230 nodes", t, func() {
 		busiest, ignoringLoad := peakLoadRatio(230, 2000, HomeHeadroom, false), peakLoadRatio(230, 2000, HomeHeadroom, true)
-		t.Logf("busiest node over the mean: %.2f, blind %.2f", busiest, ignoringLoad)
+		t.Logf("load of the busiest node over the mean: %.2f, without loads %.2f", busiest, ignoringLoad)
 		So(busiest, ShouldBeLessThan, 1.8)
 		So(busiest, ShouldBeLessThan, ignoringLoad*2/3)
 	})
 }
 
-// BenchmarkLoadSpread prints the spread at the target size.
+// BenchmarkLoadSpread reports the peak load ratio at the target size.
 func BenchmarkLoadSpread(b *testing.B) {
 	for _, headroom := range []float64{1, 2, HomeHeadroom, 8} {
 		b.Run(fmt.Sprint("headroom ", headroom), func(b *testing.B) {
--- a/decide/entrypoints/local.go
+++ b/decide/entrypoints/local.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// MinLocal is the fewest members of a caller's own failure domain that are enough
-	// for an answer: the loss of one leaves the caller another.
+	// MinLocal is the smallest number of members in the caller's own failure domain that
+	// is sufficient for an answer: if one of them is lost, another remains.
 	MinLocal = 2
 )
 
-// PreferLocal returns the members that callers of a failure domain should use, by name.
-// Callers pick any of an answer's addresses, so it holds those of their own domain
-// only, whose way is the shortest and crosses no link that is paid for; where these
-// are fewer than MinNear, it holds all.
+// PreferLocal returns the members that callers in a failure domain should connect to,
+// sorted by ID. Callers use any of the returned addresses. The answer therefore holds
+// only members of the callers' own domain, where the path is shortest and crosses no paid
+// link. If fewer than MinLocal of them are usable, it holds all usable members.
 func PreferLocal(domain string, members []Member) []Member {
 	usable := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !m.usable() })
 	slices.SortFunc(usable, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
