--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -1,27 +1,29 @@
-// Package peerreports decides what a node makes of what others have found out about replicas.
+// Package peerreports decides how a node uses what other nodes report about replicas.
 //
 // # Load pattern
 //
-// Some replicas die or turn slow, and all nodes of a failure domain send to them.
+// Some replicas die or become slow while all nodes of a failure domain send requests to
+// them.
 //
-// # Without it
+// # Failure without it
 //
-// Each node finds out for itself, by a stream that goes silent for each replica: with forty
-// nodes before nine lost replicas that is hundreds of streams, and hundreds of connections
-// and reports at the replicas that live.
+// Each node detects the fault by itself, through a stalled stream per replica. With forty
+// nodes and nine lost replicas that is hundreds of stalled streams, and hundreds of
+// connections and status requests to the remaining replicas.
 //
 // # Rules
 //
-//   - A claim says what a node has seen itself: a replica that accepts no connection, one
-//     that turns requests away although it has room, or how slow a replica says it is. It
-//     has an age, and counts for ValidFor.
-//   - What Enough nodes have seen independently is believed. What fewer have is looked at
-//     by a few nodes, the confirmers, whom all nodes agree on; so one node's wrong view
-//     convinces nobody alone, and a rumor does not send everybody to the same replica.
-//   - Of the replicas of one service at most the part MostTaken is left out on the word of
-//     others: a network that fails looks like replicas that do.
-//   - A message holds Most claims, the youngest first. Claims that no node would make are
-//     passed over and counted.
+//   - An observation states what a node has seen itself: a replica that accepts no
+//     connection, a replica that refuses requests although it has capacity, or the
+//     slowdown that a replica reports of itself. It has an age and is valid for ValidFor.
+//   - A node accepts what Quorum nodes have observed independently. If fewer nodes have
+//     observed it, a few nodes, the Verifiers, check the replica. All nodes agree on which
+//     nodes these are. So a single wrong observation convinces no other node, and does not
+//     make all nodes contact the same replica.
+//   - At most the share MaxExcludedShare of a service's replicas is excluded because of
+//     reports from other nodes: a network fault looks like lost replicas.
+//   - A message holds at most MaxPerMessage observations, the most recent first.
+//     Observations that no node would send are dropped and counted.
 package peerreports
 
 import (
@@ -34,138 +36,145 @@
 )
 
 const (
-	// ValidFor is how long a claim counts: some exchanges.
+	// ValidFor is how long an observation is valid. It covers several exchanges.
 	ValidFor = 1500 * time.Millisecond
-	// Quorum nodes are believed.
+	// Quorum is the number of nodes that must have made an observation for it to be
+	// accepted without verification.
 	Quorum = 3
-	// Verifiers is how many nodes look for themselves at what fewer have seen.
+	// Verifiers is the number of nodes that check a replica which fewer nodes have
+	// reported.
 	Verifiers = 3
-	// MaxExcludedShare is the greatest part of a service's replicas that is left out on the word
-	// of others.
+	// MaxExcludedShare is the largest share of a service's replicas that is excluded
+	// because of reports from other nodes.
 	MaxExcludedShare = 0.25
-	// MaxPerMessage is how many claims a message holds.
+	// MaxPerMessage is the maximum number of observations in a message.
 	MaxPerMessage = 128
-	// maxNodes and mostPace bound what a claim may say.
+	// maxNodes and maxSlowdown bound the values of a valid observation.
 	maxNodes    = 1 << 16
 	maxSlowdown = 1e4
 )
 
-// Observation is what one or more nodes have seen of a replica.
+// Observation is what one or more nodes have observed about a replica.
 type Observation struct {
 	Replica string
-	// Unreachable says that it accepts no connection.
+	// Unreachable is set if the replica accepts no connection.
 	Unreachable bool
-	// Refusing says that it lives and refuses what it is sent although it has room.
+	// Refusing is set if the replica is alive but refuses requests although it has
+	// capacity.
 	Refusing bool
-	// Slowdown is, of one that is not lost, how much slower than its kind it says it is.
+	// Slowdown is the factor by which a reachable replica reports to be slower than
+	// others of its kind.
 	Slowdown float64
-	// Age is how long ago it was seen.
+	// Age is the time since the observation.
 	Age time.Duration
-	// Nodes is how many have seen it.
+	// Nodes is the number of nodes that made the observation.
 	Nodes int
 }
 
-// valid says whether a node could have made the claim, and it still counts.
-func (c Observation) valid() bool {
-	known := c.Replica != "" && c.Nodes > 0 && c.Nodes <= maxNodes && c.Age >= 0 && c.Age < ValidFor
-	return known && (c.Unreachable || c.Refusing || c.Slowdown >= 1 && c.Slowdown <= maxSlowdown)
+// valid reports whether a node could have made the observation and it has not expired.
+func (o Observation) valid() bool {
+	known := o.Replica != "" && o.Nodes > 0 && o.Nodes <= maxNodes && o.Age >= 0 && o.Age < ValidFor
+	return known && (o.Unreachable || o.Refusing || o.Slowdown >= 1 && o.Slowdown <= maxSlowdown)
 }
 
-// message is what one node told last.
+// message is the last message received from a node.
 type message struct {
 	received     time.Time
 	hub          bool
 	observations []Observation
 }
 
-// Aggregator is what one node has been told. The zero value is ready. It is not safe for
-// concurrent use.
+// Aggregator holds what other nodes have reported to this node. The zero value is ready
+// to use. It is not safe for concurrent use.
 type Aggregator struct {
 	latest map[string]message
 }
 
-// Record notes what a node told: its own claims, or, as a hub, those of several. It says how
-// many were passed over.
-func (b *Aggregator) Record(now time.Time, node string, hub bool, observations []Observation) (dropped int) {
-	if b.latest == nil {
-		b.latest = map[string]message{}
+// Record stores the message of a node: its own observations or, from a hub, those of
+// several nodes. It returns how many observations were dropped.
+func (a *Aggregator) Record(now time.Time, node string, hub bool, observations []Observation) (dropped int) {
+	if a.latest == nil {
+		a.latest = map[string]message{}
 	}
-	for name, s := range b.latest {
-		if now.Sub(s.received) >= ValidFor {
-			delete(b.latest, name)
+	for name, m := range a.latest {
+		if now.Sub(m.received) >= ValidFor {
+			delete(a.latest, name)
 		}
 	}
 	kept := make([]Observation, 0, min(len(observations), MaxPerMessage))
-	for _, c := range observations {
-		if !c.valid() || len(kept) == MaxPerMessage {
+	for _, o := range observations {
+		if !o.valid() || len(kept) == MaxPerMessage {
 			dropped++
 			continue
 		}
-		kept = append(kept, c)
+		kept = append(kept, o)
 	}
-	b.latest[node] = message{received: now, hub: hub, observations: kept}
+	a.latest[node] = message{received: now, hub: hub, observations: kept}
 	return dropped
 }
 
-// KeepOnly forgets all but what one hub told: that holds what any other told before.
-func (b *Aggregator) KeepOnly(hub string) {
-	for node := range b.latest {
+// KeepOnly drops the messages of all nodes except one hub, whose message includes the
+// observations of the others.
+func (a *Aggregator) KeepOnly(hub string) {
+	for node := range a.latest {
 		if node != hub {
-			delete(b.latest, node)
+			delete(a.latest, node)
 		}
 	}
 }
 
-// FromOthers is what others have seen.
-func (b *Aggregator) FromOthers(now time.Time) []Observation {
-	return b.merge(now, nil, func(string, message) bool { return true })
+// FromOthers returns the observations of other nodes.
+func (a *Aggregator) FromOthers(now time.Time) []Observation {
+	return a.merge(now, nil, func(string, message) bool { return true })
 }
 
-// ReplyTo is what a node that asked is told: another hub what was seen here and told by
-// those that ask here, any other node all but its own.
-func (b *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
-	return b.merge(now, own, func(node string, s message) bool {
+// ReplyTo returns the observations to send to a node that asked. Another hub gets this
+// node's own observations and those of the nodes that report here. Any other node gets
+// all observations but its own.
+func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
+	return a.merge(now, own, func(node string, m message) bool {
 		if hub {
-			return !s.hub
+			return !m.hub
 		}
 		return node != asker
 	})
 }
 
-// subject is what claims are about; those that agree on it are added up.
+// subject identifies what an observation is about. Observations with the same subject are
+// merged.
 type subject struct {
 	replica               string
 	unreachable, refusing bool
 }
 
-func (b *Aggregator) merge(now time.Time, own []Observation, include func(node string, s message) bool) []Observation {
+func (a *Aggregator) merge(now time.Time, own []Observation, include func(node string, m message) bool) []Observation {
 	merged := map[subject]Observation{}
-	add := func(c Observation) {
-		if !c.valid() {
+	add := func(o Observation) {
+		if !o.valid() {
 			return
 		}
-		key := subject{c.Replica, c.Unreachable, c.Refusing}
+		key := subject{o.Replica, o.Unreachable, o.Refusing}
 		known, ok := merged[key]
 		if !ok {
-			merged[key] = c
+			merged[key] = o
 			return
 		}
-		known.Nodes = min(known.Nodes+c.Nodes, maxNodes)
-		if c.Age < known.Age {
-			known.Age, known.Slowdown = c.Age, c.Slowdown
+		known.Nodes = min(known.Nodes+o.Nodes, maxNodes)
+		if o.Age < known.Age {
+			known.Age, known.Slowdown = o.Age, o.Slowdown
 		}
 		merged[key] = known
 	}
-	for _, c := range own {
-		add(c)
+	for _, o := range own {
+		add(o)
 	}
-	for node, s := range b.latest {
-		if !include(node, s) {
+	for node, m := range a.latest {
+		if !include(node, m) {
 			continue
 		}
-		for _, c := range s.observations {
-			c.Age += now.Sub(s.received)
-			add(c)
+		for _, o := range m.observations {
+			o.Age += now.Sub(m.received)
+			add(o)
 		}
 	}
 	return newestFirst(merged)
@@ -173,8 +182,8 @@
 
 func newestFirst(merged map[subject]Observation) []Observation {
 	list := make([]Observation, 0, len(merged))
-	for _, c := range merged {
-		list = append(list, c)
+	for _, o := range merged {
+		list = append(list, o)
 	}
 	slices.SortFunc(list, func(x, y Observation) int {
 		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Replica, y.Replica))
@@ -182,56 +191,58 @@
 	return list[:min(len(list), MaxPerMessage)]
 }
 
-// View is what a node knows itself of the replicas of one service.
+// View is what a node itself knows about the replicas of one service.
 type View struct {
-	// Node is its name, Near those of all nodes of its failure domain.
+	// Node is the name of this node. DomainNodes are the names of all nodes in its
+	// failure domain.
 	Node        string
 	DomainNodes []string
-	// Known says whether a replica is one of the service, Suspected whether it is taken for
-	// lost.
+	// Known reports whether a replica belongs to the service, Suspected whether this node
+	// already treats it as lost.
 	Known, Suspected func(replica string) bool
-	// Replicas is how many there are, SuspectedCount how many of them are taken for lost.
+	// Replicas is the number of replicas, SuspectedCount how many of them this node
+	// already treats as lost.
 	Replicas, SuspectedCount int
 }
 
-// Decision is what a node does about claims.
+// Decision is how a node handles observations.
 type Decision struct {
-	// Accept are claims that it takes for true, Verify those of which it looks at the
-	// replica.
+	// Accept holds the observations to act on, Verify those whose replica this node
+	// should check.
 	Accept, Verify []Observation
 }
 
-// Evaluate decides on what others have seen.
+// Evaluate decides how a node handles the observations of other nodes.
 func Evaluate(observations []Observation, v View) Decision {
 	var decision Decision
 	allowance := int(math.Floor(float64(v.Replicas)*MaxExcludedShare)) - v.SuspectedCount
-	for _, c := range observations {
-		if !v.Known(c.Replica) || c.Unreachable && v.Suspected(c.Replica) {
+	for _, o := range observations {
+		if !v.Known(o.Replica) || o.Unreachable && v.Suspected(o.Replica) {
 			continue
 		}
 		switch {
-		case c.Nodes >= Quorum && !c.Unreachable && !c.Refusing:
-			decision.Accept = append(decision.Accept, c)
-		case c.Nodes >= Quorum && allowance > 0:
+		case o.Nodes >= Quorum && !o.Unreachable && !o.Refusing:
+			decision.Accept = append(decision.Accept, o)
+		case o.Nodes >= Quorum && allowance > 0:
 			allowance--
-			decision.Accept = append(decision.Accept, c)
-		case c.Refusing: // there is nothing to look at: it answers all but requests
-		case v.Verifies(c.Replica):
-			decision.Verify = append(decision.Verify, c)
+			decision.Accept = append(decision.Accept, o)
+		case o.Refusing: // not verifiable: the replica answers everything except requests
+		case v.Verifies(o.Replica):
+			decision.Verify = append(decision.Verify, o)
 		}
 	}
 	return decision
 }
 
-// Verifies says whether the node is one of those that look at a replica for all.
+// Verifies reports whether this node is one of the Verifiers of a replica.
 func (v View) Verifies(replica string) bool {
 	key := rendezvous.Hash(replica)
 	own := rendezvous.Score(key, rendezvous.Hash(v.Node))
-	ranked := 0
+	rankedHigher := 0
 	for _, name := range v.DomainNodes {
 		if name != v.Node && rendezvous.Score(key, rendezvous.Hash(name)) > own {
-			ranked++
+			rankedHigher++
 		}
 	}
-	return ranked < Verifiers
+	return rankedHigher < Verifiers
 }
--- a/decide/peerreports/peerreports_test.go
+++ b/decide/peerreports/peerreports_test.go
@@ -24,69 +24,70 @@
 	}
 }
 
-// Forty nodes send to a replica that dies, and three of them have a stream through it. The
-// others take their word instead of losing a stream each.
+// Guards against each node losing a stream of its own to a dead replica. Of forty nodes
+// that use the replica, three have a stream through it and report it; the others accept
+// their reports.
 func TestQuorumIsAccepted(t *testing.T) {
-	near := names(40)
+	nodes := names(40)
 	var hub Aggregator
-	for _, node := range near[:Quorum] {
+	for _, node := range nodes[:Quorum] {
 		hub.Record(start, node, false, []Observation{{Replica: "r", Unreachable: true, Nodes: 1}})
 	}
-	answer := hub.ReplyTo(start, nil, near[30], false)
+	answer := hub.ReplyTo(start, nil, nodes[30], false)
 	if len(answer) != 1 || answer[0].Nodes != Quorum {
 		t.Fatalf("%+v", answer)
 	}
-	v := Evaluate(answer, view(near[30], near, 20, nil))
+	v := Evaluate(answer, view(nodes[30], nodes, 20, nil))
 	if len(v.Accept) != 1 || len(v.Verify) != 0 {
 		t.Errorf("%+v", v)
 	}
-	if v := Evaluate(answer, view(near[30], near, 20, map[string]bool{"r": true})); len(v.Accept)+len(v.Verify) > 0 {
-		t.Errorf("known already: %+v", v)
+	if v := Evaluate(answer, view(nodes[30], nodes, 20, map[string]bool{"r": true})); len(v.Accept)+len(v.Verify) > 0 {
+		t.Errorf("already suspected: %+v", v)
 	}
 }
 
-// Guards against one node's wrong view, such as that of one whose own link fails: nobody
-// takes its word, and of forty nodes three look for themselves.
+// Guards against a wrong observation of a single node, such as one whose own link fails.
+// No node accepts it, and three of forty nodes check the replica.
 func TestSingleNodeOnlyTriggersVerification(t *testing.T) {
-	near := names(40)
+	nodes := names(40)
 	verifying := 0
-	for _, node := range near {
-		v := Evaluate([]Observation{{Replica: "r", Unreachable: true, Nodes: 1}, {Replica: "s", Slowdown: 9, Nodes: 1}}, view(node, near, 20, nil))
+	for _, node := range nodes {
+		v := Evaluate([]Observation{{Replica: "r", Unreachable: true, Nodes: 1}, {Replica: "s", Slowdown: 9, Nodes: 1}}, view(node, nodes, 20, nil))
 		if len(v.Accept) > 0 {
-			t.Fatalf("%s believes %+v", node, v.Accept)
+			t.Fatalf("%s accepts %+v", node, v.Accept)
 		}
-		for _, c := range v.Verify {
-			if c.Replica == "r" {
+		for _, o := range v.Verify {
+			if o.Replica == "r" {
 				verifying++
 			}
 		}
 	}
 	if verifying != Verifiers {
-		t.Errorf("%d nodes look, want %d", verifying, Verifiers)
+		t.Errorf("%d nodes verify, want %d", verifying, Verifiers)
 	}
 }
 
-// Guards against a service that is taken out whole because the network between nodes and
-// replicas fails for many nodes at once.
+// Guards against excluding a whole service because the network between nodes and replicas
+// fails for many nodes at once.
 func TestExclusionIsBounded(t *testing.T) {
 	var observations []Observation
 	for i := range 20 {
 		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Unreachable: true, Nodes: 30})
 	}
-	near := names(40)
+	nodes := names(40)
 	for suspectedCount, want := range map[int]int{0: 5, 3: 2, 9: 0} {
 		suspected := map[string]bool{}
 		for i := range suspectedCount {
 			suspected[fmt.Sprint("other", i)] = true
 		}
-		if v := Evaluate(observations, view(near[0], near, 20, suspected)); len(v.Accept) != want {
-			t.Errorf("%d of 20 are lost: %d more are believed to be, want %d", suspectedCount, len(v.Accept), want)
+		if v := Evaluate(observations, view(nodes[0], nodes, 20, suspected)); len(v.Accept) != want {
+			t.Errorf("%d of 20 are suspected: %d more accepted, want %d", suspectedCount, len(v.Accept), want)
 		}
 	}
 }
 
-// A hub tells another what was told to it and not what hubs told it: a claim that went
-// round would count more nodes each time.
+// Guards against observations that count more nodes with each exchange. A hub sends
+// another hub only what it received from nodes that are not hubs.
 func TestObservationsAreNotEchoed(t *testing.T) {
 	var a, b Aggregator
 	observation := []Observation{{Replica: "r", Unreachable: true, Nodes: 1}}
@@ -99,30 +100,31 @@
 		t.Errorf("%+v", got)
 	}
 	if got := a.ReplyTo(start, nil, "leaf", false); len(got) != 0 {
-		t.Errorf("a node is told its own claim: %+v", got)
+		t.Errorf("a node receives its own observation: %+v", got)
 	}
 }
 
-// Guards against rumors about replicas that turn requests away: they answer all that could
-// be asked instead, so fewer than enough nodes send nobody there, and enough are believed
-// for a bounded part of the replicas.
+// Guards against checks of replicas that refuse requests: such a replica answers
+// everything that a check could send. Reports of fewer nodes than Quorum therefore
+// trigger no check. Reports of Quorum nodes are accepted for a bounded share of the
+// replicas.
 func TestRefusingIsNotVerified(t *testing.T) {
-	near := names(40)
-	for _, node := range near {
-		if v := Evaluate([]Observation{{Replica: "r", Refusing: true, Nodes: Quorum - 1}}, view(node, near, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
+	nodes := names(40)
+	for _, node := range nodes {
+		if v := Evaluate([]Observation{{Replica: "r", Refusing: true, Nodes: Quorum - 1}}, view(node, nodes, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
 			t.Fatalf("%s: %+v", node, v)
 		}
 	}
-	var claims []Observation
+	var observations []Observation
 	for i := range 20 {
-		claims = append(claims, Observation{Replica: fmt.Sprint("r", i), Refusing: true, Nodes: Quorum})
+		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Refusing: true, Nodes: Quorum})
 	}
-	if v := Evaluate(claims, view(near[0], near, 20, nil)); len(v.Accept) != 20*MaxExcludedShare {
-		t.Errorf("%d of 20 are believed to turn requests away", len(v.Accept))
+	if v := Evaluate(observations, view(nodes[0], nodes, 20, nil)); len(v.Accept) != 20*MaxExcludedShare {
+		t.Errorf("%d of 20 reports of refusing replicas are accepted", len(v.Accept))
 	}
 }
 
-// What was seen long ago does not count, however often it is passed on.
+// Guards against old observations that stay valid because nodes pass them on.
 func TestObservationsExpire(t *testing.T) {
 	var b Aggregator
 	b.Record(start, "leaf", false, []Observation{{Replica: "r", Unreachable: true, Nodes: 1, Age: ValidFor / 2}})
@@ -134,17 +136,17 @@
 	}
 }
 
-// Guards against claims that no node would make: dated ahead, of nobody, without end. The
-// others hold.
+// Guards against observations that no node would send: with a negative age, without a
+// node, or too many. Valid ones in the same message are kept.
 func TestInvalidObservationsAreDropped(t *testing.T) {
 	var b Aggregator
-	bad := []Observation{
+	invalid := []Observation{
 		{Unreachable: true, Nodes: 1}, {Replica: "r", Unreachable: true}, {Replica: "r", Unreachable: true, Nodes: -1}, {Replica: "r", Unreachable: true, Nodes: math.MaxInt},
 		{Replica: "r", Unreachable: true, Nodes: 1, Age: -time.Second}, {Replica: "r", Unreachable: true, Nodes: 1, Age: time.Hour},
 		{Replica: "r", Nodes: 1}, {Replica: "r", Nodes: 1, Slowdown: math.NaN()}, {Replica: "r", Nodes: 1, Slowdown: math.Inf(1)}, {Replica: "r", Nodes: 1, Slowdown: 0.5},
 	}
-	if dropped := b.Record(start, "leaf", false, append(bad, Observation{Replica: "good", Slowdown: 2, Nodes: 1})); dropped != len(bad) {
-		t.Errorf("%d of %d dropped", dropped, len(bad))
+	if dropped := b.Record(start, "leaf", false, append(invalid, Observation{Replica: "good", Slowdown: 2, Nodes: 1})); dropped != len(invalid) {
+		t.Errorf("%d of %d dropped", dropped, len(invalid))
 	}
 	if got := b.FromOthers(start); len(got) != 1 || got[0].Replica != "good" {
 		t.Errorf("%+v", got)
@@ -155,7 +157,7 @@
 	}
 	b.Record(start, "leaf", false, many)
 	if got := b.FromOthers(start); len(got) != MaxPerMessage {
-		t.Errorf("%d claims are kept", len(got))
+		t.Errorf("%d observations are kept", len(got))
 	}
 	if v := Evaluate([]Observation{{Replica: "unknown", Unreachable: true, Nodes: 9}}, view("n", nil, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
 		t.Errorf("%+v", v)
