--- a/decide/storereaders/storereaders.go
+++ b/decide/storereaders/storereaders.go
@@ -1,32 +1,32 @@
-// Package storereaders decides which nodes read the platform's store themselves, which ask
-// those, and which have an entry of their own there.
+// Package storereaders decides which nodes read the platform's store themselves, which
+// nodes ask these readers instead, and which nodes have an entry of their own in the store.
 //
 // # Load pattern
 //
-// Every node needs the configuration, the replicas and the other nodes within a second
-// or two of a change, and a proof of their age; the store's calls are paid for and its
-// rate grows more slowly than the fleet.
+// Every node needs the configuration, the replicas and the other nodes within a second or
+// two of a change, with a proof of their age. Calls to the store are billed, and its rate
+// limit grows more slowly than the fleet.
 //
-// # Without it
+// # Failure without it
 //
-// Each node reads all of it each second and renews a lease of its own: the calls grow with
-// the fleet, and two thousand nodes need more of them a second than the store has.
+// Each node reads everything each second and renews a lease of its own. The calls grow with
+// the fleet, and two thousand nodes need more calls per second than the store allows.
 //
 // # Rules
 //
-//   - PerDomain nodes of each failure domain have an entry of their own, in which they
-//     list the others (decide/nodelist); two may be lost or cut off at the same moment. They
-//     are the domain's readers.
-//   - They are in an order, and each asks those before it first, so that one reads while
-//     all is well; the next does as soon as what the ones before it tell is no longer
-//     young.
-//   - Who is a reader stays one, unless a node with a much better link takes its place;
-//     where one is missing, the best of those listed does.
-//   - A node that no reader has heard enters itself, and is named to callers, but is no
-//     reader.
+//   - PerDomain nodes of each failure domain have an entry of their own, in which they list
+//     the other nodes (decide/nodelist). With that many, two can be lost or cut off at the
+//     same time. They are the readers of the domain.
+//   - The readers are ordered, and each asks the readers before it first. So only one of
+//     them reads the store in normal operation. The next one reads as soon as the data from
+//     the readers before it is too old.
+//   - A reader stays a reader unless a node with a much faster link replaces it. If a reader
+//     is missing, the best of the listed nodes becomes one.
+//   - A node that no reader has heard from writes an entry of its own. It is then named to
+//     callers, but it is not a reader.
 //
-// Everything a node is told is a hint with an age; a node that is told nothing young
-// reads for itself, so a wrong choice costs calls only.
+// All data from other nodes is a hint with an age. A node without recent data reads the
+// store itself, so a wrong choice costs only calls.
 package storereaders
 
 import (
@@ -35,31 +35,32 @@
 	"time"
 )
 
-// PerDomain is how many nodes of a failure domain read the store.
+// PerDomain is the number of readers in a failure domain.
 const PerDomain = 3
 
-// Member is a node.
+// Member is a node as seen by other nodes.
 type Member struct {
 	Name, Domain string
-	// Address is where it is asked; "" if it can't be.
+	// Address is where other nodes can ask it; empty if they cannot.
 	Address string
-	// HasEntry is set if it has an entry of its own; the others are listed by one that has.
+	// HasEntry is set if the node has an entry of its own in the store. Other nodes are
+	// listed in the entry of a reader.
 	HasEntry bool
-	// LinkMbps is what its VM may send, in Mbit/s; 0 if that is not known.
+	// LinkMbps is the outbound bandwidth of its VM in Mbit/s; 0 if unknown.
 	LinkMbps float64
 }
 
-// eligible says whether a member may be one of its domain's readers.
+// eligible reports whether a member can be one of its domain's readers.
 func (m Member) eligible() bool { return m.HasEntry && m.Address != "" }
 
-// ForDomain returns the nodes that read for a failure domain, in order.
+// ForDomain returns the readers of a failure domain, in order.
 func ForDomain(domain string, members []Member) []Member {
 	list := selectSorted(members, func(m Member) bool { return m.Domain == domain && m.eligible() })
 	return list[:min(len(list), PerDomain)]
 }
 
-// selectSorted returns some of the members, each once, those with more of a link first, and by
-// name.
+// selectSorted returns the members that keep accepts, without duplicates. Members with
+// more bandwidth come first, then the order is by name.
 func selectSorted(members []Member, keep func(Member) bool) []Member {
 	var list []Member
 	for _, m := range members {
@@ -73,15 +74,16 @@
 	return slices.CompactFunc(list, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// IsReader says whether a node is one of its domain's readers. Where there is none, every
-// node is.
+// IsReader reports whether a node is one of its domain's readers. In a domain without
+// readers every node is.
 func IsReader(name, domain string, members []Member) bool {
 	list := ForDomain(domain, members)
 	return len(list) == 0 || indexOf(name, list) >= 0
 }
 
-// NeedsEntry says whether a node needs an entry of its own: a reader, the first of the others
-// where readers are missing, and any where there is none.
+// NeedsEntry reports whether a node needs an entry of its own. This applies to readers,
+// to the first of the other nodes if readers are missing or have much less bandwidth, and
+// to every node in a domain without readers.
 func NeedsEntry(name, domain string, members []Member) bool {
 	list := ForDomain(domain, members)
 	if len(list) == 0 || indexOf(name, list) >= 0 {
@@ -96,35 +98,38 @@
 	return position < PerDomain-len(list) || weakestLink > 0 && others[position].LinkMbps >= replaceLinkFactor*weakestLink
 }
 
-// replaceLinkFactor: a node with so many times the link of a reader takes its place. All nodes
-// of the domain ask the first reader.
+// replaceLinkFactor: a node with at least this many times the bandwidth of a reader
+// replaces it, because all nodes of the domain ask the first reader.
 const replaceLinkFactor = 2
 
-// RetryState is how a node stands that could not read the store.
+// RetryState is the state of a node that failed to read the store.
 type RetryState struct {
-	// BaseInterval is between two tries of one that nobody reads for.
+	// BaseInterval is the retry interval of a domain's first reader.
 	BaseInterval time.Duration
-	// Failures is how often it has tried in vain, DomainSize how many nodes its failure domain has.
+	// Failures is the number of failed attempts, DomainSize the number of nodes in the
+	// failure domain.
 	Failures, DomainSize int
-	// IsReader is set for one of the domain's readers, ReaderReached if a reader before it was
-	// reached, though with nothing young to tell.
+	// IsReader is set if the node is one of the domain's readers. ReaderReached is set if
+	// it reached a reader before it, which had no recent data.
 	IsReader, ReaderReached bool
-	// Starting is set until it has a configuration.
+	// Starting is set until the node has a configuration.
 	Starting bool
 }
 
 const (
-	// backupReaderFactor times Soon is between two tries of a reader that others come before.
+	// backupReaderFactor is the multiple of BaseInterval at which a reader retries while
+	// it reaches a reader before it.
 	backupReaderFactor = 3
-	// maxDoublings of the pause of a node that knows of no reader.
+	// maxDoublings bounds the exponential backoff of a node that knows no reader.
 	maxDoublings = 2
 )
 
-// RetryInterval is the mean pause before the store is tried again. The first reader tries often:
-// it finds out for all when the store is back. The nodes that it reads for share the
-// tries by which they find out whether they reach the store where their readers don't.
-// Who knows of nobody tries less and less often: the whole fleet may do so at once. So does
-// a node that starts: until it has a configuration it serves nobody.
+// RetryInterval returns the mean interval until the store is tried again. The first
+// reader retries often, because it detects for all nodes that the store is back. The
+// nodes that depend on readers share the retries that detect whether they can reach the
+// store while their readers cannot. A node that knows no reader backs off exponentially,
+// because the whole fleet may be in this state at once. A starting node does the same:
+// until it has a configuration it serves no callers.
 func RetryInterval(s RetryState) time.Duration {
 	switch {
 	case s.ReaderReached && s.IsReader:
@@ -141,9 +146,10 @@
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == name })
 }
 
-// ReadersToAsk returns whom a node asks before it reads for itself, in order: a reader those
-// before it, any other node all readers. What the first that reaches the store tells is
-// the youngest, so the questions can't be shared.
+// ReadersToAsk returns the nodes that a node asks before it reads the store itself, in
+// order. A reader asks the readers before it; any other node asks all readers. The first
+// reader that reaches the store has the most recent data, so the requests cannot be
+// spread over the readers.
 func ReadersToAsk(name, domain string, members []Member) []Member {
 	list := ForDomain(domain, members)
 	if own := indexOf(name, list); own >= 0 {
@@ -152,7 +158,8 @@
 	return CallableFrom(name, 0, list)
 }
 
-// CallableFrom returns those of a list that a node can call, beginning with one drawn for it.
+// CallableFrom returns the members of a list that the named node can call. The list is
+// rotated by offset, so that nodes with different offsets start with different members.
 func CallableFrom(name string, offset int, list []Member) []Member {
 	list = slices.DeleteFunc(slices.Clone(list), func(m Member) bool { return m.Name == name || m.Address == "" })
 	if len(list) == 0 {
--- a/decide/storereaders/storereaders_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// fleet is one in which the first nodes of each domain have entries of their own.
+// fleet returns a fleet in which the first withEntry nodes of each domain have entries of
+// their own.
 func fleet(domains, perDomain, withEntry int) []Member {
 	var list []Member
 	for d := range domains {
@@ -21,10 +22,11 @@
 	return list
 }
 
-// Three of each domain may read, in a small fleet every node.
+// Guards against store calls that grow with the fleet: three nodes of each domain may
+// read, and in a small domain every node.
 func TestReadersPerDomain(t *testing.T) {
-	for _, c := range []struct{ each, want int }{{2, 2}, {3, 3}, {28, 3}, {700, 3}} {
-		members := fleet(3, c.each, 3)
+	for _, c := range []struct{ perDomain, want int }{{2, 2}, {3, 3}, {28, 3}, {700, 3}} {
+		members := fleet(3, c.perDomain, 3)
 		reading := 0
 		for _, m := range members {
 			if IsReader(m.Name, m.Domain, members) {
@@ -32,22 +34,22 @@
 			}
 		}
 		if reading != 3*c.want {
-			t.Errorf("%d nodes a domain: %d read, want %d", c.each, reading, 3*c.want)
+			t.Errorf("%d nodes per domain: %d read, want %d", c.perDomain, reading, 3*c.want)
 		}
 	}
 	if IsReader("new", "d0", fleet(1, 50, 3)) {
-		t.Error("a node that is not listed yet has readers to ask")
+		t.Error("a node that is not listed yet reads although its domain has readers")
 	}
 	if !IsReader("new", "d1", fleet(1, 50, 3)) {
-		t.Error("a node whose domain has no reader has nobody to ask")
+		t.Error("a node does not read although its domain has no reader")
 	}
 }
 
-// A node that is not listed yet asks the readers, so that it gets listed without a call
-// to the store; one that can't be asked is nobody's reader.
+// Guards against a store call by each node that is not listed yet: it asks the readers,
+// which then list it. A node that cannot be asked is not a reader.
 func TestReadersToAsk(t *testing.T) {
 	members := fleet(2, 50, 3)
-	members[0].Address = "" // entered, as no reader heard it
+	members[0].Address = "" // has an entry because no reader heard from it
 	for _, name := range []string{"n0-40", "new"} {
 		got := ""
 		for _, m := range ReadersToAsk(name, "d0", members) {
@@ -62,12 +64,13 @@
 	}
 }
 
-// While all is well one node of a domain reads; if it is lost, or loses the store, the
-// next does. Were all to read that may, a fleet would pay three times for the same.
+// Guards against paying several times for the same data. In normal operation one node of
+// a domain reads the store. If it is lost or cannot reach the store, the next reader
+// does.
 func TestOneReaderPerDomainReads(t *testing.T) {
-	for _, each := range []int{1, 2, 3, 28} {
-		members := fleet(3, each, 3)
-		for lost := range min(each, PerDomain) {
+	for _, perDomain := range []int{1, 2, 3, 28} {
+		members := fleet(3, perDomain, 3)
+		for lost := range min(perDomain, PerDomain) {
 			reading := 0
 			for _, m := range members {
 				answered := false
@@ -78,48 +81,48 @@
 					reading++
 				}
 			}
-			if want := 3; reading != want && each > lost {
-				t.Errorf("%d nodes a domain, %d lost: %d read, want %d", each, lost, reading, want)
+			if want := 3; reading != want && perDomain > lost {
+				t.Errorf("%d nodes per domain, %d lost: %d read, want %d", perDomain, lost, reading, want)
 			}
 		}
 	}
 }
 
-// Guards against a lease for each node: whatever the size, three of a domain have entries,
-// those that are missing are replaced, and a new node displaces none.
+// Guards against a lease for each node. Three nodes of a domain have entries whatever its
+// size, lost ones are replaced, and a new node replaces none.
 func TestEntriesPerDomain(t *testing.T) {
 	for _, c := range []struct {
-		name                string
-		each, entered, want int
+		name                       string
+		perDomain, withEntry, want int
 	}{
-		{"nobody is known", 0, 0, 0},
+		{"no node is known", 0, 0, 0},
 		{"small", 2, 2, 2},
-		{"all is well", 42, 3, 3},
+		{"normal operation", 42, 3, 3},
 		{"one was lost", 42, 2, 3},
 		{"two were lost", 42, 1, 3},
-		{"all were lost: whoever comes enters", 42, 0, 42},
-		{"all started at once and entered", 42, 42, 3},
+		{"all were lost: every node needs an entry", 42, 0, 42},
+		{"all started at once with entries", 42, 42, 3},
 	} {
-		members := fleet(1, c.each, c.entered)
-		entering := 0
+		members := fleet(1, c.perDomain, c.withEntry)
+		count := 0
 		for _, m := range members {
 			if NeedsEntry(m.Name, m.Domain, members) {
-				entering++
+				count++
 			}
 		}
-		if entering != c.want {
-			t.Errorf("%s: %d of %d nodes have entries, want %d", c.name, entering, c.each, c.want)
+		if count != c.want {
+			t.Errorf("%s: %d of %d nodes have entries, want %d", c.name, count, c.perDomain, c.want)
 		}
-		first := len(members) == 0 || c.entered == 0
+		first := len(members) == 0 || c.withEntry == 0
 		if NeedsEntry("a-new-one", "d0", members) != first {
-			t.Errorf("%s: a new node enters: %v", c.name, !first)
+			t.Errorf("%s: a new node needs an entry: %v", c.name, !first)
 		}
 	}
 }
 
-// A fleet of few large VMs and many small ones starts, and small ones enter first. Guards
-// against readers whose link is full of the others' questions: the large ones take their
-// places, and then nobody changes any more.
+// Guards against readers whose link is saturated by requests of other nodes. A fleet of
+// few large VMs and many small ones starts, and the small ones get entries first. The
+// large ones replace them, and after that the readers no longer change.
 func TestLargeNodesBecomeReaders(t *testing.T) {
 	members := fleet(1, 40, 3)
 	for i := range members {
@@ -141,31 +144,32 @@
 	for _, m := range ForDomain("d0", members) {
 		got += m.Name + " "
 	}
-	entered := selectSorted(members, func(m Member) bool { return m.HasEntry })
-	if got != "n0-35 n0-36 n0-37 " || len(entered) != PerDomain {
-		t.Errorf("%s read, %d have entries", got, len(entered))
+	withEntry := selectSorted(members, func(m Member) bool { return m.HasEntry })
+	if got != "n0-35 n0-36 n0-37 " || len(withEntry) != PerDomain {
+		t.Errorf("%s read, %d have entries", got, len(withEntry))
 	}
 }
 
-// Guards against a fleet that calls a lost store without end. Eight seconds without the
-// store cost about as many calls with 42 nodes a domain as with three, and the first
-// reader finds out within a third of a second that it is back.
+// Guards against a fleet that calls an unreachable store at a rate that grows with its
+// size. An outage of eight seconds costs about as many calls with 42 nodes per domain as
+// with three, and the first reader detects the end of the outage within a third of a
+// second.
 func TestRetryRateDuringStoreOutage(t *testing.T) {
 	const outage, baseInterval = 8 * time.Second, 300 * time.Millisecond
 	countTries := func(domainSize int) int {
 		members, tries := fleet(1, domainSize, 3), 0
 		for _, m := range members {
-			l := RetryState{BaseInterval: baseInterval, DomainSize: domainSize, IsReader: IsReader(m.Name, m.Domain, members), ReaderReached: len(ReadersToAsk(m.Name, m.Domain, members)) > 0}
-			for at := time.Duration(0); at < outage; at += RetryInterval(l) {
+			state := RetryState{BaseInterval: baseInterval, DomainSize: domainSize, IsReader: IsReader(m.Name, m.Domain, members), ReaderReached: len(ReadersToAsk(m.Name, m.Domain, members)) > 0}
+			for at := time.Duration(0); at < outage; at += RetryInterval(state) {
 				tries++
-				l.Failures++
+				state.Failures++
 			}
 		}
 		return tries
 	}
 	small, large := countTries(3), countTries(42)
 	if single := countTries(1); single < int(outage/baseInterval) {
-		t.Errorf("the first reader tries %d times", single)
+		t.Errorf("the first reader makes only %d attempts", single)
 	}
 	if large > 2*small {
 		t.Errorf("%d calls with 3 nodes, %d with 42", small, large)
@@ -175,24 +179,24 @@
 		tries++
 		unknown.Failures++
 		if tries > 10 {
-			t.Fatal("a node that knows of no other tries as often as the first reader of a domain")
+			t.Fatal("a node that knows no other node retries as often as the first reader of a domain")
 		}
 	}
 }
 
-// A hundred nodes of a failure domain start at once, and the first try of one at the store
-// fails while its readers have nothing to tell yet. Were it to share its tries with the
-// others, it would serve nobody for half a minute.
+// Guards against a starting node that serves no callers for half a minute. A hundred
+// nodes of a failure domain start at once. The first read of one of them fails while its
+// readers have no data yet. It must not share its retries with the other nodes.
 func TestStartingNodeRetriesOnItsOwn(t *testing.T) {
 	const baseInterval = 300 * time.Millisecond
-	l := RetryState{BaseInterval: baseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
-	if shared := RetryInterval(l); shared < 10*time.Second {
-		t.Errorf("one that serves tries again after %v", shared)
-	}
-	l.Starting = true
-	for l.Failures = 1; l.Failures < 10; l.Failures++ {
-		if pause := RetryInterval(l); pause > baseInterval<<maxDoublings {
-			t.Errorf("one that starts tries again after %v, having failed %d times", pause, l.Failures)
+	state := RetryState{BaseInterval: baseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
+	if shared := RetryInterval(state); shared < 10*time.Second {
+		t.Errorf("a serving node retries after %v", shared)
+	}
+	state.Starting = true
+	for state.Failures = 1; state.Failures < 10; state.Failures++ {
+		if pause := RetryInterval(state); pause > baseInterval<<maxDoublings {
+			t.Errorf("a starting node retries after %v, after %d failures", pause, state.Failures)
 		}
 	}
 }
