--- a/decide/shardowner/shardowner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -19,13 +19,13 @@
 }
 
 func newPicker(live []string) *Picker {
-	n := New()
-	n.SetLive(live)
-	return n
+	p := New()
+	p.SetLive(live)
+	return p
 }
 
-// Shards must be spread, and must stay where they are when others come or go:
-// each move makes two nodes write one shard for a while.
+// Guards against uneven shards, and against shards that move when other nodes join or
+// leave. After each move two nodes write the same shard for a while.
 func TestPick(t *testing.T) {
 	Convey("Given nine nodes and 256 shards", t, func() {
 		nine, eight, owned, moved := newPicker(names(9)), newPicker(names(8)), map[string]int{}, 0
@@ -48,38 +48,38 @@
 	})
 }
 
-// Orders wait for a frozen node only as often as it is tried. The owner of a
-// shard stops answering; a hundred operations that waited for it fail together.
-// The next node takes the shard, and one operation a pause finds out whether
+// Guards against orders that wait for a frozen node more often than once per backoff. The
+// owner of a shard stops answering, and a hundred operations that waited for it fail
+// together. The next node takes the shard, and one operation per backoff detects whether
 // the owner is back.
 func TestUnresponsiveOwner(t *testing.T) {
 	Convey("Given a shard whose owner has not answered", t, func() {
-		n := newPicker(names(3))
-		first := n.Pick(start, "7")
-		So(n.RecordFailure(start, first), ShouldEqual, MinBackoff)
+		p := newPicker(names(3))
+		first := p.Pick(start, "7")
+		So(p.RecordFailure(start, first), ShouldEqual, MinBackoff)
 		for range 100 {
-			So(n.RecordFailure(start, first), ShouldEqual, 0)
+			So(p.RecordFailure(start, first), ShouldEqual, 0)
 		}
-		second := n.Pick(start, "7")
+		second := p.Pick(start, "7")
 		So(second, ShouldNotEqual, first)
 
-		Convey("it is tried by one operation after a pause, which doubles", func() {
+		Convey("one operation tries it after each backoff, which doubles", func() {
 			at := start
-			for _, pause := range []time.Duration{1, 2, 4, 8, 16, 16} {
-				at = at.Add(pause * time.Second)
-				So(n.Pick(at, "7"), ShouldEqual, first)
-				So(n.Pick(at, "7"), ShouldEqual, second)
-				So(n.RecordFailure(at, first), ShouldEqual, min(2*pause*time.Second, MaxBackoff))
+			for _, backoff := range []time.Duration{1, 2, 4, 8, 16, 16} {
+				at = at.Add(backoff * time.Second)
+				So(p.Pick(at, "7"), ShouldEqual, first)
+				So(p.Pick(at, "7"), ShouldEqual, second)
+				So(p.RecordFailure(at, first), ShouldEqual, min(2*backoff*time.Second, MaxBackoff))
 			}
 		})
 		Convey("it is used again once it has answered", func() {
-			n.RecordAnswer(first)
-			So(n.Pick(start, "7"), ShouldEqual, first)
-			So(n.Pick(start, "7"), ShouldEqual, first)
+			p.RecordAnswer(first)
+			So(p.Pick(start, "7"), ShouldEqual, first)
+			So(p.Pick(start, "7"), ShouldEqual, first)
 		})
-		Convey("news of other members does not forget that it is silent", func() {
-			n.SetLive(names(4))
-			So(n.Pick(start, "7"), ShouldNotEqual, first)
+		Convey("a new list of members keeps its backoff", func() {
+			p.SetLive(names(4))
+			So(p.Pick(start, "7"), ShouldNotEqual, first)
 		})
 	})
 }
