--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -1,27 +1,27 @@
-// Package reservations adds up what the nodes of a failure domain have booked on replicas,
-// so that each can reckon with the room that is really left.
+// Package reservations adds up the capacity that the nodes of a failure domain have reserved
+// on replicas, so that each node knows the remaining capacity.
 //
 // # Load pattern
 //
-// Many nodes send to the same replicas, and no replica tells in time how full it is.
-// Callers are spread unevenly over the nodes, and nodes come and go.
+// Many nodes send to the same replicas, and no replica reports in time how full it is.
+// Callers are spread unevenly over the nodes, and nodes join and leave.
 //
-// # Without it
+// # Failure without it
 //
-// Each node keeps to an even part of the room. With twenty nodes that is room for a
-// handful of requests: while one node has callers waiting, others leave theirs unused;
-// and where a node uses more than its part, replicas refuse, each node learns that by
-// itself, and the tries are spent.
+// Each node uses at most an even share of the capacity. With twenty nodes that is capacity
+// for a handful of requests: some nodes have callers waiting while others leave their share
+// unused. If a node exceeds its share, replicas refuse requests. Each node detects that
+// separately, and the attempts are used up.
 //
 // # Rules
 //
-//   - A few nodes of the domain, the hubs, are told by the others what these have booked,
-//     and tell each other the sums. Whoever asks is answered with what all others have
-//     booked, as far as it is known here.
-//   - What was told counts for ValidFor. Of nodes that are not heard of, the reader
-//     reckons that they use their even part (decide/paths).
+//   - A few nodes of the domain are hubs. The other nodes report their reservations to a
+//     hub, and the hubs exchange the sums. A node that reports gets back the reservations
+//     of all other nodes, as far as the hub knows them.
+//   - A report is valid for ValidFor. For nodes without a report, the node that uses the
+//     totals assumes an even share (decide/paths).
 //
-// All of it is a hint: a wrong sum costs a refusal or some unused room.
+// The totals are a hint: a wrong sum costs a refusal or some unused capacity.
 package reservations
 
 import (
@@ -29,20 +29,20 @@
 	"time"
 )
 
-// ValidFor is how long what was told counts: three exchanges may be lost.
+// ValidFor is how long a report is valid: three exchanges may be lost.
 const ValidFor = time.Second
 
-// Totals is what some nodes have booked together.
+// Totals is the capacity that a number of nodes have reserved together.
 type Totals struct {
-	// Nodes is how many.
+	// Nodes is the number of nodes.
 	Nodes int
-	// Amounts are by replica, in tokens times layers.
+	// Amounts are the reserved capacities by replica, in tokens times layers.
 	Amounts map[string]float64
 }
 
-// Plus is the sum of two.
-func (h Totals) Plus(other Totals) Totals {
-	sum := Totals{Nodes: h.Nodes + other.Nodes, Amounts: maps.Clone(h.Amounts)}
+// Plus returns the sum of t and other.
+func (t Totals) Plus(other Totals) Totals {
+	sum := Totals{Nodes: t.Nodes + other.Nodes, Amounts: maps.Clone(t.Amounts)}
 	if sum.Amounts == nil {
 		sum.Amounts = map[string]float64{}
 	}
@@ -52,64 +52,66 @@
 	return sum
 }
 
-// report is what one node told last.
+// report is the last report of a node.
 type report struct {
 	received time.Time
 	hub      bool
 	totals   Totals
 }
 
-// Aggregator is what one node has been told. The zero value is ready. It is not safe for
-// concurrent use.
+// Aggregator holds the reports that a node has received. The zero value is ready to use.
+// It is not safe for concurrent use.
 type Aggregator struct {
 	latest map[string]report
 }
 
-// Record notes what a node told: its own bookings, or, as a hub, a sum.
-func (b *Aggregator) Record(now time.Time, node string, hub bool, totals Totals) {
-	if b.latest == nil {
-		b.latest = map[string]report{}
+// Record stores a node's report: its own reservations or, from a hub, a sum.
+func (a *Aggregator) Record(now time.Time, node string, hub bool, totals Totals) {
+	if a.latest == nil {
+		a.latest = map[string]report{}
 	}
-	for name, e := range b.latest {
-		if now.Sub(e.received) >= ValidFor {
-			delete(b.latest, name)
+	for name, r := range a.latest {
+		if now.Sub(r.received) >= ValidFor {
+			delete(a.latest, name)
 		}
 	}
-	b.latest[node] = report{received: now, hub: hub, totals: totals}
+	a.latest[node] = report{received: now, hub: hub, totals: totals}
 }
 
-// KeepOnly forgets all but what one hub told: its sum holds what any other told before.
-func (b *Aggregator) KeepOnly(hub string) {
-	maps.DeleteFunc(b.latest, func(node string, _ report) bool { return node != hub })
+// KeepOnly drops the reports of all nodes except one hub, whose sum includes the reports
+// of the others.
+func (a *Aggregator) KeepOnly(hub string) {
+	maps.DeleteFunc(a.latest, func(node string, _ report) bool { return node != hub })
 }
 
-// FromOthers is what all other nodes have booked, as far as it is known.
-func (b *Aggregator) FromOthers(now time.Time) Totals {
-	return b.sum(now, func(string, report) bool { return true })
+// FromOthers returns the reservations of all other nodes, as far as they are known.
+func (a *Aggregator) FromOthers(now time.Time) Totals {
+	return a.sum(now, func(string, report) bool { return true })
 }
 
-// HubTotals is what a hub tells the others: its own and what it was told directly.
-func (b *Aggregator) HubTotals(now time.Time, own Totals) Totals {
-	return own.Plus(b.sum(now, func(_ string, e report) bool { return !e.hub }))
+// HubTotals returns what a hub reports to other hubs: its own reservations and those that
+// nodes reported to it directly.
+func (a *Aggregator) HubTotals(now time.Time, own Totals) Totals {
+	return own.Plus(a.sum(now, func(_ string, r report) bool { return !r.hub }))
 }
 
-// ReplyTo is what a node that asked is told: another hub the local sum, any other node
-// all that is known but for its own.
-func (b *Aggregator) ReplyTo(now time.Time, own Totals, asker string, hub bool) Totals {
+// ReplyTo returns the reply to a node's report. Another hub gets HubTotals; any other
+// node gets all known reservations but its own.
+func (a *Aggregator) ReplyTo(now time.Time, own Totals, asker string, hub bool) Totals {
 	if hub {
-		return b.HubTotals(now, own)
+		return a.HubTotals(now, own)
 	}
-	return own.Plus(b.sum(now, func(node string, _ report) bool { return node != asker }))
+	return own.Plus(a.sum(now, func(node string, _ report) bool { return node != asker }))
 }
 
-func (b *Aggregator) sum(now time.Time, include func(node string, e report) bool) Totals {
+func (a *Aggregator) sum(now time.Time, include func(node string, r report) bool) Totals {
 	sum := Totals{Amounts: map[string]float64{}}
-	for node, e := range b.latest {
-		if now.Sub(e.received) >= ValidFor || !include(node, e) {
+	for node, r := range a.latest {
+		if now.Sub(r.received) >= ValidFor || !include(node, r) {
 			continue
 		}
-		sum.Nodes += e.totals.Nodes
-		for replica, amount := range e.totals.Amounts {
+		sum.Nodes += r.totals.Nodes
+		for replica, amount := range r.totals.Amounts {
 			sum.Amounts[replica] += amount
 		}
 	}
--- a/decide/reservations/reservations_test.go
+++ b/decide/reservations/reservations_test.go
@@ -12,8 +12,8 @@
 	return Totals{Nodes: 1, Amounts: map[string]float64{"r": amount}}
 }
 
-// domain plays the exchanges of a failure domain: the first hubs nodes are hubs, the
-// others each ask one.
+// domain simulates the exchanges of a failure domain. The first nodes are the hubs, and
+// each other node reports to one hub.
 type domain struct {
 	aggregators []Aggregator
 	own         []float64
@@ -51,8 +51,8 @@
 	return others
 }
 
-// After two rounds each node knows what all others have booked, once, however many hubs
-// there are.
+// Guards against reservations that are missed or counted twice. After two rounds of
+// exchanges each node knows the reservations of all others, whatever the number of hubs.
 func TestEachNodeCountsAllOthersOnce(t *testing.T) {
 	for _, c := range []struct{ nodes, hubs int }{{1, 1}, {2, 2}, {3, 3}, {9, 3}, {27, 3}, {5, 1}} {
 		d := &domain{aggregators: make([]Aggregator, c.nodes), hubs: c.hubs}
@@ -71,14 +71,14 @@
 		for i := range c.nodes {
 			others := d.aggregators[i].FromOthers(now)
 			if others.Nodes != c.nodes-1 || others.Amounts["r"] != total-d.own[i] {
-				t.Errorf("%d nodes, %d hubs: node %d knows of %d others with %v, want %v", c.nodes, c.hubs, i, others.Nodes, others.Amounts["r"], total-d.own[i])
+				t.Errorf("%d nodes, %d hubs: node %d counts %d others with %v, want %v", c.nodes, c.hubs, i, others.Nodes, others.Amounts["r"], total-d.own[i])
 			}
 		}
 	}
 }
 
-// A node dies or is cut off: what it told counts for a while and then no more. One that
-// turns to another hub is not counted twice by itself.
+// Guards against reservations of nodes that have died or are cut off, and against a node
+// that switches to another hub and counts reservations twice.
 func TestReportsExpire(t *testing.T) {
 	var b Aggregator
 	b.Record(start, "a", false, oneNode(5))
