--- a/decide/nodelist/nodelist.go
+++ b/decide/nodelist/nodelist.go
@@ -1,26 +1,28 @@
-// Package nodelist keeps the list of nodes that one node enters in the platform's store for
-// others.
+// Package nodelist keeps the list of nodes that one node writes to the platform's store on
+// behalf of other nodes.
 //
 // # Load pattern
 //
-// Callers are told which nodes to connect to, so each node must be listed, and one that
-// has died must soon not be. Fleets start all at once, are restarted one by one, and
-// lose power together.
+// Callers are told which nodes to connect to, so each node must be listed, and a node that
+// has died must soon be removed. All nodes of a fleet may start at once, be restarted one
+// by one, or lose power together.
 //
-// # Without it
+// # Failure without it
 //
-// Each node holds a lease in the store and renews it more than once a second: calls that
-// grow with the fleet, while the store's rate does not.
+// Each node holds a lease in the store and renews it more than once a second. The calls
+// grow with the fleet, while the store's rate limit does not.
 //
 // # Rules
 //
-//   - A node tells another one that it is there whenever it asks that one what it has
-//     read (fleet/reads); it counts as there for Lives after it was last heard.
-//   - One that says that it leaves is taken off at once.
-//   - A node that has just started goes on with what its last process had listed, as if
-//     all of them had been heard at its start. Without that a fleet that lost power would
-//     name a handful of nodes to all callers until the others have called.
-//   - The list is bounded by Most: a caller of the nodes' door can't make it grow.
+//   - A request to another node for the data that it has read (fleet/reads) is also a
+//     heartbeat. A node is listed for TTL after its last heartbeat.
+//   - A node that reports that it is leaving is removed at once.
+//   - A node that has just started restores the list of its previous process, as if all
+//     nodes in it had sent a heartbeat at that time. Without that, a fleet that has lost
+//     power would name only a handful of nodes to all callers until the other nodes have
+//     sent heartbeats.
+//   - The list holds at most MaxNodes, so a client of the API between nodes cannot make it
+//     grow without bound.
 package nodelist
 
 import (
@@ -31,24 +33,24 @@
 )
 
 const (
-	// TTL is how long a node is listed after it was last heard of.
+	// TTL is how long a node is listed after its last heartbeat.
 	TTL = 3 * time.Second
-	// MaxNodes is how many nodes one list holds.
+	// MaxNodes is the maximum number of nodes in a list.
 	MaxNodes = 1024
-	// maxFieldBytes bounds a name or an address.
+	// maxFieldBytes is the maximum length of a name or an address.
 	maxFieldBytes = 100
 )
 
-// Node is one that is listed.
+// Node is an entry of the list.
 type Node struct {
 	Name string `json:"name"`
-	// CallerAddress is where callers reach it.
+	// CallerAddress is the address at which callers reach the node.
 	CallerAddress string `json:"callers"`
-	// LinkMbps is what its VM may send, in Mbit/s; 0 if that is not known.
+	// LinkMbps is the outbound bandwidth of the node's VM in Mbit/s; 0 if unknown.
 	LinkMbps float64 `json:"link,omitempty"`
 }
 
-// Valid says whether a node may be listed.
+// Valid reports whether the node may be listed.
 func (n Node) Valid() bool {
 	identified := n.Name != "" && n.CallerAddress != "" && len(n.Name) <= maxFieldBytes && len(n.CallerAddress) <= maxFieldBytes
 	return identified && n.LinkMbps >= 0 && !math.IsInf(n.LinkMbps, 0)
@@ -65,53 +67,52 @@
 	lastHeard time.Time
 }
 
-// Heartbeat notes that a node is there. It says whether the node is listed now: not if it may
-// not be, or if the list is full.
-func (r *List) Heartbeat(now time.Time, node Node) bool {
+// Heartbeat records that a node is alive. It reports whether the node is listed: it is
+// not if it is invalid or the list is full.
+func (l *List) Heartbeat(now time.Time, node Node) bool {
 	if !node.Valid() {
 		return false
 	}
-	if r.entries == nil {
-		r.entries = map[string]entry{}
+	if l.entries == nil {
+		l.entries = map[string]entry{}
 	}
-	if _, known := r.entries[node.Name]; !known && len(r.entries) >= MaxNodes {
-		r.expire(now)
-		if len(r.entries) >= MaxNodes {
+	if _, known := l.entries[node.Name]; !known && len(l.entries) >= MaxNodes {
+		l.expire(now)
+		if len(l.entries) >= MaxNodes {
 			return false
 		}
 	}
-	r.entries[node.Name] = entry{node: node, lastHeard: now}
+	l.entries[node.Name] = entry{node: node, lastHeard: now}
 	return true
 }
 
-// Remove takes a node off.
-func (r *List) Remove(name string) { delete(r.entries, name) }
+func (l *List) Remove(name string) { delete(l.entries, name) }
 
-// Restore takes over a list as if its nodes had been heard now; what was heard itself
-// stays.
-func (r *List) Restore(now time.Time, list []Node) {
+// Restore adds the nodes of an earlier list as if they had sent a heartbeat now. It does
+// not change nodes that are listed already.
+func (l *List) Restore(now time.Time, list []Node) {
 	for _, node := range list {
-		if _, known := r.entries[node.Name]; !known {
-			r.Heartbeat(now, node)
+		if _, known := l.entries[node.Name]; !known {
+			l.Heartbeat(now, node)
 		}
 	}
 }
 
-// Nodes returns the nodes that are there, by name.
-func (r *List) Nodes(now time.Time) []Node {
-	r.expire(now)
-	list := make([]Node, 0, len(r.entries))
-	for _, h := range r.entries {
-		list = append(list, h.node)
+// Nodes returns the listed nodes, sorted by name.
+func (l *List) Nodes(now time.Time) []Node {
+	l.expire(now)
+	list := make([]Node, 0, len(l.entries))
+	for _, e := range l.entries {
+		list = append(list, e.node)
 	}
 	slices.SortFunc(list, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-func (r *List) expire(now time.Time) {
-	for name, h := range r.entries {
-		if now.Sub(h.lastHeard) >= TTL {
-			delete(r.entries, name)
+func (l *List) expire(now time.Time) {
+	for name, e := range l.entries {
+		if now.Sub(e.lastHeard) >= TTL {
+			delete(l.entries, name)
 		}
 	}
 }
