--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -41,7 +41,7 @@
 		return nil
 	}
 	for _, m := range b.probingMembers {
-		if m.health.WantsProbe() && !excluded(q, m) {
+		if m.health.NeedsProbe() && !excluded(q, m) {
 			return m
 		}
 	}
--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -7,211 +7,212 @@
 	"time"
 )
 
-// Defaults of Config; doc.go gives their grounds.
+// Defaults of Config; doc.go gives the reasons for the values.
 const (
-	DefaultEntries = 256
-	DefaultSilence = 10 * time.Second
+	DefaultEntries    = 256
+	DefaultStaleAfter = 10 * time.Second
 )
 
-// silentPolls is how many pauses between two answers a replica may be silent.
-const silentPolls = 3
+// staleAfterPolls is the number of poll intervals without a page after which a replica's
+// entries are not used.
+const staleAfterPolls = 3
 
-// Config sets an Index. Zero values take the defaults.
+// Config configures an Index. Zero values take the defaults.
 type Config struct {
-	// Entries bounds the prefixes kept of a replica.
+	// Entries is the maximum number of prefixes kept per replica.
 	Entries int
-	// Silence is the least time without an answer after which a replica's
-	// prefixes are not trusted.
-	Silence time.Duration
+	// StaleAfter is the shortest time without a page after which a replica's entries are
+	// not used.
+	StaleAfter time.Duration
 }
 
-// Event says that a prefix entered or left a replica's cache.
+// Event reports that a prefix was added to or removed from a replica's cache.
 type Event struct {
 	Sequence uint64
 	Prefix   uint64
 	Stored   bool
 }
 
-// Page is a replica's answer to a question for its events.
+// Page is a replica's answer to a request for its events.
 type Page struct {
-	// Instance names the run of the engine's process; another one means that
-	// the cache is empty.
+	// Instance identifies the run of the engine's process. A new instance starts with an
+	// empty cache.
 	Instance string
-	// Last is the sequence number of the last event that the engine shows,
-	// also if that event was lost.
+	// Last is the sequence number of the last event that the engine published, even if
+	// that event was lost.
 	Last uint64
-	// Events are in the order of their sequence.
+	// Events are in the order of their sequence numbers.
 	Events []Event
 }
 
-// Change is what a page meant for the trust in a replica.
+// Change is the continuity of a page with the previous one.
 type Change uint8
 
 const (
-	// Continued pages follow the last one without a gap.
+	// Continued means that the page follows the previous one without a gap.
 	Continued Change = iota
-	// Gapped pages have lost events.
+	// Gapped means that events were lost.
 	Gapped
-	// Restarted pages come from another instance.
+	// Restarted means that the page comes from a new instance.
 	Restarted
 )
 
 var changeNames = [...]string{"continued", "gap", "restart"}
 
-// String returns the change in a word.
 func (c Change) String() string { return changeNames[c] }
 
-// Holder is a replica that is thought to hold the first Blocks prefixes asked for.
+// Holder is a replica that probably has the first Blocks of the requested prefixes
+// cached.
 type Holder struct {
 	Replica string
 	Blocks  int
 }
 
-// Index is what a node thinks that its replicas have cached. It is for one
-// goroutine at a time.
+// Index is a node's estimate of what its replicas have cached. It is not safe for
+// concurrent use.
 type Index struct {
-	entries int
-	silence time.Duration
-	parts   map[string]*part
+	maxEntries int
+	staleAfter time.Duration
+	states     map[string]*replicaState
 }
 
-// part is what is known of one replica.
-type part struct {
-	instance string
-	seen     uint64        // last sequence number shown
-	heard    time.Time     // of the last page
-	pause    time.Duration // between the last two
-	order    *list.List    // of uint64, the one asked for or stored last in front
-	held     map[uint64]*list.Element
+// replicaState is the estimate for one replica.
+type replicaState struct {
+	instance     string
+	lastSequence uint64        // last published sequence number
+	lastPage     time.Time     // time of the last page
+	pollInterval time.Duration // between the last two pages
+	lru          *list.List    // of uint64 prefixes, the most recently stored or requested first
+	cached       map[uint64]*list.Element
 }
 
-// New returns an index that knows no replica.
+// New returns an empty index.
 func New(cfg Config) *Index {
 	return &Index{
-		entries: cmp.Or(cfg.Entries, DefaultEntries),
-		silence: cmp.Or(cfg.Silence, DefaultSilence),
-		parts:   map[string]*part{},
+		maxEntries: cmp.Or(cfg.Entries, DefaultEntries),
+		staleAfter: cmp.Or(cfg.StaleAfter, DefaultStaleAfter),
+		states:     map[string]*replicaState{},
 	}
 }
 
-// Retain keeps the parts of these replicas and forgets all others.
+// Retain keeps the entries of the given replicas and drops all others.
 func (x *Index) Retain(replicas []string) {
-	for known := range x.parts {
-		if !slices.Contains(replicas, known) {
-			delete(x.parts, known)
+	for replica := range x.states {
+		if !slices.Contains(replicas, replica) {
+			delete(x.states, replica)
 		}
 	}
 }
 
-// Lost forgets what a replica held, and goes on from the event last seen: a part of
-// the replica lost its cache while the one that tells the events did not.
-func (x *Index) Lost(replica string) {
-	if p := x.parts[replica]; p != nil {
-		p.order.Init()
-		clear(p.held)
+// Clear drops the entries of a replica and keeps its sequence number. It is for a replica
+// of which one stage lost its cache while the stage that publishes the events did not.
+func (x *Index) Clear(replica string) {
+	if s := x.states[replica]; s != nil {
+		s.lru.Init()
+		clear(s.cached)
 	}
 }
 
-// After returns the sequence number to ask a replica's events after.
-func (x *Index) After(replica string) uint64 {
-	p := x.parts[replica]
-	if p == nil {
+// LastSequence returns the sequence number after which to request a replica's events.
+func (x *Index) LastSequence(replica string) uint64 {
+	s := x.states[replica]
+	if s == nil {
 		return 0
 	}
-	return p.seen
+	return s.lastSequence
 }
 
-// Apply takes a replica's answer to a question for the events after After.
+// Apply records a replica's answer to a request for the events after LastSequence.
 func (x *Index) Apply(now time.Time, replica string, page Page) Change {
-	p := x.parts[replica]
+	s := x.states[replica]
 	change := Continued
 	switch {
-	case p == nil:
-		p = newPart(page.Instance)
-		x.parts[replica] = p
-		// What the engine stored before this node asked is not among its events
-		// any more. It is no loss: what is not known is not hinted at.
-		p.seen = before(page)
-	case p.instance != page.Instance || page.Last < p.seen:
-		*p = *newPart(page.Instance)
-		p.seen = before(page)
+	case s == nil:
+		s = newReplicaState(page.Instance)
+		x.states[replica] = s
+		// Events from before this node's first request are no longer available. They
+		// do not count as lost, because unknown prefixes produce no hints.
+		s.lastSequence = sequenceBefore(page)
+	case s.instance != page.Instance || page.Last < s.lastSequence:
+		*s = *newReplicaState(page.Instance)
+		s.lastSequence = sequenceBefore(page)
 		change = Restarted
 	default:
-		p.pause = now.Sub(p.heard)
+		s.pollInterval = now.Sub(s.lastPage)
 	}
-	p.heard = now
-	lost := x.take(p, page)
+	s.lastPage = now
+	lost := x.applyEvents(s, page)
 	if lost == 0 || change == Restarted {
 		return change
 	}
-	p.distrust(lost)
+	s.evictOldest(lost)
 	return Gapped
 }
 
-func newPart(instance string) *part {
-	return &part{instance: instance, order: list.New(), held: map[uint64]*list.Element{}}
+func newReplicaState(instance string) *replicaState {
+	return &replicaState{instance: instance, lru: list.New(), cached: map[uint64]*list.Element{}}
 }
 
-// before is the sequence number before a page's events.
-func before(page Page) uint64 {
+// sequenceBefore returns the sequence number that precedes a page's events.
+func sequenceBefore(page Page) uint64 {
 	if len(page.Events) == 0 {
 		return page.Last
 	}
 	return max(page.Events[0].Sequence, 1) - 1
 }
 
-// take enters a page's events and returns how many were lost before, between and
-// after them.
-func (x *Index) take(p *part, page Page) uint64 {
+// applyEvents applies a page's events and returns how many events were lost before,
+// between and after them.
+func (x *Index) applyEvents(s *replicaState, page Page) uint64 {
 	lost := uint64(0)
 	for _, e := range page.Events {
-		if e.Sequence <= p.seen {
-			continue // known already
+		if e.Sequence <= s.lastSequence {
+			continue // already applied
 		}
-		lost += e.Sequence - p.seen - 1
-		p.seen = e.Sequence
-		p.enter(e, x.entries)
+		lost += e.Sequence - s.lastSequence - 1
+		s.lastSequence = e.Sequence
+		s.applyEvent(e, x.maxEntries)
 	}
-	if page.Last > p.seen {
-		lost += page.Last - p.seen
-		p.seen = page.Last
+	if page.Last > s.lastSequence {
+		lost += page.Last - s.lastSequence
+		s.lastSequence = page.Last
 	}
 	return lost
 }
 
-func (p *part) enter(e Event, bound int) {
-	element, known := p.held[e.Prefix]
+func (s *replicaState) applyEvent(e Event, maxEntries int) {
+	element, known := s.cached[e.Prefix]
 	switch {
 	case !e.Stored && known:
-		p.drop(element)
+		s.evict(element)
 	case e.Stored && known:
-		p.order.MoveToFront(element)
+		s.lru.MoveToFront(element)
 	case e.Stored:
-		p.held[e.Prefix] = p.order.PushFront(e.Prefix)
-		if p.order.Len() > bound {
-			p.drop(p.order.Back())
+		s.cached[e.Prefix] = s.lru.PushFront(e.Prefix)
+		if s.lru.Len() > maxEntries {
+			s.evict(s.lru.Back())
 		}
 	}
 }
 
-func (p *part) drop(element *list.Element) {
-	delete(p.held, p.order.Remove(element).(uint64))
+func (s *replicaState) evict(element *list.Element) {
+	delete(s.cached, s.lru.Remove(element).(uint64))
 }
 
-// distrust forgets as many of the oldest entries as events were lost.
-func (p *part) distrust(lost uint64) {
-	for range min(lost, uint64(p.order.Len())) {
-		p.drop(p.order.Back())
+// evictOldest drops the oldest entries, one for each lost event.
+func (s *replicaState) evictOldest(lost uint64) {
+	for range min(lost, uint64(s.lru.Len())) {
+		s.evict(s.lru.Back())
 	}
 }
 
-// Holders returns the replicas that are trusted to hold the most of the prefixes,
-// which are those of one prompt, each longer than the one before. The replicas
-// come with the most first; those that hold nothing are left out.
+// Holders returns the replicas that probably have prefixes cached, the one with the most
+// blocks first. The prefixes belong to one prompt, each longer than the one before.
+// Replicas without any of them are omitted.
 func (x *Index) Holders(now time.Time, prefixes []uint64) []Holder {
 	var holders []Holder
-	for replica, p := range x.parts {
-		if blocks := x.blocks(now, p, prefixes); blocks > 0 {
+	for replica, s := range x.states {
+		if blocks := x.cachedBlocks(now, s, prefixes); blocks > 0 {
 			holders = append(holders, Holder{replica, blocks})
 		}
 	}
@@ -221,18 +222,18 @@
 	return holders
 }
 
-// blocks counts the prefixes from the first on that a part holds: an engine can
-// use a longer one only if it has the shorter ones too.
-func (x *Index) blocks(now time.Time, p *part, prefixes []uint64) int {
-	if now.Sub(p.heard) > max(x.silence, silentPolls*p.pause) {
+// cachedBlocks counts the leading prefixes that a replica has cached. An engine can use a
+// longer prefix only if it also has the shorter ones.
+func (x *Index) cachedBlocks(now time.Time, s *replicaState, prefixes []uint64) int {
+	if now.Sub(s.lastPage) > max(x.staleAfter, staleAfterPolls*s.pollInterval) {
 		return 0
 	}
 	for i, prefix := range prefixes {
-		element, held := p.held[prefix]
-		if !held {
+		element, cached := s.cached[prefix]
+		if !cached {
 			return i
 		}
-		p.order.MoveToFront(element)
+		s.lru.MoveToFront(element)
 	}
 	return len(prefixes)
 }
--- a/decide/peerreports/peerreports_test.go
+++ b/decide/peerreports/peerreports_test.go
@@ -17,147 +17,149 @@
 	return list
 }
 
-func view(node string, near []string, replicas int, lost map[string]bool) View {
+func view(node string, domainNodes []string, replicas int, suspected map[string]bool) View {
 	return View{
-		Node: node, Near: near, Replicas: replicas, Taken: len(lost),
-		Known: func(r string) bool { return r != "unknown" }, Lost: func(r string) bool { return lost[r] },
+		Node: node, DomainNodes: domainNodes, Replicas: replicas, SuspectedCount: len(suspected),
+		Known: func(r string) bool { return r != "unknown" }, Suspected: func(r string) bool { return suspected[r] },
 	}
 }
 
-// Forty nodes send to a replica that dies, and three of them have a stream through it. The
-// others take their word instead of losing a stream each.
-func TestWhatEnoughHaveSeenIsBelieved(t *testing.T) {
-	near := names(40)
-	var hub Board
-	for _, node := range near[:Enough] {
-		hub.Tell(start, node, false, []Claim{{Replica: "r", Lost: true, Nodes: 1}})
-	}
-	answer := hub.Answer(start, nil, near[30], false)
-	if len(answer) != 1 || answer[0].Nodes != Enough {
+// Guards against each node losing a stream of its own to a dead replica. Of forty nodes
+// that use the replica, three have a stream through it and report it; the others accept
+// their reports.
+func TestQuorumIsAccepted(t *testing.T) {
+	nodes := names(40)
+	var hub Aggregator
+	for _, node := range nodes[:Quorum] {
+		hub.Record(start, node, false, []Observation{{Replica: "r", Unreachable: true, Nodes: 1}})
+	}
+	answer := hub.ReplyTo(start, nil, nodes[30], false)
+	if len(answer) != 1 || answer[0].Nodes != Quorum {
 		t.Fatalf("%+v", answer)
 	}
-	v := Judge(answer, view(near[30], near, 20, nil))
-	if len(v.Believe) != 1 || len(v.Look) != 0 {
+	v := Evaluate(answer, view(nodes[30], nodes, 20, nil))
+	if len(v.Accept) != 1 || len(v.Verify) != 0 {
 		t.Errorf("%+v", v)
 	}
-	if v := Judge(answer, view(near[30], near, 20, map[string]bool{"r": true})); len(v.Believe)+len(v.Look) > 0 {
-		t.Errorf("known already: %+v", v)
+	if v := Evaluate(answer, view(nodes[30], nodes, 20, map[string]bool{"r": true})); len(v.Accept)+len(v.Verify) > 0 {
+		t.Errorf("already suspected: %+v", v)
 	}
 }
 
-// Guards against one node's wrong view, such as that of one whose own link fails: nobody
-// takes its word, and of forty nodes three look for themselves.
-func TestOneNodeConvincesNobody(t *testing.T) {
-	near := names(40)
-	looked := 0
-	for _, node := range near {
-		v := Judge([]Claim{{Replica: "r", Lost: true, Nodes: 1}, {Replica: "s", Pace: 9, Nodes: 1}}, view(node, near, 20, nil))
-		if len(v.Believe) > 0 {
-			t.Fatalf("%s believes %+v", node, v.Believe)
+// Guards against a wrong observation of a single node, such as one whose own link fails.
+// No node accepts it, and three of forty nodes check the replica.
+func TestSingleNodeOnlyTriggersVerification(t *testing.T) {
+	nodes := names(40)
+	verifying := 0
+	for _, node := range nodes {
+		v := Evaluate([]Observation{{Replica: "r", Unreachable: true, Nodes: 1}, {Replica: "s", Slowdown: 9, Nodes: 1}}, view(node, nodes, 20, nil))
+		if len(v.Accept) > 0 {
+			t.Fatalf("%s accepts %+v", node, v.Accept)
 		}
-		for _, c := range v.Look {
-			if c.Replica == "r" {
-				looked++
+		for _, o := range v.Verify {
+			if o.Replica == "r" {
+				verifying++
 			}
 		}
 	}
-	if looked != Confirmers {
-		t.Errorf("%d nodes look, want %d", looked, Confirmers)
+	if verifying != Verifiers {
+		t.Errorf("%d nodes verify, want %d", verifying, Verifiers)
 	}
 }
 
-// Guards against a service that is taken out whole because the network between nodes and
-// replicas fails for many nodes at once.
-func TestAFloorOfReplicasStays(t *testing.T) {
-	var claims []Claim
+// Guards against excluding a whole service because the network between nodes and replicas
+// fails for many nodes at once.
+func TestExclusionIsBounded(t *testing.T) {
+	var observations []Observation
 	for i := range 20 {
-		claims = append(claims, Claim{Replica: fmt.Sprint("r", i), Lost: true, Nodes: 30})
+		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Unreachable: true, Nodes: 30})
 	}
-	near := names(40)
-	for taken, want := range map[int]int{0: 5, 3: 2, 9: 0} {
-		lost := map[string]bool{}
-		for i := range taken {
-			lost[fmt.Sprint("other", i)] = true
+	nodes := names(40)
+	for suspectedCount, want := range map[int]int{0: 5, 3: 2, 9: 0} {
+		suspected := map[string]bool{}
+		for i := range suspectedCount {
+			suspected[fmt.Sprint("other", i)] = true
 		}
-		if v := Judge(claims, view(near[0], near, 20, lost)); len(v.Believe) != want {
-			t.Errorf("%d of 20 are lost: %d more are believed to be, want %d", taken, len(v.Believe), want)
+		if v := Evaluate(observations, view(nodes[0], nodes, 20, suspected)); len(v.Accept) != want {
+			t.Errorf("%d of 20 are suspected: %d more accepted, want %d", suspectedCount, len(v.Accept), want)
 		}
 	}
 }
 
-// A hub tells another what was told to it and not what hubs told it: a claim that went
-// round would count more nodes each time.
-func TestClaimsDoNotGoRound(t *testing.T) {
-	var a, b Board
-	claim := []Claim{{Replica: "r", Lost: true, Nodes: 1}}
-	a.Tell(start, "leaf", false, claim)
+// Guards against observations that count more nodes with each exchange. A hub sends
+// another hub only what it received from nodes that are not hubs.
+func TestObservationsAreNotEchoed(t *testing.T) {
+	var a, b Aggregator
+	observation := []Observation{{Replica: "r", Unreachable: true, Nodes: 1}}
+	a.Record(start, "leaf", false, observation)
 	for range 10 {
-		b.Tell(start, "a", true, a.Answer(start, nil, "b", true))
-		a.Tell(start, "b", true, b.Answer(start, nil, "a", true))
+		b.Record(start, "a", true, a.ReplyTo(start, nil, "b", true))
+		a.Record(start, "b", true, b.ReplyTo(start, nil, "a", true))
 	}
-	if got := b.Others(start); len(got) != 1 || got[0].Nodes != 1 {
+	if got := b.FromOthers(start); len(got) != 1 || got[0].Nodes != 1 {
 		t.Errorf("%+v", got)
 	}
-	if got := a.Answer(start, nil, "leaf", false); len(got) != 0 {
-		t.Errorf("a node is told its own claim: %+v", got)
+	if got := a.ReplyTo(start, nil, "leaf", false); len(got) != 0 {
+		t.Errorf("a node receives its own observation: %+v", got)
 	}
 }
 
-// Guards against rumors about replicas that turn requests away: they answer all that could
-// be asked instead, so fewer than enough nodes send nobody there, and enough are believed
-// for a bounded part of the replicas.
-func TestTurningAwayIsNotLookedAt(t *testing.T) {
-	near := names(40)
-	for _, node := range near {
-		if v := Judge([]Claim{{Replica: "r", TurnsAway: true, Nodes: Enough - 1}}, view(node, near, 20, nil)); len(v.Believe)+len(v.Look) > 0 {
+// Guards against checks of replicas that refuse requests: such a replica answers
+// everything that a check could send. Reports of fewer nodes than Quorum therefore
+// trigger no check. Reports of Quorum nodes are accepted for a bounded share of the
+// replicas.
+func TestRefusingIsNotVerified(t *testing.T) {
+	nodes := names(40)
+	for _, node := range nodes {
+		if v := Evaluate([]Observation{{Replica: "r", Refusing: true, Nodes: Quorum - 1}}, view(node, nodes, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
 			t.Fatalf("%s: %+v", node, v)
 		}
 	}
-	var claims []Claim
+	var observations []Observation
 	for i := range 20 {
-		claims = append(claims, Claim{Replica: fmt.Sprint("r", i), TurnsAway: true, Nodes: Enough})
+		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Refusing: true, Nodes: Quorum})
 	}
-	if v := Judge(claims, view(near[0], near, 20, nil)); len(v.Believe) != 20*MostTaken {
-		t.Errorf("%d of 20 are believed to turn requests away", len(v.Believe))
+	if v := Evaluate(observations, view(nodes[0], nodes, 20, nil)); len(v.Accept) != 20*MaxExcludedShare {
+		t.Errorf("%d of 20 reports of refusing replicas are accepted", len(v.Accept))
 	}
 }
 
-// What was seen long ago does not count, however often it is passed on.
-func TestClaimsGrowOld(t *testing.T) {
-	var b Board
-	b.Tell(start, "leaf", false, []Claim{{Replica: "r", Lost: true, Nodes: 1, Age: ValidFor / 2}})
-	if got := b.Others(start.Add(ValidFor / 4)); len(got) != 1 || got[0].Age != ValidFor*3/4 {
+// Guards against old observations that stay valid because nodes pass them on.
+func TestObservationsExpire(t *testing.T) {
+	var b Aggregator
+	b.Record(start, "leaf", false, []Observation{{Replica: "r", Unreachable: true, Nodes: 1, Age: ValidFor / 2}})
+	if got := b.FromOthers(start.Add(ValidFor / 4)); len(got) != 1 || got[0].Age != ValidFor*3/4 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.Others(start.Add(ValidFor / 2)); len(got) != 0 {
+	if got := b.FromOthers(start.Add(ValidFor / 2)); len(got) != 0 {
 		t.Errorf("%+v", got)
 	}
 }
 
-// Guards against claims that no node would make: dated ahead, of nobody, without end. The
-// others hold.
-func TestClaimsThatAreNone(t *testing.T) {
-	var b Board
-	bad := []Claim{
-		{Lost: true, Nodes: 1}, {Replica: "r", Lost: true}, {Replica: "r", Lost: true, Nodes: -1}, {Replica: "r", Lost: true, Nodes: math.MaxInt},
-		{Replica: "r", Lost: true, Nodes: 1, Age: -time.Second}, {Replica: "r", Lost: true, Nodes: 1, Age: time.Hour},
-		{Replica: "r", Nodes: 1}, {Replica: "r", Nodes: 1, Pace: math.NaN()}, {Replica: "r", Nodes: 1, Pace: math.Inf(1)}, {Replica: "r", Nodes: 1, Pace: 0.5},
-	}
-	if dropped := b.Tell(start, "leaf", false, append(bad, Claim{Replica: "good", Pace: 2, Nodes: 1})); dropped != len(bad) {
-		t.Errorf("%d of %d dropped", dropped, len(bad))
-	}
-	if got := b.Others(start); len(got) != 1 || got[0].Replica != "good" {
+// Guards against observations that no node would send: with a negative age, without a
+// node, or too many. Valid ones in the same message are kept.
+func TestInvalidObservationsAreDropped(t *testing.T) {
+	var b Aggregator
+	invalid := []Observation{
+		{Unreachable: true, Nodes: 1}, {Replica: "r", Unreachable: true}, {Replica: "r", Unreachable: true, Nodes: -1}, {Replica: "r", Unreachable: true, Nodes: math.MaxInt},
+		{Replica: "r", Unreachable: true, Nodes: 1, Age: -time.Second}, {Replica: "r", Unreachable: true, Nodes: 1, Age: time.Hour},
+		{Replica: "r", Nodes: 1}, {Replica: "r", Nodes: 1, Slowdown: math.NaN()}, {Replica: "r", Nodes: 1, Slowdown: math.Inf(1)}, {Replica: "r", Nodes: 1, Slowdown: 0.5},
+	}
+	if dropped := b.Record(start, "leaf", false, append(invalid, Observation{Replica: "good", Slowdown: 2, Nodes: 1})); dropped != len(invalid) {
+		t.Errorf("%d of %d dropped", dropped, len(invalid))
+	}
+	if got := b.FromOthers(start); len(got) != 1 || got[0].Replica != "good" {
 		t.Errorf("%+v", got)
 	}
-	var many []Claim
-	for i := range 3 * Most {
-		many = append(many, Claim{Replica: fmt.Sprint(i), Lost: true, Nodes: 1})
+	var many []Observation
+	for i := range 3 * MaxPerMessage {
+		many = append(many, Observation{Replica: fmt.Sprint(i), Unreachable: true, Nodes: 1})
 	}
-	b.Tell(start, "leaf", false, many)
-	if got := b.Others(start); len(got) != Most {
-		t.Errorf("%d claims are kept", len(got))
+	b.Record(start, "leaf", false, many)
+	if got := b.FromOthers(start); len(got) != MaxPerMessage {
+		t.Errorf("%d observations are kept", len(got))
 	}
-	if v := Judge([]Claim{{Replica: "unknown", Lost: true, Nodes: 9}}, view("n", nil, 20, nil)); len(v.Believe)+len(v.Look) > 0 {
+	if v := Evaluate([]Observation{{Replica: "unknown", Unreachable: true, Nodes: 9}}, view("n", nil, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
 		t.Errorf("%+v", v)
 	}
 }
--- a/node/site/doors.go
+++ b/node/site/doors.go
@@ -30,7 +30,7 @@
 
 // serveDirectory tells callers which nodes to use.
 func (n *Node) serveDirectory(w http.ResponseWriter, r *http.Request) {
-	near := entrypoints.Near(directory.Domain(r), n.entries())
+	near := entrypoints.PreferLocal(directory.Domain(r), n.entries())
 	addresses := make([]string, 0, len(near))
 	for _, m := range near {
 		addresses = append(addresses, m.Address)
@@ -74,7 +74,7 @@
 
 // stateOf says how a node is known: by an entry of its own, or as one that a reader lists.
 func stateOf(m node) string {
-	if m.Entered {
+	if m.HasEntry {
 		return "entered"
 	}
 	return "listed"
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -377,7 +377,7 @@
 
 // SetPeerReservations records what the other nodes of the failure domain have reserved, as far
 // as known.
-func (m *ModelTargets) SetPeerReservations(reserved reservations.Held) {
+func (m *ModelTargets) SetPeerReservations(reserved reservations.Totals) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.selector.SetPeerReservations(m.domain, reserved.Nodes, reserved.Amounts)
--- a/route/targets/observations.go
+++ b/route/targets/observations.go
@@ -50,17 +50,17 @@
 }
 
 // Observations returns what this node itself has recently seen of replicas.
-func (m *ModelTargets) Observations() []peerreports.Claim {
+func (m *ModelTargets) Observations() []peerreports.Observation {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.observed.forget(now)
-	var list []peerreports.Claim
+	var list []peerreports.Observation
 	for id, seen := range m.observed.own {
 		if !seen.unreachable && !seen.refusing && seen.slowdown == 0 {
 			continue
 		}
-		list = append(list, peerreports.Claim{Replica: id, Lost: seen.unreachable, TurnsAway: seen.refusing, Pace: seen.slowdown, Age: now.Sub(seen.at), Nodes: 1})
+		list = append(list, peerreports.Observation{Replica: id, Unreachable: seen.unreachable, Refusing: seen.refusing, Slowdown: seen.slowdown, Age: now.Sub(seen.at), Nodes: 1})
 	}
 	return list
 }
@@ -74,47 +74,47 @@
 
 // Evaluate decides on the reports of other nodes. It applies the ones that it accepts, and
 // returns them and the replicas that this node must verify itself.
-func (m *ModelTargets) Evaluate(node string, domainNodes []string, reports []peerreports.Claim) peerreports.Verdict {
+func (m *ModelTargets) Evaluate(node string, domainNodes []string, reports []peerreports.Observation) peerreports.Decision {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
 	m.observed.forget(now)
-	decision := peerreports.Judge(reports, peerreports.View{
-		Node: node, Near: domainNodes, Known: m.selector.Known, Lost: m.selector.Suspected,
-		Replicas: m.selector.Len(), Taken: len(m.selector.Suspects()),
+	decision := peerreports.Evaluate(reports, peerreports.View{
+		Node: node, DomainNodes: domainNodes, Known: m.selector.Known, Suspected: m.selector.Suspected,
+		Replicas: m.selector.Len(), SuspectedCount: len(m.selector.Suspects()),
 	})
-	for _, c := range decision.Believe {
+	for _, c := range decision.Accept {
 		m.accept(now, c)
 	}
-	verify := decision.Look[:0]
-	for _, c := range decision.Look {
+	verify := decision.Verify[:0]
+	for _, c := range decision.Verify {
 		own := m.observed.own[c.Replica]
 		if now.Sub(m.observed.verifiedAt[c.Replica]) >= verifyInterval && now.Sub(own.at) >= verifyInterval {
 			m.observed.verifiedAt[c.Replica] = now
 			verify = append(verify, c)
 		}
 	}
-	decision.Look = verify
+	decision.Verify = verify
 	return decision
 }
 
 // accept applies a report. A replica that other nodes have lost gets no new requests. The
 // requests that run through it are rerouted once they go silent, because the replica may only
 // be draining and still continue them. The caller holds the lock.
-func (m *ModelTargets) accept(now time.Time, c peerreports.Claim) {
+func (m *ModelTargets) accept(now time.Time, c peerreports.Observation) {
 	if own, ok := m.observed.own[c.Replica]; ok && now.Sub(own.at) <= c.Age {
 		return // this node's own observation is newer
 	}
 	m.observed.acceptedAt[c.Replica] = now
 	switch {
-	case c.Lost:
+	case c.Unreachable:
 		m.selector.Suspect(now, c.Replica, false)
 		return
-	case c.TurnsAway:
+	case c.Refusing:
 		m.selector.BackOff(now, c.Replica)
 		return
 	}
-	m.selector.SetSlowdown(c.Replica, c.Pace)
+	m.selector.SetSlowdown(c.Replica, c.Slowdown)
 }
 
 // ReportedByPeers reports whether other nodes have recently reported on a replica, so that this
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -24,8 +24,8 @@
 	BaseEjection: time.Second,
 	MaxEjection:  8 * time.Second,
 	// With three replicas one may always be ejected.
-	MaxEjectedShare: 0.5,
-	MaxLostShare:    0.75,
+	MaxEjectedShare:      0.5,
+	MaxUnresponsiveShare: 0.75,
 }
 
 // NewPlainTargets returns PlainTargets without replicas, for a node in a failure domain.
