--- a/node/site/services.go
+++ b/node/site/services.go
@@ -76,7 +76,7 @@
 		replicas := byService[service.Name]
 		if service.Model != nil {
 			s.model(service.Name).Update(service.Model, replicas, targets.NodeShare{
-				CapacityShare: s.node.share, MaxConns: s.node.conns(service), DomainNodes: max(1, len(near)),
+				CapacityShare: s.node.share, MaxConns: s.node.conns(service), DomainNodeCount: max(1, len(near)),
 			})
 			continue
 		}
@@ -191,7 +191,7 @@
 	for wait.For(ctx, repaceEvery) {
 		for service, model := range n.services.allModels() {
 			for _, r := range model.Slow() {
-				if model.ReportedByPeers(r.ID) {
+				if model.HasRecentPeerReport(r.ID) {
 					continue
 				}
 				account, _, err := n.reports.Ask(ctx, r.Address, r.ID)
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -45,9 +45,9 @@
 	// answer is a complete answer, or the endpoint's own failure, which is passed on if no
 	// later attempt succeeds.
 	answer *Answer
-	// next is where the request migrates to. Its capacity is reserved and the retry budget is
+	// migrateTo is where the request migrates to. Its capacity is reserved and the retry budget is
 	// charged.
-	next *targets.Target
+	migrateTo *targets.Target
 }
 
 // notRun reports whether the attempt provably did not run.
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -20,11 +20,11 @@
 	unsent := attemptResult{kind: resultNotSent, feedback: targets.Result{Failure: health.Unreachable}}
 	failed := attemptResult{kind: resultFailed, feedback: targets.Result{Failure: health.Internal}}
 	for _, c := range []struct {
-		name  string
-		kind  ruleset.Kind
-		ran   int
-		last  attemptResult
-		again bool
+		name            string
+		kind            ruleset.Kind
+		mayHaveRunCount int
+		last            attemptResult
+		wantRetry       bool
 	}{
 		{"order, unknown", ruleset.Once, 1, broken, false},
 		{"order, failed", ruleset.Once, 1, failed, false},
@@ -40,9 +40,9 @@
 				Route:  &ruleset.Route{Kind: c.kind, MaxReplicas: 3},
 				Budget: retrybudget.New(retry.Config{}, func() time.Time { return now }), Deadline: now.Add(time.Minute),
 			},
-			server: &Server{Now: func() time.Time { return now }}, attempts: 1, mayHaveRun: make([]string, c.ran),
+			server: &Server{Now: func() time.Time { return now }}, attemptCount: 1, mayHaveRunOn: make([]string, c.mayHaveRunCount),
 		}
-		if d := req.askBudget(c.last); d.Retry != c.again {
+		if d := req.askBudget(c.last); d.Retry != c.wantRetry {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -131,7 +131,7 @@
 		return attemptResult{kind: resultUnknown, detail: bad, feedback: targets.Result{Failure: health.Internal}}
 	}
 	req.writeHead(e.StatusCode, e.Header, int(e.ContentLength))
-	req.started = true
+	req.answerStarted = true
 	if _, err := req.w.Write(first); err != nil {
 		return attemptResult{kind: resultCallerGone, detail: err.Error()}
 	}
@@ -155,7 +155,7 @@
 // recordFinish records that a request was answered.
 func (req *requestState) recordFinish(figures map[string]float64) {
 	req.server.Metrics.Request(req.Service, req.Team, string(outcome.Done))
-	figures["sends"] = float64(req.attempts)
+	figures["sends"] = float64(req.attemptCount)
 	figures["took_ms"] = millis(req.server.Now().Sub(req.Arrived))
 	if req.late() {
 		req.addLateness(figures)
@@ -163,7 +163,7 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: string(outcome.Done),
 		Notes: req.withRoute(), Figures: figures,
-		Quiet: !req.sampled && req.attempts == 1 && !req.late(),
+		Quiet: !req.sampled && req.attemptCount == 1 && !req.late(),
 	})
 }
 
@@ -184,7 +184,7 @@
 // late reports whether the answer missed its route's objectives.
 func (req *requestState) late() bool {
 	if req.Route.Kind == ruleset.Stream {
-		return req.firstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
+		return req.timeToFirstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
 	}
 	return req.server.Now().Sub(req.Arrived) > req.Route.Objective
 }
@@ -196,7 +196,7 @@
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "answer cut: " + reason,
 		Notes: req.withRoute(decisionlog.Note{Name: "last_event", Text: req.lastEvent.String()}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
 		Figures: map[string]float64{
-			"sends": float64(req.attempts), "events": float64(req.events), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
+			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 		},
 	})
 	req.server.Metrics.Request(req.Service, req.Team, "cut")
--- a/route/relay/events.go
+++ b/route/relay/events.go
@@ -10,8 +10,8 @@
 // eventSplitter splits the bytes of a stream into complete events. An empty line ends an event.
 type eventSplitter struct {
 	buffer []byte
-	// consumed is the length of the buffer's prefix that next has returned.
-	consumed int
+	// consumedBytes is the length of the buffer's prefix that next has returned.
+	consumedBytes int
 }
 
 // event is one complete event as received, with its id, which is empty if there is none. Both
@@ -22,9 +22,9 @@
 
 // add appends received bytes.
 func (s *eventSplitter) add(p []byte) {
-	if s.consumed > 0 {
+	if s.consumedBytes > 0 {
 		s.buffer = s.buffer[:copy(s.buffer, s.pending())]
-		s.consumed = 0
+		s.consumedBytes = 0
 	}
 	s.buffer = append(s.buffer, p...)
 }
@@ -36,11 +36,11 @@
 		return event{}, false
 	}
 	data := s.pending()[:length]
-	s.consumed += length
+	s.consumedBytes += length
 	return event{data: data, id: idOf(data)}, true
 }
 
-func (s *eventSplitter) pending() []byte { return s.buffer[s.consumed:] }
+func (s *eventSplitter) pending() []byte { return s.buffer[s.consumedBytes:] }
 
 // incompleteBytes is the length of the incomplete event at the end of the buffer, without white
 // space around it.
@@ -80,9 +80,9 @@
 // eventPosition is the position in a stream: the id of the last event.
 type eventPosition struct {
 	id []byte
-	// number is the id as a number, if isNumber is set.
-	number   int64
-	isNumber bool
+	// numericID is the id as a numericID, if isNumber is set.
+	numericID int64
+	isNumeric bool
 }
 
 // String returns the id as it is sent to engines.
@@ -91,18 +91,18 @@
 // set records the id of an event that was passed on.
 func (p *eventPosition) set(id []byte) {
 	p.id = append(p.id[:0], id...)
-	p.number, p.isNumber = parseNumber(id)
+	p.numericID, p.isNumeric = parseNumericID(id)
 }
 
 // precedes reports whether the event with this id comes after the position. An event without an
 // id, or with one that is not a number, always does.
 func (p *eventPosition) precedes(id []byte) bool {
-	number, isNumber := parseNumber(id)
-	return !p.isNumber || !isNumber || number > p.number
+	number, isNumber := parseNumericID(id)
+	return !p.isNumeric || !isNumber || number > p.numericID
 }
 
-// parseNumber parses an id that is a whole number. It allocates nothing.
-func parseNumber(id []byte) (int64, bool) {
+// parseNumericID parses an id that is a whole number. It allocates nothing.
+func parseNumericID(id []byte) (int64, bool) {
 	if len(id) == 0 || len(id) > maxDigits {
 		return 0, false
 	}
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -25,7 +25,7 @@
 func BenchmarkPassEvent(b *testing.B) {
 	req := &requestState{
 		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
-		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, started: true,
+		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, answerStarted: true,
 	}
 	a := &attempt{req: req, startedAt: time.Now()}
 	monitor := &pathMonitor{attempt: a, ctx: context.Background()}
@@ -44,7 +44,7 @@
 			b.Fatal(err)
 		}
 	}
-	if req.events == 0 {
+	if req.eventCount == 0 {
 		b.Fatal("no event was passed on")
 	}
 }
--- a/route/relay/events_test.go
+++ b/route/relay/events_test.go
@@ -60,10 +60,10 @@
 // A replica that resumes a stream may begin with the event that it was sent as the last one, or
 // one before. The caller already has those events.
 func TestRepeatedEventsAreDropped(t *testing.T) {
-	var at eventPosition
-	at.set([]byte("9"))
+	var position eventPosition
+	position.set([]byte("9"))
 	for id, want := range map[string]bool{"8": false, "9": false, "10": true, "": true, "x": true, "9223372036854775808": true} {
-		if got := at.precedes([]byte(id)); got != want {
+		if got := position.precedes([]byte(id)); got != want {
 			t.Errorf("%q after 9: %v", id, got)
 		}
 	}
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -18,11 +18,11 @@
 		return nil, req.callerGone()
 	case res.kind == resultDeadline:
 		return nil, req.expired()
-	case req.started:
+	case req.answerStarted:
 		req.abort(ReasonUnknown)
 	case res.answer != nil:
 		return res.answer, nil
-	case len(req.mayHaveRun) > 0:
+	case len(req.mayHaveRunOn) > 0:
 		return nil, noAnswer(res)
 	case res.feedback.Failure == health.Overloaded:
 		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
@@ -38,12 +38,12 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
 		Figures: map[string]float64{
-			"sends": float64(req.attempts), "events": float64(req.events), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
+			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 			"silent_ms": millis(req.silentFor()), "waited_room_ms": millis(req.capacityWait),
 		},
 	})
 	r := NotRun(statusCallerGone, ReasonCallerGone, "the caller left", 0)
-	if len(req.mayHaveRun) > 0 {
+	if len(req.mayHaveRunOn) > 0 {
 		r.Outcome = outcome.Unknown
 	}
 	return r
@@ -59,10 +59,10 @@
 
 // expired returns the answer to a request whose deadline is reached.
 func (req *requestState) expired() *outcome.Refusal {
-	if req.started {
+	if req.answerStarted {
 		req.abort(ReasonTimeout)
 	}
-	if len(req.mayHaveRun) == 0 && req.attempts == 0 {
+	if len(req.mayHaveRunOn) == 0 && req.attemptCount == 0 {
 		return NotRun(http.StatusServiceUnavailable, ReasonTimeout, "no endpoint had capacity before the deadline", retryAfterNoCapacity)
 	}
 	return outcomeUnknown(http.StatusGatewayTimeout, ReasonTimeout, "no answer before the deadline")
@@ -73,11 +73,11 @@
 	switch {
 	case req.callerCtx.Err() != nil:
 		return nil, req.callerGone()
-	case req.started:
+	case req.answerStarted:
 		req.abort(ReasonNoEndpoint)
 	case req.lastResult.answer != nil:
 		return req.lastResult.answer, nil
-	case len(req.mayHaveRun) > 0:
+	case len(req.mayHaveRunOn) > 0:
 		return nil, noAnswer(req.lastResult)
 	case errors.Is(err, targets.ErrNoCapacity):
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "no endpoint has capacity", retryAfterNoCapacity)
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -55,7 +55,7 @@
 	// rerouting is set while the request is being rerouted, draining if that is because of a
 	// draining stage. pendingLoss is the reason of a loss that occurred meanwhile.
 	rerouting, draining bool
-	pendingLoss         string
+	pendingLossReason   string
 	// wake ends the wait between two tries to reroute.
 	wake chan struct{}
 	// migrateTo, if set, is reserved for the next attempt after this one was canceled for a
@@ -86,13 +86,13 @@
 	if !req.Route.Idempotent() {
 		return
 	}
-	if len(req.mayHaveRun)+1 < req.Route.MaxReplicas {
-		m.filter.Exclude = slices.Clone(req.failed)
-		m.mayReplace, m.mayMigrate = true, req.attempts < maxAttempts
+	if len(req.mayHaveRunOn)+1 < req.Route.MaxReplicas {
+		m.filter.Exclude = slices.Clone(req.failedReplicas)
+		m.mayReplace, m.mayMigrate = true, req.attemptCount < maxAttempts
 		return
 	}
-	m.filter.FirstReplicas = slices.Clone(req.mayHaveRun)
-	m.mayReplace = len(req.mayHaveRun) > 0
+	m.filter.FirstReplicas = slices.Clone(req.mayHaveRunOn)
+	m.mayReplace = len(req.mayHaveRunOn) > 0
 }
 
 // recordEvents records that events have arrived and restarts the stall timeout.
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -28,7 +28,7 @@
 func (req *requestState) run() (*Answer, *outcome.Refusal) {
 	var res attemptResult
 	for {
-		target, err := req.choose(res.next)
+		target, err := req.choose(res.migrateTo)
 		if err != nil {
 			return req.answerWithoutTarget(err)
 		}
@@ -46,7 +46,7 @@
 // attempt makes one attempt and reports its result to the targets.
 func (req *requestState) attempt(target targets.Target) attemptResult {
 	a := &attempt{req: req, target: target, startedAt: req.server.Now()}
-	req.attempts++
+	req.attemptCount++
 	req.lastTarget = target
 	req.recordRoute(target)
 	var res attemptResult
@@ -62,15 +62,15 @@
 	req.Targets.Finish(a.target, res.feedback)
 	req.lastResult = res
 	if res.feedback.NoCapacity && res.feedback.FaultAddress != "" {
-		req.probeFault(target, res.feedback.FaultAddress)
+		req.probeFaultyReplica(target, res.feedback.FaultAddress)
 	}
 	return res
 }
 
-// probeFault probes the stage that a refusal names. The first replica can't tell a stage
+// probeFaultyReplica probes the stage that a refusal names. The first replica can't tell a stage
 // without capacity from a dead one, and a node that has just started has not found out yet
 // which replicas are dead.
-func (req *requestState) probeFault(target targets.Target, address string) {
+func (req *requestState) probeFaultyReplica(target targets.Target, address string) {
 	replica := target.ReplicaByAddress(address)
 	if replica == "" {
 		return
@@ -85,13 +85,13 @@
 func (req *requestState) recordRoute(target targets.Target) {
 	d := decisionlog.Weighed(target.Choice)
 	d.Kind, d.Chosen = decisionlog.Route, target.Replica
-	d.Figures["try"] = float64(req.attempts)
+	d.Figures["try"] = float64(req.attemptCount)
 	d.Notes = []decisionlog.Note{{Name: "address", Text: target.Address}}
 	if len(target.Path) > 0 {
 		d.Reason = "cheapest path with capacity"
 		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: target.Path.String()})
 	}
-	d.Quiet = !req.sampled && req.attempts == 1
+	d.Quiet = !req.sampled && req.attemptCount == 1
 	req.record(d)
 }
 
@@ -103,14 +103,14 @@
 	}
 	begun := req.server.Now()
 	query := targets.Query{
-		Tokens: req.expectedTokens(), PrefillTokens: req.prefillTokens(), Exclude: req.failed, NonIdempotent: !req.Route.Idempotent(), Rank: req.Rank,
+		Tokens: req.expectedTokens(), PrefillTokens: req.prefillTokens(), Exclude: req.failedReplicas, NonIdempotent: !req.Route.Idempotent(), Rank: req.Rank,
 		OnTimeUntil: req.Arrived.Add(req.onTimeWait()), WaitUntil: req.Arrived.Add(maxWaitFactor * req.onTimeWait()),
 	}
-	if req.started {
+	if req.answerStarted {
 		query.WaitUntil = begun.Add(resumeTimeout)
 	}
-	if len(req.mayHaveRun) >= req.Route.MaxReplicas {
-		query.FirstReplicas, query.Exclude = req.mayHaveRun, nil
+	if len(req.mayHaveRunOn) >= req.Route.MaxReplicas {
+		query.FirstReplicas, query.Exclude = req.mayHaveRunOn, nil
 	}
 	t, err := req.Targets.Choose(req.ctx, query)
 	if waited := req.server.Now().Sub(begun); waited > time.Millisecond {
@@ -152,7 +152,7 @@
 // prefillTokens is the number of tokens to prefill before the next event: the prompt and, for a
 // resumed stream, the part of the answer that the caller has.
 func (req *requestState) prefillTokens() float64 {
-	if req.started || req.Call.After != "" {
+	if req.answerStarted || req.Call.After != "" {
 		return req.expectedTokens()
 	}
 	return float64(req.Call.Prompt)
@@ -177,10 +177,10 @@
 	}
 	req.budgetWait += req.server.Now().Sub(waitStart)
 	req.record(decisionlog.Decision{
-		Kind: decisionlog.Retry, Chosen: lastOf(req.failed), Reason: d.Reason.String(),
+		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
 		Figures: map[string]float64{
-			"not_run": boolFigure(res.notRun()), "sends": float64(req.attempts), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Left),
+			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Left),
 		},
 	})
 	if d.Retry {
@@ -193,7 +193,7 @@
 // that has begun wastes what the caller has received of it, so it waits as long as its caller
 // does. Other requests wait as long as for capacity.
 func (req *requestState) budgetWaitUntil() time.Time {
-	if req.started {
+	if req.answerStarted {
 		return req.lastEventAt.Add(resumeTimeout)
 	}
 	return req.Arrived.Add(maxWaitFactor * req.onTimeWait())
@@ -220,11 +220,11 @@
 	if res.feedback.FaultAddress != "" {
 		faulty = req.lastTarget.ReplicaByAddress(res.feedback.FaultAddress)
 	}
-	if faulty != "" && !slices.Contains(req.failed, faulty) {
-		req.failed = append(req.failed, faulty)
+	if faulty != "" && !slices.Contains(req.failedReplicas, faulty) {
+		req.failedReplicas = append(req.failedReplicas, faulty)
 	}
-	if !res.notRun() && !slices.Contains(req.mayHaveRun, first) {
-		req.mayHaveRun = append(req.mayHaveRun, first)
+	if !res.notRun() && !slices.Contains(req.mayHaveRunOn, first) {
+		req.mayHaveRunOn = append(req.mayHaveRunOn, first)
 	}
 }
 
@@ -232,9 +232,9 @@
 // attempt that was not sent costs the endpoints nothing and is not charged.
 func (req *requestState) askBudget(res attemptResult) retry.Decision {
 	switch {
-	case res.next != nil:
+	case res.migrateTo != nil:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
-	case req.attempts >= maxAttempts, len(req.mayHaveRun) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
+	case req.attemptCount >= maxAttempts, len(req.mayHaveRunOn) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
 		return retry.Decision{Reason: retry.TooManyAttempts}
 	case res.kind == resultNotSent:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
--- a/route/relay/request_test.go
+++ b/route/relay/request_test.go
@@ -30,10 +30,10 @@
 		req, target := monitor.attempt.req, monitor.attempt.target
 		req.ctx, req.log = monitor.ctx, hclog.NewNullLogger()
 		req.server.Prober = connprobe.New(reachable(alive), time.Now)
-		req.probeFault(target, target.Address)
-		if left := len(m.Suspects()) == 0; left != alive {
+		req.probeFaultyReplica(target, target.Address)
+		if noneSuspected := len(m.Suspects()) == 0; noneSuspected != alive {
 			t.Errorf("alive %t: %d replicas are excluded", alive, len(m.Suspects()))
 		}
-		req.probeFault(target, "unknown address")
+		req.probeFaultyReplica(target, "unknown address")
 	}
 }
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -209,7 +209,7 @@
 	}
 	if m.rerouting {
 		if !draining && m.draining {
-			m.pendingLoss = reason
+			m.pendingLossReason = reason
 			select {
 			case m.wake <- struct{}{}:
 			default: // the loop already has a wake-up pending
@@ -217,7 +217,7 @@
 		}
 		return false
 	}
-	m.rerouting, m.draining, m.pendingLoss = true, draining, ""
+	m.rerouting, m.draining, m.pendingLossReason = true, draining, ""
 	return true
 }
 
@@ -226,9 +226,9 @@
 func (m *pathMonitor) takePendingLoss() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	lost := m.pendingLoss
+	lost := m.pendingLossReason
 	if lost != "" {
-		m.pendingLoss, m.draining = "", false
+		m.pendingLossReason, m.draining = "", false
 	}
 	return lost
 }
@@ -265,5 +265,5 @@
 	}
 	next := m.migrateTo
 	m.migrateTo = nil
-	return attemptResult{kind: resultUnknown, detail: m.migrateReason, feedback: targets.Result{Failure: health.Broken}, next: next}
+	return attemptResult{kind: resultUnknown, detail: m.migrateReason, feedback: targets.Result{Failure: health.Broken}, migrateTo: next}
 }
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -24,7 +24,7 @@
 	for _, id := range []string{"a", "b"} {
 		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "h100", Holds: layers.Span{To: 8}})
 	}
-	m.Update(model, list, targets.NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: 10, DomainNodes: 1})
+	m.Update(model, list, targets.NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: 10, DomainNodeCount: 1})
 	return m
 }
 
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -133,25 +133,25 @@
 	// sampled requests are logged even if they succeed.
 	sampled bool
 
-	// failed are the replicas that failed this request, mayHaveRun those of them that may have
+	// failedReplicas are the replicas that failedReplicas this request, mayHaveRun those of them that may have
 	// begun it. attempts is the number of attempts so far.
-	failed     []string
-	mayHaveRun []string
-	attempts   int
-	lastResult attemptResult
-	lastTarget targets.Target
+	failedReplicas []string
+	mayHaveRunOn   []string
+	attemptCount   int
+	lastResult     attemptResult
+	lastTarget     targets.Target
 
-	// started is set once the caller has received a part of the answer; events is the number of
+	// answerStarted is set once the caller has received a part of the answer; events is the number of
 	// events it has, lastEvent the last of them.
-	started   bool
-	events    int
-	lastEvent eventPosition
-	// firstEvent is the time to the first event. longestPause is the longest pause after it,
+	answerStarted bool
+	eventCount    int
+	lastEvent     eventPosition
+	// timeToFirstEvent is the time to the first event. longestPause is the longest pause after it,
 	// which began after longestPauseAfter events.
-	firstEvent        time.Duration
-	longestPause      time.Duration
-	longestPauseAfter int
-	lastEventAt       time.Time
+	timeToFirstEvent         time.Duration
+	longestPause             time.Duration
+	eventsBeforeLongestPause int
+	lastEventAt              time.Time
 	// capacityWait is the time spent waiting for capacity, budgetWait for the retry budget.
 	capacityWait, budgetWait time.Duration
 }
@@ -229,7 +229,7 @@
 		Kind: decisionlog.Refuse, Reason: r.Code,
 		Notes: req.withRoute(decisionlog.Note{Name: "outcome", Text: string(r.Outcome)}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
 		Figures: map[string]float64{
-			"status": float64(r.Status), "waited_ms": millis(req.server.Now().Sub(req.Arrived)), "sends": float64(req.attempts),
+			"status": float64(r.Status), "waited_ms": millis(req.server.Now().Sub(req.Arrived)), "sends": float64(req.attemptCount),
 			"retry_after_ms": millis(r.RetryAfter),
 		},
 	})
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -21,7 +21,7 @@
 // runStream makes an attempt whose events are passed on as they arrive.
 func (a *attempt) runStream() attemptResult {
 	req := a.req
-	if req.started {
+	if req.answerStarted {
 		a.resumeAfter = req.lastEvent.String()
 	}
 	ctx, cancel := context.WithCancel(req.ctx)
@@ -34,7 +34,7 @@
 	}
 	defer exchange.Close()
 	if !isEventStream(exchange) {
-		if req.started {
+		if req.answerStarted {
 			return a.unexpected(exchange)
 		}
 		return a.readBuffered(exchange)
@@ -102,7 +102,7 @@
 			return err
 		}
 		forwarded = true
-		req.events++
+		req.eventCount++
 		if len(ev.id) > 0 {
 			req.lastEvent.set(ev.id)
 		}
@@ -119,9 +119,9 @@
 func (req *requestState) recordPause() {
 	now := req.server.Now()
 	if req.lastEventAt.IsZero() {
-		req.firstEvent = now.Sub(req.Arrived)
+		req.timeToFirstEvent = now.Sub(req.Arrived)
 	} else if pause := now.Sub(req.lastEventAt); pause > req.longestPause {
-		req.longestPause, req.longestPauseAfter = pause, req.events
+		req.longestPause, req.eventsBeforeLongestPause = pause, req.eventCount
 	}
 	req.lastEventAt = now
 }
@@ -129,10 +129,10 @@
 // beginStream writes the head of the answer before the first event. Until then the request can
 // be retried and answered by another replica.
 func (req *requestState) beginStream(e *upstream.Exchange) {
-	if req.started {
+	if req.answerStarted {
 		return
 	}
-	req.started = true
+	req.answerStarted = true
 	if err := http.NewResponseController(req.w).SetWriteDeadline(req.Deadline); err != nil {
 		req.log.Debug("setting the write deadline failed", "error", err)
 	}
@@ -149,8 +149,8 @@
 	req.beginStream(e)
 	e.KeepAlive(a.head.KeepFor)
 	req.recordFinish(map[string]float64{
-		"events": float64(req.events), "parts": float64(len(a.target.Path)), "first_ms": millis(req.firstEvent),
-		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.longestPauseAfter),
+		"events": float64(req.eventCount), "parts": float64(len(a.target.Path)), "first_ms": millis(req.timeToFirstEvent),
+		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.eventsBeforeLongestPause),
 	})
 	return attemptResult{kind: resultComplete, feedback: targets.Result{Complete: true}}
 }
--- a/route/targets/active_request.go
+++ b/route/targets/active_request.go
@@ -144,21 +144,21 @@
 	now := m.now()
 	bypass := r.findBypass(now)
 	estimate := r.estimateBypass(bypass)
-	estimate.MaxWait, estimate.BypassPrefill = maxWait, m.selector.PrefillWait(now, bypass, r.path, r.tokens, m.share.DomainNodes)
+	estimate.MaxWait, estimate.BypassPrefill = maxWait, m.selector.PrefillWait(now, bypass, r.path, r.tokens, m.nodeShare.DomainNodeCount)
 	var migration paths.Path
 	if mayMigrate {
 		migration = r.findMigration(now, filter)
-		estimate.MigratePrefill = m.selector.PrefillWait(now, migration, nil, r.tokens, m.share.DomainNodes)
+		estimate.MigratePrefill = m.selector.PrefillWait(now, migration, nil, r.tokens, m.nodeShare.DomainNodeCount)
 	}
 	action := m.linkBacklog.Decide(now, bypass != nil, estimate, migration != nil && migration.Crossings() == 0)
 	// Recorded before the reroute command is accepted, because the requests that lost the same
 	// stage decide at the same time.
 	switch action {
 	case reroute.Migrate:
-		m.selector.AddPrefill(now, migration, nil, r.tokens, m.share.DomainNodes)
+		m.selector.AddPrefill(now, migration, nil, r.tokens, m.nodeShare.DomainNodeCount)
 		return action, nil, m.start(migration, r.tokens)
 	case reroute.Bypass:
-		m.selector.AddPrefill(now, bypass, r.path, r.tokens, m.share.DomainNodes)
+		m.selector.AddPrefill(now, bypass, r.path, r.tokens, m.nodeShare.DomainNodeCount)
 		if estimate.Bytes > 0 {
 			m.linkBacklog.AddTransfer(now, estimate)
 		}
@@ -172,7 +172,7 @@
 	m := r.model
 	added := max(0, bypass.Crossings()-r.path.Crossings())
 	return reroute.Estimate{
-		Bytes: float64(added) * r.tokens * m.crossingBytes, BytesPerSecond: m.linkBytesPerSecond, Nodes: m.share.DomainNodes,
+		Bytes: float64(added) * r.tokens * m.crossingBytes, BytesPerSecond: m.linkBytesPerSecond, Nodes: m.nodeShare.DomainNodeCount,
 	}
 }
 
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -26,10 +26,10 @@
 	now       func() time.Time
 	startedAt time.Time
 
-	mu       sync.Mutex
-	layers   int
-	share    NodeShare
-	selector *paths.Selector
+	mu        sync.Mutex
+	layers    int
+	nodeShare NodeShare
+	selector  *paths.Selector
 	// linkBacklog is what the bypasses of this node have transferred between failure domains. A
 	// token transfers crossingBytes at each crossing; all domains share linkBytesPerSecond.
 	linkBacklog                       reroute.LinkBacklog
@@ -37,10 +37,10 @@
 
 	observed observations
 
-	active  map[*ActiveRequest]struct{}
-	waiting waitqueue.Queue
-	// wakes are the channels of the waiting requests, by waiter id.
-	wakes        map[uint64]chan struct{}
+	active    map[*ActiveRequest]struct{}
+	waitQueue waitqueue.Queue
+	// wakeChannels are the channels of the waiting requests, by waiter id.
+	wakeChannels map[uint64]chan struct{}
 	lastWaiterID uint64
 }
 
@@ -59,13 +59,13 @@
 // NewModelTargets returns ModelTargets without replicas, for a node in a failure domain.
 func NewModelTargets(domain string, seed uint64, now func() time.Time) *ModelTargets {
 	return &ModelTargets{
-		domain:    domain,
-		now:       now,
-		startedAt: now(),
-		selector:  paths.New(seed),
-		observed:  newObservations(),
-		active:    map[*ActiveRequest]struct{}{},
-		wakes:     map[uint64]chan struct{}{},
+		domain:       domain,
+		now:          now,
+		startedAt:    now(),
+		selector:     paths.New(seed),
+		observed:     newObservations(),
+		active:       map[*ActiveRequest]struct{}{},
+		wakeChannels: map[uint64]chan struct{}{},
 	}
 }
 
@@ -75,8 +75,8 @@
 	CapacityShare func(domain string) float64
 	// MaxConns bounds this node's connections to each replica; zero for no bound.
 	MaxConns int
-	// DomainNodes is the number of nodes in this node's failure domain.
-	DomainNodes int
+	// DomainNodeCount is the number of nodes in this node's failure domain.
+	DomainNodeCount int
 }
 
 // Update replaces the list of replicas.
@@ -86,7 +86,7 @@
 		replicas = append(replicas, pathReplica(model, r))
 	}
 	m.mu.Lock()
-	m.layers, m.share = model.Layers, share
+	m.layers, m.nodeShare = model.Layers, share
 	m.crossingBytes, m.linkBytesPerSecond = model.CrossBytes, model.LinkBytesPerSecond
 	m.selector.Update(replicas)
 	for _, r := range list {
@@ -135,7 +135,7 @@
 	defer m.mu.Unlock()
 	m.lastWaiterID++
 	wake := make(chan struct{}, 1)
-	m.wakes[m.lastWaiterID] = wake
+	m.wakeChannels[m.lastWaiterID] = wake
 	return waitqueue.Request{ID: m.lastWaiterID, Rank: q.Rank, OnTimeUntil: q.OnTimeUntil}, wake
 }
 
@@ -164,8 +164,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.now()
-	if firstTry && m.waiting.Before(now, w) {
-		m.waiting.Add(now, w)
+	if firstTry && m.waitQueue.Before(now, w) {
+		m.waitQueue.Add(now, w)
 		return Target{}, paths.NoCapacity, false
 	}
 	path, reason := m.selector.Choose(now, paths.Query{
@@ -173,12 +173,12 @@
 	})
 	if reason != paths.Found || !path.Covers(layers.Span{To: m.layers}) {
 		if firstTry {
-			m.waiting.Add(now, w)
+			m.waitQueue.Add(now, w)
 		}
 		return Target{}, reason, false
 	}
 	m.removeWaiter(w)
-	m.selector.AddPrefill(now, path, nil, q.PrefillTokens, m.share.DomainNodes)
+	m.selector.AddPrefill(now, path, nil, q.PrefillTokens, m.nodeShare.DomainNodeCount)
 	m.wakeOne() // there may be capacity for the next request as well
 	return m.start(path, q.Tokens), paths.Found, true
 }
@@ -189,14 +189,14 @@
 	m.active[active] = struct{}{}
 	return Target{
 		Replica: path[0].Replica, Address: path[0].Address, Domain: path[0].Domain,
-		Path: path, MaxConns: m.share.MaxConns, Active: active,
+		Path: path, MaxConns: m.nodeShare.MaxConns, Active: active,
 	}
 }
 
 // removeWaiter removes a request that waits no longer. The caller holds the lock.
 func (m *ModelTargets) removeWaiter(w waitqueue.Request) {
-	m.waiting.Remove(w.ID)
-	delete(m.wakes, w.ID)
+	m.waitQueue.Remove(w.ID)
+	delete(m.wakeChannels, w.ID)
 }
 
 func (m *ModelTargets) stopWaiting(w waitqueue.Request) {
@@ -208,12 +208,12 @@
 
 // wakeOne wakes the first waiting request, which then tries again.
 func (m *ModelTargets) wakeOne() {
-	id, ok := m.waiting.First(m.now())
+	id, ok := m.waitQueue.First(m.now())
 	if !ok {
 		return
 	}
 	select {
-	case m.wakes[id] <- struct{}{}:
+	case m.wakeChannels[id] <- struct{}{}:
 	default: // a wake-up is already pending
 	}
 }
@@ -396,5 +396,5 @@
 func (m *ModelTargets) RequestCounts() (waiting, active int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.waiting.Len(), len(m.active)
+	return m.waitQueue.Len(), len(m.active)
 }
--- a/route/targets/observations.go
+++ b/route/targets/observations.go
@@ -40,10 +40,10 @@
 			delete(o.own, id)
 		}
 	}
-	for _, times := range []map[string]time.Time{o.acceptedAt, o.verifiedAt} {
-		for id, at := range times {
+	for _, timestamps := range []map[string]time.Time{o.acceptedAt, o.verifiedAt} {
+		for id, at := range timestamps {
 			if now.Sub(at) >= peerreports.ValidFor {
-				delete(times, id)
+				delete(timestamps, id)
 			}
 		}
 	}
@@ -117,9 +117,9 @@
 	m.selector.SetSlowdown(c.Replica, c.Pace)
 }
 
-// ReportedByPeers reports whether other nodes have recently reported on a replica, so that this
+// HasRecentPeerReport reports whether other nodes have recently reported on a replica, so that this
 // node need not ask it.
-func (m *ModelTargets) ReportedByPeers(replica string) bool {
+func (m *ModelTargets) HasRecentPeerReport(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	at, ok := m.observed.acceptedAt[replica]
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -27,7 +27,7 @@
 
 // soleNode is the share of a node that runs alone.
 func soleNode(maxConns int) NodeShare {
-	return NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: maxConns, DomainNodes: 1}
+	return NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: maxConns, DomainNodeCount: 1}
 }
 
 // twoStageModel is a model in two halves, each with two replicas. A replica has capacity for
@@ -95,8 +95,8 @@
 		}
 		cancel()
 		<-done
-		if waiting, _ := m.RequestCounts(); waiting != 0 || len(m.wakes) != 0 {
-			t.Errorf("%d requests wait, %d channels are left", waiting, len(m.wakes))
+		if waiting, _ := m.RequestCounts(); waiting != 0 || len(m.wakeChannels) != 0 {
+			t.Errorf("%d requests wait, %d channels are left", waiting, len(m.wakeChannels))
 		}
 	}
 }
@@ -106,12 +106,12 @@
 func TestLostReplicaNotifiesAllItsRequests(t *testing.T) {
 	m := twoStageModel()
 	notified := make(chan string, 20)
-	through := 0
+	affectedRequests := 0
 	for i := range 10 {
 		target := choose(t, m, 100)
 		for _, p := range target.Path {
 			if p.Replica == "b1" {
-				through++
+				affectedRequests++
 			}
 		}
 		target.Active.SetCallbacks(func(replica string) { notified <- fmt.Sprint(i, replica) }, func(string) {})
@@ -119,7 +119,7 @@
 	if !m.Suspect("b1", false) || m.Suspect("b1", false) {
 		t.Error("the suspicion must be new exactly once")
 	}
-	for range through {
+	for range affectedRequests {
 		<-notified
 	}
 	select {
@@ -154,8 +154,8 @@
 	m.Finish(target, Result{Complete: true})
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if booked := m.selector.Reserved(); len(booked) > 0 {
-		t.Errorf("still reserved: %v", booked)
+	if reserved := m.selector.Reserved(); len(reserved) > 0 {
+		t.Errorf("still reserved: %v", reserved)
 	}
 }
 
@@ -322,7 +322,7 @@
 	reports := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
 	domainNodes := []string{"n1", "n2", "n3", "n4", "n5"}
 	decision := m.Evaluate("n4", domainNodes, reports)
-	if len(decision.Believe) != 2 || len(m.Suspects()) != 1 || !m.ReportedByPeers("b1") || len(m.Slow()) != 1 {
+	if len(decision.Believe) != 2 || len(m.Suspects()) != 1 || !m.HasRecentPeerReport("b1") || len(m.Slow()) != 1 {
 		t.Fatalf("%+v", decision)
 	}
 	if seen := m.Observations(); len(seen) != 0 {
--- a/route/upstream/once_test.go
+++ b/route/upstream/once_test.go
@@ -24,18 +24,18 @@
 // that reads a POST request and closes the connection without an answer. With dies it also
 // stops listening after the first POST request.
 type closingEndpoint struct {
-	listener net.Listener
-	orders   atomic.Int64
-	dies     bool
+	listener       net.Listener
+	postCount      atomic.Int64
+	closesListener bool
 }
 
-func startClosingEndpoint(t *testing.T, dies bool) *closingEndpoint {
+func startClosingEndpoint(t *testing.T, closesListener bool) *closingEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &closingEndpoint{listener: listener, dies: dies}
+	f := &closingEndpoint{listener: listener, closesListener: closesListener}
 	var accepting, serving sync.WaitGroup
 	var open []net.Conn
 	accepting.Go(func() {
@@ -68,8 +68,8 @@
 			return
 		}
 		if r.Method == http.MethodPost {
-			f.orders.Add(1)
-			if f.dies {
+			f.postCount.Add(1)
+			if f.closesListener {
 				f.listener.Close()
 			}
 			return
@@ -109,7 +109,7 @@
 		if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
 			t.Errorf("new connection %t: got %v, want an error that does not claim not sent", newConn, err)
 		}
-		if n := f.orders.Load(); n != 1 {
+		if n := f.postCount.Load(); n != 1 {
 			t.Errorf("new connection %t: the order arrived %d times", newConn, n)
 		}
 		pool.Close()
@@ -127,7 +127,7 @@
 	r := request(f.listener.Addr().String(), "a")
 	r.Method, r.Body = http.MethodPost, []byte("flour")
 	if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
-		t.Errorf("after %d arrived: got %v, which must not claim not sent", f.orders.Load(), err)
+		t.Errorf("after %d arrived: got %v, which must not claim not sent", f.postCount.Load(), err)
 	}
 }
 
@@ -141,8 +141,8 @@
 	cancel()
 	r := request(f.listener.Addr().String(), "a")
 	r.Method, r.NewConn = http.MethodPost, true
-	if _, err := pool.Send(canceled, r); !errors.Is(err, context.Canceled) || f.orders.Load() != 0 {
-		t.Errorf("got %v; %d arrived", err, f.orders.Load())
+	if _, err := pool.Send(canceled, r); !errors.Is(err, context.Canceled) || f.postCount.Load() != 0 {
+		t.Errorf("got %v; %d arrived", err, f.postCount.Load())
 	}
 }
 
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -27,9 +27,9 @@
 	now  func() time.Time
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu        sync.Mutex
-	endpoints map[string]*endpointConns
-	opened    int64
+	mu          sync.Mutex
+	endpoints   map[string]*endpointConns
+	openedCount int64
 }
 
 // endpointConns is the connections to one endpoint.
@@ -80,13 +80,13 @@
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.endpoints[address]
-	if h == nil || len(h.idle) == 0 {
+	conns := p.endpoints[address]
+	if conns == nil || len(conns.idle) == 0 {
 		return nil
 	}
-	last := len(h.idle) - 1
-	c := h.idle[last]
-	h.idle = h.idle[:last]
+	last := len(conns.idle) - 1
+	c := conns.idle[last]
+	conns.idle = conns.idle[:last]
 	return c
 }
 
@@ -94,23 +94,23 @@
 // connection is closed instead.
 func (p *Pool) reserve(address string, maxConns int) bool {
 	p.mu.Lock()
-	h := p.endpoints[address]
-	if h == nil {
-		h = &endpointConns{}
-		p.endpoints[address] = h
+	conns := p.endpoints[address]
+	if conns == nil {
+		conns = &endpointConns{}
+		p.endpoints[address] = conns
 	}
 	var oldest *conn
-	if maxConns > 0 && h.open >= maxConns {
-		if len(h.idle) == 0 {
+	if maxConns > 0 && conns.open >= maxConns {
+		if len(conns.idle) == 0 {
 			p.mu.Unlock()
 			return false
 		}
-		oldest = h.idle[0]
-		h.idle = h.idle[1:]
-		h.open--
+		oldest = conns.idle[0]
+		conns.idle = conns.idle[1:]
+		conns.open--
 	}
-	h.open++
-	p.opened++
+	conns.open++
+	p.openedCount++
 	p.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
@@ -121,9 +121,9 @@
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.endpoints[address]
-	h.open--
-	if h.open == 0 && len(h.idle) == 0 {
+	conns := p.endpoints[address]
+	conns.open--
+	if conns.open == 0 && len(conns.idle) == 0 {
 		delete(p.endpoints, address)
 	}
 }
@@ -148,8 +148,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.endpoints[address]
-	h.idle = append(h.idle, c)
+	conns := p.endpoints[address]
+	conns.idle = append(conns.idle, c)
 }
 
 // Prune closes expired idle connections. It must be called periodically.
@@ -178,16 +178,16 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	expired := map[string][]*conn{}
-	for address, h := range p.endpoints {
-		kept := h.idle[:0]
-		for _, c := range h.idle {
+	for address, conns := range p.endpoints {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
 			if at.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				expired[address] = append(expired[address], c)
 			}
 		}
-		h.idle = kept
+		conns.idle = kept
 	}
 	return expired
 }
@@ -217,7 +217,7 @@
 func (p *Pool) OpenedConns() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.openedCount
 }
 
 // OpenConns is the number of open connections, for metrics.
@@ -225,8 +225,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, h := range p.endpoints {
-		n += h.open
+	for _, conns := range p.endpoints {
+		n += conns.open
 	}
 	return n
 }
--- a/route/upstream/upstream_test.go
+++ b/route/upstream/upstream_test.go
@@ -16,7 +16,7 @@
 
 // endpoint starts a listener whose connections are served by the given function. They are
 // closed at the end of the test.
-func endpoint(t *testing.T, serve func(conn net.Conn, requests *bufio.Reader, number int)) string {
+func endpoint(t *testing.T, serve func(conn net.Conn, requests *bufio.Reader, connNumber int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -25,7 +25,7 @@
 	var accepting, serving sync.WaitGroup
 	var open []net.Conn
 	accepting.Go(func() {
-		for number := 1; ; number++ {
+		for connNumber := 1; ; connNumber++ {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
@@ -33,7 +33,7 @@
 			open = append(open, conn)
 			serving.Go(func() {
 				defer conn.Close()
-				serve(conn, bufio.NewReader(conn), number)
+				serve(conn, bufio.NewReader(conn), connNumber)
 			})
 		}
 	})
@@ -78,7 +78,7 @@
 // An endpoint answers a request twice, and the second answer is read on the reused connection
 // in place of the next request's answer. Each caller must get its own answer.
 func TestStrayAnswersAreSkipped(t *testing.T) {
-	second := make(chan struct{})
+	firstAnswered := make(chan struct{})
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, _ int) {
 		for {
 			r, err := http.ReadRequest(requests)
@@ -91,7 +91,7 @@
 			}
 			respond(conn, id, "answer "+id)
 			if id == "1" {
-				close(second)
+				close(firstAnswered)
 			}
 		}
 	})
@@ -107,7 +107,7 @@
 		e.KeepAlive(0)
 		e.Close()
 	}
-	<-second
+	<-firstAnswered
 	if pool.OpenConns() != 1 {
 		t.Errorf("%d connections", pool.OpenConns())
 	}
@@ -117,13 +117,13 @@
 // not reused.
 func TestUncleanConnectionsAreNotUsed(t *testing.T) {
 	sent := make(chan struct{}, 10)
-	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, number int) {
+	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, connNumber int) {
 		r, err := http.ReadRequest(requests)
 		if err != nil {
 			return
 		}
-		respond(conn, r.Header.Get("Id"), fmt.Sprint("connection ", number))
-		if number == 1 {
+		respond(conn, r.Header.Get("Id"), fmt.Sprint("connection ", connNumber))
+		if connNumber == 1 {
 			fmt.Fprint(conn, "stray")
 			sent <- struct{}{}
 			_, _ = requests.ReadByte() // until the pool closes the connection
@@ -133,12 +133,12 @@
 		sent <- struct{}{}
 	})
 	pool := New(time.Now)
-	for number := 1; number <= 3; number++ {
+	for connNumber := 1; connNumber <= 3; connNumber++ {
 		e, err := pool.Send(context.Background(), request(address, "a"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got, err := body(e); err != nil || got != fmt.Sprint("connection ", number) {
+		if got, err := body(e); err != nil || got != fmt.Sprint("connection ", connNumber) {
 			t.Errorf("%q, %v", got, err)
 		}
 		e.KeepAlive(time.Minute)
@@ -160,8 +160,8 @@
 	silent := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) { _, _ = io.Copy(io.Discard, requests) })
 	pool := New(time.Now)
 	for _, c := range []struct {
-		name, address              string
-		notSent, silent, unreached bool
+		name, address                  string
+		notSent, timedOut, unreachable bool
 	}{
 		{"refuses connections", refuses, true, false, true},
 		{"resets after reading", resets, false, false, false},
@@ -171,7 +171,7 @@
 		r.HeadTimeout = 100 * time.Millisecond
 		_, err := pool.Send(context.Background(), r)
 		var f *Failure
-		if !errors.As(err, &f) || f.NotSent != c.notSent || f.TimedOut != c.silent || f.Unreachable != c.unreached || notSent(err) != c.notSent {
+		if !errors.As(err, &f) || f.NotSent != c.notSent || f.TimedOut != c.timedOut || f.Unreachable != c.unreachable || notSent(err) != c.notSent {
 			t.Errorf("%s: %+v", c.name, err)
 		}
 	}
@@ -186,7 +186,7 @@
 	for _, c := range []struct {
 		name, head string
 		reset      bool
-		whole      bool
+		complete   bool
 	}{
 		{"full length", "Content-Length: 4\r\n\r\nbody", false, true},
 		{"cut short", "Content-Length: 9\r\n\r\nbody", false, false},
@@ -216,7 +216,7 @@
 				t.Fatal(err)
 			}
 		}
-		if got, err := body(e); (err == nil) != c.whole || c.whole && got != "body" {
+		if got, err := body(e); (err == nil) != c.complete || c.complete && got != "body" {
 			t.Errorf("%s: %q, %v", c.name, got, err)
 		}
 		e.Close()
