--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -24,14 +24,16 @@
 const (
 	// resultComplete is a complete answer. The caller already has it if it was streamed.
 	resultComplete resultKind = iota
-	// resultNotSent and resultNotRun provably did not run.
+	// resultNotSent and resultNotRun are attempts that provably did not run: the request was
+	// not sent, or the endpoint says that it did not run the request.
 	resultNotSent
 	resultNotRun
-	// resultFailed is the endpoint's own failure; the request ran.
+	// resultFailed is an answer that reports the endpoint's own failure; the request ran.
 	resultFailed
-	// resultUnknown may have run.
+	// resultUnknown is a failed attempt whose request may have run.
 	resultUnknown
-	// resultCallerGone and resultDeadline were ended by this node.
+	// resultCallerGone and resultDeadline are attempts that this node ended, because the caller
+	// left or the deadline was reached.
 	resultCallerGone
 	resultDeadline
 )
@@ -40,13 +42,13 @@
 type attemptResult struct {
 	kind   resultKind
 	detail string // for the log
-	// feedback is reported to the targets.
+	// feedback is passed to Targets.Finish.
 	feedback targets.Result
-	// answer is a complete answer, or the endpoint's own failure, which is passed on if no
-	// later attempt succeeds.
+	// answer is the endpoint's answer; nil if there is none, or if it was streamed. The answer
+	// of a failed attempt is passed on only if no later attempt succeeds.
 	answer *Answer
-	// migrateTo is where the request migrates to. Its capacity is reserved and the retry budget is
-	// charged.
+	// migrateTo is the target to which the request migrates; nil if it does not migrate. Its
+	// capacity is reserved, and the retry budget is already charged.
 	migrateTo *targets.Target
 }
 
@@ -58,7 +60,7 @@
 	req       *requestState
 	target    targets.Target
 	startedAt time.Time
-	// resumeAfter is the last event that the caller has, for a stream that is resumed.
+	// resumeAfter is the id of the last event that the caller has, if the stream is resumed.
 	resumeAfter string
 	head        headers.Answer
 }
@@ -79,8 +81,8 @@
 		Header: req.server.Headers.Forward(req.Header, headers.Sending{
 			Replica: a.target.Replica, Team: req.Team, Left: remaining - deadlineMargin, After: a.resumeAfter, Path: a.target.Path,
 		}),
-		// A non-idempotent request gets a new connection. If that closes before an
-		// answer, an earlier request can't be the cause.
+		// A non-idempotent request gets a new connection. If the new connection closes before
+		// an answer, an earlier request can't be the cause.
 		NewConn:     !req.Route.Idempotent(),
 		MaxConns:    a.target.MaxConns,
 		Matches:     a.matchesRequest,
@@ -95,7 +97,7 @@
 }
 
 // matchesRequest reports whether the head of an answer belongs to this request. An endpoint
-// that could not parse the request refuses it without an id.
+// that could not parse the request sends a refusal without an id.
 func (a *attempt) matchesRequest(h http.Header) bool {
 	id := a.req.server.Headers.Answer(http.StatusOK, h).ID
 	return id == "" || id == a.req.Call.ID
@@ -124,9 +126,10 @@
 	return res
 }
 
-// endpointFailure is the failure to report about the endpoint when this node ended the attempt.
-// It is Canceled, which says nothing about the endpoint, unless the endpoint had most of the
-// request's time. An endpoint that hangs can't be detected in another way.
+// endpointFailure is the kind of failure that counts against the endpoint after this node ended
+// the attempt. Canceled says nothing about the endpoint. Timeout means that the endpoint counts
+// as hung: the deadline was reached, and the attempt took at least half of the request's total
+// time. There is no other way to detect an endpoint that hangs.
 func (a *attempt) endpointFailure(kind resultKind) health.Failure {
 	total := a.req.Deadline.Sub(a.req.Arrived)
 	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangDivisor {
@@ -135,8 +138,9 @@
 	return health.Canceled
 }
 
-// hangDivisor: an endpoint that uses up half of the request's total time counts as hung. Less
-// may be due to a caller with a short deadline.
+// hangDivisor divides the total time of a request, from its arrival to its deadline. An
+// endpoint that has not answered for that part of the time, one half, counts as hung. If the
+// attempt was shorter, the cause may be a caller with a short deadline.
 const hangDivisor = 2
 
 // endedLocally reports whether this node ended the request: the caller left or the deadline is
@@ -152,11 +156,12 @@
 	return 0, false
 }
 
-// suspectAfter separates two kinds of refusals. One for lack of capacity comes at once. One
-// because a stage of the path did not answer comes after the engine's own timeout.
+// suspectAfter separates two kinds of refusals by the time until they arrive. A refusal for
+// lack of capacity arrives at once. If a stage of the path does not answer, the refusal arrives
+// only after the engine's own timeout.
 const suspectAfter = time.Second
 
-// refusedResult classifies an answer that says that the request did not run.
+// refusedResult classifies a refusal: an answer that says that the request did not run.
 func (a *attempt) refusedResult(status int) attemptResult {
 	slow := a.req.server.Now().Sub(a.startedAt) > suspectAfter
 	return attemptResult{
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -11,9 +11,9 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// A non-idempotent request that may have run is not retried, however many replicas its route
-// allows; one that provably did not run is. An idempotent request is retried either way, up to
-// the route's number of replicas.
+// If a non-idempotent request that may have run were retried, it could run twice. Such a
+// request is retried only if it provably did not run. An idempotent request is retried in both
+// cases, at no more replicas than its route allows.
 func TestOnlySafeRetriesAreMade(t *testing.T) {
 	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.Broken}}
 	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -20,9 +20,9 @@
 	// DefaultMaxBufferedBytes bounds the answers that are buffered until they are complete.
 	// Longer answers are passed on as they arrive, and aborted if they end early.
 	DefaultMaxBufferedBytes = 1 << 20
-	// headTimeoutFactor times the objective is how long an endpoint may leave an idempotent
-	// request unanswered before another endpoint is asked. A lower factor would also retry the
-	// slowest of the usual requests.
+	// headTimeoutFactor times the route's objective is the time after which an unanswered
+	// idempotent request is retried at another endpoint. With a lower factor, slow requests
+	// that are still within the usual range would be retried too.
 	headTimeoutFactor = 3
 	headerLength      = "Content-Length"
 )
@@ -38,7 +38,7 @@
 func (req *requestState) write(a *Answer) {
 	length := len(a.Body)
 	if n, err := strconv.Atoi(a.Header.Get(headerLength)); err == nil && req.Method == http.MethodHead {
-		length = n // HEAD: the length of the body that is not sent
+		length = n // the length of the body that an answer to HEAD leaves out
 	}
 	req.writeHead(a.Status, a.Header, length)
 	// A write fails only if the caller has left, so the error is ignored.
@@ -60,7 +60,8 @@
 	req.w.WriteHeader(status)
 }
 
-// runBuffered makes an attempt whose answer is passed on only once it is complete.
+// runBuffered makes an attempt whose answer is passed on only once it is complete, or once it
+// exceeds the buffer limit.
 func (a *attempt) runBuffered() attemptResult {
 	headTimeout := a.req.Deadline.Sub(a.req.server.Now())
 	if a.req.Route.Idempotent() && a.req.Route.MaxReplicas > 1 {
@@ -103,8 +104,9 @@
 	return attemptResult{kind: resultComplete, answer: answer, feedback: targets.Result{Complete: true}}
 }
 
-// invalidReason says why a successful answer must not be passed on, "" if it may. It must come
-// from the endpoint itself, answer this request and be unmodified.
+// invalidReason says why a successful answer must not be passed on, "" if it may be passed on.
+// Such an answer must come from the endpoint itself, carry the id of this request and be
+// unmodified.
 func (a *attempt) invalidReason() string {
 	if a.req.Call.Echoed && a.head.ID != a.req.Call.ID {
 		return "the answer does not carry the request's id"
@@ -124,7 +126,8 @@
 	return e.ReadAll(cmp.Or(a.req.server.MaxBufferedBytes, DefaultMaxBufferedBytes), a.req.Deadline.Sub(a.req.server.Now()))
 }
 
-// forwardUnbuffered passes a long answer to the caller as it arrives.
+// forwardUnbuffered passes an answer that exceeds the buffer limit to the caller as it arrives.
+// first is the part of the body that was already read.
 func (a *attempt) forwardUnbuffered(e *upstream.Exchange, first []byte) attemptResult {
 	req := a.req
 	if bad := a.invalidReason(); bad != "" && e.StatusCode < http.StatusMultipleChoices {
@@ -167,7 +170,8 @@
 	})
 }
 
-// addLateness adds the objective that the answer missed and the times that it waited.
+// addLateness adds the objectives of the route, and how long the request waited for capacity
+// and for the retry budget.
 func (req *requestState) addLateness(figures map[string]float64) {
 	figures["late"] = 1
 	figures["objective_ms"] = millis(req.Route.Objective)
@@ -181,7 +185,7 @@
 	}
 }
 
-// late reports whether the answer missed its route's objectives.
+// late reports whether the answer missed an objective of its route.
 func (req *requestState) late() bool {
 	if req.Route.Kind == ruleset.Stream {
 		return req.timeToFirstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
--- a/route/relay/events.go
+++ b/route/relay/events.go
@@ -14,8 +14,8 @@
 	consumedBytes int
 }
 
-// event is one complete event as received, with its id, which is empty if there is none. Both
-// are valid until the next call of add.
+// event is one complete event as received. id is the event's id, empty if it has none. data and
+// id are valid until the next call of add.
 type event struct {
 	data, id []byte
 }
@@ -46,7 +46,7 @@
 // space around it.
 func (s *eventSplitter) incompleteBytes() int { return len(bytes.TrimSpace(s.pending())) }
 
-// eventLength is the length of the first complete event, 0 if there is none yet.
+// eventLength is the length in bytes of the first complete event, 0 if there is none yet.
 func eventLength(p []byte) int {
 	for offset := 0; ; {
 		end := bytes.IndexByte(p[offset:], '\n')
@@ -77,10 +77,10 @@
 	return nil
 }
 
-// eventPosition is the position in a stream: the id of the last event.
+// eventPosition is a position in a stream: the id of the last event that was passed on.
 type eventPosition struct {
 	id []byte
-	// numericID is the id as a numericID, if isNumber is set.
+	// numericID is the id as a number, if isNumeric is set.
 	numericID int64
 	isNumeric bool
 }
@@ -94,11 +94,11 @@
 	p.numericID, p.isNumeric = parseNumericID(id)
 }
 
-// precedes reports whether the event with this id comes after the position. An event without an
-// id, or with one that is not a number, always does.
+// precedes reports whether the position is before the event with this id. The result is true if
+// the event's id is missing, or if one of the two ids is not a number.
 func (p *eventPosition) precedes(id []byte) bool {
-	number, isNumber := parseNumericID(id)
-	return !p.isNumeric || !isNumber || number > p.numericID
+	numericID, isNumeric := parseNumericID(id)
+	return !p.isNumeric || !isNumeric || numericID > p.numericID
 }
 
 // parseNumericID parses an id that is a whole number. It allocates nothing.
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -11,7 +11,6 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// discardWriter discards the answer.
 type discardWriter struct{ header http.Header }
 
 func (s discardWriter) Header() http.Header              { return s.header }
@@ -21,7 +20,8 @@
 func (s discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
 // BenchmarkPassEvent measures the node's own work for one event of a stream: it splits the
-// event from the received bytes, compares it with the last one and passes it on.
+// event from the received bytes, compares its id with the last event's id and passes the event
+// on.
 func BenchmarkPassEvent(b *testing.B) {
 	req := &requestState{
 		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
--- a/route/relay/events_test.go
+++ b/route/relay/events_test.go
@@ -57,8 +57,9 @@
 	})
 }
 
-// A replica that resumes a stream may begin with the event that it was sent as the last one, or
-// one before. The caller already has those events.
+// A replica that resumes a stream may begin with the event whose id it was given as the last
+// one received, or with the event before that. The caller already has these events and must not
+// get them twice.
 func TestRepeatedEventsAreDropped(t *testing.T) {
 	var position eventPosition
 	position.set([]byte("9"))
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -32,8 +32,8 @@
 	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint accepted the request: "+res.detail, retryAfterNoCapacity)
 }
 
-// callerGone ends a request whose caller has left. Only a listener that stores answers uses the
-// refusal.
+// callerGone records that the caller has left, and returns a refusal. Only a listener that
+// stores answers uses this refusal.
 func (req *requestState) callerGone() *outcome.Refusal {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
@@ -49,7 +49,8 @@
 	return r
 }
 
-// silentFor is the time since the caller last received anything.
+// silentFor is the time since the caller received the last event or, before the first event,
+// since the request arrived.
 func (req *requestState) silentFor() time.Duration {
 	if req.lastEventAt.IsZero() {
 		return req.server.Now().Sub(req.Arrived)
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -15,51 +15,56 @@
 )
 
 const (
-	// firstCheckDivisor: the path is first checked when half of the time objective for the
-	// first event has passed.
+	// firstCheckDivisor divides the time objective for the first event. The path is first
+	// checked after that part of the objective, one half.
 	firstCheckDivisor = 2
-	// defaultMaxPause is the longest on-time pause for routes that set none.
+	// defaultMaxPause is the longest pause between two events that counts as on time, for
+	// routes that set none.
 	defaultMaxPause = 200 * time.Millisecond
-	// aliveWindow is how long a stage counts as alive after another request through it had an
-	// event: about the interval between events, and less than the shortest silence that starts
-	// a check.
+	// aliveWindow is how long a stage counts as alive after an event of another request that
+	// runs through it. It is about the interval between two events of a stream, and shorter
+	// than any silence that starts a check.
 	aliveWindow = 30 * time.Millisecond
 	// recheckInterval is the time between two checks of a path that stays silent.
 	recheckInterval = 400 * time.Millisecond
 )
 
-// pathMonitor watches the path of one attempt. It reroutes the request if the path goes silent
-// and a replica is lost, or if another request finds one of its replicas lost.
+// pathMonitor watches the path of one attempt. When the stream goes silent, it checks the
+// replicas of the path. It reroutes the request if this check, or another request, finds that a
+// replica of the path is lost. It also reroutes the request if a replica of the path is
+// draining.
 type pathMonitor struct {
 	attempt *attempt
 	ctx     context.Context
 	cancel  context.CancelFunc
 	timer   *time.Timer
-	// lastEventAt is the time of the last events, since the beginning of the attempt. detector
-	// learns the usual gap between events; after stallTimeout without events the path is
-	// checked.
+	// lastEventAt is the time of the last event in nanoseconds since the start of the attempt;
+	// 0 if there was none. detector learns the usual gap between events. The path is checked
+	// after stallTimeout without an event.
 	lastEventAt  atomic.Int64
 	detector     stall.Pace
 	stallTimeout atomic.Int64
-	// checkedSilence is how long the stream had been silent at the last check that found
-	// nothing. The next event resets it.
+	// checkedSilence is how long the stream had been silent when the last check found no lost
+	// replica. The next event resets it to 0.
 	checkedSilence atomic.Int64
 
-	// filter selects the replicas that may replace the first one: mayReplace if that is lost,
-	// mayMigrate also if a bypass would only be slower.
+	// filter selects the replicas that may replace the first replica. mayReplace allows a
+	// migration if the first replica is lost. mayMigrate allows a migration if a later stage is
+	// lost and a bypass would be slower.
 	filter                 targets.MigrationFilter
 	mayReplace, mayMigrate bool
 
 	mu      sync.Mutex
 	stopped bool
-	// rerouting is set while the request is being rerouted, draining if that is because of a
-	// draining stage. pendingLoss is the reason of a loss that occurred meanwhile.
+	// rerouting is set while the request is being rerouted; draining is set if the cause is a
+	// draining stage. pendingLossReason is the reason of a loss that occurred while both were
+	// set.
 	rerouting, draining bool
 	pendingLossReason   string
 	// wake ends the wait between two tries to reroute.
 	wake chan struct{}
-	// migrateTo, if set, is reserved for the next attempt after this one was canceled for a
-	// migration; migrateReason is the reason.
+	// migrateTo is set if this attempt was canceled for a migration: it is the target reserved
+	// for the next attempt. migrateReason is the reason of the migration.
 	migrateTo     *targets.Target
 	migrateReason string
 }
@@ -79,9 +84,9 @@
 }
 
 // setMigrationFilter decides which replicas may continue the request after this attempt. A
-// stream that can't be resumed stays where it is. Once a stream was given to as many replicas
-// as its route allows, it may return to one of those, but only if its present first replica is
-// lost and not for speed.
+// stream that can't be resumed does not migrate. Once this attempt uses the last replica that
+// the route allows, the stream may only return to an earlier replica. It does so only if its
+// present first replica is lost, not for speed.
 func (m *pathMonitor) setMigrationFilter(req *requestState) {
 	if !req.Route.Idempotent() {
 		return
@@ -95,7 +100,7 @@
 	m.mayReplace = len(req.mayHaveRunOn) > 0
 }
 
-// recordEvents records that events have arrived and restarts the stall timeout.
+// recordEvents records that events have arrived, and restarts the timer for the next check.
 func (m *pathMonitor) recordEvents() {
 	now := m.attempt.req.server.Now().Sub(m.attempt.startedAt)
 	if silence := m.checkedSilence.Swap(0); silence > 0 {
@@ -113,12 +118,13 @@
 	m.timer.Reset(timeout)
 }
 
-// maxPause is the longest on-time pause between two events.
+// maxPause is the longest pause between two events that counts as on time.
 func (req *requestState) maxPause() time.Duration {
 	return cmp.Or(req.Route.MaxPause, defaultMaxPause)
 }
 
-// silentFor is the time since the last event of this attempt.
+// silentFor is the time since the last event of this attempt or, before the first event, since
+// its start.
 func (m *pathMonitor) silentFor() time.Duration {
 	return m.attempt.req.server.Now().Sub(m.attempt.startedAt) - time.Duration(m.lastEventAt.Load())
 }
@@ -137,7 +143,8 @@
 	}
 }
 
-// checkPath probes the replicas of a silent path and suspects those that don't answer.
+// checkPath probes the replicas of a silent path, except those that events of other requests
+// confirm to be alive. It suspects the replicas that it can't reach.
 func (m *pathMonitor) checkPath() {
 	if m.ctx.Err() != nil {
 		return
@@ -169,9 +176,10 @@
 	}
 }
 
-// recheckLater schedules the next check of a silent path whose replicas can all be reached:
-// when the silence has doubled or, once the pause is late, after recheckInterval. In the late
-// case the replicas are also asked for their slowdown. Asking has a cost, so it is not done
+// recheckLater schedules the next check of a silent path after a check that reached all
+// replicas. The next check comes when the silence has doubled, or when the pause becomes late
+// if that is sooner. Once the pause is late, the checks come every recheckInterval, and the
+// replicas are asked for their slowdown. These queries have a cost, so they are not made
 // earlier.
 func (m *pathMonitor) recheckLater(path paths.Path) {
 	silent, maxPause := m.silentFor(), m.attempt.req.maxPause()
@@ -184,14 +192,15 @@
 	m.querySlowdown(path)
 }
 
-// querySlowdown asks the reachable replicas of a path for their slowdown.
+// querySlowdown asks each replica of a path how much slower it is than its kind of accelerator,
+// and records the answer.
 func (m *pathMonitor) querySlowdown(path paths.Path) {
 	req := m.attempt.req
 	for _, stage := range path {
 		go func() {
 			report, asked, err := req.server.Reports.Ask(m.ctx, stage.Address, stage.Replica)
 			if err != nil || !asked {
-				return // another request already asked, or the replica gave no report
+				return // another request has already asked the replica, or the replica gave no report
 			}
 			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Pace) {
 				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Pace)
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -23,8 +23,8 @@
 	defaultAnswerTokens = 200
 )
 
-// run makes attempts until there is an answer or a reason to give up. It returns neither if the
-// answer was passed on as it arrived.
+// run makes attempts until there is an answer or a reason to give up. It returns neither an
+// answer nor a refusal if the answer was passed on to the caller as it arrived.
 func (req *requestState) run() (*Answer, *outcome.Refusal) {
 	var res attemptResult
 	for {
@@ -67,9 +67,9 @@
 	return res
 }
 
-// probeFaultyReplica probes the stage that a refusal names. The first replica can't tell a stage
-// without capacity from a dead one, and a node that has just started has not found out yet
-// which replicas are dead.
+// probeFaultyReplica probes the stage that a refusal names as faulty, and suspects its replica
+// if it is out of reach. The refusal alone does not tell whether the stage is dead or only has
+// no capacity. A node that has just started does not know yet which replicas are dead.
 func (req *requestState) probeFaultyReplica(target targets.Target, address string) {
 	replica := target.ReplicaByAddress(address)
 	if replica == "" {
@@ -95,8 +95,8 @@
 	req.record(d)
 }
 
-// choose returns the reserved target, or asks for a new one. Once the request has been given to
-// as many replicas as its route allows, only those may get it again.
+// choose returns the reserved target or, if that is nil, a new one from Targets. Once as many
+// replicas as the route allows may have run the request, only these replicas may get it again.
 func (req *requestState) choose(reserved *targets.Target) (targets.Target, error) {
 	if reserved != nil {
 		return *reserved, nil
@@ -121,7 +121,7 @@
 }
 
 // resumeTimeout is how long a stream that has begun waits for a path to continue on. Callers
-// wait as long for the next event.
+// wait for the next event for the same time.
 const resumeTimeout = 1500 * time.Millisecond
 
 // onTimeWait is how long a request can wait for capacity and still be answered on time.
@@ -130,7 +130,8 @@
 }
 
 // maxWaitFactor times onTimeWait is the longest wait for capacity. A late answer has part of
-// the value of one on time, a refusal has none; callers leave a little later than this.
+// the value of an answer on time, and a refusal has none. Callers leave a little after the
+// longest wait.
 const maxWaitFactor = 2
 
 // expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
@@ -150,7 +151,7 @@
 }
 
 // prefillTokens is the number of tokens to prefill before the next event: the prompt and, for a
-// resumed stream, the part of the answer that the caller has.
+// resumed stream, the part of the answer that the caller already has.
 func (req *requestState) prefillTokens() float64 {
 	if req.answerStarted || req.Call.After != "" {
 		return req.expectedTokens()
@@ -158,13 +159,13 @@
 	return float64(req.Call.Prompt)
 }
 
-// reservedAnswerShare of an answer's length is reserved. Requests in progress are spread over
-// all points of their answers and hold half of the length on average; the rest is a margin for
-// answers that are longer than estimated.
+// reservedAnswerShare is the share of an answer's expected length that is reserved. Requests in
+// progress are spread over all points of their answers, so on average each holds half of its
+// answer. The share above half is a margin for answers that are longer than expected.
 const reservedAnswerShare = 0.6
 
-// decideRetry decides whether to make another attempt. It waits while the retry budget is
-// spent.
+// decideRetry decides whether to make another attempt. While the retry budget is spent it
+// waits, at most until budgetWaitUntil.
 func (req *requestState) decideRetry(res attemptResult) bool {
 	req.recordFailure(res)
 	if res.kind == resultCallerGone || res.kind == resultDeadline {
@@ -189,9 +190,10 @@
 	return d.Retry
 }
 
-// budgetWaitUntil is how long the request may wait for the retry budget. Giving up a stream
-// that has begun wastes what the caller has received of it, so it waits as long as its caller
-// does. Other requests wait as long as for capacity.
+// budgetWaitUntil is the time until which the request may wait for the retry budget. If a
+// stream that has begun were given up, the events that the caller has received would be wasted.
+// Such a stream waits as long as its caller does. Other requests wait as long as they may wait
+// for capacity.
 func (req *requestState) budgetWaitUntil() time.Time {
 	if req.answerStarted {
 		return req.lastEventAt.Add(resumeTimeout)
@@ -209,8 +211,9 @@
 	return list[len(list)-1]
 }
 
-// recordFailure records which replica failed and which may have run the request. If the answer
-// names the faulty stage of the path, the first replica did not fail.
+// recordFailure records which replica failed, and whether the first replica may have run the
+// request. If the answer names a faulty stage, the replica of that stage counts as failed, not
+// the first replica.
 func (req *requestState) recordFailure(res attemptResult) {
 	first := req.lastTarget.Replica
 	if first == "" {
@@ -229,7 +232,8 @@
 }
 
 // askBudget decides on a retry by the limits of the route and the retry budget. A retry of an
-// attempt that was not sent costs the endpoints nothing and is not charged.
+// attempt that was not sent costs the endpoints nothing and is not charged. A migration was
+// already charged when its target was reserved.
 func (req *requestState) askBudget(res attemptResult) retry.Decision {
 	switch {
 	case res.migrateTo != nil:
--- a/route/relay/request_test.go
+++ b/route/relay/request_test.go
@@ -12,16 +12,16 @@
 	"github.com/cicadatack/cicadatack/route/retrybudget"
 )
 
-// reachable is a dialer that finds every address up, or every address down.
+// reachable is a dialer that reaches every address if it is true, and no address if it is false.
 type reachable bool
 
 func (r reachable) Reachable(context.Context, string, time.Duration) (accepts, answers bool) {
 	return bool(r), bool(r)
 }
 
-// A node starts while a replica is dead, and the first replica of its paths refuses requests
-// because of that. If the refusal counted as lack of capacity, each request of the node would
-// spend an attempt on the dead replica until the retry budget is spent.
+// A node starts while a replica is dead. The first replicas of its paths refuse requests
+// because this stage is dead. If these refusals counted as lack of capacity, each request of
+// the node would waste an attempt on the dead replica until the retry budget is spent.
 func TestDeadStageNamedInRefusalIsExcluded(t *testing.T) {
 	for _, alive := range []bool{false, true} {
 		m := twoReplicaModel()
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -15,25 +15,28 @@
 )
 
 const (
-	// maxRerouteTries bounds the tries to route around one stage. With the intervals between
-	// them they last a little longer than an engine waits for a silent stage, or than a
-	// draining replica continues to serve.
+	// maxRerouteTries bounds the tries to reroute a request because of one stage. All tries,
+	// with the intervals between them, take a little longer than an engine waits for a silent
+	// stage. They also take a little longer than a draining replica continues to serve.
 	maxRerouteTries = 20
-	// rerouteRetryInterval is the time between two tries to route around a stage. Each stream
-	// that ends meanwhile frees capacity.
+	// rerouteRetryInterval is the time between two of these tries. Streams that end during the
+	// interval free capacity for the next try.
 	rerouteRetryInterval = 150 * time.Millisecond
 	// refusingDeadAfter is the silence after which a first replica that refuses connections
-	// counts as dead. A draining replica refuses connections too and continues its streams, and
-	// a later stage may be what delays them. If the host does not answer at all, nothing runs
-	// there, and minSilenceBeforeMigration is enough.
+	// counts as dead. A draining replica also refuses connections, but continues its streams,
+	// and a later stage may delay them. If the host of the replica does not answer at all,
+	// nothing runs on it. A silence of minSilenceBeforeMigration is then enough.
 	refusingDeadAfter = 700 * time.Millisecond
 )
 
-// reroute routes the request around a stage that is lost or draining. As long as no other path
-// is available the request stays where it is: the first replica still holds it, and ending the
-// attempt would lose an answer that may yet continue. The attempt is ended only once capacity
-// is reserved at another first replica. For a stage that is only draining, a bypass must not
-// add crossings between failure domains unless their links are idle.
+// reroute tries to reroute the request because a stage of its path is lost or draining. If the
+// stage is lost, the request takes a bypass or migrates. If the stage is only draining, the
+// request takes a bypass. That bypass may add crossings only if the links between failure
+// domains are idle.
+//
+// While there is neither a bypass nor a target for a migration, the request keeps its path. Its
+// first replica may yet continue the answer, and ending the attempt would lose it. The attempt
+// is therefore ended only once capacity is reserved at another first replica.
 func (m *pathMonitor) reroute(reason string, draining bool) {
 	if !m.beginReroute(reason, draining) {
 		return
@@ -67,8 +70,8 @@
 	return true
 }
 
-// rerouteOnce tries once to route the request around the stage. It reports whether the request
-// needs no further try.
+// rerouteOnce makes one try to reroute the request. It reports whether the request needs no
+// further try.
 func (m *pathMonitor) rerouteOnce(active *targets.ActiveRequest, reason string, draining bool) bool {
 	if draining {
 		path := active.BypassDraining()
@@ -77,14 +80,14 @@
 	if m.replaceFirst(active, reason) {
 		return true
 	}
-	// A first replica whose host is unreachable can't be sent a reroute command.
+	// A first replica can't receive a reroute command if its host is unreachable.
 	_, hostUnreachable := active.FirstReplicaState()
 	return !hostUnreachable && m.recoverLostStage(active, reason)
 }
 
-// replaceFirst migrates the request if its first replica looks dead and another one has
-// capacity now. If none has, the request stays: ending it would certainly lose the answer,
-// while the replica may yet continue.
+// replaceFirst migrates the request if its first replica counts as dead and another first
+// replica has capacity now. Without such capacity the request keeps its path. Its first replica
+// may yet continue the answer, and ending the attempt would certainly lose it.
 func (m *pathMonitor) replaceFirst(active *targets.ActiveRequest, reason string) bool {
 	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.req.Budget.Left() {
 		return false
@@ -100,7 +103,8 @@
 	return false
 }
 
-// firstReplicaDead reports whether the first replica looks dead at this point.
+// firstReplicaDead reports whether the first replica counts as dead: it is suspected, and the
+// stream has been silent for long enough.
 func (m *pathMonitor) firstReplicaDead(active *targets.ActiveRequest) bool {
 	suspected, hostUnreachable := active.FirstReplicaState()
 	if hostUnreachable {
@@ -109,17 +113,19 @@
 	return suspected && m.silentFor() >= refusingDeadAfter
 }
 
-// minSilenceBeforeMigration is the silence after which a request is migrated away from a first
-// replica that is alive, if the stream's usual gap between events is not known yet. It is above
-// the usual gap, so that a request whose stage was not lost after all stays in place.
+// minSilenceBeforeMigration is the shortest silence of a stream after which its request may
+// migrate. It is above the usual gap between two events. A request whose stage was not lost
+// after all therefore keeps its path. A shorter stall timeout of the stream replaces it, and
+// refusingDeadAfter applies to a first replica that refuses connections.
 const minSilenceBeforeMigration = 70 * time.Millisecond
 
-// bypassWaitShare is the part of the longest on-time pause that is still left for the bypass
-// when the lost stage has been detected and the reroute command sent.
+// bypassWaitShare is the share of maxPause that is left for a bypass. The rest of maxPause
+// passes until the lost stage is detected and the reroute command is sent.
 const bypassWaitShare = 0.4
 
-// recoverLostStage routes the request around the lost stage or, if that would take longer,
-// migrates it to another first replica.
+// recoverLostStage sends a bypass around the lost stage, or migrates the request. It migrates
+// the request only if there is no bypass, or if the bypass would be late and another first
+// replica would continue the stream sooner.
 func (m *pathMonitor) recoverLostStage(active *targets.ActiveRequest, reason string) bool {
 	maxWait := time.Duration(float64(m.attempt.req.maxPause()) * bypassWaitShare)
 	action, path, next := active.Recover(m.mayMigrate && m.attempt.req.Budget.Left(), maxWait, m.filter)
@@ -137,8 +143,8 @@
 }
 
 // staysSilent waits until the stream has been silent for minSilenceBeforeMigration, or for its
-// stall timeout if that is shorter. It returns false if events arrive meanwhile or the attempt
-// ends.
+// stall timeout if that is shorter. It returns false if events arrive or the attempt ends during
+// the wait.
 func (m *pathMonitor) staysSilent() bool {
 	before := m.lastEventAt.Load()
 	threshold := min(minSilenceBeforeMigration, cmp.Or(time.Duration(m.stallTimeout.Load()), minSilenceBeforeMigration))
@@ -148,8 +154,8 @@
 	return m.lastEventAt.Load() == before
 }
 
-// migrate charges the retry budget and ends the attempt in favour of the next target. It
-// returns false if the budget is spent.
+// migrate charges the retry budget and ends the attempt, so that the request continues at the
+// next target. It returns false if the budget allows no retry.
 func (m *pathMonitor) migrate(next targets.Target, reason string) bool {
 	decision := m.attempt.req.Budget.Allow(retry.Attempt{
 		Made: 1, Failure: health.Broken, Repeatable: true, Deadline: m.attempt.req.Deadline, Alternatives: 1,
@@ -161,13 +167,13 @@
 	return true
 }
 
-// release gives back the capacity reserved for a migration that does not happen.
+// release releases the target that was reserved for a migration that does not happen.
 func (m *pathMonitor) release(next targets.Target) {
 	m.attempt.req.Targets.Finish(next, targets.Result{Failure: health.Canceled})
 }
 
-// sendBypass commands the first replica to continue along another path. It reports whether the
-// replica accepted the command.
+// sendBypass commands the first replica to continue the request along a bypass. It reports
+// whether the replica accepted the command.
 func (m *pathMonitor) sendBypass(path paths.Path, reason string) bool {
 	req := m.attempt.req
 	err := req.server.Engines.Reroute(m.ctx, m.attempt.target.Address, req.Call.ID, path)
@@ -198,9 +204,9 @@
 	})
 }
 
-// beginReroute marks the request as being rerouted; only one goroutine does so at a time. A
-// stage that is lost while the request is routed around a draining one is kept for
-// takePendingLoss.
+// beginReroute marks the request as being rerouted. It returns false if another goroutine
+// already reroutes the request, or if the attempt has ended. If that goroutine does so because
+// of a draining stage and a stage is now lost, the loss is kept for takePendingLoss.
 func (m *pathMonitor) beginReroute(reason string, draining bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -221,8 +227,9 @@
 	return true
 }
 
-// takePendingLoss returns the reason of a loss that occurred while the request was routed
-// around a draining stage, "" if there is none. A loss must be handled at once.
+// takePendingLoss returns and clears the reason of a loss that occurred while the request was
+// being rerouted because of a draining stage; "" if there is none. A loss is more urgent than a
+// draining stage, and must be handled at once.
 func (m *pathMonitor) takePendingLoss() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -254,9 +261,10 @@
 	m.cancel()
 }
 
-// applyMigration replaces the result of an attempt that cancelForMigration ended: neither the
-// caller nor the deadline ended it, and the next target is reserved and charged to the retry
-// budget.
+// applyMigration returns the final result of an attempt. If cancelForMigration ended the
+// attempt, this is a failure with the reserved target as its migrateTo. Otherwise it is res. It
+// is also res if the answer is complete, the caller has left or the deadline is reached; stop
+// then releases the reserved target.
 func (m *pathMonitor) applyMigration(res attemptResult) attemptResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -13,7 +13,7 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// twoReplicaModel is a model with two replicas that hold all layers.
+// twoReplicaModel is a model with two replicas, each of which holds all layers.
 func twoReplicaModel() *targets.ModelTargets {
 	m := targets.NewModelTargets("d", 1, time.Now)
 	model := &ruleset.Model{
@@ -28,7 +28,8 @@
 	return m
 }
 
-// silentStream is a stream of the model that has been silent for the given time.
+// silentStream returns the monitor of a stream that has been silent for the given time, and a
+// function that cancels its attempt.
 func silentStream(t *testing.T, m *targets.ModelTargets, budget *retrybudget.Budget, silentFor time.Duration) (*pathMonitor, func()) {
 	t.Helper()
 	target, err := m.Choose(context.Background(), targets.Query{Tokens: 100})
@@ -47,10 +48,10 @@
 	return monitor, cancel
 }
 
-// The VM of a stream's first replica loses power. Nothing there continues the stream, so it
-// must migrate at once: after refusingDeadAfter the caller would have waited for an event for
-// most of a second. A replica that refuses connections may only be draining and still serve its
-// streams, so its streams stay for that time.
+// The VM of a stream's first replica loses power, so the replica can't continue the stream. If
+// the stream migrated only after refusingDeadAfter, the caller would wait for most of a second
+// for the next event. A replica that refuses connections may be draining and still serve its
+// streams. These streams do not migrate before refusingDeadAfter.
 func TestFirstReplicaWithoutPowerIsReplacedAtOnce(t *testing.T) {
 	for _, hostUnreachable := range []bool{true, false} {
 		m := twoReplicaModel()
@@ -65,9 +66,9 @@
 	}
 }
 
-// The first replica of a stream dies, another one has capacity, and the retry budget is spent
-// when it is charged. The stream stays where it is and the reserved capacity is released.
-// Reservations that leak would add up until the node refuses every request.
+// The first replica of a stream dies and capacity at another first replica is reserved, but the
+// charge to the retry budget fails. The stream does not migrate. If the reservation were not
+// released, such reservations would add up until the node refuses every request.
 func TestReservationOfACancelledMigrationIsReleased(t *testing.T) {
 	m := twoReplicaModel()
 	budget := retrybudget.New(retry.Config{Burst: 1, Floor: 1e-9}, time.Now)
@@ -77,13 +78,13 @@
 	monitor.setMigrationFilter(req)
 	m.Suspect(target.Replica, false)
 
-	// Another request spends the rest of the budget between the check and the charge.
+	// Another first replica has capacity, so only the failed charge can prevent the migration.
 	next, ok := target.Active.ReserveMigration(monitor.filter)
 	if !ok {
 		t.Fatal("no other replica could continue the stream")
 	}
 	m.Finish(next, targets.Result{})
-	req.Deadline = now // too near for a retry: the check passes, the charge fails
+	req.Deadline = now // too near for a retry: Budget.Left passes, Budget.Allow fails
 	if monitor.replaceFirst(target.Active, "lost") {
 		t.Error("the stream migrated without a charge to the budget")
 	}
@@ -92,8 +93,8 @@
 	}
 }
 
-// A stream is being routed around a draining stage when another stage dies. The loss must not
-// wait until the reroute has ended, or the stream would pause for seconds.
+// While a stream is being rerouted because of a draining stage, another stage dies. If the loss
+// were handled only after that reroute has ended, the stream would pause for seconds.
 func TestLossDuringDrainRerouteIsHandledAtOnce(t *testing.T) {
 	monitor := &pathMonitor{wake: make(chan struct{}, 1)}
 	if !monitor.beginReroute("leaves", true) {
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -24,10 +24,10 @@
 // Error is the class of the errors of this package.
 var Error = errs.Class("relay")
 
-// ConfigFreshness tells how old the configuration is that admitted a request.
+// ConfigFreshness tells how recently the configuration that admitted a request was confirmed.
 type ConfigFreshness interface {
-	// Fresh reports whether the configuration is confirmed to be recent enough to serve
-	// requests with keys.
+	// Fresh reports whether the last confirmation is recent enough to serve requests that a key
+	// admitted.
 	Fresh() bool
 	// Age is the time since the last confirmation, for the log.
 	Age() time.Duration
@@ -35,8 +35,8 @@
 
 // EngineClient sends commands to model engines.
 type EngineClient interface {
-	// Reroute moves a request that runs at its first replica to another path with the same
-	// first stage. It fails with a *RerouteRefused if the engine refused the command.
+	// Reroute commands the first replica of a request to continue it along another path with
+	// the same first stage. It fails with a *RerouteRefused if the engine refused the command.
 	Reroute(ctx context.Context, address, request string, path paths.Path) error
 }
 
@@ -72,13 +72,13 @@
 	Team    string
 	Service string
 	Route   *ruleset.Route
-	// Rank orders the requests that wait for capacity, 0 first.
+	// Rank orders the requests that wait for capacity; requests of rank 0 come first.
 	Rank int
 	// Revision is the version of the document or configuration that admitted the request.
 	Revision int64
-	// Freshness is checked again before each attempt, so that a request with a key that was
-	// revoked meanwhile does not run. It is nil if no key admitted the request, or if no bound
-	// applies to the revocation of keys.
+	// Freshness is checked again before each attempt. Without this check, a request could run
+	// although its key was revoked after the admission. Freshness is nil if no key admitted the
+	// request, or if there is no bound on how late the revocation of a key may take effect.
 	Freshness ConfigFreshness
 
 	Targets targets.Targets
@@ -93,8 +93,8 @@
 	Body   []byte
 
 	Arrived time.Time
-	// Deadline is the caller's or the route's, whichever is sooner. A later answer is of no
-	// use.
+	// Deadline is the caller's or the route's deadline, whichever is sooner. A later answer is
+	// of no use to the caller.
 	Deadline time.Time
 }
 
@@ -113,8 +113,8 @@
 	// MaxBufferedBytes bounds the answers that are buffered until they are complete. Zero
 	// stands for DefaultMaxBufferedBytes.
 	MaxBufferedBytes int
-	// SampleEvery is N if one of N successful requests is logged; the others are only kept in
-	// memory. Zero logs all.
+	// SampleEvery is the number of successful requests of which one is logged. The other
+	// requests are only kept in memory. Zero logs all requests.
 	SampleEvery uint64
 
 	requestCount atomic.Uint64
@@ -124,35 +124,37 @@
 type requestState struct {
 	*Request
 	server *Server
-	// w receives the answer as it arrives; nil if the answer is returned as a whole.
+	// w receives the answer; nil if Do returns the answer.
 	w http.ResponseWriter
-	// callerCtx ends when the caller leaves, ctx also at the deadline.
+	// callerCtx ends when the caller leaves. ctx ends when the caller leaves or at the deadline.
 	callerCtx context.Context
 	ctx       context.Context
 	log       hclog.Logger
 	// sampled requests are logged even if they succeed.
 	sampled bool
 
-	// failedReplicas are the replicas that failedReplicas this request, mayHaveRun those of them that may have
-	// begun it. attempts is the number of attempts so far.
+	// failedReplicas are the replicas that failed this request. mayHaveRunOn are the first
+	// replicas that may have begun it. attemptCount is the number of attempts so far.
 	failedReplicas []string
 	mayHaveRunOn   []string
 	attemptCount   int
 	lastResult     attemptResult
 	lastTarget     targets.Target
 
-	// answerStarted is set once the caller has received a part of the answer; events is the number of
-	// events it has, lastEvent the last of them.
+	// answerStarted is set once the caller has received a part of the answer. eventCount is the
+	// number of events that the caller has. lastEvent is the last of these events.
 	answerStarted bool
 	eventCount    int
 	lastEvent     eventPosition
-	// timeToFirstEvent is the time to the first event. longestPause is the longest pause after it,
-	// which began after longestPauseAfter events.
-	timeToFirstEvent         time.Duration
-	longestPause             time.Duration
-	eventsBeforeLongestPause int
-	lastEventAt              time.Time
-	// capacityWait is the time spent waiting for capacity, budgetWait for the retry budget.
+	// timeToFirstEvent is the time from the request's arrival to the first event. longestPause
+	// is the longest pause between two later events; eventsAtLongestPause is eventCount at the
+	// end of that pause.
+	timeToFirstEvent     time.Duration
+	longestPause         time.Duration
+	eventsAtLongestPause int
+	lastEventAt          time.Time
+	// capacityWait is the time that the request waited for capacity, budgetWait the time that it
+	// waited for the retry budget.
 	capacityWait, budgetWait time.Duration
 }
 
@@ -206,8 +208,8 @@
 )
 
 const (
-	// retryAfterNoCapacity is the Retry-After of refusals for lack of capacity: about the time
-	// in which a tenth of the streams end, which last some seconds.
+	// retryAfterNoCapacity is the Retry-After of refusals for lack of capacity. Streams last
+	// some seconds, and about a tenth of them end within this time.
 	retryAfterNoCapacity = 400 * time.Millisecond
 	// statusCallerGone is only logged; the caller has left.
 	statusCallerGone = 499
@@ -223,7 +225,7 @@
 	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.Unknown}
 }
 
-// refuse writes the final answer and records the reason.
+// refuse writes a refusal to the caller and records its reason.
 func (req *requestState) refuse(r *outcome.Refusal) {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Refuse, Reason: r.Code,
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -14,8 +14,8 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// streamIdleTimeout is the pause after which a stream is given up although its whole path can
-// be reached. Engines give up a silent stage sooner.
+// streamIdleTimeout is the pause after which an attempt is given up although all replicas of
+// its path can be reached. Engines give up a silent stage sooner.
 const streamIdleTimeout = 4 * time.Second
 
 // runStream makes an attempt whose events are passed on as they arrive.
@@ -50,7 +50,7 @@
 	return err == nil && kind == "text/event-stream" && e.StatusCode == http.StatusOK
 }
 
-// unexpected classifies an answer to a resumed stream that is not a stream.
+// unexpected classifies the answer to a request to resume a stream, if that answer is no stream.
 func (a *attempt) unexpected(e *upstream.Exchange) attemptResult {
 	if a.head.NotRun || a.head.Misdirected {
 		a.discardBody(e)
@@ -115,19 +115,20 @@
 	return http.NewResponseController(req.w).Flush()
 }
 
-// recordPause measures the pauses that the caller sees.
+// recordPause records the time to the first event or, for a later event, the pause before it if
+// that is the longest so far.
 func (req *requestState) recordPause() {
 	now := req.server.Now()
 	if req.lastEventAt.IsZero() {
 		req.timeToFirstEvent = now.Sub(req.Arrived)
 	} else if pause := now.Sub(req.lastEventAt); pause > req.longestPause {
-		req.longestPause, req.eventsBeforeLongestPause = pause, req.eventCount
+		req.longestPause, req.eventsAtLongestPause = pause, req.eventCount
 	}
 	req.lastEventAt = now
 }
 
-// beginStream writes the head of the answer before the first event. Until then the request can
-// be retried and answered by another replica.
+// beginStream writes the head of the answer before the first event. Until the head is written,
+// any answer of another replica can take its place.
 func (req *requestState) beginStream(e *upstream.Exchange) {
 	if req.answerStarted {
 		return
@@ -150,7 +151,7 @@
 	e.KeepAlive(a.head.KeepFor)
 	req.recordFinish(map[string]float64{
 		"events": float64(req.eventCount), "parts": float64(len(a.target.Path)), "first_ms": millis(req.timeToFirstEvent),
-		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.eventsBeforeLongestPause),
+		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.eventsAtLongestPause),
 	})
 	return attemptResult{kind: resultComplete, feedback: targets.Result{Complete: true}}
 }
--- a/route/targets/active_request.go
+++ b/route/targets/active_request.go
@@ -9,7 +9,7 @@
 	"github.com/cicadatack/cicadatack/decide/reroute"
 )
 
-// callback is a call of a request's callback that is due, with the replica that it is about.
+// callback is a call of onLost or onDraining that is due, with its argument.
 type callback struct {
 	call    func(replica string)
 	replica string
@@ -21,9 +21,9 @@
 	}
 }
 
-// drainCallbackInterval is the time between two requests that are rerouted away from a draining
-// replica. The replicas that take them over must prefill their prompts, some milliseconds each,
-// between the steps of all other requests.
+// drainCallbackInterval is the time between the callbacks of two requests that are rerouted
+// because of a draining replica. The replica that takes over must prefill the prompts of these
+// requests between the steps of all other requests. Each prefill takes some milliseconds.
 const drainCallbackInterval = 15 * time.Millisecond
 
 func runCallbacksPaced(callbacks []callback) {
@@ -38,11 +38,14 @@
 	}()
 }
 
-// drainCallbacks lists, once each, the requests that run through a replica that may stop, or
-// give up the layers, before they end. A replica that is no longer listed left without
-// announcing it and counts as draining: it usually serves on for a while, and if it died
-// instead, the silence of its streams shows that sooner. The first stage is left out because it
-// can't be replaced. The caller holds the lock.
+// drainCallbacks returns the onDraining callbacks of requests that must be rerouted, because a
+// replica of their path may stop or give up its layers before they end. A request is not
+// returned again for the same path, except after RetryDrainCallback.
+//
+// A replica that is no longer listed has left without announcing it, and counts as draining. It
+// usually continues to serve for a while. If it has died instead, the silence of its streams
+// shows that sooner than the list does. The first stage is left out because no bypass can
+// replace it. The caller holds the lock.
 func (m *ModelTargets) drainCallbacks() []callback {
 	var list []callback
 	for r := range m.active {
@@ -60,7 +63,8 @@
 	return list
 }
 
-// lossCallbacks lists the requests that run through a replica. The caller holds the lock.
+// lossCallbacks returns the onLost callbacks of the requests that run through a replica. The
+// caller holds the lock.
 func (m *ModelTargets) lossCallbacks(replica string) []callback {
 	var list []callback
 	for r := range m.active {
@@ -80,8 +84,9 @@
 	return false
 }
 
-// SetCallbacks sets the functions that are called, in a goroutine of their own, when a replica
-// of the path is lost and when one is draining. Each may be called more than once.
+// SetCallbacks sets the functions to call when a replica of the path is lost (onLost) or
+// draining (onDraining). They are called outside the caller's goroutine, and may be called more
+// than once.
 func (r *ActiveRequest) SetCallbacks(onLost, onDraining func(replica string)) {
 	r.model.mu.Lock()
 	defer r.model.mu.Unlock()
@@ -105,8 +110,8 @@
 	FirstReplicas []string
 }
 
-// ReserveMigration reserves a path that begins at another first replica, if one has capacity
-// now. The target must be released with Finish.
+// ReserveMigration reserves capacity on a path that begins at another first replica, if there
+// is such a path now. The target must be released with Finish.
 func (r *ActiveRequest) ReserveMigration(filter MigrationFilter) (Target, bool) {
 	m := r.model
 	m.mu.Lock()
@@ -133,10 +138,10 @@
 	return path
 }
 
-// Recover decides how the request continues after a stage of its path is lost: on the returned
-// path, which bypasses the stage, or at another first replica. In the second case the target is
-// reserved and must be released with Finish. mayMigrate allows the second case; maxWait is the
-// wait up to which the request is still on time.
+// Recover decides how the request continues after a stage of its path is lost. For
+// reroute.Bypass it returns the bypass. For reroute.Migrate, which mayMigrate allows, it
+// returns the target; the target is reserved and must be released with Finish. maxWait is the
+// longest wait after which a bypass is still on time.
 func (r *ActiveRequest) Recover(mayMigrate bool, maxWait time.Duration, filter MigrationFilter) (reroute.Action, paths.Path, Target) {
 	m := r.model
 	m.mu.Lock()
@@ -151,8 +156,8 @@
 		estimate.MigratePrefill = m.selector.PrefillWait(now, migration, nil, r.tokens, m.nodeShare.DomainNodeCount)
 	}
 	action := m.linkBacklog.Decide(now, bypass != nil, estimate, migration != nil && migration.Crossings() == 0)
-	// Recorded before the reroute command is accepted, because the requests that lost the same
-	// stage decide at the same time.
+	// The prefill and the transfer are recorded before the engine accepts the reroute command,
+	// because other requests that lost the same stage are decided on at the same time.
 	switch action {
 	case reroute.Migrate:
 		m.selector.AddPrefill(now, migration, nil, r.tokens, m.nodeShare.DomainNodeCount)
@@ -166,8 +171,8 @@
 	return action, bypass, Target{}
 }
 
-// estimateBypass estimates what a bypass transfers over the links between failure domains. The
-// caller holds the lock.
+// estimateBypass estimates the data that the added crossings of a bypass transfer over the
+// links between failure domains. The caller holds the lock.
 func (r *ActiveRequest) estimateBypass(bypass paths.Path) reroute.Estimate {
 	m := r.model
 	added := max(0, bypass.Crossings()-r.path.Crossings())
@@ -176,16 +181,16 @@
 	}
 }
 
-// RetryDrainCallback records that no bypass of a draining stage was found. The next update of
-// the list calls the callback again.
+// RetryDrainCallback records that no bypass was found for a draining stage. The next update of
+// the list of replicas then calls the onDraining callback again.
 func (r *ActiveRequest) RetryDrainCallback() {
 	r.model.mu.Lock()
 	defer r.model.mu.Unlock()
 	r.drainNotified = false
 }
 
-// RecordEvent records that an event of the request arrived, so all stages of its path are
-// alive.
+// RecordEvent records that an event of the request arrived. The event shows that all stages of
+// the path are alive.
 func (r *ActiveRequest) RecordEvent() {
 	r.lastEventAt.Store(max(1, int64(r.model.now().Sub(r.model.startedAt))))
 }
@@ -216,9 +221,9 @@
 	return r.path
 }
 
-// BypassDraining chooses a path around a draining stage. This is not urgent, so a path that
-// crosses failure domains more often than the present one is chosen only while the links are
-// idle. BypassDraining returns nil if there is no path now.
+// BypassDraining returns a bypass around a draining stage, or nil if there is none now. The
+// bypass is not urgent, so it adds crossings only while the links between failure domains are
+// idle.
 func (r *ActiveRequest) BypassDraining() paths.Path {
 	m := r.model
 	m.mu.Lock()
@@ -232,8 +237,8 @@
 	return path
 }
 
-// findBypass returns a path that keeps the first stage and avoids unusable replicas, or nil.
-// The caller holds the lock.
+// findBypass returns a path that keeps the first stage and runs through usable replicas after
+// it, or nil. The caller holds the lock.
 func (r *ActiveRequest) findBypass(now time.Time) paths.Path {
 	m := r.model
 	first := r.path[0]
@@ -254,7 +259,8 @@
 	return path
 }
 
-// SetPath records that the request now runs along another path, and moves its reservation.
+// SetPath records that the request now runs along another path, and moves the reservation to
+// that path.
 func (r *ActiveRequest) SetPath(path paths.Path) {
 	m := r.model
 	m.mu.Lock()
@@ -274,8 +280,7 @@
 	return r.model.Suspect(replica, hostUnreachable)
 }
 
-// MaxSlowdown is the slowdown of the slowest replica of the path, 1 for one as fast as its
-// kind.
+// MaxSlowdown returns the slowdown of the slowest replica of the path, at least 1.
 func (r *ActiveRequest) MaxSlowdown() float64 {
 	m := r.model
 	m.mu.Lock()
@@ -287,7 +292,8 @@
 	return slowest
 }
 
-// SetSlowdown records a replica's slowdown. It reports whether the value is news.
+// SetSlowdown records the slowdown that a replica reports about itself. It reports whether the
+// replica has become slow or is no longer slow.
 func (r *ActiveRequest) SetSlowdown(replica string, slowdown float64) bool {
 	return r.model.SetSlowdown(replica, slowdown)
 }
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -15,8 +15,9 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-// capacityPollInterval is how often a waiting request checks for capacity without being woken.
-// A suspected replica becomes usable again after some time, which wakes nobody.
+// capacityPollInterval is the time after which a waiting request checks for capacity without
+// being woken. A replica that refused requests becomes usable again after some time, and no
+// waiting request is woken at that time.
 const capacityPollInterval = 50 * time.Millisecond
 
 // ModelTargets chooses paths through the replicas that hold a model's layers. It is safe for
@@ -30,8 +31,9 @@
 	layers    int
 	nodeShare NodeShare
 	selector  *paths.Selector
-	// linkBacklog is what the bypasses of this node have transferred between failure domains. A
-	// token transfers crossingBytes at each crossing; all domains share linkBytesPerSecond.
+	// linkBacklog is the data that bypasses chosen by this node still have to transfer over the
+	// links between failure domains. For each token of a request, crossingBytes are transferred
+	// at each crossing. linkBytesPerSecond is the bandwidth that all failure domains share.
 	linkBacklog                       reroute.LinkBacklog
 	crossingBytes, linkBytesPerSecond float64
 
@@ -39,20 +41,21 @@
 
 	active    map[*ActiveRequest]struct{}
 	waitQueue waitqueue.Queue
-	// wakeChannels are the channels of the waiting requests, by waiter id.
+	// wakeChannels holds the channel that wakes each waiting request, by waiter id.
 	wakeChannels map[uint64]chan struct{}
 	lastWaiterID uint64
 }
 
-// ActiveRequest is a request that runs along a path and holds its reservation.
+// ActiveRequest is a request that runs along a path and has reserved capacity on each stage.
 type ActiveRequest struct {
 	model         *ModelTargets
 	path          paths.Path
 	tokens        float64
 	onLost        func(replica string)
 	onDraining    func(replica string)
-	drainNotified bool // onDraining was called for the current path
-	// lastEventAt is the time of the last event since startedAt of the model; 0 for none.
+	drainNotified bool // onDraining is due or was called for the current path
+	// lastEventAt is the time of the last event along the current path, in nanoseconds since
+	// model.startedAt; 0 if there was none.
 	lastEventAt atomic.Int64
 }
 
@@ -71,7 +74,7 @@
 
 // NodeShare is this node's share of the resources that all nodes use.
 type NodeShare struct {
-	// CapacityShare is the share of a failure domain's capacity.
+	// CapacityShare returns the share of a failure domain's capacity that this node may use.
 	CapacityShare func(domain string) float64
 	// MaxConns bounds this node's connections to each replica; zero for no bound.
 	MaxConns int
@@ -158,8 +161,8 @@
 	return nil
 }
 
-// reserve reserves a path, unless other requests wait that come first. A request that gets no
-// path at its first try is queued.
+// reserve reserves capacity on a path. At the first try it reserves none if a waiting request
+// comes first. A request that gets no path at its first try is queued.
 func (m *ModelTargets) reserve(q Query, w waitqueue.Request, firstTry bool) (Target, paths.Reason, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -193,7 +196,7 @@
 	}
 }
 
-// removeWaiter removes a request that waits no longer. The caller holds the lock.
+// removeWaiter removes a request that no longer waits. The caller holds the lock.
 func (m *ModelTargets) removeWaiter(w waitqueue.Request) {
 	m.waitQueue.Remove(w.ID)
 	delete(m.wakeChannels, w.ID)
@@ -254,15 +257,17 @@
 	return nil
 }
 
-// Suspect records that a replica looks dead, and whether its host is unreachable, and notifies
-// the requests that run through it. It reports whether the suspicion is new.
+// Suspect records that a replica looks dead, and whether its host is unreachable. If the
+// suspicion is new, it calls onLost of the requests that run through the replica. It reports
+// whether the suspicion is new.
 func (m *ModelTargets) Suspect(replica string, hostUnreachable bool) bool {
 	changed, callbacks := m.suspect(replica, hostUnreachable)
 	runCallbacks(callbacks)
 	return changed
 }
 
-// suspect records that a replica looks dead and returns the callbacks of its requests.
+// suspect records that a replica looks dead. If the suspicion is new, it returns the onLost
+// callbacks of the requests that run through the replica.
 func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -273,10 +278,10 @@
 	return true, m.lossCallbacks(replica)
 }
 
-// SuspectOnReport records that a replica which other nodes reported as lost accepts no
-// connection. The replica gets no new requests. The requests that run through it are notified
-// only if its host is unreachable: a draining replica refuses connections too and continues its
-// requests. SuspectOnReport reports whether the suspicion is new.
+// SuspectOnReport records that a replica accepts no connection, after other nodes reported it
+// as lost. The replica gets no new requests. The requests that run through it are notified only
+// if its host is unreachable, because a draining replica also refuses connections but continues
+// its requests. SuspectOnReport reports whether the suspicion is new.
 func (m *ModelTargets) SuspectOnReport(replica string, hostUnreachable bool) bool {
 	changed, callbacks := m.suspectOnReport(replica, hostUnreachable)
 	runCallbacks(callbacks)
@@ -315,37 +320,38 @@
 	return m.selector.Suspects()
 }
 
-// SetSlowdown records how much slower than its kind a replica reports to be. It reports whether
-// the value is news.
+// SetSlowdown records the slowdown that a replica reports about itself. It reports whether the
+// replica has become slow or is no longer slow.
 func (m *ModelTargets) SetSlowdown(replica string, slowdown float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if max(slowdown, m.selector.Slowdown(replica)) >= paths.SlowThreshold {
-		// A replica that is and was at normal speed is not worth reporting to other nodes.
+		// If the replica was and is at normal speed, there is nothing to report to other nodes.
 		m.observed.own[replica] = observation{at: m.now(), slowdown: max(1, slowdown)}
 	}
 	return m.selector.SetSlowdown(replica, slowdown)
 }
 
-// BackedOff returns the replicas that refuse requests although they have capacity.
+// BackedOff returns the replicas that are backed off, because they refuse requests although
+// they have capacity.
 func (m *ModelTargets) BackedOff() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.BackedOff(m.now())
 }
 
-// Slow returns the replicas that are slower than their kind.
+// Slow returns the replicas that are slow (paths.SlowThreshold) and not suspected.
 func (m *ModelTargets) Slow() []paths.Replica {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.Slow()
 }
 
-// layersLostAfter is how long a replica must be suspected before its layers count as lost. It
-// allows for some tries to reach the replica.
+// layersLostAfter is how long a replica must be suspected before its layers count as lost.
+// Within this time, some tries to reach the replica are made.
 const layersLostAfter = 600 * time.Millisecond
 
-// LayersLost reports whether a replica has been unreachable for so long that other replicas
+// LayersLost reports whether a replica has been suspected for so long that other replicas
 // should take over its layers.
 func (m *ModelTargets) LayersLost(replica string) bool {
 	m.mu.Lock()
@@ -368,15 +374,16 @@
 	}
 }
 
-// Reserved is what this node has reserved on each replica, in tokens times layers.
+// Reserved returns the capacity that this node has reserved on each replica, in tokens times
+// layers.
 func (m *ModelTargets) Reserved() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.selector.Reserved()
 }
 
-// SetPeerReservations records what the other nodes of the failure domain have reserved, as far
-// as known.
+// SetPeerReservations records the capacity that other nodes of the failure domain have
+// reserved, as far as this node knows.
 func (m *ModelTargets) SetPeerReservations(reserved reservations.Held) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -384,8 +391,8 @@
 	m.wakeOne()
 }
 
-// PeakUtilization is the reserved share of the capacity of the fullest replica in each failure
-// domain, for metrics.
+// PeakUtilization returns, for each failure domain, the reserved share of the capacity of its
+// fullest replica. It is used for metrics.
 func (m *ModelTargets) PeakUtilization() map[string]float64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/route/targets/observations.go
+++ b/route/targets/observations.go
@@ -6,8 +6,8 @@
 	"github.com/cicadatack/cicadatack/decide/peerreports"
 )
 
-// verifyInterval is the least time between two verifications of a replica that other nodes
-// report about.
+// verifyInterval is the shortest time between two verifications of the same replica. In a
+// verification, this node itself checks a replica about which other nodes report.
 const verifyInterval = time.Second
 
 // observation is what this node itself has last seen of a replica.
@@ -16,16 +16,16 @@
 	unreachable bool
 	// refusing is set if the replica refused requests although it has capacity.
 	refusing bool
-	// slowdown is the slowdown of a reachable replica; 0 if it was only reached.
+	// slowdown is the slowdown that the replica reported; 0 if it reported none.
 	slowdown float64
 }
 
-// observations holds what this node itself has seen of replicas, and what it has done about the
-// reports of other nodes. The lock of the model guards it.
+// observations holds what this node itself has seen of replicas, and when it acted on the
+// reports of other nodes. ModelTargets.mu guards it.
 type observations struct {
 	own map[string]observation
-	// acceptedAt is when another node's report on a replica was last accepted, verifiedAt when
-	// such a report last made this node verify the replica.
+	// acceptedAt is the time when this node last accepted other nodes' reports on a replica.
+	// verifiedAt is the time when such reports last made this node verify a replica.
 	acceptedAt, verifiedAt map[string]time.Time
 }
 
@@ -49,7 +49,8 @@
 	}
 }
 
-// Observations returns what this node itself has recently seen of replicas.
+// Observations returns what this node itself has recently seen of replicas, for its reports to
+// other nodes.
 func (m *ModelTargets) Observations() []peerreports.Claim {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -72,8 +73,8 @@
 	m.observed.own[replica] = observation{at: m.now(), unreachable: true}
 }
 
-// Evaluate decides on the reports of other nodes. It applies the ones that it accepts, and
-// returns them and the replicas that this node must verify itself.
+// Evaluate decides which reports of other nodes this node accepts, and which it must verify
+// itself. It applies the accepted reports and returns both kinds.
 func (m *ModelTargets) Evaluate(node string, domainNodes []string, reports []peerreports.Claim) peerreports.Verdict {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -98,9 +99,9 @@
 	return decision
 }
 
-// accept applies a report. A replica that other nodes have lost gets no new requests. The
-// requests that run through it are rerouted once they go silent, because the replica may only
-// be draining and still continue them. The caller holds the lock.
+// accept applies a report. A replica that other nodes report as lost gets no new requests. The
+// requests that already run through it are rerouted only once they go silent, because the
+// replica may be draining and still continue them. The caller holds the lock.
 func (m *ModelTargets) accept(now time.Time, c peerreports.Claim) {
 	if own, ok := m.observed.own[c.Replica]; ok && now.Sub(own.at) <= c.Age {
 		return // this node's own observation is newer
@@ -117,8 +118,8 @@
 	m.selector.SetSlowdown(c.Replica, c.Pace)
 }
 
-// HasRecentPeerReport reports whether other nodes have recently reported on a replica, so that this
-// node need not ask it.
+// HasRecentPeerReport reports whether this node has recently accepted other nodes' reports on a
+// replica. If so, this node need not ask the replica itself.
 func (m *ModelTargets) HasRecentPeerReport(replica string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -17,13 +17,13 @@
 	replicas *replicaTable
 }
 
-// healthConfig ejects sooner and for a shorter time than the defaults, which are meant for
-// services of many replicas. Of three replicas, a failing one gets a third of all requests
-// until it is ejected, and the capacity of a recovered one is needed.
+// healthConfig ejects replicas for a shorter time than the defaults, which are meant for
+// services of many replicas. If a service has three replicas, each of them gets a third of all
+// requests. The capacity of a recovered replica is therefore needed soon.
 var healthConfig = health.Config{
 	BaseEjection: time.Second,
 	MaxEjection:  8 * time.Second,
-	// With three replicas one may always be ejected.
+	// Half of three replicas, rounded down, is one: one failing replica can be ejected.
 	MaxEjectedShare: 0.5,
 	MaxLostShare:    0.75,
 }
@@ -41,8 +41,8 @@
 }
 
 // Update replaces the list of replicas. maxConns bounds this node's connections to each
-// replica; domainNodes are the nodes of the failure domain and nodes is the number of all nodes
-// that send requests to the service.
+// replica. domainNodes are the nodes of this node's failure domain, and nodes is the number of
+// all nodes that send requests to the service.
 func (p *PlainTargets) Update(list []*replicalist.Replica, maxConns int, domainNodes []string, nodes int) {
 	p.replicas.set(list, maxConns)
 	p.picker.SetPeers(domainNodes, nodes)
@@ -56,8 +56,8 @@
 	}
 }
 
-// Choose implements Targets. It does not wait: plain services have a queue of their own and
-// refuse requests when they are full.
+// Choose implements Targets. It does not wait for capacity: plain services have their own
+// queue, and refuse requests when that queue is full.
 func (p *PlainTargets) Choose(_ context.Context, q Query) (Target, error) {
 	choice, ok := p.picker.Pick(balance.Query{Cost: 1, Exclude: q.Exclude, NoProbe: q.NonIdempotent})
 	if !ok {
--- a/route/targets/targets.go
+++ b/route/targets/targets.go
@@ -1,7 +1,3 @@
-// Package targets chooses, for each attempt of a request, the endpoint to send it to: a replica
-// of a plain service, or a path through the replicas that hold a model's layers. It locks
-// around the decisions of decide/paths and decide/balance and reports the results of attempts
-// to them.
 package targets
 
 import (
@@ -14,8 +10,8 @@
 	"github.com/cicadatack/cicadatack/decide/paths"
 )
 
-// ErrNoEndpoint means that no endpoint is available, ErrNoCapacity that the available ones have no
-// capacity.
+// ErrNoEndpoint means that no endpoint is available. ErrNoCapacity means that endpoints are
+// available but have no capacity.
 var (
 	ErrNoEndpoint = errors.New("no endpoint is available")
 	ErrNoCapacity = errors.New("no endpoint has capacity")
@@ -23,7 +19,8 @@
 
 // Query describes the target that an attempt needs.
 type Query struct {
-	// Tokens is the expected maximum of tokens that the request keeps in the KV cache.
+	// Tokens is the number of tokens that the request is expected to hold in the KV cache at
+	// its end.
 	Tokens float64
 	// PrefillTokens is the number of tokens to prefill before the first event.
 	PrefillTokens float64
@@ -34,10 +31,10 @@
 	// NonIdempotent requests must not run twice. They are not used to probe endpoints that
 	// failed recently.
 	NonIdempotent bool
-	// Rank orders the requests that wait for capacity, 0 first.
+	// Rank orders the requests that wait for capacity; requests of rank 0 come first.
 	Rank int
-	// OnTimeUntil is the time up to which an answer that begins is on time. Requests that wait
-	// longer come after all others.
+	// OnTimeUntil is the latest time at which an attempt can begin so that its answer is still
+	// on time. After this time the request waits behind all requests that can still be on time.
 	OnTimeUntil time.Time
 	// WaitUntil is the time up to which the request may wait for capacity.
 	WaitUntil time.Time
@@ -50,11 +47,11 @@
 	Domain  string
 	// Path is empty for plain services.
 	Path paths.Path
-	// MaxConns bounds this node's connections to the endpoint.
+	// MaxConns bounds this node's connections to the endpoint; zero for no bound.
 	MaxConns int
-	// Active is set for paths only.
+	// Active is the request that runs along Path; nil for plain services.
 	Active *ActiveRequest
-	// Choice is the choice of the balancer with its alternatives; nil for paths.
+	// Choice is the balancer's choice with its alternatives; nil for paths.
 	Choice *balance.Choice
 }
 
@@ -73,27 +70,30 @@
 	Failure health.Failure
 	// Complete is set if the complete answer arrived.
 	Complete bool
-	// NoCapacity is set if the endpoint refused for lack of capacity.
+	// NoCapacity is set if the request was refused for lack of capacity, by the endpoint or by
+	// this node's connection limit.
 	NoCapacity bool
 	// FaultAddress is the address of the faulty stage of the path, if the answer named it.
 	FaultAddress string
 	// LayersMissing is set if the faulty stage does not hold the layers that it is listed with.
 	LayersMissing bool
-	// Suspected is set if the faulty stage, or the first one if none is named, looks dead.
+	// Suspected is set if the faulty stage looks dead. If FaultAddress is empty, the first stage
+	// or the replica of the plain service is meant.
 	Suspected bool
 	// Duration is the duration of the attempt.
 	Duration time.Duration
-	// Load is the load that the endpoint reported, if any.
+	// Load is the load that the endpoint reported with its answer; nil if it reported none.
 	Load *Load
 }
 
-// Load is an endpoint's load as reported by itself.
+// Load is the number of running and of waiting requests that an endpoint reports.
 type Load struct{ Running, Waiting int }
 
 // Targets chooses endpoints for one service. It is safe for concurrent use.
 type Targets interface {
-	// Choose returns a target and waits for capacity if necessary. It fails with ErrNoEndpoint,
-	// ErrNoCapacity or the context's error. Each target must be released with Finish.
+	// Choose returns a target. It may wait for capacity until Query.WaitUntil. It fails with
+	// ErrNoEndpoint, ErrNoCapacity or the context's error. Each target must be released with
+	// Finish.
 	Choose(ctx context.Context, q Query) (Target, error)
 	// Finish releases the target and reports the result of the attempt.
 	Finish(t Target, r Result)
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -25,13 +25,15 @@
 	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
-// soleNode is the share of a node that runs alone.
+// soleNode is the NodeShare of the only node: all capacity and maxConns connections to each
+// replica are its own.
 func soleNode(maxConns int) NodeShare {
 	return NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: maxConns, DomainNodeCount: 1}
 }
 
-// twoStageModel is a model in two halves, each with two replicas. A replica has capacity for
-// 25,000 tokens: 100 MB beside four layers, at 4,000 bytes a token.
+// twoStageModel is a model whose layers are held in two halves, each by two replicas. A replica
+// has 100 MB of memory beside its four layers. At 4,000 bytes a token, this is capacity for
+// 25,000 tokens.
 func twoStageModel() *ModelTargets {
 	m := NewModelTargets("d", 1, time.Now)
 	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("a2", 0, 4), newReplica("b1", 4, 8), newReplica("b2", 4, 8)},
@@ -48,8 +50,8 @@
 	return target
 }
 
-// Two streams fill the model. The next request waits and starts as soon as one of them ends; a
-// request that must not wait is refused at once.
+// Two streams fill the model. A request that must not wait is refused at once. Another request
+// waits, and starts as soon as one of the streams ends.
 func TestRequestWaitsForCapacity(t *testing.T) {
 	m := twoStageModel()
 	first := choose(t, m, 25000)
@@ -71,8 +73,8 @@
 	}
 }
 
-// A request waits for capacity, and a second one arrives that would fit. It must wait behind
-// the first if both have the same rank, and goes first if the waiting one has a lower rank.
+// A request of rank 1 waits for capacity, and a second request arrives that would fit. A second
+// request of rank 1 must wait behind the first. A second request of rank 0 goes first.
 func TestWaitingRequestsComeFirst(t *testing.T) {
 	for _, c := range []struct {
 		rank    int
@@ -101,8 +103,9 @@
 	}
 }
 
-// One request finds a replica lost. All other requests that run through it are notified at
-// once, so that they need not find out themselves; requests on other replicas are not notified.
+// One request finds that a replica is lost. If the other requests that run through the replica
+// were not notified at once, each would have to find out itself. Requests on other replicas are
+// not notified.
 func TestLostReplicaNotifiesAllItsRequests(t *testing.T) {
 	m := twoStageModel()
 	notified := make(chan string, 20)
@@ -139,8 +142,8 @@
 	}
 }
 
-// A request bypasses a lost stage: the first stage stays, the others are chosen again, and the
-// reservation moves with them.
+// A request takes a bypass around a lost stage. The first stage stays, and the later stages are
+// chosen again. The reservation moves to the new path, or some of it would never be released.
 func TestBypassMovesReservation(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -159,9 +162,9 @@
 	}
 }
 
-// The first replica of a request looks dead. The request migrates only if another first replica
-// has capacity now. The old one may yet continue, so giving the request up without a
-// replacement would lose its answer.
+// The first replica of a request looks dead, but may yet continue the answer. If the request
+// were given up while no other first replica has capacity, the answer would be lost. The
+// request migrates only if another first replica has capacity now.
 func TestMigrationNeedsFreeCapacity(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 20000)
@@ -211,9 +214,9 @@
 	}
 }
 
-// A replica leaves without announcing it: its entry disappears from the list, and it serves on.
-// Its streams are rerouted as from a draining replica. If it counted as lost, all of them would
-// cross the links at once and pause for a second.
+// A replica leaves without announcing it: it disappears from the list and continues to serve.
+// It counts as draining. If it counted as lost, all its streams would transfer data over the
+// links at once and pause for a second.
 func TestUnlistedReplicaCountsAsDraining(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -232,9 +235,10 @@
 	}
 }
 
-// The only holder of some layers in a failure domain dies under six streams. Each bypass
-// through the other domain transfers the prompt over the links, one after another. The first
-// two streams may do so; the others migrate to the other domain as a whole.
+// Six streams run through the only replica of a failure domain that holds some layers, and the
+// replica dies. A bypass through the other failure domain transfers data over the links, one
+// stream after another. Two of the bypasses are on time; the other four streams migrate to the
+// other domain.
 func TestStreamsMigrateWhenLinksAreBusy(t *testing.T) {
 	remote := func(id string, from, to int) *replicalist.Replica {
 		r := newReplica(id, from, to)
@@ -242,7 +246,7 @@
 		return r
 	}
 	model := *testModel
-	// A stream of 1,000 tokens takes 50 ms to cross.
+	// One crossing of a stream with 1,000 tokens takes 50 ms.
 	model.CrossBytes, model.LinkBytesPerSecond = 1000, 2e7
 	m := NewModelTargets("d", 1, time.Now)
 	list := []*replicalist.Replica{newReplica("a", 0, 4), newReplica("b", 4, 8), remote("x", 0, 4), remote("y", 4, 8)}
@@ -275,9 +279,9 @@
 	}
 }
 
-// Without this rule a node would connect to every stage of a path whenever one of many streams
-// goes silent. Stages through which another stream has just had an event are alive. A stream
-// that was rerouted since says nothing about its new stages.
+// If a stage is confirmed as alive by an event of another stream, it need not be checked.
+// Without this rule, a node would connect to every stage of a path whenever one of many streams
+// goes silent. An event before a reroute does not confirm the stages of the new path.
 func TestStagesConfirmedByOtherStreams(t *testing.T) {
 	now := time.Now()
 	m := NewModelTargets("d", 1, func() time.Time { return now })
@@ -314,9 +318,9 @@
 	}
 }
 
-// Three nodes have lost a replica. A fourth accepts their report and sends the replica nothing
-// new, but doesn't report it as an observation of its own before it has tried itself. Forwarded
-// reports would keep each other alive.
+// Three nodes report a replica as lost. A fourth node accepts their reports and sends the
+// replica no new requests. It must not report the replica as lost before it has tried to reach
+// the replica itself. If nodes forwarded reports, the reports would never expire.
 func TestPeerReportsAreNotForwarded(t *testing.T) {
 	m := twoStageModel()
 	reports := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
@@ -361,8 +365,9 @@
 	}
 }
 
-// Nodes must not verify the same replicas forever because of each other's reports. What one
-// node learns by verifying makes the next node verify only if it is news.
+// Nodes must not verify the same replicas forever because of each other's reports. A node
+// therefore reports the slowdown that it learns by a verification only if the replica is or was
+// slow.
 func TestVerificationDoesNotTriggerAnother(t *testing.T) {
 	now := time.Now()
 	clock := func() time.Time { return now }
@@ -396,7 +401,8 @@
 }
 
 // A draining replica refuses connections and continues its requests. Other nodes report it as
-// lost. The requests that run through it on this node stay, unless its host is unreachable.
+// lost. The requests of this node that run through it are not rerouted, unless its host is
+// unreachable.
 func TestReportedLossKeepsActiveRequests(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 10)
@@ -414,8 +420,8 @@
 	}
 }
 
-// Three nodes were refused by a replica that has capacity. A fourth sends it nothing new, and
-// reports only the refusals that it got itself.
+// Three nodes report that a replica refuses requests although it has capacity. A fourth node
+// sends it no new requests, and reports only refusals of its own requests.
 func TestReportedRefusalsBackOff(t *testing.T) {
 	m := twoStageModel()
 	domainNodes := []string{"n1", "n2", "n3", "n4"}
--- a/route/upstream/conn.go
+++ b/route/upstream/conn.go
@@ -9,16 +9,17 @@
 	"time"
 )
 
-// readBufferBytes holds the head of an answer and some events of a stream. A node has some
-// hundred connections open at once.
+// readBufferBytes is the size of a connection's read buffer. It fits the head of an answer and
+// some events of a stream. A node has some hundred connections open at once, each with a
+// buffer.
 const readBufferBytes = 4 << 10
 
 // conn is one connection to an endpoint.
 type conn struct {
 	net.Conn
 	reader *bufio.Reader
-	// idleUntil is the time up to which the connection may be reused. After it the endpoint may
-	// close the connection.
+	// idleUntil is the time up to which an idle connection may be reused. Later the endpoint
+	// may close the connection.
 	idleUntil time.Time
 	closeOnce sync.Once
 }
--- a/route/upstream/exchange.go
+++ b/route/upstream/exchange.go
@@ -26,14 +26,14 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// NewConn requests a new connection. It can't carry the answer to an earlier request, and
-	// if it closes before an answer, there is no doubt which request that concerns.
+	// NewConn requests a new connection. A new connection can't carry the answer to an earlier
+	// request. If it closes before an answer, the close can't concern an earlier request.
 	NewConn bool
 	// MaxConns bounds this node's connections to the endpoint; zero for no bound.
 	MaxConns int
 	// Matches reports whether the head of an answer belongs to this request.
 	Matches func(h http.Header) bool
-	// HeadTimeout bounds the wait for the head of the answer.
+	// HeadTimeout bounds the time to send the request and to receive the head of its answer.
 	HeadTimeout time.Duration
 }
 
@@ -63,10 +63,11 @@
 // Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// RefusalFailure classifies an endpoint's refusal before any work. Only 429 is a request for
-// less load, which must not be answered by sending the request elsewhere at once. Any other
-// refusal says that this endpoint can't serve, for example an engine whose next stage is gone.
-// Other endpoints can, and a caller that is told to retry later would wait in vain.
+// RefusalFailure classifies the refusal of an endpoint that did no work on the request. Status
+// 429 asks for less load, so the request must not be sent to another endpoint at once. Any
+// other status says that this endpoint can't serve the request, for example because an engine
+// can't reach the next stage. Other endpoints can serve the request, and a caller that was told
+// to retry later would wait without need.
 func RefusalFailure(status int) health.Failure {
 	if status == http.StatusTooManyRequests {
 		return health.Overloaded
@@ -75,18 +76,19 @@
 }
 
 const (
-	// maxStrayAnswers bounds the answers to other requests that are skipped on one connection.
-	// An endpoint that answers twice sends one.
+	// maxStrayAnswers bounds how many stray answers are skipped while a request waits for its
+	// own answer. A stray answer is an answer to another request. An endpoint that answers a
+	// request twice leaves one stray answer.
 	maxStrayAnswers = 2
-	// maxStrayBytes bounds the body of one such answer.
+	// maxStrayBytes bounds the body of one stray answer.
 	maxStrayBytes = 64 << 10
 	// maxInlineWriteBytes is the body length up to which a request is written before its answer
-	// is read. It fits the socket's send buffer, so that an endpoint that answers before it
-	// reads can't block the writer.
+	// is read. Such a body fits the socket's send buffer, so the write does not block. It would
+	// otherwise block if the endpoint answered before reading the request.
 	maxInlineWriteBytes = 8 << 10
 )
 
-// Exchange is a request with its answer in progress.
+// Exchange is one request on a connection, with its answer.
 type Exchange struct {
 	*http.Response
 	pool       *Pool
@@ -99,9 +101,9 @@
 	closed       bool
 }
 
-// Send sends the request and waits for the head of its answer. Every error is a *Failure; a
-// canceled context is its cause. The connection is closed when ctx ends, which endpoints take
-// as a cancellation of the request.
+// Send sends the request and waits for the head of its answer. Every error is a *Failure. If
+// ctx ends while a connection is being opened, the failure's cause is the error of ctx. If ctx
+// ends later, the connection is closed. Endpoints take this as a cancellation of the request.
 func (p *Pool) Send(ctx context.Context, r Request) (*Exchange, error) {
 	c, err := p.get(ctx, r.Address, r.NewConn, r.MaxConns)
 	if err != nil {
@@ -139,8 +141,8 @@
 	}
 	e.writing.Store(true)
 	go func() {
-		// An endpoint that has answered may stop reading. The connection is not reused
-		// then, and the error has no other consequence.
+		// An endpoint that has answered may stop reading, and the write then fails. The only
+		// consequence of the error is that the connection is not reused.
 		if e.writeAll(r, append(head, r.Body...)) == nil {
 			e.writing.Store(false)
 		}
@@ -156,8 +158,8 @@
 	return nil
 }
 
-// encodeHead encodes the request line and the headers. The target is sent as it was received: a
-// library that parses and formats it may change its encoding.
+// encodeHead encodes the request line and the headers. The target is sent as it was received,
+// because a library that parses and formats the target may change its encoding.
 func encodeHead(r Request) []byte {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -170,8 +172,8 @@
 	return b.Bytes()
 }
 
-// readHead reads heads until one belongs to the request. An answer to another request is one
-// that an endpoint sent twice; it must not reach this caller.
+// readHead reads the heads of answers until one of them belongs to the request. Stray answers
+// come from endpoints that answer twice, and must not reach this caller.
 func (e *Exchange) readHead(r Request) (*http.Response, error) {
 	request := &http.Request{Method: r.Method}
 	for strays := 0; ; {
@@ -215,8 +217,8 @@
 // ErrTooLong is the error of ReadAll for a body of maxBytes or more.
 var ErrTooLong = errors.New("the answer exceeds the buffer limit")
 
-// ReadAll reads the body to its end. It fails if that takes longer than the timeout, and with
-// ErrTooLong and the bytes read so far if there are maxBytes or more.
+// ReadAll reads the body to its end. It fails if the body does not end within the timeout. If
+// the body has maxBytes or more, ReadAll returns the bytes read so far and ErrTooLong.
 func (e *Exchange) ReadAll(maxBytes int, timeout time.Duration) ([]byte, error) {
 	deadline := e.pool.now().Add(timeout)
 	body := make([]byte, 0, max(512, min(int(e.ContentLength), maxBytes)))
@@ -238,8 +240,9 @@
 	}
 }
 
-// KeepAlive ends the exchange and returns its connection to the pool for the given time, if the
-// answer was read to its end and nothing follows it. Close must still be called.
+// KeepAlive ends the exchange and returns its connection to the pool, if the answer was read to
+// its end and no further bytes have been received. keepFor is how long the endpoint keeps the
+// connection open while it is idle. Close must still be called.
 func (e *Exchange) KeepAlive(keepFor time.Duration) {
 	if e.closed || !e.bodyComplete || e.Response.Close || e.writing.Load() || e.conn.reader.Buffered() > 0 {
 		return
--- a/route/upstream/once_test.go
+++ b/route/upstream/once_test.go
@@ -20,8 +20,8 @@
 	return errors.As(err, &f) && f.NotSent
 }
 
-// closingEndpoint is an endpoint that answers a GET request and keeps its connection open, and
-// that reads a POST request and closes the connection without an answer. With dies it also
+// closingEndpoint is an endpoint that answers a GET request and keeps the connection open. It
+// reads a POST request and closes the connection without an answer. With closesListener it also
 // stops listening after the first POST request.
 type closingEndpoint struct {
 	listener       net.Listener
@@ -94,10 +94,10 @@
 	}
 }
 
-// The endpoint reads an order on a reused connection and closes it without an answer. The
-// standard transport takes an Idempotency-Key header as permission to retry and sends the order
-// again by itself: the caller sees "unknown" and is billed for a second bag of flour. The pool
-// sends the order once, on a new connection or a reused one.
+// The endpoint reads an order on a reused connection and closes the connection without an
+// answer. The standard transport takes an Idempotency-Key header as permission to retry. It
+// would send the order again by itself, and the caller would be billed twice. The pool sends
+// the order once, on a new connection or a reused one.
 func TestOrderOnABrokenConnectionArrivesOnce(t *testing.T) {
 	for _, newConn := range []bool{true, false} {
 		f := startClosingEndpoint(t, false)
@@ -116,9 +116,9 @@
 	}
 }
 
-// An endpoint reads a request on a reused connection, does its work and dies. A hidden retry
-// would fail with a refused connection, which alone would prove that nothing ran, and the
-// caller would be told "not run" for a request that ran.
+// An endpoint reads a request on a reused connection, runs it and dies. A hidden retry would
+// fail because the connection is refused. That error alone would seem to prove that nothing
+// ran. The caller would then be told "not run" for a request that ran.
 func TestCloseAfterReadingIsNotReportedAsNotSent(t *testing.T) {
 	f := startClosingEndpoint(t, true)
 	pool := New(time.Now)
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -13,11 +13,13 @@
 var Error = errs.Class("upstream")
 
 const (
-	// dialTimeout is a hundred round trips between failure domains of a region. A lost packet
-	// is sent again only after a second, and using another endpoint is faster than that.
+	// dialTimeout is a hundred round trips between failure domains of a region. If a packet is
+	// lost while a connection is being opened, it is sent again only after a second. Using
+	// another endpoint is faster than that.
 	dialTimeout = 300 * time.Millisecond
-	// defaultIdleTime is how long an idle connection is kept if the endpoint does not say.
-	// Otherwise it is closed idleTimeMargin before the endpoint would close it.
+	// defaultIdleTime is how long an endpoint is assumed to keep an idle connection, if its
+	// answer does not say. This node stops using an idle connection idleTimeMargin before the
+	// endpoint would close it.
 	defaultIdleTime = 4 * time.Second
 	idleTimeMargin  = time.Second
 )
@@ -32,7 +34,7 @@
 	openedCount int64
 }
 
-// endpointConns is the connections to one endpoint.
+// endpointConns holds the connections to one endpoint.
 type endpointConns struct {
 	idle []*conn // the last used is reused first, so that surplus connections expire
 	open int
@@ -44,7 +46,7 @@
 	return &Pool{now: now, dial: dialer.DialContext, endpoints: map[string]*endpointConns{}}
 }
 
-// get returns an idle connection or a new one; with newOnly always a new one.
+// get returns an idle connection or a new connection. If newOnly is set, it returns a new one.
 func (p *Pool) get(ctx context.Context, address string, newOnly bool, maxConns int) (*conn, error) {
 	if !newOnly {
 		if c := p.takeIdle(address); c != nil {
@@ -90,8 +92,8 @@
 	return c
 }
 
-// reserve counts a connection that is about to be opened. At the limit the oldest idle
-// connection is closed instead.
+// reserve counts a connection that is about to be opened. At the limit it closes the oldest
+// idle connection to make room, and returns false if there is no idle connection.
 func (p *Pool) reserve(address string, maxConns int) bool {
 	p.mu.Lock()
 	conns := p.endpoints[address]
@@ -128,7 +130,8 @@
 	}
 }
 
-// discard closes a connection for good. Only the first call has an effect.
+// discard closes a connection and no longer counts it. Only the first call for a connection has
+// an effect.
 func (p *Pool) discard(address string, c *conn) {
 	c.closeOnce.Do(func() {
 		c.Close()
@@ -136,7 +139,8 @@
 	})
 }
 
-// putIdle returns a connection to the pool.
+// putIdle returns a connection to the pool. keepFor is how long the endpoint keeps the
+// connection open while it is idle; zero stands for defaultIdleTime.
 func (p *Pool) putIdle(address string, c *conn, keepFor time.Duration) {
 	if keepFor <= 0 {
 		keepFor = defaultIdleTime
@@ -162,10 +166,10 @@
 	p.closeIdle(p.now().Add(beyondAnyIdleTime))
 }
 
-// beyondAnyIdleTime is longer than any connection is kept.
+// beyondAnyIdleTime is longer than any idle connection is kept.
 const beyondAnyIdleTime = 24 * time.Hour
 
-// closeIdle closes the idle connections that expire by the given time.
+// closeIdle closes the idle connections that have expired at the given time.
 func (p *Pool) closeIdle(at time.Time) {
 	for address, conns := range p.takeExpired(at) {
 		for _, c := range conns {
@@ -192,9 +196,9 @@
 	return expired
 }
 
-// Reachable opens a connection to an endpoint and returns it to the pool. It reports whether
-// the endpoint accepts it, and whether its host answers at all, without sending the endpoint a
-// request.
+// Reachable opens a connection to an endpoint and returns the connection to the pool. It
+// reports whether the endpoint accepts the connection, and whether the endpoint's host answers
+// at all. It sends no request.
 func (p *Pool) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, answers bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -206,21 +210,21 @@
 	return true, true
 }
 
-// Connected reports whether a connection to an endpoint is open.
+// Connected reports whether a connection to an endpoint is open or being opened.
 func (p *Pool) Connected(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[address] != nil
 }
 
-// OpenedConns is the number of connections begun since the start, for metrics.
+// OpenedConns returns how many connections this pool has begun to open, for metrics.
 func (p *Pool) OpenedConns() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openedCount
 }
 
-// OpenConns is the number of open connections, for metrics.
+// OpenConns returns how many connections are open or being opened, for metrics.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/route/upstream/upstream_test.go
+++ b/route/upstream/upstream_test.go
@@ -14,8 +14,9 @@
 	"time"
 )
 
-// endpoint starts a listener whose connections are served by the given function. They are
-// closed at the end of the test.
+// endpoint starts a listener and returns its address. Each connection is served by the given
+// function, which also gets the number of the connection, from 1. The connections are closed at
+// the end of the test.
 func endpoint(t *testing.T, serve func(conn net.Conn, requests *bufio.Reader, connNumber int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -75,8 +76,8 @@
 	}
 }
 
-// An endpoint answers a request twice, and the second answer is read on the reused connection
-// in place of the next request's answer. Each caller must get its own answer.
+// An endpoint answers a request twice. Without the check of the id, the next caller on the
+// reused connection would get the second answer in place of its own.
 func TestStrayAnswersAreSkipped(t *testing.T) {
 	firstAnswered := make(chan struct{})
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, _ int) {
@@ -113,8 +114,8 @@
 	}
 }
 
-// An idle connection that was closed by the endpoint, or that has received unexpected bytes, is
-// not reused.
+// If an idle connection were reused after the endpoint closed it or sent unexpected bytes, the
+// next request on it would fail.
 func TestUncleanConnectionsAreNotUsed(t *testing.T) {
 	sent := make(chan struct{}, 10)
 	address := endpoint(t, func(conn net.Conn, requests *bufio.Reader, connNumber int) {
@@ -181,7 +182,7 @@
 }
 
 // An answer is complete only if all of it arrived. It is incomplete if it is shorter than its
-// declared length, or if its end is the end of the connection and that was reset.
+// declared length, or if it ends with the connection and the connection was reset.
 func TestIncompleteAnswersFail(t *testing.T) {
 	for _, c := range []struct {
 		name, head string
@@ -223,7 +224,8 @@
 	}
 }
 
-// When a caller leaves, the connection is closed, which is how the endpoint learns of it.
+// When a caller leaves, the pool closes the connection of the request. Otherwise the endpoint
+// would not learn that the caller has left.
 func TestCanceledContextClosesTheConnection(t *testing.T) {
 	ended, begun := make(chan struct{}), make(chan struct{})
 	address := endpoint(t, func(_ net.Conn, requests *bufio.Reader, _ int) {
