--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -11,20 +11,20 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// A non-idempotent request that may have run is not retried, however many replicas its route
-// allows; one that provably did not run is. An idempotent request is retried either way, up to
-// the route's number of replicas.
+// If a non-idempotent request that may have run were retried, it could run twice. Such a
+// request is retried only if it provably did not run. An idempotent request is retried in both
+// cases, at no more replicas than its route allows.
 func TestOnlySafeRetriesAreMade(t *testing.T) {
 	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.Broken}}
 	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
 	unsent := attemptResult{kind: resultNotSent, feedback: targets.Result{Failure: health.Unreachable}}
 	failed := attemptResult{kind: resultFailed, feedback: targets.Result{Failure: health.Internal}}
 	for _, c := range []struct {
-		name  string
-		kind  ruleset.Kind
-		ran   int
-		last  attemptResult
-		again bool
+		name            string
+		kind            ruleset.Kind
+		mayHaveRunCount int
+		last            attemptResult
+		wantRetry       bool
 	}{
 		{"order, unknown", ruleset.Once, 1, broken, false},
 		{"order, failed", ruleset.Once, 1, failed, false},
@@ -40,9 +40,9 @@
 				Route:  &ruleset.Route{Kind: c.kind, MaxReplicas: 3},
 				Budget: retrybudget.New(retry.Config{}, func() time.Time { return now }), Deadline: now.Add(time.Minute),
 			},
-			server: &Server{Now: func() time.Time { return now }}, attempts: 1, mayHaveRun: make([]string, c.ran),
+			server: &Server{Now: func() time.Time { return now }}, attemptCount: 1, mayHaveRunOn: make([]string, c.mayHaveRunCount),
 		}
-		if d := req.askBudget(c.last); d.Retry != c.again {
+		if d := req.askBudget(c.last); d.Retry != c.wantRetry {
 			t.Errorf("%s: %+v", c.name, d)
 		}
 	}
--- a/route/relay/events.go
+++ b/route/relay/events.go
@@ -10,21 +10,21 @@
 // eventSplitter splits the bytes of a stream into complete events. An empty line ends an event.
 type eventSplitter struct {
 	buffer []byte
-	// consumed is the length of the buffer's prefix that next has returned.
-	consumed int
+	// consumedBytes is the length of the buffer's prefix that next has returned.
+	consumedBytes int
 }
 
-// event is one complete event as received, with its id, which is empty if there is none. Both
-// are valid until the next call of add.
+// event is one complete event as received. id is the event's id, empty if it has none. data and
+// id are valid until the next call of add.
 type event struct {
 	data, id []byte
 }
 
 // add appends received bytes.
 func (s *eventSplitter) add(p []byte) {
-	if s.consumed > 0 {
+	if s.consumedBytes > 0 {
 		s.buffer = s.buffer[:copy(s.buffer, s.pending())]
-		s.consumed = 0
+		s.consumedBytes = 0
 	}
 	s.buffer = append(s.buffer, p...)
 }
@@ -36,17 +36,17 @@
 		return event{}, false
 	}
 	data := s.pending()[:length]
-	s.consumed += length
+	s.consumedBytes += length
 	return event{data: data, id: idOf(data)}, true
 }
 
-func (s *eventSplitter) pending() []byte { return s.buffer[s.consumed:] }
+func (s *eventSplitter) pending() []byte { return s.buffer[s.consumedBytes:] }
 
 // incompleteBytes is the length of the incomplete event at the end of the buffer, without white
 // space around it.
 func (s *eventSplitter) incompleteBytes() int { return len(bytes.TrimSpace(s.pending())) }
 
-// eventLength is the length of the first complete event, 0 if there is none yet.
+// eventLength is the length in bytes of the first complete event, 0 if there is none yet.
 func eventLength(p []byte) int {
 	for offset := 0; ; {
 		end := bytes.IndexByte(p[offset:], '\n')
@@ -77,12 +77,12 @@
 	return nil
 }
 
-// eventPosition is the position in a stream: the id of the last event.
+// eventPosition is a position in a stream: the id of the last event that was passed on.
 type eventPosition struct {
 	id []byte
-	// number is the id as a number, if isNumber is set.
-	number   int64
-	isNumber bool
+	// numericID is the id as a number, if isNumeric is set.
+	numericID int64
+	isNumeric bool
 }
 
 // String returns the id as it is sent to engines.
@@ -91,18 +91,18 @@
 // set records the id of an event that was passed on.
 func (p *eventPosition) set(id []byte) {
 	p.id = append(p.id[:0], id...)
-	p.number, p.isNumber = parseNumber(id)
+	p.numericID, p.isNumeric = parseNumericID(id)
 }
 
-// precedes reports whether the event with this id comes after the position. An event without an
-// id, or with one that is not a number, always does.
+// precedes reports whether the position is before the event with this id. The result is true if
+// the event's id is missing, or if one of the two ids is not a number.
 func (p *eventPosition) precedes(id []byte) bool {
-	number, isNumber := parseNumber(id)
-	return !p.isNumber || !isNumber || number > p.number
+	numericID, isNumeric := parseNumericID(id)
+	return !p.isNumeric || !isNumeric || numericID > p.numericID
 }
 
-// parseNumber parses an id that is a whole number. It allocates nothing.
-func parseNumber(id []byte) (int64, bool) {
+// parseNumericID parses an id that is a whole number. It allocates nothing.
+func parseNumericID(id []byte) (int64, bool) {
 	if len(id) == 0 || len(id) > maxDigits {
 		return 0, false
 	}
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -11,7 +11,6 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// discardWriter discards the answer.
 type discardWriter struct{ header http.Header }
 
 func (s discardWriter) Header() http.Header              { return s.header }
@@ -21,11 +20,12 @@
 func (s discardWriter) SetWriteDeadline(time.Time) error { return nil }
 
 // BenchmarkPassEvent measures the node's own work for one event of a stream: it splits the
-// event from the received bytes, compares it with the last one and passes it on.
+// event from the received bytes, compares its id with the last event's id and passes the event
+// on.
 func BenchmarkPassEvent(b *testing.B) {
 	req := &requestState{
 		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
-		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, started: true,
+		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, answerStarted: true,
 	}
 	a := &attempt{req: req, startedAt: time.Now()}
 	monitor := &pathMonitor{attempt: a, ctx: context.Background()}
@@ -44,7 +44,7 @@
 			b.Fatal(err)
 		}
 	}
-	if req.events == 0 {
+	if req.eventCount == 0 {
 		b.Fatal("no event was passed on")
 	}
 }
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -18,11 +18,11 @@
 		return nil, req.callerGone()
 	case res.kind == resultDeadline:
 		return nil, req.expired()
-	case req.started:
+	case req.answerStarted:
 		req.abort(ReasonUnknown)
 	case res.answer != nil:
 		return res.answer, nil
-	case len(req.mayHaveRun) > 0:
+	case len(req.mayHaveRunOn) > 0:
 		return nil, noAnswer(res)
 	case res.feedback.Failure == health.Overloaded:
 		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
@@ -32,24 +32,25 @@
 	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint accepted the request: "+res.detail, retryAfterNoCapacity)
 }
 
-// callerGone ends a request whose caller has left. Only a listener that stores answers uses the
-// refusal.
+// callerGone records that the caller has left, and returns a refusal. Only a listener that
+// stores answers uses this refusal.
 func (req *requestState) callerGone() *outcome.Refusal {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
 		Figures: map[string]float64{
-			"sends": float64(req.attempts), "events": float64(req.events), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
+			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 			"silent_ms": millis(req.silentFor()), "waited_room_ms": millis(req.capacityWait),
 		},
 	})
 	r := NotRun(statusCallerGone, ReasonCallerGone, "the caller left", 0)
-	if len(req.mayHaveRun) > 0 {
+	if len(req.mayHaveRunOn) > 0 {
 		r.Outcome = outcome.Unknown
 	}
 	return r
 }
 
-// silentFor is the time since the caller last received anything.
+// silentFor is the time since the caller received the last event or, before the first event,
+// since the request arrived.
 func (req *requestState) silentFor() time.Duration {
 	if req.lastEventAt.IsZero() {
 		return req.server.Now().Sub(req.Arrived)
@@ -59,10 +60,10 @@
 
 // expired returns the answer to a request whose deadline is reached.
 func (req *requestState) expired() *outcome.Refusal {
-	if req.started {
+	if req.answerStarted {
 		req.abort(ReasonTimeout)
 	}
-	if len(req.mayHaveRun) == 0 && req.attempts == 0 {
+	if len(req.mayHaveRunOn) == 0 && req.attemptCount == 0 {
 		return NotRun(http.StatusServiceUnavailable, ReasonTimeout, "no endpoint had capacity before the deadline", retryAfterNoCapacity)
 	}
 	return outcomeUnknown(http.StatusGatewayTimeout, ReasonTimeout, "no answer before the deadline")
@@ -73,11 +74,11 @@
 	switch {
 	case req.callerCtx.Err() != nil:
 		return nil, req.callerGone()
-	case req.started:
+	case req.answerStarted:
 		req.abort(ReasonNoEndpoint)
 	case req.lastResult.answer != nil:
 		return req.lastResult.answer, nil
-	case len(req.mayHaveRun) > 0:
+	case len(req.mayHaveRunOn) > 0:
 		return nil, noAnswer(req.lastResult)
 	case errors.Is(err, targets.ErrNoCapacity):
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "no endpoint has capacity", retryAfterNoCapacity)
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -23,12 +23,12 @@
 	defaultAnswerTokens = 200
 )
 
-// run makes attempts until there is an answer or a reason to give up. It returns neither if the
-// answer was passed on as it arrived.
+// run makes attempts until there is an answer or a reason to give up. It returns neither an
+// answer nor a refusal if the answer was passed on to the caller as it arrived.
 func (req *requestState) run() (*Answer, *outcome.Refusal) {
 	var res attemptResult
 	for {
-		target, err := req.choose(res.next)
+		target, err := req.choose(res.migrateTo)
 		if err != nil {
 			return req.answerWithoutTarget(err)
 		}
@@ -46,7 +46,7 @@
 // attempt makes one attempt and reports its result to the targets.
 func (req *requestState) attempt(target targets.Target) attemptResult {
 	a := &attempt{req: req, target: target, startedAt: req.server.Now()}
-	req.attempts++
+	req.attemptCount++
 	req.lastTarget = target
 	req.recordRoute(target)
 	var res attemptResult
@@ -62,15 +62,15 @@
 	req.Targets.Finish(a.target, res.feedback)
 	req.lastResult = res
 	if res.feedback.NoCapacity && res.feedback.FaultAddress != "" {
-		req.probeFault(target, res.feedback.FaultAddress)
+		req.probeFaultyReplica(target, res.feedback.FaultAddress)
 	}
 	return res
 }
 
-// probeFault probes the stage that a refusal names. The first replica can't tell a stage
-// without capacity from a dead one, and a node that has just started has not found out yet
-// which replicas are dead.
-func (req *requestState) probeFault(target targets.Target, address string) {
+// probeFaultyReplica probes the stage that a refusal names as faulty, and suspects its replica
+// if it is out of reach. The refusal alone does not tell whether the stage is dead or only has
+// no capacity. A node that has just started does not know yet which replicas are dead.
+func (req *requestState) probeFaultyReplica(target targets.Target, address string) {
 	replica := target.ReplicaByAddress(address)
 	if replica == "" {
 		return
@@ -85,32 +85,32 @@
 func (req *requestState) recordRoute(target targets.Target) {
 	d := decisionlog.Weighed(target.Choice)
 	d.Kind, d.Chosen = decisionlog.Route, target.Replica
-	d.Figures["try"] = float64(req.attempts)
+	d.Figures["try"] = float64(req.attemptCount)
 	d.Notes = []decisionlog.Note{{Name: "address", Text: target.Address}}
 	if len(target.Path) > 0 {
 		d.Reason = "cheapest path with capacity"
 		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: target.Path.String()})
 	}
-	d.Quiet = !req.sampled && req.attempts == 1
+	d.Quiet = !req.sampled && req.attemptCount == 1
 	req.record(d)
 }
 
-// choose returns the reserved target, or asks for a new one. Once the request has been given to
-// as many replicas as its route allows, only those may get it again.
+// choose returns the reserved target or, if that is nil, a new one from Targets. Once as many
+// replicas as the route allows may have run the request, only these replicas may get it again.
 func (req *requestState) choose(reserved *targets.Target) (targets.Target, error) {
 	if reserved != nil {
 		return *reserved, nil
 	}
 	begun := req.server.Now()
 	query := targets.Query{
-		Tokens: req.expectedTokens(), PrefillTokens: req.prefillTokens(), Exclude: req.failed, NonIdempotent: !req.Route.Idempotent(), Rank: req.Rank,
+		Tokens: req.expectedTokens(), PrefillTokens: req.prefillTokens(), Exclude: req.failedReplicas, NonIdempotent: !req.Route.Idempotent(), Rank: req.Rank,
 		OnTimeUntil: req.Arrived.Add(req.onTimeWait()), WaitUntil: req.Arrived.Add(maxWaitFactor * req.onTimeWait()),
 	}
-	if req.started {
+	if req.answerStarted {
 		query.WaitUntil = begun.Add(resumeTimeout)
 	}
-	if len(req.mayHaveRun) >= req.Route.MaxReplicas {
-		query.FirstReplicas, query.Exclude = req.mayHaveRun, nil
+	if len(req.mayHaveRunOn) >= req.Route.MaxReplicas {
+		query.FirstReplicas, query.Exclude = req.mayHaveRunOn, nil
 	}
 	t, err := req.Targets.Choose(req.ctx, query)
 	if waited := req.server.Now().Sub(begun); waited > time.Millisecond {
@@ -121,7 +121,7 @@
 }
 
 // resumeTimeout is how long a stream that has begun waits for a path to continue on. Callers
-// wait as long for the next event.
+// wait for the next event for the same time.
 const resumeTimeout = 1500 * time.Millisecond
 
 // onTimeWait is how long a request can wait for capacity and still be answered on time.
@@ -130,7 +130,8 @@
 }
 
 // maxWaitFactor times onTimeWait is the longest wait for capacity. A late answer has part of
-// the value of one on time, a refusal has none; callers leave a little later than this.
+// the value of an answer on time, and a refusal has none. Callers leave a little after the
+// longest wait.
 const maxWaitFactor = 2
 
 // expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
@@ -150,21 +151,21 @@
 }
 
 // prefillTokens is the number of tokens to prefill before the next event: the prompt and, for a
-// resumed stream, the part of the answer that the caller has.
+// resumed stream, the part of the answer that the caller already has.
 func (req *requestState) prefillTokens() float64 {
-	if req.started || req.Call.After != "" {
+	if req.answerStarted || req.Call.After != "" {
 		return req.expectedTokens()
 	}
 	return float64(req.Call.Prompt)
 }
 
-// reservedAnswerShare of an answer's length is reserved. Requests in progress are spread over
-// all points of their answers and hold half of the length on average; the rest is a margin for
-// answers that are longer than estimated.
+// reservedAnswerShare is the share of an answer's expected length that is reserved. Requests in
+// progress are spread over all points of their answers, so on average each holds half of its
+// answer. The share above half is a margin for answers that are longer than expected.
 const reservedAnswerShare = 0.6
 
-// decideRetry decides whether to make another attempt. It waits while the retry budget is
-// spent.
+// decideRetry decides whether to make another attempt. While the retry budget is spent it
+// waits, at most until budgetWaitUntil.
 func (req *requestState) decideRetry(res attemptResult) bool {
 	req.recordFailure(res)
 	if res.kind == resultCallerGone || res.kind == resultDeadline {
@@ -177,10 +178,10 @@
 	}
 	req.budgetWait += req.server.Now().Sub(waitStart)
 	req.record(decisionlog.Decision{
-		Kind: decisionlog.Retry, Chosen: lastOf(req.failed), Reason: d.Reason.String(),
+		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
 		Figures: map[string]float64{
-			"not_run": boolFigure(res.notRun()), "sends": float64(req.attempts), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
+			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
 		},
 	})
 	if d.Retry {
@@ -189,11 +190,12 @@
 	return d.Retry
 }
 
-// budgetWaitUntil is how long the request may wait for the retry budget. Giving up a stream
-// that has begun wastes what the caller has received of it, so it waits as long as its caller
-// does. Other requests wait as long as for capacity.
+// budgetWaitUntil is the time until which the request may wait for the retry budget. If a
+// stream that has begun were given up, the events that the caller has received would be wasted.
+// Such a stream waits as long as its caller does. Other requests wait as long as they may wait
+// for capacity.
 func (req *requestState) budgetWaitUntil() time.Time {
-	if req.started {
+	if req.answerStarted {
 		return req.lastEventAt.Add(resumeTimeout)
 	}
 	return req.Arrived.Add(maxWaitFactor * req.onTimeWait())
@@ -209,8 +211,9 @@
 	return list[len(list)-1]
 }
 
-// recordFailure records which replica failed and which may have run the request. If the answer
-// names the faulty stage of the path, the first replica did not fail.
+// recordFailure records which replica failed, and whether the first replica may have run the
+// request. If the answer names a faulty stage, the replica of that stage counts as failed, not
+// the first replica.
 func (req *requestState) recordFailure(res attemptResult) {
 	first := req.lastTarget.Replica
 	if first == "" {
@@ -220,21 +223,22 @@
 	if res.feedback.FaultAddress != "" {
 		faulty = req.lastTarget.ReplicaByAddress(res.feedback.FaultAddress)
 	}
-	if faulty != "" && !slices.Contains(req.failed, faulty) {
-		req.failed = append(req.failed, faulty)
+	if faulty != "" && !slices.Contains(req.failedReplicas, faulty) {
+		req.failedReplicas = append(req.failedReplicas, faulty)
 	}
-	if !res.notRun() && !slices.Contains(req.mayHaveRun, first) {
-		req.mayHaveRun = append(req.mayHaveRun, first)
+	if !res.notRun() && !slices.Contains(req.mayHaveRunOn, first) {
+		req.mayHaveRunOn = append(req.mayHaveRunOn, first)
 	}
 }
 
 // askBudget decides on a retry by the limits of the route and the retry budget. A retry of an
-// attempt that was not sent costs the endpoints nothing and is not charged.
+// attempt that was not sent costs the endpoints nothing and is not charged. A migration was
+// already charged when its target was reserved.
 func (req *requestState) askBudget(res attemptResult) retry.Decision {
 	switch {
-	case res.next != nil:
+	case res.migrateTo != nil:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
-	case req.attempts >= maxAttempts, len(req.mayHaveRun) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
+	case req.attemptCount >= maxAttempts, len(req.mayHaveRunOn) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
 		return retry.Decision{Reason: retry.TooManyAttempts}
 	case res.kind == resultNotSent:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
--- a/route/upstream/once_test.go
+++ b/route/upstream/once_test.go
@@ -20,22 +20,22 @@
 	return errors.As(err, &f) && f.NotSent
 }
 
-// closingEndpoint is an endpoint that answers a GET request and keeps its connection open, and
-// that reads a POST request and closes the connection without an answer. With dies it also
+// closingEndpoint is an endpoint that answers a GET request and keeps the connection open. It
+// reads a POST request and closes the connection without an answer. With closesListener it also
 // stops listening after the first POST request.
 type closingEndpoint struct {
-	listener net.Listener
-	orders   atomic.Int64
-	dies     bool
+	listener       net.Listener
+	postCount      atomic.Int64
+	closesListener bool
 }
 
-func startClosingEndpoint(t *testing.T, dies bool) *closingEndpoint {
+func startClosingEndpoint(t *testing.T, closesListener bool) *closingEndpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &closingEndpoint{listener: listener, dies: dies}
+	f := &closingEndpoint{listener: listener, closesListener: closesListener}
 	var accepting, serving sync.WaitGroup
 	var open []net.Conn
 	accepting.Go(func() {
@@ -68,8 +68,8 @@
 			return
 		}
 		if r.Method == http.MethodPost {
-			f.orders.Add(1)
-			if f.dies {
+			f.postCount.Add(1)
+			if f.closesListener {
 				f.listener.Close()
 			}
 			return
@@ -94,10 +94,10 @@
 	}
 }
 
-// The endpoint reads an order on a reused connection and closes it without an answer. The
-// standard transport takes an Idempotency-Key header as permission to retry and sends the order
-// again by itself: the caller sees "unknown" and is billed for a second bag of flour. The pool
-// sends the order once, on a new connection or a reused one.
+// The endpoint reads an order on a reused connection and closes the connection without an
+// answer. The standard transport takes an Idempotency-Key header as permission to retry. It
+// would send the order again by itself, and the caller would be billed twice. The pool sends
+// the order once, on a new connection or a reused one.
 func TestOrderOnABrokenConnectionArrivesOnce(t *testing.T) {
 	for _, newConn := range []bool{true, false} {
 		f := startClosingEndpoint(t, false)
@@ -109,16 +109,16 @@
 		if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
 			t.Errorf("new connection %t: got %v, want an error that does not claim not sent", newConn, err)
 		}
-		if n := f.orders.Load(); n != 1 {
+		if n := f.postCount.Load(); n != 1 {
 			t.Errorf("new connection %t: the order arrived %d times", newConn, n)
 		}
 		pool.Close()
 	}
 }
 
-// An endpoint reads a request on a reused connection, does its work and dies. A hidden retry
-// would fail with a refused connection, which alone would prove that nothing ran, and the
-// caller would be told "not run" for a request that ran.
+// An endpoint reads a request on a reused connection, runs it and dies. A hidden retry would
+// fail because the connection is refused. That error alone would seem to prove that nothing
+// ran. The caller would then be told "not run" for a request that ran.
 func TestCloseAfterReadingIsNotReportedAsNotSent(t *testing.T) {
 	f := startClosingEndpoint(t, true)
 	pool := New(time.Now)
@@ -127,7 +127,7 @@
 	r := request(f.listener.Addr().String(), "a")
 	r.Method, r.Body = http.MethodPost, []byte("flour")
 	if _, err := pool.Send(context.Background(), r); err == nil || notSent(err) {
-		t.Errorf("after %d arrived: got %v, which must not claim not sent", f.orders.Load(), err)
+		t.Errorf("after %d arrived: got %v, which must not claim not sent", f.postCount.Load(), err)
 	}
 }
 
@@ -141,8 +141,8 @@
 	cancel()
 	r := request(f.listener.Addr().String(), "a")
 	r.Method, r.NewConn = http.MethodPost, true
-	if _, err := pool.Send(canceled, r); !errors.Is(err, context.Canceled) || f.orders.Load() != 0 {
-		t.Errorf("got %v; %d arrived", err, f.orders.Load())
+	if _, err := pool.Send(canceled, r); !errors.Is(err, context.Canceled) || f.postCount.Load() != 0 {
+		t.Errorf("got %v; %d arrived", err, f.postCount.Load())
 	}
 }
 
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -13,11 +13,13 @@
 var Error = errs.Class("upstream")
 
 const (
-	// dialTimeout is a hundred round trips between failure domains of a region. A lost packet
-	// is sent again only after a second, and using another endpoint is faster than that.
+	// dialTimeout is a hundred round trips between failure domains of a region. If a packet is
+	// lost while a connection is being opened, it is sent again only after a second. Using
+	// another endpoint is faster than that.
 	dialTimeout = 300 * time.Millisecond
-	// defaultIdleTime is how long an idle connection is kept if the endpoint does not say.
-	// Otherwise it is closed idleTimeMargin before the endpoint would close it.
+	// defaultIdleTime is how long an endpoint is assumed to keep an idle connection, if its
+	// answer does not say. This node stops using an idle connection idleTimeMargin before the
+	// endpoint would close it.
 	defaultIdleTime = 4 * time.Second
 	idleTimeMargin  = time.Second
 )
@@ -27,12 +29,12 @@
 	now  func() time.Time
 	dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	mu        sync.Mutex
-	endpoints map[string]*endpointConns
-	opened    int64
+	mu          sync.Mutex
+	endpoints   map[string]*endpointConns
+	openedCount int64
 }
 
-// endpointConns is the connections to one endpoint.
+// endpointConns holds the connections to one endpoint.
 type endpointConns struct {
 	idle []*conn // the last used is reused first, so that surplus connections expire
 	open int
@@ -44,7 +46,7 @@
 	return &Pool{now: now, dial: dialer.DialContext, endpoints: map[string]*endpointConns{}}
 }
 
-// get returns an idle connection or a new one; with newOnly always a new one.
+// get returns an idle connection or a new connection. If newOnly is set, it returns a new one.
 func (p *Pool) get(ctx context.Context, address string, newOnly bool, maxConns int) (*conn, error) {
 	if !newOnly {
 		if c := p.takeIdle(address); c != nil {
@@ -80,37 +82,37 @@
 func (p *Pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.endpoints[address]
-	if h == nil || len(h.idle) == 0 {
+	conns := p.endpoints[address]
+	if conns == nil || len(conns.idle) == 0 {
 		return nil
 	}
-	last := len(h.idle) - 1
-	c := h.idle[last]
-	h.idle = h.idle[:last]
+	last := len(conns.idle) - 1
+	c := conns.idle[last]
+	conns.idle = conns.idle[:last]
 	return c
 }
 
-// reserve counts a connection that is about to be opened. At the limit the oldest idle
-// connection is closed instead.
+// reserve counts a connection that is about to be opened. At the limit it closes the oldest
+// idle connection to make room, and returns false if there is no idle connection.
 func (p *Pool) reserve(address string, maxConns int) bool {
 	p.mu.Lock()
-	h := p.endpoints[address]
-	if h == nil {
-		h = &endpointConns{}
-		p.endpoints[address] = h
+	conns := p.endpoints[address]
+	if conns == nil {
+		conns = &endpointConns{}
+		p.endpoints[address] = conns
 	}
 	var oldest *conn
-	if maxConns > 0 && h.open >= maxConns {
-		if len(h.idle) == 0 {
+	if maxConns > 0 && conns.open >= maxConns {
+		if len(conns.idle) == 0 {
 			p.mu.Unlock()
 			return false
 		}
-		oldest = h.idle[0]
-		h.idle = h.idle[1:]
-		h.open--
+		oldest = conns.idle[0]
+		conns.idle = conns.idle[1:]
+		conns.open--
 	}
-	h.open++
-	p.opened++
+	conns.open++
+	p.openedCount++
 	p.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
@@ -121,14 +123,15 @@
 func (p *Pool) release(address string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.endpoints[address]
-	h.open--
-	if h.open == 0 && len(h.idle) == 0 {
+	conns := p.endpoints[address]
+	conns.open--
+	if conns.open == 0 && len(conns.idle) == 0 {
 		delete(p.endpoints, address)
 	}
 }
 
-// discard closes a connection for good. Only the first call has an effect.
+// discard closes a connection and no longer counts it. Only the first call for a connection has
+// an effect.
 func (p *Pool) discard(address string, c *conn) {
 	c.closeOnce.Do(func() {
 		c.Close()
@@ -136,7 +139,8 @@
 	})
 }
 
-// putIdle returns a connection to the pool.
+// putIdle returns a connection to the pool. keepFor is how long the endpoint keeps the
+// connection open while it is idle; zero stands for defaultIdleTime.
 func (p *Pool) putIdle(address string, c *conn, keepFor time.Duration) {
 	if keepFor <= 0 {
 		keepFor = defaultIdleTime
@@ -148,8 +152,8 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	h := p.endpoints[address]
-	h.idle = append(h.idle, c)
+	conns := p.endpoints[address]
+	conns.idle = append(conns.idle, c)
 }
 
 // Prune closes expired idle connections. It must be called periodically.
@@ -162,10 +166,10 @@
 	p.closeIdle(p.now().Add(beyondAnyIdleTime))
 }
 
-// beyondAnyIdleTime is longer than any connection is kept.
+// beyondAnyIdleTime is longer than any idle connection is kept.
 const beyondAnyIdleTime = 24 * time.Hour
 
-// closeIdle closes the idle connections that expire by the given time.
+// closeIdle closes the idle connections that have expired at the given time.
 func (p *Pool) closeIdle(at time.Time) {
 	for address, conns := range p.takeExpired(at) {
 		for _, c := range conns {
@@ -178,23 +182,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	expired := map[string][]*conn{}
-	for address, h := range p.endpoints {
-		kept := h.idle[:0]
-		for _, c := range h.idle {
+	for address, conns := range p.endpoints {
+		kept := conns.idle[:0]
+		for _, c := range conns.idle {
 			if at.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				expired[address] = append(expired[address], c)
 			}
 		}
-		h.idle = kept
+		conns.idle = kept
 	}
 	return expired
 }
 
-// Reachable opens a connection to an endpoint and returns it to the pool. It reports whether
-// the endpoint accepts it, and whether its host answers at all, without sending the endpoint a
-// request.
+// Reachable opens a connection to an endpoint and returns the connection to the pool. It
+// reports whether the endpoint accepts the connection, and whether the endpoint's host answers
+// at all. It sends no request.
 func (p *Pool) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, answers bool) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -206,27 +210,27 @@
 	return true, true
 }
 
-// Connected reports whether a connection to an endpoint is open.
+// Connected reports whether a connection to an endpoint is open or being opened.
 func (p *Pool) Connected(address string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.endpoints[address] != nil
 }
 
-// OpenedConns is the number of connections begun since the start, for metrics.
+// OpenedConns returns how many connections this pool has begun to open, for metrics.
 func (p *Pool) OpenedConns() int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.opened
+	return p.openedCount
 }
 
-// OpenConns is the number of open connections, for metrics.
+// OpenConns returns how many connections are open or being opened, for metrics.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	n := 0
-	for _, h := range p.endpoints {
-		n += h.open
+	for _, conns := range p.endpoints {
+		n += conns.open
 	}
 	return n
 }
