--- a/node/server/server.go
+++ b/node/server/server.go
@@ -134,7 +134,7 @@
 	s.leaving = newLeavingList(s.registry, s.log)
 	s.pool = upstream.New(time.Now)
 	s.engines = engineclient.New(nil)
-	s.streams = stream.New(s.engines, nil, stream.Options{MaxEpochs: streamEpochs, MaxTries: 2 * streamEpochs, CacheLost: s.cacheLost})
+	s.streams = stream.New(s.engines, nil, stream.Options{MaxExecutions: streamEpochs, MaxAttempts: 2 * streamEpochs, OnCacheLost: s.cacheLost})
 	s.orderPeers = newOrderPeers(s)
 	s.orders = ledger.New(s.store, s.settings.Environment, ledger.Config{Peers: s.orderPeers})
 	s.buildPlans()
--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -40,30 +40,30 @@
 
 // Chain returns the chain of a replica of c's service.
 func (r *Resolver) Chain(c *callparser.Call, replica string) (stream.Chain, error) {
-	spec := find(c.Service.Model, replica)
+	spec := findReplica(c.Service.Model, replica)
 	if spec == nil {
 		return stream.Chain{}, Error.Wrap(fmt.Errorf("no replica is named %q", replica))
 	}
-	agreed, err := r.agreed(c, spec)
+	replicaPlan, err := r.replicaPlan(c, spec)
 	if err != nil {
 		return stream.Chain{}, Error.Wrap(err)
 	}
-	artifact, err := artifactOf(c, agreed)
+	artifact, err := artifactOf(c, replicaPlan)
 	if err != nil {
 		return stream.Chain{}, Error.Wrap(err)
 	}
-	return build(c.Directory, replica, agreed, artifact)
+	return buildChain(c.Directory, replica, replicaPlan, artifact)
 }
 
 // artifactOf is what a call runs on a replica. Of two versions of its adapter it is
 // the one that the replica was given first: the other may still be loading, and is
 // alone once it is there.
-func artifactOf(c *callparser.Call, agreed plan.Replica) (engineapi.Artifact, error) {
-	artifact := engineapi.Artifact{Weights: agreed.Weights}
+func artifactOf(c *callparser.Call, replicaPlan plan.Replica) (engineapi.Artifact, error) {
+	artifact := engineapi.Artifact{Weights: replicaPlan.Weights}
 	if c.Adapter == "" {
 		return artifact, nil
 	}
-	for _, a := range agreed.Adapters {
+	for _, a := range replicaPlan.Adapters {
 		if a.Name == c.Adapter {
 			artifact.Adapter = engineapi.Adapter(a).String()
 			return artifact, nil
@@ -77,27 +77,27 @@
 // number; what they hold is still compared.
 const DocumentVersion = 0
 
-func (r *Resolver) agreed(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
+func (r *Resolver) replicaPlan(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
 	if len(spec.Stages[0].Layers) > 0 {
-		return fixed(spec), nil
+		return planFromDocument(spec), nil
 	}
 	if r.Plans != nil {
-		if agreed, ok := r.Plans.Agreed(c.Service.Name, spec.Name); ok {
-			return agreed, nil
+		if replicaPlan, ok := r.Plans.Agreed(c.Service.Name, spec.Name); ok {
+			return replicaPlan, nil
 		}
 	}
 	return plan.Replica{}, fmt.Errorf("%w: %q", ErrNoPlan, spec.Name)
 }
 
-func fixed(spec *document.Replica) plan.Replica {
-	agreed := plan.Replica{Version: DocumentVersion}
+func planFromDocument(spec *document.Replica) plan.Replica {
+	replicaPlan := plan.Replica{Version: DocumentVersion}
 	for _, s := range spec.Stages {
-		agreed.Stages = append(agreed.Stages, plan.Stage{Endpoint: s.Endpoint, First: s.Layers[0], Last: s.Layers[1]})
+		replicaPlan.Stages = append(replicaPlan.Stages, plan.Stage{Endpoint: s.Endpoint, First: s.Layers[0], Last: s.Layers[1]})
 	}
-	return agreed
+	return replicaPlan
 }
 
-func find(m *document.Model, replica string) *document.Replica {
+func findReplica(m *document.Model, replica string) *document.Replica {
 	for i := range m.Replicas {
 		if m.Replicas[i].Name == replica {
 			return &m.Replicas[i]
@@ -106,9 +106,9 @@
 	return nil
 }
 
-func build(d *docindex.Directory, replica string, agreed plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
-	chain := stream.Chain{Replica: replica, PlacementVersion: agreed.Version, Artifact: artifact}
-	for _, s := range agreed.Stages {
+func buildChain(d *docindex.Directory, replica string, replicaPlan plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
+	chain := stream.Chain{Replica: replica, PlacementVersion: replicaPlan.Version, Artifact: artifact}
+	for _, s := range replicaPlan.Stages {
 		e, ok := d.Endpoint(s.Endpoint)
 		if !ok {
 			return stream.Chain{}, Error.Wrap(fmt.Errorf("no endpoint is named %q", s.Endpoint))
--- a/route/chains/chains_test.go
+++ b/route/chains/chains_test.go
@@ -11,9 +11,9 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-type agreed []plan.Stage
+type fakePlans []plan.Stage
 
-func (a agreed) Agreed(_, replica string) (plan.Replica, bool) {
+func (a fakePlans) Agreed(_, replica string) (plan.Replica, bool) {
 	return plan.Replica{
 		Version: 7, Stages: a, Weights: "v2",
 		Adapters: []plan.Adapter{{Name: "notes", Version: "1"}, {Name: "notes", Version: "2"}},
@@ -33,13 +33,13 @@
 		}}}},
 	}
 	c := &callparser.Call{Service: &doc.Services[0], Directory: docindex.Build(doc, 1, "digest")}
-	planned := agreed{{Endpoint: "a", Last: 1}, {Endpoint: "b", First: 2, Last: 7}}
+	planned := fakePlans{{Endpoint: "a", Last: 1}, {Endpoint: "b", First: 2, Last: 7}}
 	cases := []struct {
-		replica string
-		plans   Plans
-		version int64
-		cut     int // the last layer of the first stage
-		fails   bool
+		replica        string
+		plans          Plans
+		version        int64
+		firstStageLast int // the last layer of the first stage
+		fails          bool
 	}{
 		{"fixed", nil, DocumentVersion, 3, false},
 		{"fixed", planned, DocumentVersion, 3, false},
@@ -47,16 +47,16 @@
 		{"open", planned, 0, 0, true},
 		{"open", nil, 0, 0, true},
 		{"unknown", planned, 0, 0, true},
-		{"planned", agreed{{Endpoint: "gone", Last: 7}}, 0, 0, true},
+		{"planned", fakePlans{{Endpoint: "gone", Last: 7}}, 0, 0, true},
 	}
-	for _, c2 := range cases {
-		chain, err := (&Resolver{Plans: c2.plans}).Chain(c, c2.replica)
-		if (err != nil) != c2.fails {
-			t.Errorf("%s: %v", c2.replica, err)
+	for _, tc := range cases {
+		chain, err := (&Resolver{Plans: tc.plans}).Chain(c, tc.replica)
+		if (err != nil) != tc.fails {
+			t.Errorf("%s: %v", tc.replica, err)
 			continue
 		}
-		if err == nil && (chain.PlacementVersion != c2.version || chain.Stages[0].Last != c2.cut || chain.Stages[1].Address != "127.0.0.1:2") {
-			t.Errorf("%s: %+v", c2.replica, chain)
+		if err == nil && (chain.PlacementVersion != tc.version || chain.Stages[0].Last != tc.firstStageLast || chain.Stages[1].Address != "127.0.0.1:2") {
+			t.Errorf("%s: %+v", tc.replica, chain)
 		}
 	}
 	if _, err := (&Resolver{}).Chain(c, "open"); !errors.Is(err, ErrNoPlan) {
--- a/route/httpapi/model_test.go
+++ b/route/httpapi/model_test.go
@@ -201,7 +201,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			// The check's own bound would pass at about the same time.
-			s := newSite(t, siteConfig{chains: 1, streams: stream.Options{HoldingTimeout: time.Minute}})
+			s := newSite(t, siteConfig{chains: 1, streams: stream.Options{ReportTimeout: time.Minute}})
 			s.engines[0][0].Engine.SetFaults(c.faults)
 			a := chat(true)
 			a.header = map[string]string{outcome.HeaderTimeout: "300"}
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -115,7 +115,7 @@
 	if begun, ok := c.artifact(); ok && chain.Artifact != begun {
 		return chain, errOtherArtifact
 	}
-	if a.server.Streams.Differs(ctx, a.chat.Model, a.Service.Model.Layers, chain) {
+	if a.server.Streams.MismatchesPlan(ctx, a.chat.Model, a.Service.Model.Layers, chain) {
 		a.server.Plans.Suspect(a.Service.Name, replica)
 		return chain, errDiffers
 	}
@@ -137,7 +137,7 @@
 func (c *chooser) Ended(chain stream.Chain, r stream.AttemptResult) {
 	c.last = r
 	c.ended++
-	c.runs[r.Epoch-1].silent = r.Silent
+	c.runs[r.Epoch-1].silent = r.Unresponsive
 	mine := c.runs[r.Epoch-1]
 	c.answer.At.Picker.Finished(chain.Replica, balance.Result{
 		Cost:             c.answer.cost,
@@ -146,7 +146,7 @@
 		Started:          mine.started,
 		Failure:          failureOf(r),
 	})
-	if r.End == stream.EndMismatch || r.Reason == stream.OtherArtifact {
+	if r.End == stream.EndMismatch || r.Reason == stream.WrongArtifact {
 		c.answer.server.Plans.Suspect(c.answer.Service.Name, chain.Replica)
 	}
 	for i := range r.Hops {
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -112,11 +112,11 @@
 	sink := newSink(w, a.Call, a.chat)
 	chooser := &chooser{answer: a}
 	summary, err := a.server.Streams.Run(r.Context(), stream.Request{
-		Stream:            a.ID,
+		StreamID:          a.ID,
 		Layers:            a.Service.Model.Layers,
 		Chat:              a.chat,
 		FirstTokenTimeout: millis(a.policy().FirstTokenMillis),
-		TokenStall:        millis(a.policy().TokenStallMillis),
+		MaxStallTimeout:   millis(a.policy().TokenStallMillis),
 		Deadline:          a.Deadline,
 		Chooser:           chooser,
 	}, func(token string, trace engineapi.TokenTrace) error {
@@ -127,9 +127,9 @@
 	what := fromStream(summary.Outcome)
 	if err == nil {
 		a.At.Retry.Success()
-		sink.finish(summary.Finish, what)
+		sink.finish(summary.FinishReason, what)
 	} else {
-		sink.fail(failure(err, summary.Last.Status, what))
+		sink.fail(failure(err, summary.LastResult.Status, what))
 	}
 	a.recordEnd(summary, err, what)
 	a.Finished(what)
@@ -156,8 +156,8 @@
 	}
 	a.server.Figures.Tokens(name, s.Tokens)
 	for _, recovery := range s.Recoveries {
-		a.server.Figures.Resumed(name, recovery.From.String())
-		if recovery.From == stream.EndRejected {
+		a.server.Figures.Resumed(name, recovery.Cause.String())
+		if recovery.Cause == stream.EndInvalidToken {
 			a.server.Figures.Dropped(name, recovery.Reason.String())
 		}
 	}
@@ -192,10 +192,10 @@
 	if err != nil {
 		reason += ": " + err.Error()
 	}
-	a.Decide(decisionlog.Finish, s.Last.End.String(), reason, map[string]float64{
+	a.Decide(decisionlog.Finish, s.LastResult.End.String(), reason, map[string]float64{
 		"tokens":         float64(s.Tokens),
 		"epochs":         float64(s.Epochs),
-		"stray_tokens":   float64(s.Stray),
+		"stray_tokens":   float64(s.StrayTokens),
 		"first_token_ms": float64(s.FirstToken.Microseconds()) / 1000,
 	})
 }
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -10,36 +10,36 @@
 
 // answer is one answer underway.
 type answer struct {
-	r       *Runner
-	req     Request
-	deliver Deliver
-	caller  context.Context
-	check   Check
-	started time.Time
+	runner    *Runner
+	req       Request
+	deliver   Deliver
+	callerCtx context.Context
+	check     TokenCheck
+	startedAt time.Time
 
-	delivered []string
-	exclude   []string
-	worked    int    // chains that may have run some of it
-	better    *Chain // chosen already, to leave a slow chain for
-	leftSlow  bool
-	stalls    int
-	silences  int                // chains given up before their first token
-	lastToken time.Time          // last token delivered, or start of the epoch
-	failedAt  time.Time          // when the last epoch was given up, zero if none
-	handle    string             // exported KV cache for the next epoch
-	artifact  engineapi.Artifact // what made the tokens delivered, if there are any
-	exporting time.Duration
-	summary   Summary
+	delivered          []string
+	exclude            []string
+	executions         int    // chains that may have run some of it
+	nextChain          *Chain // chosen already, to leave a slow chain for
+	switchedFromSlow   bool
+	stalls             int
+	unresponsiveChains int                // chains given up before their first token
+	lastTokenAt        time.Time          // last token delivered, or start of the epoch
+	failedAt           time.Time          // when the last epoch was given up, zero if none
+	kvHandle           string             // exported KV cache for the next epoch
+	artifact           engineapi.Artifact // what made the tokens delivered, if there are any
+	exportTime         time.Duration
+	summary            Summary
 }
 
 // run tries chains, one epoch each, until the answer is whole.
 func (a *answer) run(ctx context.Context) error {
-	for epoch := uint32(1); a.mayTry(epoch); epoch++ {
+	for epoch := uint32(1); a.mayAttempt(epoch); epoch++ {
 		chain, err := a.choose(ctx)
 		if err != nil {
-			return a.whyNoChain(ctx, err)
+			return a.chooseError(ctx, err)
 		}
-		result := a.epoch(ctx, epoch, chain)
+		result := a.runEpoch(ctx, epoch, chain)
 		a.chooser().Ended(chain, result)
 		switch result.End {
 		case EndDone:
@@ -52,12 +52,12 @@
 		a.exclude = append(a.exclude, chain.Replica)
 		a.prepareResume(ctx, chain, result)
 	}
-	return errors.Join(ErrAttempts, a.summary.Last.Err)
+	return errors.Join(ErrAttemptsExhausted, a.summary.LastResult.Err)
 }
 
-// mayTry reports whether another chain may be tried.
-func (a *answer) mayTry(epoch uint32) bool {
-	return a.worked < a.r.options.MaxEpochs && int(epoch) <= a.r.options.MaxTries
+// mayAttempt reports whether another chain may be tried.
+func (a *answer) mayAttempt(epoch uint32) bool {
+	return a.executions < a.runner.options.MaxExecutions && int(epoch) <= a.runner.options.MaxAttempts
 }
 
 // chooser is the answer's own, or the Runner's.
@@ -65,28 +65,28 @@
 	if a.req.Chooser != nil {
 		return a.req.Chooser
 	}
-	return a.r.chooser
+	return a.runner.chooser
 }
 
 // choose returns the chain that a slow one was left for, or asks for one.
 func (a *answer) choose(ctx context.Context) (Chain, error) {
-	if a.better == nil {
+	if a.nextChain == nil {
 		return a.chooser().Choose(ctx, a.exclude)
 	}
-	chain := *a.better
-	a.better = nil
+	chain := *a.nextChain
+	a.nextChain = nil
 	return chain, nil
 }
 
-// whyNoChain names what kept the chooser from choosing.
-func (a *answer) whyNoChain(ctx context.Context, err error) error {
-	if a.caller.Err() != nil {
+// chooseError names what kept the chooser from choosing.
+func (a *answer) chooseError(ctx context.Context, err error) error {
+	if a.callerCtx.Err() != nil {
 		return ErrCallerGone
 	}
 	if ctx.Err() != nil {
 		return ErrDeadline
 	}
-	return errors.Join(ErrNoChain, err, a.summary.Last.Err)
+	return errors.Join(ErrNoChain, err, a.summary.LastResult.Err)
 }
 
 // outcome follows from what was proved of each epoch, never from how the
@@ -95,46 +95,46 @@
 	switch {
 	case err == nil:
 		return OutcomeDone
-	case a.worked > 0:
+	case a.executions > 0:
 		return OutcomeUnknown
 	default:
 		return OutcomeNotRun
 	}
 }
 
-// epoch runs the answer on one chain from where it stands.
-func (a *answer) epoch(ctx context.Context, number uint32, chain Chain) AttemptResult {
-	a.check.Begin(number)
-	a.check.Require(chain.Artifact)
+// runEpoch runs the answer on one chain from where it stands.
+func (a *answer) runEpoch(ctx context.Context, number uint32, chain Chain) AttemptResult {
+	a.check.StartEpoch(number)
+	a.check.RequireArtifact(chain.Artifact)
 	a.summary.Epochs = int(number)
-	e := &epoch{a: a, chain: chain, number: number, gap: a.r.gaps.get(chain.Replica)}
-	e.pace.usual = time.Duration(e.gap.mean)
-	a.lastToken = time.Now()
+	e := &epoch{answer: a, chain: chain, number: number, gap: a.runner.gaps.get(chain.Replica)}
+	e.slowness.baseline = time.Duration(e.gap.mean)
+	a.lastTokenAt = time.Now()
 	e.run(ctx)
 	e.result.Epoch = number
 	if !e.result.NotRun {
-		a.worked++
+		a.executions++
 	}
 	e.finish()
-	a.summary.Last = e.result
+	a.summary.LastResult = e.result
 	return e.result
 }
 
-// accept notes a token that the caller has.
-func (a *answer) accept(token string, artifact engineapi.Artifact) {
+// recordDelivered notes a token that the caller has.
+func (a *answer) recordDelivered(token string, artifact engineapi.Artifact) {
 	now := time.Now()
 	a.artifact = artifact
 	a.delivered = append(a.delivered, token)
-	a.lastToken = now
+	a.lastTokenAt = now
 	if a.summary.FirstToken == 0 {
-		a.summary.FirstToken = now.Sub(a.started)
+		a.summary.FirstToken = now.Sub(a.startedAt)
 	}
 	if a.failedAt.IsZero() {
 		return
 	}
 	last := &a.summary.Recoveries[len(a.summary.Recoveries)-1]
-	last.Resume = now.Sub(a.failedAt)
-	last.Imported = a.handle != ""
+	last.ResumeTime = now.Sub(a.failedAt)
+	last.Imported = a.kvHandle != ""
 	a.failedAt = time.Time{}
 }
 
@@ -149,11 +149,11 @@
 
 const bytesPerToken = 4
 
-// noteFailure starts the clock of a recovery.
-func (a *answer) noteFailure(result AttemptResult) {
+// recordFailure starts the clock of a recovery.
+func (a *answer) recordFailure(result AttemptResult) {
 	now := time.Now()
 	a.summary.Recoveries = append(a.summary.Recoveries, Recovery{
-		From: result.End, Reason: result.Reason, Detection: now.Sub(a.lastToken),
+		Cause: result.End, Reason: result.Reason, DetectionTime: now.Sub(a.lastTokenAt),
 	})
 	if a.failedAt.IsZero() {
 		a.failedAt = now
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -11,15 +11,15 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var notes = engineapi.Adapter{Name: "notes", Version: "1"}
+var notesAdapter = engineapi.Adapter{Name: "notes", Version: "1"}
 
-// versions is a chooser over a fleet whose chains need artifacts of their own.
-type versions struct {
+// versionedFleet is a chooser over a fleet whose chains need artifacts of their own.
+type versionedFleet struct {
 	*fleet
 	artifacts []engineapi.Artifact
 }
 
-func (v versions) Choose(ctx context.Context, exclude []string) (Chain, error) {
+func (v versionedFleet) Choose(ctx context.Context, exclude []string) (Chain, error) {
 	chain, err := v.fleet.Choose(ctx, exclude)
 	for i := range v.chains {
 		if chain.Replica == v.chain(i).Replica {
@@ -29,8 +29,8 @@
 	return chain, err
 }
 
-// newVersions starts a chain for each artifact, whose engines hold it.
-func newVersions(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versions {
+// newVersionedFleet starts a chain for each artifact, whose engines hold it.
+func newVersionedFleet(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versionedFleet {
 	f := newFleet(t, 0, cfg, Options{})
 	for _, a := range artifacts {
 		cfg.Weights = a.Weights
@@ -40,20 +40,20 @@
 		})
 		for _, srv := range f.chains[len(f.chains)-1] {
 			if a.Adapter != "" {
-				So(srv.Engine.OrderAdapters(engineapi.AdapterOrder{Adapters: []engineapi.Adapter{notes}, Version: 1}), ShouldBeNil)
+				So(srv.Engine.OrderAdapters(engineapi.AdapterOrder{Adapters: []engineapi.Adapter{notesAdapter}, Version: 1}), ShouldBeNil)
 			}
 		}
 	}
-	return versions{f, artifacts}
+	return versionedFleet{f, artifacts}
 }
 
-func (v versions) request(stream string) Request {
+func (v versionedFleet) request(stream string) Request {
 	req := request(stream)
 	req.Chooser = v
 	return req
 }
 
-func answerBy(a engineapi.Artifact, req Request) string {
+func expectedAnswerBy(a engineapi.Artifact, req Request) string {
 	return strings.Join(standin.AnswerBy(a, req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
@@ -64,7 +64,7 @@
 func TestAnswerStaysWithItsVersion(t *testing.T) {
 	old, next := engineapi.Artifact{Weights: "v1"}, engineapi.Artifact{Weights: "v2"}
 	Convey("The resume passes over the other version", t, func() {
-		v := newVersions(t, quick, old, next, old)
+		v := newVersionedFleet(t, fastEngine, old, next, old)
 		defer v.stop()
 		req := v.request("roll-out")
 		answer, summary, err := v.collect(context.Background(), req, func(position int) {
@@ -73,9 +73,9 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, answerBy(old, req))
+		So(answer, ShouldEqual, expectedAnswerBy(old, req))
 		So(summary.Epochs, ShouldEqual, 3)
-		So(v.ended[1].End, ShouldEqual, EndMismatch)
+		So(v.results[1].End, ShouldEqual, EndMismatch)
 		So(v.chains[1][0].Engine.Stats().Opened, ShouldEqual, 0)
 	})
 }
@@ -87,7 +87,7 @@
 func TestWeightsChangeMidAnswer(t *testing.T) {
 	old := engineapi.Artifact{Weights: "v1"}
 	Convey("The span tells", t, func() {
-		v := newVersions(t, quick, old, old)
+		v := newVersionedFleet(t, fastEngine, old, old)
 		defer v.stop()
 		var once sync.Once
 		req := v.request("mid-answer")
@@ -102,8 +102,8 @@
 			})
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, answerBy(old, req))
-		So(summary.Recoveries[0].Reason, ShouldEqual, OtherArtifact)
+		So(answer, ShouldEqual, expectedAnswerBy(old, req))
+		So(summary.Recoveries[0].Reason, ShouldEqual, WrongArtifact)
 	})
 }
 
@@ -112,7 +112,7 @@
 // the time that a report is trusted an engine that checks refuses, and one that does
 // not runs the bare model, which its first span tells.
 func TestAdapterIsLost(t *testing.T) {
-	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notes.String()}
+	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notesAdapter.String()}
 	cases := []struct {
 		name    string
 		checks  bool
@@ -121,33 +121,33 @@
 	}{
 		{"asked before use", false, false, EndMismatch},
 		{"an engine that checks", true, true, EndRefused},
-		{"an engine that does not check", false, true, EndRejected},
+		{"an engine that does not check", false, true, EndInvalidToken},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			cfg := quick
+			cfg := fastEngine
 			cfg.CheckFencing = c.checks
-			v := newVersions(t, cfg, withNotes, withNotes)
+			v := newVersionedFleet(t, cfg, withNotes, withNotes)
 			defer v.stop()
 			if c.trusted {
 				before := v.request("before")
 				answer, _, err := v.collect(context.Background(), before, nil)
 				So(err, ShouldBeNil)
-				So(answer, ShouldEqual, answerBy(withNotes, before))
+				So(answer, ShouldEqual, expectedAnswerBy(withNotes, before))
 			}
 			v.chains[0][1].Engine.DropAdapters()
-			v.ended = nil
+			v.results = nil
 			req := v.request("after")
 			answer, _, err := v.collect(context.Background(), req, nil)
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, answerBy(withNotes, req))
-			So(v.ended[0].End, ShouldEqual, c.end)
+			So(answer, ShouldEqual, expectedAnswerBy(withNotes, req))
+			So(v.results[0].End, ShouldEqual, c.end)
 			So(v.chains[0][0].Engine.Stats().Opened, ShouldBeLessThanOrEqualTo, 2)
 			// Found once, it is not tried again while it is without the adapter.
-			v.ended = nil
+			v.results = nil
 			_, _, err = v.collect(context.Background(), v.request("later"), nil)
 			So(err, ShouldBeNil)
-			So(v.ended[0].End, ShouldEqual, EndMismatch)
+			So(v.results[0].End, ShouldEqual, EndMismatch)
 		})
 	}
 }
@@ -159,22 +159,22 @@
 	Convey("Each loss is told once", t, func() {
 		var mu sync.Mutex
 		var lost []string
-		f := newFleet(t, 1, quick, Options{HoldingTTL: 1, CacheLost: func(model, replica string) {
+		f := newFleet(t, 1, fastEngine, Options{ReportTTL: 1, OnCacheLost: func(model, replica string) {
 			mu.Lock()
 			defer mu.Unlock()
 			lost = append(lost, model+"/"+replica)
 		}})
 		defer f.stop()
-		ask := func(stream string) {
+		run := func(stream string) {
 			_, _, err := f.collect(context.Background(), request(stream), nil)
 			So(err, ShouldBeNil)
 		}
-		ask("first")
-		ask("second")
+		run("first")
+		run("second")
 		So(lost, ShouldBeEmpty)
 		f.chains[0][1].Engine.DropCache()
-		ask("third")
-		ask("fourth")
+		run("third")
+		run("fourth")
 		So(lost, ShouldResemble, []string{testModel + "/replica-0"})
 	})
 }
@@ -183,7 +183,7 @@
 // has ordered the first one to do prompts only; it says so before work is sent.
 func TestOtherRoleIsNotUsed(t *testing.T) {
 	Convey("Another chain is taken", t, func() {
-		v := newVersions(t, quick, engineapi.Artifact{}, engineapi.Artifact{})
+		v := newVersionedFleet(t, fastEngine, engineapi.Artifact{}, engineapi.Artifact{})
 		defer v.stop()
 		So(v.chains[0][0].Engine.Order(engineapi.Order{
 			Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 1, Role: engineapi.RolePrefill,
@@ -191,7 +191,7 @@
 		req := v.request("role")
 		answer, _, err := v.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(v.ended[0].End, ShouldEqual, EndMismatch)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(v.results[0].End, ShouldEqual, EndMismatch)
 	})
 }
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -24,9 +24,9 @@
 	BadSpan
 	// TooLong tokens follow an answer that has reached its longest length.
 	TooLong
-	// OtherArtifact tokens were made in part by other weights or another adapter
+	// WrongArtifact tokens were made in part by other weights or another adapter
 	// than the chain's.
-	OtherArtifact
+	WrongArtifact
 )
 
 var reasonNames = [...]string{
@@ -42,14 +42,14 @@
 // says nothing against the chain.
 func (r Reason) Stray() bool { return r == ForeignStream || r == OldEpoch }
 
-// Check decides which tokens of a stream may reach the caller. It is a pure
+// TokenCheck decides which tokens of a stream may reach the caller. It is a pure
 // state machine for one goroutine; it neither allocates nor blocks.
-type Check struct {
-	stream string
-	layers int
-	limit  int
-	epoch  uint32
-	next   int
+type TokenCheck struct {
+	stream       string
+	layers       int
+	maxTokens    int
+	epoch        uint32
+	nextPosition int
 	// artifact is what each span of the present epoch must have run. An engine that
 	// ignores fencing numbers takes other weights in the middle of an answer, and
 	// the caller would get half of it from each: the layers are complete and in
@@ -58,43 +58,43 @@
 	artifact engineapi.Artifact
 }
 
-// NewCheck returns the check of a stream of a model with the given number of
+// NewTokenCheck returns the check of a stream of a model with the given number of
 // layers, whose answer has at most limit tokens.
-func NewCheck(stream string, layers, limit int) Check {
-	return Check{stream: stream, layers: layers, limit: limit}
+func NewTokenCheck(stream string, layers, maxTokens int) TokenCheck {
+	return TokenCheck{stream: stream, layers: layers, maxTokens: maxTokens}
 }
 
-// Begin opens an epoch: from now on tokens of any other are refused. The next
+// StartEpoch opens an epoch: from now on tokens of any other are refused. The next
 // position stays, because the new chain resumes after the last token accepted.
-func (c *Check) Begin(epoch uint32) { c.epoch = epoch }
+func (c *TokenCheck) StartEpoch(epoch uint32) { c.epoch = epoch }
 
-// Require says what the epoch's tokens must be made by.
-func (c *Check) Require(a engineapi.Artifact) { c.artifact = a }
+// RequireArtifact says what the epoch's tokens must be made by.
+func (c *TokenCheck) RequireArtifact(a engineapi.Artifact) { c.artifact = a }
 
-// Next returns the position of the next token.
-func (c *Check) Next() int { return c.next }
+// NextPosition returns the position of the next token.
+func (c *TokenCheck) NextPosition() int { return c.nextPosition }
 
-// Token judges a token, and moves to the next position if it is accepted.
-func (c *Check) Token(t *engineapi.TokenTrace) Reason {
-	if reason := c.place(t); reason != Accepted {
+// Verify judges a token, and moves to the next position if it is accepted.
+func (c *TokenCheck) Verify(t *engineapi.TokenTrace) Reason {
+	if reason := c.verifyPosition(t); reason != Accepted {
 		return reason
 	}
-	if c.next >= c.limit {
+	if c.nextPosition >= c.maxTokens {
 		return TooLong
 	}
-	if reason := c.spans(t.Spans); reason != Accepted {
+	if reason := c.verifySpans(t.Spans); reason != Accepted {
 		return reason
 	}
-	c.next++
+	c.nextPosition++
 	return Accepted
 }
 
-// End judges the event that closes the answer: it must stand right behind the
+// VerifyEnd judges the event that closes the answer: it must stand right behind the
 // last token, or tokens were lost before it.
-func (c *Check) End(t *engineapi.TokenTrace) Reason { return c.place(t) }
+func (c *TokenCheck) VerifyEnd(t *engineapi.TokenTrace) Reason { return c.verifyPosition(t) }
 
-// place judges where a token says that it belongs.
-func (c *Check) place(t *engineapi.TokenTrace) Reason {
+// verifyPosition judges where a token says that it belongs.
+func (c *TokenCheck) verifyPosition(t *engineapi.TokenTrace) Reason {
 	switch {
 	case t.Stream != c.stream:
 		return ForeignStream
@@ -102,30 +102,30 @@
 		return OldEpoch
 	case t.Epoch > c.epoch:
 		return FutureEpoch
-	case t.Position != c.next:
+	case t.Position != c.nextPosition:
 		return WrongPosition
 	}
 	return Accepted
 }
 
-// spans judges whether spans cover layers 0 to layers-1 once and in order.
-func (c *Check) spans(spans []engineapi.Span) Reason {
-	due := 0
+// verifySpans judges whether verifySpans cover layers 0 to layers-1 once and in order.
+func (c *TokenCheck) verifySpans(spans []engineapi.Span) Reason {
+	expected := 0
 	for i := range spans {
 		s := &spans[i]
 		switch {
 		case s.First < 0 || s.Last < s.First || s.Last >= c.layers:
 			return BadSpan
-		case s.First > due:
+		case s.First > expected:
 			return SkippedLayer
-		case s.First < due:
+		case s.First < expected:
 			return RepeatedLayer
 		case s.Artifact != c.artifact:
-			return OtherArtifact
+			return WrongArtifact
 		}
-		due = s.Last + 1
+		expected = s.Last + 1
 	}
-	if due != c.layers {
+	if expected != c.layers {
 		return SkippedLayer
 	}
 	return Accepted
--- a/route/stream/check_test.go
+++ b/route/stream/check_test.go
@@ -20,9 +20,9 @@
 
 func TestCheckReasons(t *testing.T) {
 	const maxInt = int(^uint(0) >> 1)
-	good := engineapi.TokenTrace{Stream: "s", Epoch: 2, Position: 0, Spans: spansOf(0, 3, 4, 7)}
+	valid := engineapi.TokenTrace{Stream: "s", Epoch: 2, Position: 0, Spans: spansOf(0, 3, 4, 7)}
 	with := func(change func(*engineapi.TokenTrace)) engineapi.TokenTrace {
-		trace := good
+		trace := valid
 		change(&trace)
 		return trace
 	}
@@ -34,7 +34,7 @@
 		trace engineapi.TokenTrace
 		want  Reason
 	}{
-		{"good", good, Accepted},
+		{"good", valid, Accepted},
 		{"other stream", with(func(t *engineapi.TokenTrace) { t.Stream = "x" }), ForeignStream},
 		{"old epoch", with(func(t *engineapi.TokenTrace) { t.Epoch = 1 }), OldEpoch},
 		{"future epoch", with(func(t *engineapi.TokenTrace) { t.Epoch = 3 }), FutureEpoch},
@@ -54,29 +54,29 @@
 	}
 	Convey("Each fault has its reason, and only a good token moves on", t, func() {
 		for _, c := range cases {
-			check := NewCheck("s", 8, 10)
-			check.Begin(2)
-			So(fmt.Sprint(c.name, ": ", check.Token(&c.trace)), ShouldEqual, fmt.Sprint(c.name, ": ", c.want))
-			So(check.Next() == 1, ShouldEqual, c.want == Accepted)
+			check := NewTokenCheck("s", 8, 10)
+			check.StartEpoch(2)
+			So(fmt.Sprint(c.name, ": ", check.Verify(&c.trace)), ShouldEqual, fmt.Sprint(c.name, ": ", c.want))
+			So(check.NextPosition() == 1, ShouldEqual, c.want == Accepted)
 		}
 	})
 	Convey("An answer is bounded", t, func() {
-		check := NewCheck("s", 8, 0)
-		check.Begin(2)
-		So(check.Token(&good), ShouldEqual, TooLong)
+		check := NewTokenCheck("s", 8, 0)
+		check.StartEpoch(2)
+		So(check.Verify(&valid), ShouldEqual, TooLong)
 	})
 }
 
-// TestCheckAgainstRunning draws spans at random and compares the verdict with
+// TestCheckMatchesReference draws spans at random and compares the verdict with
 // the plain meaning: written out, the layers run must be 0, 1, ..., n-1.
-func TestCheckAgainstRunning(t *testing.T) {
+func TestCheckMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 6).Draw(t, "layers")
 		pairs := rapid.SliceOfN(rapid.IntRange(-1, 7), 0, 8).Draw(t, "pairs")
 		trace := engineapi.TokenTrace{Stream: "s", Epoch: 1, Spans: spansOf(pairs...)}
-		check := NewCheck("s", layers, 10)
-		check.Begin(1)
-		accepted := check.Token(&trace) == Accepted
+		check := NewTokenCheck("s", layers, 10)
+		check.StartEpoch(1)
+		accepted := check.Verify(&trace) == Accepted
 		if accepted != runsAllInOrder(trace.Spans, layers) {
 			t.Fatalf("accepted=%v for %+v of %d layers", accepted, trace.Spans, layers)
 		}
@@ -84,19 +84,19 @@
 }
 
 func runsAllInOrder(spans []engineapi.Span, layers int) bool {
-	due := 0
+	expected := 0
 	for _, s := range spans {
 		if s.Last < s.First {
 			return false
 		}
 		for layer := s.First; layer <= s.Last; layer++ {
-			if layer != due {
+			if layer != expected {
 				return false
 			}
-			due++
+			expected++
 		}
 	}
-	return due == layers
+	return expected == layers
 }
 
 func BenchmarkCheck(b *testing.B) { benchCheck(b, engineapi.Artifact{}) }
@@ -115,13 +115,13 @@
 					Weights: strings.Clone(artifact.Weights), Adapter: strings.Clone(artifact.Adapter),
 				}})
 			}
-			check := NewCheck(string([]byte("stream-0123456789")), 2*stages, b.N+1)
-			check.Begin(1)
-			check.Require(artifact)
+			check := NewTokenCheck(string([]byte("stream-0123456789")), 2*stages, b.N+1)
+			check.StartEpoch(1)
+			check.RequireArtifact(artifact)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				trace.Position = i
-				if check.limit = i + 1; check.Token(&trace) != Accepted {
+				if check.maxTokens = i + 1; check.Verify(&trace) != Accepted {
 					b.Fatal("refused")
 				}
 			}
--- a/route/stream/fleet_test.go
+++ b/route/stream/fleet_test.go
@@ -27,23 +27,23 @@
 	client *engineclient.Client
 	runner *Runner
 
-	mu     sync.Mutex
-	chains [][2]*standin.Server
-	ended  []AttemptResult
+	mu      sync.Mutex
+	chains  [][2]*standin.Server
+	results []AttemptResult
 }
 
-// patience is the waits of tests that set none. The defaults are for machines
+// testTimeouts is the waits of tests that set none. The defaults are for machines
 // of their own: where all packages are tested side by side, a healthy engine is
 // now and then kept from running for 250 ms, and the last chain that a test has
 // is then taken for frozen. Benchmarks measure the defaults.
-var patience = Options{StallFloor: time.Second, HoldingTimeout: time.Second}
+var testTimeouts = Options{MinStallTimeout: time.Second, ReportTimeout: time.Second}
 
 // newFleet starts n chains, of which half the layers stand on each stage.
 func newFleet(t testing.TB, n int, cfg standin.Config, options Options) *fleet {
 	t.Helper()
 	if _, test := t.(*testing.T); test {
-		options.StallFloor = orDefault(options.StallFloor, patience.StallFloor)
-		options.HoldingTimeout = orDefault(options.HoldingTimeout, patience.HoldingTimeout)
+		options.MinStallTimeout = orDefault(options.MinStallTimeout, testTimeouts.MinStallTimeout)
+		options.ReportTimeout = orDefault(options.ReportTimeout, testTimeouts.ReportTimeout)
 	}
 	f := &fleet{t: t, client: engineclient.New(nil)}
 	for range n {
@@ -71,7 +71,7 @@
 			srv.Engine.SetFaults(standin.Faults{})
 		}
 	}
-	f.waitTold()
+	f.waitCancelled()
 	for _, chain := range f.chains {
 		for _, srv := range chain {
 			srv.Close()
@@ -106,7 +106,7 @@
 func (f *fleet) Ended(_ Chain, result AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.ended = append(f.ended, result)
+	f.results = append(f.results, result)
 }
 
 func question(text string) []engineapi.Message {
@@ -115,24 +115,24 @@
 
 func request(stream string) Request {
 	return Request{
-		Stream: stream,
-		Layers: testLayers,
-		Chat:   engineapi.ChatRequest{Model: testModel, Messages: question("butter for " + stream), MaxTokens: testTokens},
+		StreamID: stream,
+		Layers:   testLayers,
+		Chat:     engineapi.ChatRequest{Model: testModel, Messages: question("butter for " + stream), MaxTokens: testTokens},
 	}
 }
 
-// undisturbed is what the caller of request(stream) must receive.
-func undisturbed(req Request) string {
+// expectedAnswer is what the caller of request(stream) must receive.
+func expectedAnswer(req Request) string {
 	return strings.Join(standin.Answer(req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
 // collect runs a request; before each token is taken, at is called with its
 // position.
-func (f *fleet) collect(ctx context.Context, req Request, at func(position int)) (string, Summary, error) {
+func (f *fleet) collect(ctx context.Context, req Request, onToken func(position int)) (string, Summary, error) {
 	var answer strings.Builder
 	summary, err := f.runner.Run(ctx, req, func(token string, trace engineapi.TokenTrace) error {
-		if at != nil {
-			at(trace.Position)
+		if onToken != nil {
+			onToken(trace.Position)
 		}
 		answer.WriteString(token)
 		return nil
@@ -140,8 +140,8 @@
 	return answer.String(), summary, err
 }
 
-// waitTold fails the test unless the stages of all streams given up are told.
-func (f *fleet) waitTold() {
+// waitCancelled fails the test unless the stages of all streams given up are told.
+func (f *fleet) waitCancelled() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := f.runner.Close(ctx); err != nil {
@@ -152,7 +152,7 @@
 // waitIdle fails the test unless every stage's slots come free once the stages
 // are told.
 func (f *fleet) waitIdle() {
-	f.waitTold()
+	f.waitCancelled()
 	for _, chain := range f.chains {
 		f.waitIdleStage(chain[0])
 		f.waitIdleStage(chain[1])
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -35,14 +35,14 @@
 	g.mean += meanWeight * (x - g.mean)
 }
 
-// bound is the wait after which a chain counts as stalled. It follows what
+// timeout is the wait after which a chain counts as stalled. It follows what
 // was measured, so that a slow accelerator is not cut off for being slow.
-func (g *gapEstimate) bound(floor, ceiling time.Duration) time.Duration {
+func (g *gapEstimate) timeout(minTimeout, maxTimeout time.Duration) time.Duration {
 	if !g.known {
-		return ceiling
+		return maxTimeout
 	}
-	wait := time.Duration(gapFactor*g.mean + devFactor*g.dev)
-	return min(max(wait, floor), max(ceiling, floor))
+	estimate := time.Duration(gapFactor*g.mean + devFactor*g.dev)
+	return min(max(estimate, minTimeout), max(maxTimeout, minTimeout))
 }
 
 func abs(x float64) float64 {
--- a/route/stream/leave_test.go
+++ b/route/stream/leave_test.go
@@ -20,18 +20,18 @@
 	// There is one chain only: on a busy machine the usual waits would now and
 	// then find it starved, which is not what this test judges. An engine
 	// without a step would itself keep all processors busy.
-	patient := Options{StallFloor: time.Minute, HoldingTimeout: time.Minute}
+	longTimeouts := Options{MinStallTimeout: time.Minute, ReportTimeout: time.Minute}
 	engines := standin.Config{Step: time.Millisecond, Slots: 2 * atOnce, Queue: streams}
 	Convey("10,000 cancelled streams leave nothing behind", t, func() {
-		f := newFleet(t, 1, engines, patient)
+		f := newFleet(t, 1, engines, longTimeouts)
 		defer f.stop()
 		var wg sync.WaitGroup
-		places := make(chan struct{}, atOnce)
+		semaphore := make(chan struct{}, atOnce)
 		for i := range streams {
-			places <- struct{}{}
+			semaphore <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-places }()
-				f.leave(fmt.Sprint("leaver-", i), i%3, i%2 == 0)
+				defer func() { <-semaphore }()
+				f.runAndDisconnect(fmt.Sprint("leaver-", i), i%3, i%2 == 0)
 			})
 		}
 		wg.Wait()
@@ -48,7 +48,7 @@
 // and the connection that closes tells only that stage.
 func TestCallerLeavesFrozenStage(t *testing.T) {
 	Convey("The later stage is told by the node itself", t, func() {
-		f := newFleet(t, 1, quick, Options{})
+		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -64,17 +64,17 @@
 	})
 }
 
-var errHungUp = errors.New("the caller's connection is gone")
+var errDisconnected = errors.New("the caller's connection is gone")
 
-// leave runs a stream whose caller leaves when it is given token at: its
+// runAndDisconnect runs a stream whose caller leaves when it is given token at: its
 // context ends, or the token cannot be written to it.
-func (f *fleet) leave(stream string, at int, byContext bool) {
+func (f *fleet) runAndDisconnect(stream string, at int, byContext bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.t.Cleanup(cancel) // no sooner: Run has to clean up by itself
 	req := request(stream)
 	req.Chat.MaxTokens = 1 << 20 // it does not end by itself
 	req.FirstTokenTimeout = time.Minute
-	req.TokenStall = time.Minute
+	req.MaxStallTimeout = time.Minute
 	_, err := f.runner.Run(ctx, req, func(_ string, trace engineapi.TokenTrace) error {
 		if trace.Position < at {
 			return nil
@@ -83,7 +83,7 @@
 			cancel()
 			return nil
 		}
-		return errHungUp
+		return errDisconnected
 	})
 	if !errors.Is(err, ErrCallerGone) {
 		f.t.Error(stream, "should have ended with its caller gone:", err)
--- a/route/stream/way_test.go
+++ b/route/stream/probe_test.go
@@ -15,8 +15,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// wait returns when the condition holds; the test's own time limit ends it.
-func wait(condition func() bool) {
+// waitUntil returns when the condition holds; the test's own time limit ends it.
+func waitUntil(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
@@ -34,14 +34,14 @@
 		"during the prompt": func(f *fleet) {
 			f.chains[0][0].Engine.SetFaults(standin.Faults{Busy: true})
 			go func() {
-				wait(func() bool { return f.chains[0][1].Engine.Running() > 0 })
+				waitUntil(func() bool { return f.chains[0][1].Engine.Running() > 0 })
 				f.chains[0][0].Engine.SetFaults(lost)
 			}()
 		},
 	}
 	for name, lose := range cases {
 		Convey(name, t, func() {
-			f := newFleet(t, 2, quick, Options{})
+			f := newFleet(t, 2, fastEngine, Options{})
 			defer f.stop()
 			_, _, err := f.collect(context.Background(), request("before"), nil)
 			So(err, ShouldBeNil)
@@ -49,9 +49,9 @@
 			req := request("lost")
 			answer, summary, err := f.collect(context.Background(), req, nil)
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, undisturbed(req))
-			So(summary.Recoveries[0].From, ShouldEqual, EndNoFirstToken)
-			So(summary.Recoveries[0].Detection, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
+			So(answer, ShouldEqual, expectedAnswer(req))
+			So(summary.Recoveries[0].Cause, ShouldEqual, EndNoFirstToken)
+			So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
 		})
 	}
 }
@@ -60,29 +60,29 @@
 // long prompt, the other lets the stream queue for a slot. Both answer along the
 // way many times over the wait for silence, and the stream stays.
 func TestBusyChainIsKept(t *testing.T) {
-	const floor, questions = time.Second, 6
+	const minTimeout, probes = time.Second, 6
 	busy := standin.Faults{Busy: true}
 	for name, slots := range map[string]int{"long prompt": 2, "queue": 1} {
 		Convey(name, t, func() {
 			cfg := standin.Config{Slots: slots, Queue: 1}
-			f := newFleet(t, 2, cfg, Options{StallFloor: floor})
+			f := newFleet(t, 2, cfg, Options{MinStallTimeout: minTimeout})
 			defer f.stop()
 			first := f.chains[0][0].Engine
 			first.SetFaults(busy)
-			occupied, leave := context.WithCancel(context.Background())
-			defer leave()
-			go f.collect(occupied, request("occupant"), nil)
-			wait(func() bool { return first.Running() == 1 })
+			occupantCtx, cancelOccupant := context.WithCancel(context.Background())
+			defer cancelOccupant()
+			go f.collect(occupantCtx, request("occupant"), nil)
+			waitUntil(func() bool { return first.Running() == 1 })
 			go func() {
-				asked := first.Stats().Ways
-				wait(func() bool { return first.Stats().Ways >= asked+questions })
-				leave()
+				probesBefore := first.Stats().Ways
+				waitUntil(func() bool { return first.Stats().Ways >= probesBefore+probes })
+				cancelOccupant()
 				first.SetFaults(standin.Faults{})
 			}()
 			req := request("patient")
 			answer, summary, err := f.collect(context.Background(), req, nil)
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, undisturbed(req))
+			So(answer, ShouldEqual, expectedAnswer(req))
 			So(summary.Epochs, ShouldEqual, 1)
 		})
 	}
@@ -90,9 +90,9 @@
 
 // The caller sees the whole answer also before engines that do not know the
 // question along the way: each stage is asked by itself, and a frozen one found.
-func TestEnginesThatAreAskedDirectly(t *testing.T) {
+func TestEnginesWithoutChainProbe(t *testing.T) {
 	Convey("A frozen stage is found by asking it", t, func() {
-		cfg := quick
+		cfg := fastEngine
 		cfg.NoWay = true
 		f := newFleet(t, 2, cfg, Options{})
 		defer f.stop()
@@ -102,37 +102,37 @@
 		req := request("frozen")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(summary.Recoveries[0].Detection, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
 	})
 	Convey("A busy stage that answers is kept", t, func() {
-		const floor, asked = time.Second, 6
-		f := newFleet(t, 2, standin.Config{NoWay: true}, Options{StallFloor: floor})
+		const minTimeout, reports = time.Second, 6
+		f := newFleet(t, 2, standin.Config{NoWay: true}, Options{MinStallTimeout: minTimeout})
 		defer f.stop()
 		first := f.chains[0][0].Engine
 		first.SetFaults(standin.Faults{Busy: true})
 		go func() {
-			wait(func() bool { return first.Running() == 1 })
-			since := first.Stats().Holdings
-			wait(func() bool { return first.Stats().Holdings >= since+asked })
+			waitUntil(func() bool { return first.Running() == 1 })
+			reportsBefore := first.Stats().Holdings
+			waitUntil(func() bool { return first.Stats().Holdings >= reportsBefore+reports })
 			first.SetFaults(standin.Faults{})
 		}()
 		req := request("busy")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Epochs, ShouldEqual, 1)
 	})
 }
 
-// answers is a transport that answers questions along the way, or loses them.
-type answers func(question int) bool
+// probeTransport is a transport that probeTransport questions along the way, or loses them.
+type probeTransport func(probe int) bool
 
-func (a answers) client() *engineclient.Client {
-	asked := 0
-	return engineclient.New(roundTrip(func(r *http.Request) (*http.Response, error) {
-		asked++
-		if !a(asked) {
+func (a probeTransport) client() *engineclient.Client {
+	probes := 0
+	return engineclient.New(roundTripFunc(func(r *http.Request) (*http.Response, error) {
+		probes++
+		if !a(probes) {
 			<-r.Context().Done()
 			return nil, r.Context().Err()
 		}
@@ -141,73 +141,73 @@
 	}))
 }
 
-type roundTrip func(*http.Request) (*http.Response, error)
+type roundTripFunc func(*http.Request) (*http.Response, error)
 
-func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
 // Callers notice nothing when a stage is too busy to answer once: only silence
 // for the whole wait ends it, and the wait starts anew with each answer.
-func TestSilence(t *testing.T) {
+func TestProbeTimeout(t *testing.T) {
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
-	// silentAt asks each interval until the chain counts as silent.
-	silentAt := func(t *testing.T, lost func(question int) bool, doublings int) time.Duration {
-		var took time.Duration
+	// unresponsiveAfter asks each interval until the chain counts as silent.
+	unresponsiveAfter := func(t *testing.T, lost func(probe int) bool, doublings int) time.Duration {
+		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
-			client := answers(func(question int) bool { return !lost(question) }).client()
-			c := newWayCheck(client, newHoldingCheck(client, Options{}.withDefaults()), DefaultStallFloor)
+			client := probeTransport(func(probe int) bool { return !lost(probe) }).client()
+			c := newChainProber(client, newReportChecker(client, Options{}.withDefaults()), DefaultMinStallTimeout)
 			start := time.Now()
-			for !c.silent(testModel, chain, start, doublings) && time.Since(start) < time.Minute {
-				time.Sleep(c.tick())
+			for !c.unresponsive(testModel, chain, start, doublings) && time.Since(start) < time.Minute {
+				time.Sleep(c.checkInterval())
 				synctest.Wait()
 			}
-			took = time.Since(start)
-			time.Sleep(wayTimeout * DefaultStallFloor) // questions underway end
+			elapsed = time.Since(start)
+			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // questions underway end
 		})
-		return took
+		return elapsed
 	}
 	Convey("No answer at all", t, func() {
-		So(silentAt(t, func(int) bool { return true }, 0), ShouldEqual, DefaultStallFloor)
+		So(unresponsiveAfter(t, func(int) bool { return true }, 0), ShouldEqual, DefaultMinStallTimeout)
 	})
 	Convey("Every second answer lost", t, func() {
-		So(silentAt(t, func(question int) bool { return question%2 == 0 }, 0), ShouldBeGreaterThanOrEqualTo, time.Minute)
+		So(unresponsiveAfter(t, func(probe int) bool { return probe%2 == 0 }, 0), ShouldBeGreaterThanOrEqualTo, time.Minute)
 	})
 	Convey("Nothing after ten answers", t, func() {
-		So(silentAt(t, func(question int) bool { return question > 10 }, 0), ShouldEqual, time.Second+DefaultStallFloor)
+		So(unresponsiveAfter(t, func(probe int) bool { return probe > 10 }, 0), ShouldEqual, time.Second+DefaultMinStallTimeout)
 	})
 	Convey("Twice as long after another chain was silent", t, func() {
-		So(silentAt(t, func(int) bool { return true }, 1), ShouldEqual, 2*DefaultStallFloor)
+		So(unresponsiveAfter(t, func(int) bool { return true }, 1), ShouldEqual, 2*DefaultMinStallTimeout)
 	})
 }
 
 // Callers who wait for a first token are moved as soon as before if their chain is
 // lost, though it was not asked while others' tokens came along it: these stop with
 // it, and two questions stay without an answer before it is given up.
-func TestTokensStandForAnswers(t *testing.T) {
+func TestTokensCountAsProbeReplies(t *testing.T) {
 	const gap, tokens = 40 * time.Millisecond, 50
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
 	Convey("Tokens come for two seconds; then all is lost", t, func() {
-		var early, late int
-		var took time.Duration
+		var probesDuringTokens, probesAfterLoss int
+		var detection time.Duration
 		synctest.Test(t, func(t *testing.T) {
-			asked := 0
-			client := answers(func(question int) bool { asked = question; return false }).client()
-			c := newWayCheck(client, newHoldingCheck(client, Options{}.withDefaults()), DefaultStallFloor)
+			probes := 0
+			client := probeTransport(func(probe int) bool { probes = probe; return false }).client()
+			c := newChainProber(client, newReportChecker(client, Options{}.withDefaults()), DefaultMinStallTimeout)
 			start := time.Now()
 			last := start
-			for !c.silent(testModel, chain, start, 0) && time.Since(start) < time.Minute {
-				time.Sleep(c.tick())
+			for !c.unresponsive(testModel, chain, start, 0) && time.Since(start) < time.Minute {
+				time.Sleep(c.checkInterval())
 				synctest.Wait()
 				if now := time.Now(); now.Sub(last) >= gap && now.Sub(start) < gap*tokens {
-					c.heard(chain, now)
-					last, early = now, asked
+					c.recordActivity(chain, now)
+					last, probesDuringTokens = now, probes
 				}
 			}
-			took = time.Since(last)
-			late = asked - early
-			time.Sleep(wayTimeout * DefaultStallFloor) // questions underway end
+			detection = time.Since(last)
+			probesAfterLoss = probes - probesDuringTokens
+			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // questions underway end
 		})
-		So(early, ShouldEqual, 0)
-		So(late, ShouldEqual, 2)
-		So(took, ShouldEqual, DefaultStallFloor)
+		So(probesDuringTokens, ShouldEqual, 0)
+		So(probesAfterLoss, ShouldEqual, 2)
+		So(detection, ShouldEqual, DefaultMinStallTimeout)
 	})
 }
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -12,9 +12,9 @@
 	standin "github.com/cicadatack/cicadatack/standin/engine"
 )
 
-// steady is a stage of 10 ms a token, so a two-stage chain gives a token about
+// steadyEngine is a stage of 10 ms a token, so a two-stage chain gives a token about
 // every 21 ms.
-var steady = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
+var steadyEngine = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
 
 // BenchmarkRecovery fails the second stage of a chain under some streams at
 // once, when each has had five tokens, and reports how long detection and
@@ -29,18 +29,18 @@
 			b.Run(fmt.Sprintf("%s/streams=%d", name, streams), func(b *testing.B) {
 				var all []Recovery
 				for b.Loop() {
-					all = append(all, failUnder(b, streams, faults[name])...)
+					all = append(all, failDuringStreams(b, streams, faults[name])...)
 				}
-				report(b, "detect", all, func(r Recovery) time.Duration { return r.Detection })
-				report(b, "resume", all, func(r Recovery) time.Duration { return r.Resume })
+				reportPercentiles(b, "detect", all, func(r Recovery) time.Duration { return r.DetectionTime })
+				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
 			})
 		}
 	}
 }
 
-// failUnder runs streams on one chain, fails it and returns the recoveries.
-func failUnder(b *testing.B, streams int, fail func(*standin.Server)) []Recovery {
-	f := newFleet(b, 2, steady, Options{})
+// failDuringStreams runs streams on one chain, fails it and returns the recoveries.
+func failDuringStreams(b *testing.B, streams int, fail func(*standin.Server)) []Recovery {
+	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
 	var running, finished sync.WaitGroup
 	running.Add(streams)
@@ -54,7 +54,7 @@
 					running.Done()
 				}
 			})
-			if err != nil || answer != undisturbed(req) || len(summary.Recoveries) != 1 {
+			if err != nil || answer != expectedAnswer(req) || len(summary.Recoveries) != 1 {
 				b.Errorf("not one whole recovered answer: %v %+v", err, summary)
 			}
 			mu.Lock()
@@ -68,7 +68,7 @@
 	return all
 }
 
-func report(b *testing.B, name string, all []Recovery, of func(Recovery) time.Duration) {
+func reportPercentiles(b *testing.B, name string, all []Recovery, of func(Recovery) time.Duration) {
 	if len(all) == 0 {
 		return
 	}
@@ -85,9 +85,9 @@
 // BenchmarkResume moves one stream from a chain whose stages live on to
 // another, by recomputing, by importing, and by what the runner has learned.
 func BenchmarkResume(b *testing.B) {
-	ways := map[string]func(*resumeCosts){
-		"recompute": func(c *resumeCosts) { c.learnAll(imported, time.Hour) },
-		"import":    func(c *resumeCosts) { c.learnAll(recompute, time.Hour) },
+	fixCosts := map[string]func(*resumeCosts){
+		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
+		"import":    func(c *resumeCosts) { c.setAll(methodRecompute, time.Hour) },
 		"chosen":    func(c *resumeCosts) {},
 	}
 	cfg := standin.Config{
@@ -95,15 +95,15 @@
 		ImportToken: 5 * time.Microsecond, ImportFixed: 5 * time.Millisecond,
 	}
 	for _, words := range []int{64, 512, 4096, 16384} {
-		for _, way := range []string{"recompute", "import", "chosen"} {
-			b.Run(fmt.Sprintf("tokens=%d/%s", words, way), func(b *testing.B) {
+		for _, method := range []string{"recompute", "import", "chosen"} {
+			b.Run(fmt.Sprintf("tokens=%d/%s", words, method), func(b *testing.B) {
 				f := newFleet(b, 2, cfg, Options{})
 				defer f.stop()
 				var all []Recovery
 				imports := 0
 				for i := range b.N + 2 {
-					ways[way](f.runner.resumes)
-					recovery := f.moveOnce(b, words, i)
+					fixCosts[method](f.runner.costs)
+					recovery := f.resumeOnce(b, words, i)
 					if i < 2 { // the runner learns
 						continue
 					}
@@ -112,23 +112,23 @@
 						imports++
 					}
 				}
-				report(b, "resume", all, func(r Recovery) time.Duration { return r.Resume })
+				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
 				b.ReportMetric(float64(imports)/float64(len(all)), "imported")
 			})
 		}
 	}
 }
 
-// learnAll fixes what a way costs at every length.
-func (r *resumeCosts) learnAll(way int, took time.Duration) {
-	for i := range r.buckets[way] {
-		r.buckets[way][i] = cost{nanos: float64(took), known: true}
+// setAll fixes what a way costs at every length.
+func (r *resumeCosts) setAll(method int, elapsed time.Duration) {
+	for i := range r.buckets[method] {
+		r.buckets[method][i] = cost{nanos: float64(elapsed), known: true}
 	}
 }
 
-// moveOnce cuts a stream's connection after a few tokens. The prompt's first
+// resumeOnce cuts a stream's connection after a few tokens. The prompt's first
 // word is its own, so that no chain has any of it cached.
-func (f *fleet) moveOnce(b *testing.B, words, run int) Recovery {
+func (f *fleet) resumeOnce(b *testing.B, words, run int) Recovery {
 	req := request(fmt.Sprint("moved-", run))
 	req.Chat.Messages = question(fmt.Sprint("run", run, " ") + strings.Repeat("oat ", words-1))
 	answer, summary, err := f.collect(context.Background(), req, func(position int) {
@@ -136,7 +136,7 @@
 			f.chains[0][0].CutConnections()
 		}
 	})
-	if err != nil || answer != undisturbed(req) || len(summary.Recoveries) != 1 {
+	if err != nil || answer != expectedAnswer(req) || len(summary.Recoveries) != 1 {
 		b.Fatalf("not one whole recovered answer: %v %+v", err, summary)
 	}
 	return summary.Recoveries[0]
@@ -155,18 +155,18 @@
 			b.Run(fmt.Sprintf("%s/streams=%d", name, streams), func(b *testing.B) {
 				var all []Recovery
 				for b.Loop() {
-					all = append(all, openOnLost(b, streams, faults[name])...)
+					all = append(all, openOnLostChain(b, streams, faults[name])...)
 				}
-				report(b, "detect", all, func(r Recovery) time.Duration { return r.Detection })
+				reportPercentiles(b, "detect", all, func(r Recovery) time.Duration { return r.DetectionTime })
 			})
 		}
 	}
 }
 
-// openOnLost opens streams along a chain that the fault has just hit, and
+// openOnLostChain opens streams along a chain that the fault has just hit, and
 // returns the recoveries.
-func openOnLost(b *testing.B, streams int, fail func(*fleet)) []Recovery {
-	f := newFleet(b, 2, steady, Options{})
+func openOnLostChain(b *testing.B, streams int, fail func(*fleet)) []Recovery {
+	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
 	if _, _, err := f.collect(context.Background(), request("before"), nil); err != nil {
 		b.Fatal(err)
@@ -179,7 +179,7 @@
 		finished.Go(func() {
 			req := request(fmt.Sprint("stream-", i))
 			answer, summary, err := f.collect(context.Background(), req, nil)
-			if err != nil || answer != undisturbed(req) {
+			if err != nil || answer != expectedAnswer(req) {
 				b.Errorf("not a whole answer: %v %+v", err, summary)
 			}
 			mu.Lock()
--- a/route/stream/holding_test.go
+++ b/route/stream/reports_test.go
@@ -17,48 +17,48 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// holdingCalls counts the questions for what engines hold and for the way along a
+// callCounter counts the questions for what engines hold and for the way along a
 // chain, and calls opened, if set, once an engine has accepted a stream.
-type holdingCalls struct {
-	next   http.RoundTripper
-	count  atomic.Int64
-	ways   atomic.Int64
-	opened func()
+type callCounter struct {
+	next     http.RoundTripper
+	holdings atomic.Int64
+	probes   atomic.Int64
+	onOpen   func()
 }
 
-func (h *holdingCalls) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h *callCounter) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path == engineapi.PathHolding {
-		h.count.Add(1)
+		h.holdings.Add(1)
 	}
 	if r.URL.Path == engineapi.PathWay {
-		h.ways.Add(1)
+		h.probes.Add(1)
 	}
 	response, err := h.next.RoundTrip(r)
-	if err == nil && h.opened != nil && r.URL.Path == engineapi.PathChat {
-		h.opened()
+	if err == nil && h.onOpen != nil && r.URL.Path == engineapi.PathChat {
+		h.onOpen()
 	}
 	return response, err
 }
 
-// timedFleet has a clock of its own for the holding check.
-func timedFleet(t *testing.T, chains int) (f *fleet, calls *holdingCalls, pass func(time.Duration)) {
-	f = newFleet(t, chains, quick, Options{})
+// newFleetWithClock has a clock of its own for the holding check.
+func newFleetWithClock(t *testing.T, chains int) (f *fleet, calls *callCounter, advance func(time.Duration)) {
+	f = newFleet(t, chains, fastEngine, Options{})
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
-	calls = &holdingCalls{next: transport}
-	f.runner.holdings.client = engineclient.New(calls)
-	f.runner.client = f.runner.holdings.client
-	var passed atomic.Int64
-	began := time.Now()
-	f.runner.holdings.now = func() time.Time { return began.Add(time.Duration(passed.Load())) }
-	return f, calls, func(d time.Duration) { passed.Add(int64(d)) }
+	calls = &callCounter{next: transport}
+	f.runner.reports.client = engineclient.New(calls)
+	f.runner.client = f.runner.reports.client
+	var elapsed atomic.Int64
+	startedAt := time.Now()
+	f.runner.reports.now = func() time.Time { return startedAt.Add(time.Duration(elapsed.Load())) }
+	return f, calls, func(d time.Duration) { elapsed.Add(int64(d)) }
 }
 
 func (f *fleet) mustAnswer(stream string) {
 	req := request(stream)
 	answer, _, err := f.collect(context.Background(), req, nil)
 	So(err, ShouldBeNil)
-	So(answer, ShouldEqual, undisturbed(req))
+	So(answer, ShouldEqual, expectedAnswer(req))
 }
 
 // A busy node's streams show what its engines hold, so these are not asked as
@@ -66,27 +66,27 @@
 // name the placement version.
 func TestBusyEnginesAreNotAsked(t *testing.T) {
 	Convey("Streams on one chain of two stages, each second", t, func() {
-		f, calls, pass := timedFleet(t, 1)
+		f, calls, advance := newFleetWithClock(t, 1)
 		defer f.stop()
 		for i := range 18 {
 			f.mustAnswer(fmt.Sprint("busy-", i))
-			pass(DefaultHoldingTTL / 2)
+			advance(DefaultReportTTL / 2)
 		}
-		So(calls.count.Load(), ShouldEqual, 2)
+		So(calls.holdings.Load(), ShouldEqual, 2)
 		for i := range 6 {
 			f.mustAnswer(fmt.Sprint("longer-", i))
-			pass(DefaultHoldingTTL / 2)
+			advance(DefaultReportTTL / 2)
 		}
-		So(calls.count.Load(), ShouldEqual, 4)
-		pass(DefaultHoldingTTL)
+		So(calls.holdings.Load(), ShouldEqual, 4)
+		advance(DefaultReportTTL)
 		f.mustAnswer("after a pause")
-		So(calls.count.Load(), ShouldEqual, 6)
+		So(calls.holdings.Load(), ShouldEqual, 6)
 		for i := range 30 {
-			pass(DefaultHoldingTTL / 2)
-			f.runner.holdings.told(testModel, f.chain(0), f.runner.holdings.now(), f.reports(0))
+			advance(DefaultReportTTL / 2)
+			f.runner.reports.recordReports(testModel, f.chain(0), f.runner.reports.now(), f.reports(0))
 			f.mustAnswer(fmt.Sprint("told-", i))
 		}
-		So(calls.count.Load(), ShouldEqual, 6)
+		So(calls.holdings.Load(), ShouldEqual, 6)
 	})
 }
 
@@ -101,14 +101,14 @@
 		position int // of the token before which the engine changes
 	}{{"before the first token", -1}, {"later", failAt}} {
 		Convey("A stream sent before the engine changed renews nothing: "+c.name, t, func() {
-			f, calls, pass := timedFleet(t, 2)
+			f, calls, advance := newFleetWithClock(t, 2)
 			defer f.stop()
 			change := func() {
 				So(f.chains[0][1].Engine.Order(other), ShouldBeNil)
-				pass(DefaultHoldingTTL)
+				advance(DefaultReportTTL)
 			}
 			if c.position < 0 {
-				calls.opened = sync.OnceFunc(change)
+				calls.onOpen = sync.OnceFunc(change)
 			}
 			req := request("long")
 			answer, _, err := f.collect(context.Background(), req, func(position int) {
@@ -117,34 +117,34 @@
 				}
 			})
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, undisturbed(req))
+			So(answer, ShouldEqual, expectedAnswer(req))
 
 			f.mustAnswer("new")
-			So(f.ended[1].End, ShouldEqual, EndMismatch)
-			So(f.ended[1].NotRun, ShouldBeTrue)
+			So(f.results[1].End, ShouldEqual, EndMismatch)
+			So(f.results[1].NotRun, ShouldBeTrue)
 		})
 	}
 	Convey("What was sent before the chain failed renews nothing", t, func() {
-		f, calls, pass := timedFleet(t, 1)
+		f, calls, advance := newFleetWithClock(t, 1)
 		defer f.stop()
 		f.mustAnswer("first")
-		holdings, chain := f.runner.holdings, f.chain(0)
-		sent := holdings.now()
-		pass(time.Millisecond)
-		holdings.forget(chain)
-		holdings.renew(testModel, chain, sent)
+		checker, chain := f.runner.reports, f.chain(0)
+		sent := checker.now()
+		advance(time.Millisecond)
+		checker.invalidate(chain)
+		checker.renew(testModel, chain, sent)
 		f.mustAnswer("second")
-		So(calls.count.Load(), ShouldEqual, 4)
-		holdings.renew(testModel, chain, sent)
-		pass(DefaultHoldingTTL - time.Millisecond/2)
+		So(calls.holdings.Load(), ShouldEqual, 4)
+		checker.renew(testModel, chain, sent)
+		advance(DefaultReportTTL - time.Millisecond/2)
 		f.mustAnswer("third")
-		So(calls.count.Load(), ShouldEqual, 4)
+		So(calls.holdings.Load(), ShouldEqual, 4)
 	})
 }
 
 // reports are what the engines of a chain say of themselves.
 func (f *fleet) reports(chain int) []engineapi.Report {
-	all, err := f.runner.ways.client.Way(context.Background(), f.chain(chain).Stages)
+	all, err := f.runner.prober.client.Way(context.Background(), f.chain(chain).Stages)
 	So(err, ShouldBeNil)
 	return all
 }
@@ -153,27 +153,27 @@
 // later stage has lost, or to a replica that lost an adapter. What engines say along
 // their chain is taken whole, so that a chain whose streams keep it from being asked
 // in any other way shows both.
-func TestWordAlongTheChainIsTakenWhole(t *testing.T) {
+func TestChainProbeUpdatesWholeReport(t *testing.T) {
 	Convey("Engines that were asked along their chain", t, func() {
-		f, calls, _ := timedFleet(t, 1)
+		f, calls, _ := newFleetWithClock(t, 1)
 		defer f.stop()
 		f.mustAnswer("first")
-		holdings, chain := f.runner.holdings, f.chain(0)
+		checker, chain := f.runner.reports, f.chain(0)
 		lost := 0
-		holdings.lost = func(string, string) { lost++ }
+		checker.onCacheLost = func(string, string) { lost++ }
 		reports := f.reports(0)
-		holdings.told(testModel, chain, holdings.now().Add(1), reports)
+		checker.recordReports(testModel, chain, checker.now().Add(1), reports)
 		reports[1].Cache = "another"
 		reports[1].Adapters = []engineapi.Adapter{{Name: "notes", Version: "1"}}
-		holdings.told(testModel, chain, holdings.now().Add(2), reports)
+		checker.recordReports(testModel, chain, checker.now().Add(2), reports)
 		So(lost, ShouldEqual, 1)
-		So(holdings.reports[chain.Stages[1].Address].report.Adapters, ShouldResemble, reports[1].Adapters)
+		So(checker.reports[chain.Stages[1].Address].report.Adapters, ShouldResemble, reports[1].Adapters)
 
 		// Streams of the bare model show nothing of the adapter.
-		before := holdings.reports[chain.Stages[1].Address]
-		holdings.renew(testModel, chain, holdings.now().Add(3))
-		So(holdings.reports[chain.Stages[1].Address], ShouldEqual, before)
-		So(calls.count.Load(), ShouldEqual, 2)
+		before := checker.reports[chain.Stages[1].Address]
+		checker.renew(testModel, chain, checker.now().Add(3))
+		So(checker.reports[chain.Stages[1].Address], ShouldEqual, before)
+		So(calls.holdings.Load(), ShouldEqual, 2)
 	})
 }
 
@@ -203,49 +203,49 @@
 
 func countHoldingCalls(b *testing.B, load streamLoad) {
 	const (
-		chains = 35
-		stages = 2
-		rate   = 50 // a second
-		length = 20 * time.Second
-		words  = 3 // of a prompt, which each stage works on
+		chains      = 35
+		stages      = 2
+		rate        = 50 // a second
+		length      = 20 * time.Second
+		promptWords = 3 // of a prompt, which each stage works on
 	)
 	warmUp := load.lasts() + 2*time.Second
-	cfg := standin.Config{Step: load.step, Slots: 256, PrefillToken: (load.first - load.step) / (stages * words)}
+	cfg := standin.Config{Step: load.step, Slots: 256, PrefillToken: (load.first - load.step) / (stages * promptWords)}
 	f := newFleet(b, chains, cfg, Options{})
 	defer f.stop()
 	transport := &http.Transport{MaxIdleConnsPerHost: rate}
 	defer transport.CloseIdleConnections()
-	calls := &holdingCalls{next: transport}
-	f.runner.holdings.client = engineclient.New(calls)
-	f.runner.ways.client = f.runner.holdings.client
+	calls := &callCounter{next: transport}
+	f.runner.reports.client = engineclient.New(calls)
+	f.runner.prober.client = f.runner.reports.client
 	var running sync.WaitGroup
-	asked, ways := int64(0), int64(0)
+	holdingsBefore, probesBefore := int64(0), int64(0)
 	ticker := time.NewTicker(time.Second / rate)
 	defer ticker.Stop()
 	for i := range int((warmUp + length).Seconds() * rate) {
 		<-ticker.C
 		if i == int(warmUp.Seconds()*rate) {
-			asked, ways = calls.count.Load(), calls.ways.Load()
+			holdingsBefore, probesBefore = calls.holdings.Load(), calls.probes.Load()
 		}
 		running.Go(func() {
 			req := request(fmt.Sprint("stream-", i))
 			req.Chat.MaxTokens = load.tokens
-			req.Chooser = oneOf{f, rand.IntN(chains)}
-			if answer, _, err := f.collect(context.Background(), req, nil); err != nil || answer != undisturbed(req) {
+			req.Chooser = fixedChain{f, rand.IntN(chains)}
+			if answer, _, err := f.collect(context.Background(), req, nil); err != nil || answer != expectedAnswer(req) {
 				b.Error("not whole: ", err)
 			}
 		})
 	}
 	running.Wait()
-	b.ReportMetric(float64(calls.count.Load()-asked)/length.Seconds(), "holding-calls/s")
-	b.ReportMetric(float64(calls.ways.Load()-ways)/length.Seconds(), "way-calls/s")
+	b.ReportMetric(float64(calls.holdings.Load()-holdingsBefore)/length.Seconds(), "holding-calls/s")
+	b.ReportMetric(float64(calls.probes.Load()-probesBefore)/length.Seconds(), "way-calls/s")
 	b.ReportMetric(0, "ns/op")
 }
 
-// oneOf chooses one chain.
-type oneOf struct {
+// fixedChain chooses one chain.
+type fixedChain struct {
 	*fleet
 	i int
 }
 
-func (o oneOf) Choose(context.Context, []string) (Chain, error) { return o.chain(o.i), nil }
+func (o fixedChain) Choose(context.Context, []string) (Chain, error) { return o.chain(o.i), nil }
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -22,40 +22,40 @@
 }
 
 const (
-	costBuckets = 24
-	costWeight  = 1.0 / 4
-	recompute   = 0
-	imported    = 1
+	costBuckets     = 24
+	costWeight      = 1.0 / 4
+	methodRecompute = 0
+	methodImport    = 1
 )
 
 func bucketOf(tokens int) int { return min(bits.Len(uint(max(tokens, 0))), costBuckets-1) }
 
-func (r *resumeCosts) learn(byImport bool, tokens int, took time.Duration) {
-	way := recompute
+func (r *resumeCosts) record(byImport bool, tokens int, elapsed time.Duration) {
+	method := methodRecompute
 	if byImport {
-		way = imported
+		method = methodImport
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &r.buckets[way][bucketOf(tokens)]
+	c := &r.buckets[method][bucketOf(tokens)]
 	if !c.known {
-		*c = cost{nanos: float64(took), known: true}
+		*c = cost{nanos: float64(elapsed), known: true}
 		return
 	}
-	c.nanos += costWeight * (float64(took) - c.nanos)
+	c.nanos += costWeight * (float64(elapsed) - c.nanos)
 }
 
 const (
-	// worthAsking is the least time of a recompute for which asking for an
+	// minExportRecompute is the least time of a recompute for which asking for an
 	// export can pay: below it the answer is on its way again sooner.
-	worthAsking = 20 * time.Millisecond
-	// worthExploring is the least for which an import is tried unmeasured: a
+	minExportRecompute = 20 * time.Millisecond
+	// minTrialRecompute is the least for which an import is tried unmeasured: a
 	// first try that proves slower should not be felt by the caller.
-	worthExploring = 50 * time.Millisecond
-	// exportPart is the part of the recompute that the wait for an export may
+	minTrialRecompute = 50 * time.Millisecond
+	// exportTimeoutDivisor is the part of the recompute that the wait for an export may
 	// cost. A stage that is frozen or cut off does not answer, and waiting
 	// longer would lose more than an import could win.
-	exportPart = 4
+	exportTimeoutDivisor = 4
 )
 
 // importPays reports whether importing is expected to be quicker, and how long
@@ -63,27 +63,27 @@
 func (r *resumeCosts) importPays(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	again, known := r.estimate(recompute, tokens)
-	if !known || again < worthAsking {
+	recomputeTime, known := r.estimate(methodRecompute, tokens)
+	if !known || recomputeTime < minExportRecompute {
 		return false, 0
 	}
-	byImport, known := r.estimate(imported, tokens)
+	importTime, known := r.estimate(methodImport, tokens)
 	if !known {
-		return again >= worthExploring, again / exportPart
+		return recomputeTime >= minTrialRecompute, recomputeTime / exportTimeoutDivisor
 	}
-	return byImport < again, again / exportPart
+	return importTime < recomputeTime, recomputeTime / exportTimeoutDivisor
 }
 
 // estimate goes by the nearest bucket measured. From a shorter one it scales
 // up; a longer one it takes as it is. The caller holds mu.
-func (r *resumeCosts) estimate(way, tokens int) (time.Duration, bool) {
-	at := bucketOf(tokens)
+func (r *resumeCosts) estimate(method, tokens int) (time.Duration, bool) {
+	bucket := bucketOf(tokens)
 	for distance := range costBuckets {
-		if lower := at - distance; lower >= 0 && r.buckets[way][lower].known {
-			return time.Duration(r.buckets[way][lower].nanos * float64(int(1)<<distance)), true
+		if lower := bucket - distance; lower >= 0 && r.buckets[method][lower].known {
+			return time.Duration(r.buckets[method][lower].nanos * float64(int(1)<<distance)), true
 		}
-		if higher := at + distance; higher < costBuckets && r.buckets[way][higher].known {
-			return time.Duration(r.buckets[way][higher].nanos), true
+		if higher := bucket + distance; higher < costBuckets && r.buckets[method][higher].known {
+			return time.Duration(r.buckets[method][higher].nanos), true
 		}
 	}
 	return 0, false
@@ -94,22 +94,22 @@
 // that has ended for a while; if any stage is gone the export fails, and the
 // next chain recomputes.
 func (a *answer) prepareResume(ctx context.Context, failed Chain, result AttemptResult) {
-	a.handle = ""
-	a.exporting = 0
+	a.kvHandle = ""
+	a.exportTime = 0
 	if result.NotRun || result.Tokens == 0 {
 		return
 	}
-	pays, timeout := a.r.resumes.importPays(a.contextTokens())
+	pays, timeout := a.runner.costs.importPays(a.contextTokens())
 	if !pays {
 		return
 	}
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := a.r.client.Export(ctx, failed.Stages[0].Address, a.req.Stream)
+	reply, err := a.runner.client.Export(ctx, failed.Stages[0].Address, a.req.StreamID)
 	if err != nil {
 		return
 	}
-	a.handle = reply.Handle
-	a.exporting = time.Since(start)
+	a.kvHandle = reply.Handle
+	a.exportTime = time.Since(start)
 }
--- a/route/stream/resume_test.go
+++ b/route/stream/resume_test.go
@@ -29,9 +29,9 @@
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			f := newFleet(t, 2, quick, Options{})
+			f := newFleet(t, 2, fastEngine, Options{})
 			defer f.stop()
-			f.runner.resumes.learnAll(recompute, time.Second)
+			f.runner.costs.setAll(methodRecompute, time.Second)
 			req := request(c.name)
 			answer, summary, err := f.collect(context.Background(), req, func(position int) {
 				if position == failAt {
@@ -39,7 +39,7 @@
 				}
 			})
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, undisturbed(req))
+			So(answer, ShouldEqual, expectedAnswer(req))
 			So(summary.Recoveries[0].Imported, ShouldEqual, c.imported)
 			So(f.chains[1][1].Engine.Stats().Imported == 1, ShouldEqual, c.imported)
 		})
@@ -66,10 +66,10 @@
 		for _, c := range cases {
 			var costs resumeCosts
 			for tokens, measured := range c.recompute {
-				costs.buckets[recompute][bucketOf(tokens)] = measured
+				costs.buckets[methodRecompute][bucketOf(tokens)] = measured
 			}
 			for tokens, measured := range c.imported {
-				costs.buckets[imported][bucketOf(tokens)] = measured
+				costs.buckets[methodImport][bucketOf(tokens)] = measured
 			}
 			pays, timeout := costs.importPays(c.tokens)
 			So(fmt.Sprint(c.name, pays), ShouldEqual, fmt.Sprint(c.name, c.want))
--- a/route/stream/reuse_test.go
+++ b/route/stream/reuse_test.go
@@ -43,7 +43,7 @@
 	stage := engineapi.Stage{Endpoint: "e", Address: server.Listener.Addr().String()}
 	runner := New(client, oneChain{Chain{Replica: "r", Stages: []engineapi.Stage{stage}}}, Options{})
 	for range 50 {
-		req := Request{Stream: "s", Layers: 1, Chat: engineapi.ChatRequest{Model: "m"}}
+		req := Request{StreamID: "s", Layers: 1, Chat: engineapi.ChatRequest{Model: "m"}}
 		_, err := runner.Run(context.Background(), req, func(string, engineapi.TokenTrace) error { return nil })
 		if err != nil {
 			t.Fatal(err)
--- a/route/stream/runner.go
+++ b/route/stream/runner.go
@@ -16,53 +16,53 @@
 // Runner runs streams over the replicas of one model. It is safe for
 // concurrent use.
 type Runner struct {
-	client   *engineclient.Client
-	chooser  Chooser
-	options  Options
-	holdings *holdingCheck
-	ways     *wayCheck
-	cancels  *canceller
-	gaps     *gapTable
-	resumes  *resumeCosts
-	stray    atomic.Int64
+	client      *engineclient.Client
+	chooser     Chooser
+	options     Options
+	reports     *reportChecker
+	prober      *chainProber
+	cancels     *canceller
+	gaps        *gapTable
+	costs       *resumeCosts
+	strayTokens atomic.Int64
 }
 
 // New returns a runner.
 func New(client *engineclient.Client, chooser Chooser, options Options) *Runner {
 	options = options.withDefaults()
-	holdings := newHoldingCheck(client, options)
+	reports := newReportChecker(client, options)
 	return &Runner{
-		client:   client,
-		chooser:  chooser,
-		options:  options,
-		holdings: holdings,
-		ways:     newWayCheck(client, holdings, options.StallFloor),
-		cancels:  newCanceller(client),
-		gaps:     newGapTable(),
-		resumes:  &resumeCosts{},
+		client:  client,
+		chooser: chooser,
+		options: options,
+		reports: reports,
+		prober:  newChainProber(client, reports, options.MinStallTimeout),
+		cancels: newCanceller(client),
+		gaps:    newGapTable(),
+		costs:   &resumeCosts{},
 	}
 }
 
 // Close waits until the stages of streams given up have been told, or ctx ends.
 func (r *Runner) Close(ctx context.Context) error { return r.cancels.wait(ctx) }
 
-// Stray returns how many late or foreign tokens were dropped so far.
-func (r *Runner) Stray() int64 { return r.stray.Load() }
+// StrayTokens returns how many late or foreign tokens were dropped so far.
+func (r *Runner) StrayTokens() int64 { return r.strayTokens.Load() }
 
 // Run makes one answer and delivers its tokens. The summary's outcome holds
 // also if an error is returned: the error says why the answer is not whole.
 func (r *Runner) Run(ctx context.Context, req Request, deliver Deliver) (Summary, error) {
 	req.FirstTokenTimeout = orDefault(req.FirstTokenTimeout, DefaultFirstTokenTimeout)
-	req.TokenStall = orDefault(req.TokenStall, DefaultTokenStall)
+	req.MaxStallTimeout = orDefault(req.MaxStallTimeout, DefaultMaxStallTimeout)
 	runCtx, cancel := ctx, context.CancelFunc(func() {})
 	if !req.Deadline.IsZero() {
 		runCtx, cancel = context.WithDeadline(ctx, req.Deadline)
 	}
 	defer cancel()
 	a := &answer{
-		r: r, req: req, deliver: deliver, caller: ctx,
-		check:   NewCheck(req.Stream, req.Layers, r.options.MaxTokens),
-		started: time.Now(),
+		runner: r, req: req, deliver: deliver, callerCtx: ctx,
+		check:     NewTokenCheck(req.StreamID, req.Layers, r.options.MaxTokens),
+		startedAt: time.Now(),
 	}
 	err := a.run(runCtx)
 	a.summary.Tokens = len(a.delivered)
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -15,12 +15,12 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var quick = standin.Config{Step: time.Millisecond, Slots: 256}
+var fastEngine = standin.Config{Step: time.Millisecond, Slots: 256}
 
 // failAt is the position before which a chain is made to fail.
 const failAt = 5
 
-func faulty(stage int, faults standin.Faults) func(*fleet) {
+func injectFaults(stage int, faults standin.Faults) func(*fleet) {
 	return func(f *fleet) { f.chains[0][stage].Engine.SetFaults(faults) }
 }
 
@@ -38,23 +38,23 @@
 		end    End
 		reason Reason
 	}{
-		{"first stage killed", func(f *fleet) { f.chains[0][0].Kill() }, EndCut, Accepted},
-		{"second stage killed", func(f *fleet) { f.chains[0][1].Kill() }, EndCut, Accepted},
-		{"first stage frozen", faulty(0, standin.Faults{Freeze: true}), EndStalled, Accepted},
-		{"second stage frozen", faulty(1, standin.Faults{Freeze: true}), EndStalled, Accepted},
-		{"node cut off", func(f *fleet) { f.chains[0][0].CutConnections() }, EndCut, Accepted},
-		{"link between stages lost", faulty(0, standin.Faults{CutNext: true}), EndStalled, Accepted},
-		{"second stage slow", faulty(1, standin.Faults{Slow: 5000}), EndStalled, Accepted},
-		{"skipped layer", faulty(1, standin.Faults{SkipLayer: layer(6)}), EndRejected, SkippedLayer},
-		{"last layer skipped", faulty(1, standin.Faults{SkipLayer: layer(7)}), EndRejected, SkippedLayer},
-		{"repeated layer", faulty(0, standin.Faults{RepeatLayer: layer(2)}), EndRejected, RepeatedLayer},
-		{"wrong stream", faulty(0, standin.Faults{WrongStream: true}), EndRejected, WrongPosition},
-		{"wrong position", faulty(0, standin.Faults{WrongPosition: true}), EndRejected, WrongPosition},
-		{"marker before the end", faulty(0, standin.Faults{EarlyDone: failAt + 2}), EndCut, Accepted},
+		{"first stage killed", func(f *fleet) { f.chains[0][0].Kill() }, EndConnectionLost, Accepted},
+		{"second stage killed", func(f *fleet) { f.chains[0][1].Kill() }, EndConnectionLost, Accepted},
+		{"first stage frozen", injectFaults(0, standin.Faults{Freeze: true}), EndStalled, Accepted},
+		{"second stage frozen", injectFaults(1, standin.Faults{Freeze: true}), EndStalled, Accepted},
+		{"node cut off", func(f *fleet) { f.chains[0][0].CutConnections() }, EndConnectionLost, Accepted},
+		{"link between stages lost", injectFaults(0, standin.Faults{CutNext: true}), EndStalled, Accepted},
+		{"second stage slow", injectFaults(1, standin.Faults{Slow: 5000}), EndStalled, Accepted},
+		{"skipped layer", injectFaults(1, standin.Faults{SkipLayer: layer(6)}), EndInvalidToken, SkippedLayer},
+		{"last layer skipped", injectFaults(1, standin.Faults{SkipLayer: layer(7)}), EndInvalidToken, SkippedLayer},
+		{"repeated layer", injectFaults(0, standin.Faults{RepeatLayer: layer(2)}), EndInvalidToken, RepeatedLayer},
+		{"wrong stream", injectFaults(0, standin.Faults{WrongStream: true}), EndInvalidToken, WrongPosition},
+		{"wrong position", injectFaults(0, standin.Faults{WrongPosition: true}), EndInvalidToken, WrongPosition},
+		{"marker before the end", injectFaults(0, standin.Faults{EarlyDone: failAt + 2}), EndConnectionLost, Accepted},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			f := newFleet(t, 2, quick, Options{})
+			f := newFleet(t, 2, fastEngine, Options{})
 			defer f.stop()
 			req := request(c.name)
 			answer, summary, err := f.collect(context.Background(), req, func(position int) {
@@ -63,10 +63,10 @@
 				}
 			})
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, undisturbed(req))
+			So(answer, ShouldEqual, expectedAnswer(req))
 			So(summary.Outcome, ShouldEqual, OutcomeDone)
 			So(summary.Epochs, ShouldEqual, 2)
-			So(summary.Recoveries[0].From, ShouldEqual, c.end)
+			So(summary.Recoveries[0].Cause, ShouldEqual, c.end)
 			So(summary.Recoveries[0].Reason, ShouldEqual, c.reason)
 		})
 	}
@@ -76,9 +76,9 @@
 // tokens now and then and are passed on with these; at the end of an epoch that was
 // cut off the last one is old, and its age counts from when it was sent. So an epoch
 // tells only of the report that closes its answer.
-func TestOldLoadIsNotToldAtTheEnd(t *testing.T) {
+func TestFailedEpochReportsNoLoad(t *testing.T) {
 	Convey("A chain that is killed partway and one that ends its answer", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("load"), func(position int) {
 			if position == failAt {
@@ -86,9 +86,9 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(f.ended[0].End, ShouldEqual, EndCut)
-		So(f.ended[0].Load, ShouldBeNil)
-		So(f.ended[1].Load, ShouldNotBeNil)
+		So(f.results[0].End, ShouldEqual, EndConnectionLost)
+		So(f.results[0].Load, ShouldBeNil)
+		So(f.results[1].Load, ShouldNotBeNil)
 	})
 }
 
@@ -99,23 +99,23 @@
 	faults := []func(*standin.Server){
 		func(srv *standin.Server) { srv.Kill() },
 		func(srv *standin.Server) { srv.CutConnections() },
-		with(standin.Faults{Freeze: true}),
-		with(standin.Faults{CutNext: true}),
-		with(standin.Faults{Slow: 5000}),
-		with(standin.Faults{SkipLayer: layer(1), RepeatLayer: layer(5)}),
-		with(standin.Faults{WrongStream: true}),
-		with(standin.Faults{WrongPosition: true}),
-		with(standin.Faults{LateTokens: 3, IgnoreCancel: true}),
-		with(standin.Faults{Drain: true}),
+		setFaults(standin.Faults{Freeze: true}),
+		setFaults(standin.Faults{CutNext: true}),
+		setFaults(standin.Faults{Slow: 5000}),
+		setFaults(standin.Faults{SkipLayer: layer(1), RepeatLayer: layer(5)}),
+		setFaults(standin.Faults{WrongStream: true}),
+		setFaults(standin.Faults{WrongPosition: true}),
+		setFaults(standin.Faults{LateTokens: 3, IgnoreCancel: true}),
+		setFaults(standin.Faults{Drain: true}),
 	}
 	const trials, atOnce = 60, 6
 	Convey("Whatever fails, the answer is whole", t, func() {
 		var wg sync.WaitGroup
-		places := make(chan struct{}, atOnce)
+		semaphore := make(chan struct{}, atOnce)
 		for trial := range trials {
-			places <- struct{}{}
+			semaphore <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-places }()
+				defer func() { <-semaphore }()
 				failAtRandom(t, rand.New(rand.NewPCG(uint64(trial), 0)), faults)
 			})
 		}
@@ -123,12 +123,12 @@
 	})
 }
 
-func with(faults standin.Faults) func(*standin.Server) {
+func setFaults(faults standin.Faults) func(*standin.Server) {
 	return func(srv *standin.Server) { srv.Engine.SetFaults(faults) }
 }
 
 func failAtRandom(t *testing.T, draw *rand.Rand, faults []func(*standin.Server)) {
-	f := newFleet(t, 3, quick, Options{})
+	f := newFleet(t, 3, fastEngine, Options{})
 	defer f.stop()
 	type event struct{ position, chain, stage, fault int }
 	var events []event
@@ -146,7 +146,7 @@
 	req.FirstTokenTimeout = time.Second
 	inject(-1) // before the request
 	answer, summary, err := f.collect(context.Background(), req, inject)
-	if err != nil || answer != undisturbed(req) || summary.Outcome != OutcomeDone {
+	if err != nil || answer != expectedAnswer(req) || summary.Outcome != OutcomeDone {
 		t.Errorf("%v: %v, %q, %+v", events, err, answer, summary)
 	}
 }
@@ -156,7 +156,7 @@
 // the position that is due. Only the epoch tells them from the true ones.
 func TestLateTokensOfAnOldEpoch(t *testing.T) {
 	Convey("Late tokens are dropped and counted", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		f.chains[1][0].Engine.SetFaults(standin.Faults{LateTokens: 2})
 		req := request("late")
@@ -166,14 +166,14 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(summary.Stray, ShouldBeGreaterThanOrEqualTo, 2*(testTokens-failAt-1))
-		So(f.runner.Stray(), ShouldEqual, summary.Stray)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(summary.StrayTokens, ShouldBeGreaterThanOrEqualTo, 2*(testTokens-failAt-1))
+		So(f.runner.StrayTokens(), ShouldEqual, summary.StrayTokens)
 	})
 	Convey("A chain that brings nothing but late tokens is given up", t, func() {
-		f := newFleet(t, 3, quick, Options{})
+		f := newFleet(t, 3, fastEngine, Options{})
 		defer f.stop()
-		f.chains[1][0].Engine.SetFaults(standin.Faults{LateTokens: 2 * maxStray})
+		f.chains[1][0].Engine.SetFaults(standin.Faults{LateTokens: 2 * maxStrayTokens})
 		req := request("flood")
 		answer, summary, err := f.collect(context.Background(), req, func(position int) {
 			if position == failAt {
@@ -181,7 +181,7 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Recoveries[1].Reason, ShouldEqual, OldEpoch)
 	})
 }
@@ -191,7 +191,7 @@
 // reaches the shared engine while the new epoch runs there, and must spare it.
 func TestChainsShareAStage(t *testing.T) {
 	Convey("A cancel of the old epoch spares the new one", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		own := f.chains[1][0]
 		defer own.Close()
@@ -204,7 +204,7 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Epochs, ShouldEqual, 2)
 	})
 }
@@ -215,29 +215,29 @@
 func TestSlowChainIsLeft(t *testing.T) {
 	for _, chains := range []int{1, 2} {
 		Convey(fmt.Sprint("With chains: ", chains), t, func() {
-			f := newFleet(t, chains, quick, Options{})
+			f := newFleet(t, chains, fastEngine, Options{})
 			defer f.stop()
 			req := request("crawl")
 			req.Chat.MaxTokens = 80
-			var begun time.Time
+			var startedAt time.Time
 			slow := 60 * time.Millisecond
 			answer, summary, err := f.collect(context.Background(), req, func(position int) {
 				switch position {
 				case 1:
-					begun = time.Now()
-				case paceWindow:
+					startedAt = time.Now()
+				case slowWindowTokens:
 					// On a busy machine the usual gap is long, and only more than
 					// slowFactor times it is slow.
-					slow = max(slow, 3*slowFactor*time.Since(begun)/paceWindow)
-				case 2 * paceWindow:
+					slow = max(slow, 3*slowFactor*time.Since(startedAt)/slowWindowTokens)
+				case 2 * slowWindowTokens:
 					f.chains[0][1].Engine.SetFaults(standin.Faults{SlowPerToken: slow})
 				}
 			})
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, undisturbed(req))
+			So(answer, ShouldEqual, expectedAnswer(req))
 			So(summary.Epochs, ShouldEqual, chains)
 			if chains == 2 {
-				So(summary.Recoveries[0].From, ShouldEqual, EndSlow)
+				So(summary.Recoveries[0].Cause, ShouldEqual, EndSlow)
 			}
 		})
 	}
@@ -247,7 +247,7 @@
 // something else, as while a new plan is carried out: trying them runs nothing.
 func TestMismatchesDoNotUseUpEpochs(t *testing.T) {
 	Convey("Chains that did nothing count as tries only", t, func() {
-		f := newFleet(t, 4, quick, Options{MaxEpochs: 1, MaxTries: 4})
+		f := newFleet(t, 4, fastEngine, Options{MaxExecutions: 1, MaxAttempts: 4})
 		defer f.stop()
 		for _, chain := range f.chains[:3] {
 			So(chain[0].Engine.Order(engineapi.Order{Model: testModel, First: 0, Last: 3, PlacementVersion: 2}), ShouldBeNil)
@@ -255,7 +255,7 @@
 		req := request("rollout")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Epochs, ShouldEqual, 4)
 	})
 }
@@ -264,17 +264,17 @@
 // and at once, while tokens wait unread, and none of them gives a chain up.
 func TestWatchdogExcusesItsOwnPause(t *testing.T) {
 	Convey("A late timer is excused once", t, func() {
-		dog := newWatchdog(func(error) {})
-		defer dog.disarm()
-		dog.arm(time.Hour)
-		_, over := dog.expired(dog.due.Add(-time.Second))
+		w := newWatchdog(func(error) {})
+		defer w.disarm()
+		w.arm(time.Hour)
+		_, over := w.expired(w.expiresAt.Add(-time.Second))
 		So(over, ShouldBeFalse)
-		_, over = dog.expired(dog.due.Add(2 * pauseGrace))
+		_, over = w.expired(w.expiresAt.Add(2 * maxTimerDelay))
 		So(over, ShouldBeFalse)
-		_, over = dog.expired(dog.due.Add(2 * pauseGrace))
+		_, over = w.expired(w.expiresAt.Add(2 * maxTimerDelay))
 		So(over, ShouldBeTrue)
-		dog.arm(time.Hour)
-		_, over = dog.expired(dog.due.Add(pauseGrace / 2))
+		w.arm(time.Hour)
+		_, over = w.expired(w.expiresAt.Add(maxTimerDelay / 2))
 		So(over, ShouldBeTrue)
 	})
 }
@@ -285,20 +285,20 @@
 func TestEngineHoldsOtherLayers(t *testing.T) {
 	old := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 0}
 	Convey("Before the first use the report is found not to match", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		So(f.chains[0][1].Engine.Order(old), ShouldBeNil)
 		req := request("holding")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(f.ended[0].End, ShouldEqual, EndMismatch)
-		So(f.ended[0].NotRun, ShouldBeTrue)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(f.results[0].End, ShouldEqual, EndMismatch)
+		So(f.results[0].NotRun, ShouldBeTrue)
 		So(f.chains[0][0].Engine.Stats().Steps, ShouldEqual, 0)
 		So(summary.Epochs, ShouldEqual, 2)
 	})
 	Convey("Within the time that a report is trusted the spans show it", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
 		So(err, ShouldBeNil)
@@ -306,17 +306,17 @@
 		req := request("after")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Recoveries[0].Reason, ShouldEqual, RepeatedLayer)
 	})
 	Convey("A new placement version is checked at once", t, func() {
-		f := newFleet(t, 1, quick, Options{})
+		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
 		So(err, ShouldBeNil)
 		newer := f.chain(0)
 		newer.PlacementVersion = 2
-		err = f.runner.holdings.verify(context.Background(), testModel, testLayers, newer, time.Time{})
+		err = f.runner.reports.verify(context.Background(), testModel, testLayers, newer, time.Time{})
 		So(errors.Is(err, errMismatch), ShouldBeTrue)
 	})
 }
@@ -325,7 +325,7 @@
 // first token is not told from a long prefill by waiting, so it is asked.
 func TestFrozenBeforeFirstToken(t *testing.T) {
 	Convey("A frozen stage is found long before the first token's time is up", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
 		So(err, ShouldBeNil)
@@ -333,20 +333,20 @@
 		req := request("frozen")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(summary.Recoveries[0].From, ShouldEqual, EndNoFirstToken)
-		So(summary.Recoveries[0].Detection, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(summary.Recoveries[0].Cause, ShouldEqual, EndNoFirstToken)
+		So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
 	})
 	Convey("A long prefill is waited for", t, func() {
-		slow := quick
+		slow := fastEngine
 		slow.PrefillToken = 400 * time.Millisecond
-		f := newFleet(t, 1, slow, Options{StallFloor: DefaultStallFloor})
+		f := newFleet(t, 1, slow, Options{MinStallTimeout: DefaultMinStallTimeout})
 		defer f.stop()
 		req := request("prefill")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(summary.FirstToken, ShouldBeGreaterThan, 2*DefaultStallFloor)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(summary.FirstToken, ShouldBeGreaterThan, 2*DefaultMinStallTimeout)
 	})
 }
 
@@ -354,12 +354,12 @@
 // longer than the floor, and the wait follows what is measured.
 func TestSlowAcceleratorIsNotCut(t *testing.T) {
 	Convey("A steady gap above the floor is no stall", t, func() {
-		f := newFleet(t, 1, standin.Config{Step: 30 * time.Millisecond}, Options{StallFloor: 20 * time.Millisecond})
+		f := newFleet(t, 1, standin.Config{Step: 30 * time.Millisecond}, Options{MinStallTimeout: 20 * time.Millisecond})
 		defer f.stop()
 		req := request("slow")
 		answer, summary, err := f.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Epochs, ShouldEqual, 1)
 	})
 }
@@ -374,7 +374,7 @@
 		}
 	}
 	Convey("Dead before the send: not run", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		kill(f)
 		answer, summary, err := f.collect(context.Background(), request("dead"), nil)
@@ -383,7 +383,7 @@
 		So(answer, ShouldBeEmpty)
 	})
 	Convey("Dead after the check at use: refused connections prove not run", t, func() {
-		f := newFleet(t, 1, quick, Options{})
+		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
 		So(err, ShouldBeNil)
@@ -394,10 +394,10 @@
 		_, summary, err := f.collect(context.Background(), request("dead"), nil)
 		So(err, ShouldNotBeNil)
 		So(summary.Outcome, ShouldEqual, OutcomeNotRun)
-		So(summary.Last.End, ShouldEqual, EndUnreachable)
+		So(summary.LastResult.End, ShouldEqual, EndUnreachable)
 	})
 	Convey("Dead partway: unknown, and what came is a prefix of the answer", t, func() {
-		f := newFleet(t, 2, quick, Options{})
+		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		req := request("partway")
 		answer, summary, err := f.collect(context.Background(), req, func(position int) {
@@ -407,7 +407,7 @@
 		})
 		So(err, ShouldNotBeNil)
 		So(summary.Outcome, ShouldEqual, OutcomeUnknown)
-		So(undisturbed(req), ShouldStartWith, answer)
+		So(expectedAnswer(req), ShouldStartWith, answer)
 	})
 }
 
@@ -435,22 +435,22 @@
 		wg.Wait()
 		So(otherErr, ShouldBeNil)
 		So(other.Epochs, ShouldEqual, 2)
-		So(f.ended[0].Status, ShouldEqual, http.StatusTooManyRequests)
-		So(f.ended[0].NotRun, ShouldBeTrue)
+		So(f.results[0].Status, ShouldEqual, http.StatusTooManyRequests)
+		So(f.results[0].NotRun, ShouldBeTrue)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(underway))
+		So(answer, ShouldEqual, expectedAnswer(underway))
 		So(summary.Epochs, ShouldEqual, 1)
-		So(summary.Last.Load.Draining, ShouldBeTrue)
+		So(summary.LastResult.Load.Draining, ShouldBeTrue)
 		_, late, err := f.collect(context.Background(), request("late"), nil)
 		So(err, ShouldBeNil)
-		So(late.Recoveries[0].From, ShouldEqual, EndRefused)
+		So(late.Recoveries[0].Cause, ShouldEqual, EndRefused)
 	})
 }
 
 // The caller has asked for an answer by a time; it passes while tokens come.
 func TestDeadline(t *testing.T) {
 	Convey("The deadline ends the answer and frees the chain", t, func() {
-		f := newFleet(t, 1, quick, Options{})
+		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		req := request("deadline")
 		req.Chat.MaxTokens = 100_000
@@ -466,7 +466,7 @@
 // after its epoch was cancelled: its connection is closed, and its epoch old.
 func TestEngineIgnoresCancel(t *testing.T) {
 	Convey("A chain that ignores the cancel disturbs nothing", t, func() {
-		f := newFleet(t, 2, quick, Options{StallFloor: 30 * time.Millisecond})
+		f := newFleet(t, 2, fastEngine, Options{MinStallTimeout: 30 * time.Millisecond})
 		defer f.stop()
 		req := request("ignores")
 		answer, summary, err := f.collect(context.Background(), req, func(position int) {
@@ -475,7 +475,7 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
+		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Epochs, ShouldEqual, 2)
 	})
 }
--- a/route/stream/types.go
+++ b/route/stream/types.go
@@ -15,8 +15,8 @@
 var (
 	// ErrNoChain reports that no chain is left to try.
 	ErrNoChain = errors.New("no chain to run on")
-	// ErrAttempts reports that all the epochs allowed have failed.
-	ErrAttempts = errors.New("every epoch allowed has failed")
+	// ErrAttemptsExhausted reports that all the epochs allowed have failed.
+	ErrAttemptsExhausted = errors.New("every epoch allowed has failed")
 	// ErrCallerGone reports that the caller has left.
 	ErrCallerGone = errors.New("the caller has left")
 	// ErrDeadline reports that the request's deadline has passed.
@@ -48,8 +48,8 @@
 
 // Request is one answer to be made.
 type Request struct {
-	// Stream is the stream's id, never used twice.
-	Stream string
+	// StreamID is the stream's id, never used twice.
+	StreamID string
 	// Layers is how many layers the model has.
 	Layers int
 	// Chat is the caller's request; Chat.Pipeline is set by the Runner.
@@ -57,9 +57,9 @@
 	// FirstTokenTimeout bounds the time from sending to a chain until its
 	// first token, prefill included; zero means DefaultFirstTokenTimeout.
 	FirstTokenTimeout time.Duration
-	// TokenStall is the longest wait for a token that the adaptive bound may
+	// MaxStallTimeout is the longest wait for a token that the adaptive bound may
 	// grow to; zero means DefaultTokenStall.
-	TokenStall time.Duration
+	MaxStallTimeout time.Duration
 	// Deadline ends the answer; zero means none.
 	Deadline time.Time
 	// Chooser, if set, takes the place of the Runner's for this answer: it can
@@ -105,10 +105,10 @@
 	EndNoFirstToken
 	// EndStalled epochs stopped bringing tokens.
 	EndStalled
-	// EndCut epochs lost their connection, or a stage behind it.
-	EndCut
-	// EndRejected epochs brought a token that Check refused.
-	EndRejected
+	// EndConnectionLost epochs lost their connection, or a stage behind it.
+	EndConnectionLost
+	// EndInvalidToken epochs brought a token that Check refused.
+	EndInvalidToken
 	// EndSlow epochs were left for another chain because their tokens came
 	// far slower than the chain's usual.
 	EndSlow
@@ -130,9 +130,9 @@
 	NotRun bool
 	// Reason is set if End is EndRejected.
 	Reason Reason
-	// Silent is set if End is EndNoFirstToken because the chain was not heard of,
+	// Unresponsive is set if End is EndNoFirstToken because the chain was not heard of,
 	// long before the time of a first token was up.
-	Silent bool
+	Unresponsive bool
 	// Err is the error below, if there was one.
 	Err error
 	// Status is the HTTP status of a refusal, or zero.
@@ -162,14 +162,14 @@
 
 // Recovery is one change of chain partway.
 type Recovery struct {
-	// From is how the epoch before ended, Reason why if it was rejected.
-	From   End
+	// Cause is how the epoch before ended, Reason why if it was rejected.
+	Cause  End
 	Reason Reason
-	// Detection is the time from the last token of the old chain, or its
+	// DetectionTime is the time from the last token of the old chain, or its
 	// start, until it was given up.
-	Detection time.Duration
-	// Resume is the time from then to the next token; zero if none came.
-	Resume time.Duration
+	DetectionTime time.Duration
+	// ResumeTime is the time from then to the next token; zero if none came.
+	ResumeTime time.Duration
 	// Imported is set if the new chain was given exported KV cache.
 	Imported bool
 }
@@ -177,61 +177,61 @@
 // Summary is what became of a request.
 type Summary struct {
 	Outcome Outcome
-	// Finish is the engine's reason for the answer's end.
-	Finish string
+	// FinishReason is the engine's reason for the answer's end.
+	FinishReason string
 	// Tokens is how many tokens were delivered.
 	Tokens int
 	// Epochs is how many chains were tried.
 	Epochs int
-	// Stray is how many late or foreign tokens were dropped.
-	Stray int
+	// StrayTokens is how many late or foreign tokens were dropped.
+	StrayTokens int
 	// FirstToken is the time from Run to the first token.
 	FirstToken time.Duration
 	Recoveries []Recovery
-	// Last is the result of the last epoch.
-	Last AttemptResult
+	// LastResult is the result of the last epoch.
+	LastResult AttemptResult
 }
 
 // Defaults of Request and Options.
 const (
 	DefaultFirstTokenTimeout = 10 * time.Second
-	DefaultTokenStall        = 10 * time.Second
-	// DefaultStallFloor is well above the pauses of a busy but healthy chain
+	DefaultMaxStallTimeout   = 10 * time.Second
+	// DefaultMinStallTimeout is well above the pauses of a busy but healthy chain
 	// on a local network, and leaves room for the 300 ms aimed at.
-	DefaultStallFloor = 250 * time.Millisecond
-	// DefaultMaxEpochs allows for chains that die together or twice.
-	DefaultMaxEpochs = 4
-	// DefaultMaxTries leaves room for chains that a new plan is just changing;
+	DefaultMinStallTimeout = 250 * time.Millisecond
+	// DefaultMaxExecutions allows for chains that die together or twice.
+	DefaultMaxExecutions = 4
+	// DefaultMaxAttempts leaves room for chains that a new plan is just changing;
 	// trying one that does nothing costs a round trip.
-	DefaultMaxTries       = 8
-	DefaultHoldingTTL     = 2 * time.Second
-	DefaultHoldingTimeout = 300 * time.Millisecond
-	DefaultMaxTokens      = 1 << 16
+	DefaultMaxAttempts   = 8
+	DefaultReportTTL     = 2 * time.Second
+	DefaultReportTimeout = 300 * time.Millisecond
+	DefaultMaxTokens     = 1 << 16
 )
 
 // Options are a Runner's settings; zero fields mean the defaults.
 type Options struct {
-	// StallFloor is the least wait for a token before a chain is given up.
-	StallFloor time.Duration
-	// MaxEpochs bounds the chains that may have worked on one request,
-	// MaxTries those that were tried, the ones that did nothing included.
-	MaxEpochs, MaxTries int
-	// HoldingTTL is how long an engine's matching report is trusted;
-	// HoldingTimeout bounds the wait for one.
-	HoldingTTL, HoldingTimeout time.Duration
+	// MinStallTimeout is the least wait for a token before a chain is given up.
+	MinStallTimeout time.Duration
+	// MaxExecutions bounds the chains that may have worked on one request,
+	// MaxAttempts those that were tried, the ones that did nothing included.
+	MaxExecutions, MaxAttempts int
+	// ReportTTL is how long an engine's matching report is trusted;
+	// ReportTimeout bounds the wait for one.
+	ReportTTL, ReportTimeout time.Duration
 	// MaxTokens bounds an answer, and with it what is kept for a resumption.
 	MaxTokens int
-	// CacheLost, if set, is told when a stage of a replica reports another cache
+	// OnCacheLost, if set, is told when a stage of a replica reports another cache
 	// than before: the chain then recomputes every prompt from that stage on.
-	CacheLost func(model, replica string)
+	OnCacheLost func(model, replica string)
 }
 
 func (o Options) withDefaults() Options {
-	o.StallFloor = orDefault(o.StallFloor, DefaultStallFloor)
-	o.MaxEpochs = orDefault(o.MaxEpochs, DefaultMaxEpochs)
-	o.MaxTries = orDefault(o.MaxTries, DefaultMaxTries)
-	o.HoldingTTL = orDefault(o.HoldingTTL, DefaultHoldingTTL)
-	o.HoldingTimeout = orDefault(o.HoldingTimeout, DefaultHoldingTimeout)
+	o.MinStallTimeout = orDefault(o.MinStallTimeout, DefaultMinStallTimeout)
+	o.MaxExecutions = orDefault(o.MaxExecutions, DefaultMaxExecutions)
+	o.MaxAttempts = orDefault(o.MaxAttempts, DefaultMaxAttempts)
+	o.ReportTTL = orDefault(o.ReportTTL, DefaultReportTTL)
+	o.ReportTimeout = orDefault(o.ReportTimeout, DefaultReportTimeout)
 	o.MaxTokens = orDefault(o.MaxTokens, DefaultMaxTokens)
 	return o
 }
--- a/route/stream/watchdog.go
+++ b/route/stream/watchdog.go
@@ -9,13 +9,13 @@
 )
 
 var (
-	errStalled = errors.New("no token in time")
-	errSilent  = fmt.Errorf("%w: the chain does not answer", errStalled)
+	errStalled      = errors.New("no token in time")
+	errUnresponsive = fmt.Errorf("%w: the chain does not answer", errStalled)
 )
 
-// pauseGrace is how late the watchdog may run before it takes itself, not the
+// maxTimerDelay is how late the watchdog may run before it takes itself, not the
 // chain, to have stood still.
-const pauseGrace = 50 * time.Millisecond
+const maxTimerDelay = 50 * time.Millisecond
 
 // watchdog ends an epoch that brings nothing in time. If this node was paused
 // all its timers fire at once when it wakes, while tokens that came meanwhile
@@ -25,21 +25,21 @@
 type watchdog struct {
 	cancel context.CancelCauseFunc
 
-	mu    sync.Mutex
-	timer *time.Timer
-	due   time.Time // zero while disarmed
-	wait  time.Duration
-	first *firstWait // not nil until the first token
-	late  bool       // a late run has been excused since arm
+	mu           sync.Mutex
+	timer        *time.Timer
+	expiresAt    time.Time // zero while disarmed
+	timeout      time.Duration
+	firstToken   *firstTokenWait // not nil until the first token
+	delayExcused bool            // a late run has been excused since arm
 }
 
-// firstWait is the wait for a first token. How long prefill and the engine's
+// firstTokenWait is the wait for a first token. How long prefill and the engine's
 // queue take is not known, so the bound is long; a stage that is frozen, or a
 // link that is lost, is found sooner by asking along the way, see wayCheck.
-type firstWait struct {
-	since  time.Time
-	until  time.Time
-	silent func(since time.Time) bool
+type firstTokenWait struct {
+	silentSince  time.Time
+	deadline     time.Time
+	unresponsive func(since time.Time) bool
 }
 
 func newWatchdog(cancel context.CancelCauseFunc) *watchdog {
@@ -47,100 +47,100 @@
 }
 
 // arm starts the wait for the next token anew.
-func (w *watchdog) arm(wait time.Duration) {
+func (w *watchdog) arm(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.first = nil
-	w.late = false
-	w.set(wait)
+	w.firstToken = nil
+	w.delayExcused = false
+	w.restart(timeout)
 }
 
-// armFirst starts the wait for the first token, which ends after limit, or
+// armFirstToken starts the wait for the first token, which ends after limit, or
 // once silent, called each interval, says that the chain has not been heard of
 // for too long. silent must not block.
-func (w *watchdog) armFirst(interval, limit time.Duration, silent func(since time.Time) bool) {
+func (w *watchdog) armFirstToken(interval, limit time.Duration, unresponsive func(since time.Time) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.first = &firstWait{since: now, until: now.Add(limit), silent: silent}
-	w.set(min(interval, limit))
+	w.firstToken = &firstTokenWait{silentSince: now, deadline: now.Add(limit), unresponsive: unresponsive}
+	w.restart(min(interval, limit))
 }
 
-func (w *watchdog) set(wait time.Duration) {
-	w.wait = wait
-	w.schedule(wait)
+func (w *watchdog) restart(timeout time.Duration) {
+	w.timeout = timeout
+	w.schedule(timeout)
 }
 
-func (w *watchdog) schedule(wait time.Duration) {
-	w.due = time.Now().Add(wait)
+func (w *watchdog) schedule(delay time.Duration) {
+	w.expiresAt = time.Now().Add(delay)
 	if w.timer == nil {
-		w.timer = time.AfterFunc(wait, w.fire)
+		w.timer = time.AfterFunc(delay, w.fire)
 		return
 	}
-	w.timer.Reset(wait)
+	w.timer.Reset(delay)
 }
 
 // disarm stops the wait, while the caller reads or when the epoch is over.
 func (w *watchdog) disarm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.due = time.Time{}
-	w.first = nil
+	w.expiresAt = time.Time{}
+	w.firstToken = nil
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 }
 
 func (w *watchdog) fire() {
-	first, over := w.expired(time.Now())
-	if over {
+	firstToken, timedOut := w.expired(time.Now())
+	if timedOut {
 		w.cancel(errStalled)
 		return
 	}
-	if first == nil {
+	if firstToken == nil {
 		return
 	}
-	silent := first.silent(first.since)
+	unresponsive := firstToken.unresponsive(firstToken.silentSince)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.first != first {
+	if w.firstToken != firstToken {
 		return // the token came meanwhile
 	}
-	if silent {
-		w.cancel(errSilent)
+	if unresponsive {
+		w.cancel(errUnresponsive)
 		return
 	}
 	// From when this look was due: late by a little each time, ten of them would
 	// add up to a tenth of the wait.
-	next := min(time.Until(w.due)+w.wait, time.Until(first.until))
-	w.schedule(max(next, 0))
+	delay := min(time.Until(w.expiresAt)+w.timeout, time.Until(firstToken.deadline))
+	w.schedule(max(delay, 0))
 }
 
 // expired reports whether the wait is over, or returns the first wait that
 // has to be looked into.
-func (w *watchdog) expired(now time.Time) (*firstWait, bool) {
+func (w *watchdog) expired(now time.Time) (*firstTokenWait, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.due.IsZero() || now.Before(w.due) {
+	if w.expiresAt.IsZero() || now.Before(w.expiresAt) {
 		return nil, false // disarmed or armed anew while this call was on its way
 	}
-	late := now.Sub(w.due) > pauseGrace
-	waiting := w.first != nil && now.Before(w.first.until)
-	if late && waiting {
+	delayed := now.Sub(w.expiresAt) > maxTimerDelay
+	waiting := w.firstToken != nil && now.Before(w.firstToken.deadline)
+	if delayed && waiting {
 		// The answers that this node did not read count for nothing against the
 		// chain: the silence is counted anew. It may happen again and again,
 		// because until ends the wait all the same.
-		w.first.since = now
-		w.set(w.wait)
+		w.firstToken.silentSince = now
+		w.restart(w.timeout)
 		return nil, false
 	}
-	if late && !w.late {
-		w.late = true
-		w.set(w.wait)
+	if delayed && !w.delayExcused {
+		w.delayExcused = true
+		w.restart(w.timeout)
 		return nil, false
 	}
 	if waiting {
-		return w.first, false
+		return w.firstToken, false
 	}
 	return nil, true
 }
