--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -1,6 +1,6 @@
-// Package chains turns a replica of a model into the chain of engines that a
-// stream is sent along: from the layers that the document gives, or from the
-// plan in force.
+// Package chains resolves a replica of a model to the chain of engines that runs its
+// streams. The layers of each engine come from the document, or from the plan in force
+// if the document leaves them out.
 package chains
 
 import (
@@ -17,23 +17,23 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// Error is the class of this layer's errors.
+// Error is the class of this package's errors.
 var Error = errs.Class("chains")
 
-// ErrNoPlan reports a replica whose layers nobody has cut yet.
+// ErrNoPlan reports a replica whose layers are neither in the document nor planned yet.
 var ErrNoPlan = errors.New("no plan for the replica yet")
 
-// ErrNoAdapter reports a replica that is not planned to hold the adapter asked for.
-var ErrNoAdapter = errors.New("the replica is not to hold the adapter")
+// ErrNoAdapter reports a replica whose plan does not include the requested adapter.
+var ErrNoAdapter = errors.New("the replica's plan does not include the adapter")
 
-// Plans returns the layers of a replica that the document leaves open.
+// Plans returns the plans of replicas whose layers are not in the document.
 type Plans interface {
 	// Agreed returns the plan in force, as far as this node knows.
 	Agreed(model, replica string) (agreed plan.Replica, ok bool)
 }
 
-// Resolver resolves replicas. Plans may be nil: then the document must give
-// the layers. Safe for concurrent use.
+// Resolver resolves replicas to chains. Plans may be nil; the document must then give
+// the layers. It is safe for concurrent use.
 type Resolver struct {
 	Plans Plans
 }
@@ -55,9 +55,9 @@
 	return buildChain(c.Directory, replica, replicaPlan, artifact)
 }
 
-// artifactOf is what a call runs on a replica. Of two versions of its adapter it is
-// the one that the replica was given first: the other may still be loading, and is
-// alone once it is there.
+// artifactOf returns the weights and adapter that a call runs on a replica. If the plan
+// lists two versions of the adapter, it is the first: the other one may still be
+// loading, and the plan lists it alone once it is loaded.
 func artifactOf(c *callparser.Call, replicaPlan plan.Replica) (engineapi.Artifact, error) {
 	artifact := engineapi.Artifact{Weights: replicaPlan.Weights}
 	if c.Adapter == "" {
@@ -72,9 +72,9 @@
 	return artifact, fmt.Errorf("%w: %q", ErrNoAdapter, c.Adapter)
 }
 
-// DocumentVersion is the placement version of chains whose layers stand in the
-// document. No plan decides about them, so engines are not asked to agree on a
-// number; what they hold is still compared.
+// DocumentVersion is the placement version of chains whose layers are in the document.
+// No plan decides their layers, so there is no version for the engines to agree on. The
+// layers that engines report are still compared with the document.
 const DocumentVersion = 0
 
 func (r *Resolver) replicaPlan(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
--- a/route/chains/chains_test.go
+++ b/route/chains/chains_test.go
@@ -20,9 +20,9 @@
 	}, replica == "planned"
 }
 
-// A chain's layers are the document's, or the plan's where the document leaves
-// them open, with the number to fence by. Nothing is guessed: without a plan, or
-// with an engine that the document does not name, there is no chain.
+// A chain's layers come from the document, or from the plan if the document leaves them
+// out, together with the plan's placement version. Without a plan, or with an engine
+// that the document does not name, resolving fails instead of guessing layers.
 func TestChain(t *testing.T) {
 	doc := &document.Document{
 		Endpoints: []document.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: "127.0.0.1:2"}},
@@ -60,7 +60,7 @@
 		}
 	}
 	if _, err := (&Resolver{}).Chain(c, "open"); !errors.Is(err, ErrNoPlan) {
-		t.Errorf("without a plan: %v", err)
+		t.Errorf("got %v without a plan, want ErrNoPlan", err)
 	}
 	c.Adapter = "notes"
 	chain, err := (&Resolver{Plans: planned}).Chain(c, "planned")
@@ -70,7 +70,7 @@
 	c.Adapter = "other"
 	for _, replica := range []string{"planned", "fixed"} {
 		if _, err := (&Resolver{Plans: planned}).Chain(c, replica); !errors.Is(err, ErrNoAdapter) {
-			t.Errorf("%s, an adapter that it does not hold: %v", replica, err)
+			t.Errorf("%s: got %v for an adapter that is not planned, want ErrNoAdapter", replica, err)
 		}
 	}
 }
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -8,7 +8,7 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// answer is one answer underway.
+// answer is the state of one answer in progress.
 type answer struct {
 	runner    *Runner
 	req       Request
@@ -19,20 +19,20 @@
 
 	delivered          []string
 	exclude            []string
-	executions         int    // chains that may have run some of it
-	nextChain          *Chain // chosen already, to leave a slow chain for
-	switchedFromSlow   bool
+	executions         int    // chains that may have run part of the answer
+	nextChain          *Chain // already chosen by leaveSlowChain, or nil
+	leftSlowChain      bool
 	stalls             int
-	unresponsiveChains int                // chains given up before their first token
-	lastTokenAt        time.Time          // last token delivered, or start of the epoch
-	failedAt           time.Time          // when the last epoch was given up, zero if none
-	kvHandle           string             // exported KV cache for the next epoch
-	artifact           engineapi.Artifact // what made the tokens delivered, if there are any
+	unresponsiveChains int                // chains that stopped answering probes before their first token
+	lastTokenAt        time.Time          // last delivered token, or start of the epoch
+	failedAt           time.Time          // failure not yet followed by a token, or zero
+	kvHandle           string             // exported KV cache for the next epoch, or empty
+	artifact           engineapi.Artifact // artifact of the delivered tokens, if any
 	exportTime         time.Duration
 	summary            Summary
 }
 
-// run tries chains, one epoch each, until the answer is whole.
+// run tries chains, one epoch each, until the answer is complete.
 func (a *answer) run(ctx context.Context) error {
 	for epoch := uint32(1); a.mayAttempt(epoch); epoch++ {
 		chain, err := a.choose(ctx)
@@ -55,12 +55,12 @@
 	return errors.Join(ErrAttemptsExhausted, a.summary.LastResult.Err)
 }
 
-// mayAttempt reports whether another chain may be tried.
+// mayAttempt reports whether an epoch with this number is within the bounds.
 func (a *answer) mayAttempt(epoch uint32) bool {
 	return a.executions < a.runner.options.MaxExecutions && int(epoch) <= a.runner.options.MaxAttempts
 }
 
-// chooser is the answer's own, or the Runner's.
+// chooser returns the request's chooser, or the Runner's if there is none.
 func (a *answer) chooser() Chooser {
 	if a.req.Chooser != nil {
 		return a.req.Chooser
@@ -68,7 +68,8 @@
 	return a.runner.chooser
 }
 
-// choose returns the chain that a slow one was left for, or asks for one.
+// choose returns the chain that leaveSlowChain has already chosen, or asks the
+// chooser.
 func (a *answer) choose(ctx context.Context) (Chain, error) {
 	if a.nextChain == nil {
 		return a.chooser().Choose(ctx, a.exclude)
@@ -78,7 +79,7 @@
 	return chain, nil
 }
 
-// chooseError names what kept the chooser from choosing.
+// chooseError maps the chooser's error to ErrCallerGone, ErrDeadline or ErrNoChain.
 func (a *answer) chooseError(ctx context.Context, err error) error {
 	if a.callerCtx.Err() != nil {
 		return ErrCallerGone
@@ -89,8 +90,8 @@
 	return errors.Join(ErrNoChain, err, a.summary.LastResult.Err)
 }
 
-// outcome follows from what was proved of each epoch, never from how the
-// error reads: "not run" needs every chain to have provably done nothing.
+// outcome derives the outcome from AttemptResult.NotRun of each epoch, never from
+// the error's text. OutcomeNotRun requires that every chain provably ran nothing.
 func (a *answer) outcome(err error) Outcome {
 	switch {
 	case err == nil:
@@ -102,7 +103,7 @@
 	}
 }
 
-// runEpoch runs the answer on one chain from where it stands.
+// runEpoch runs the rest of the answer on one chain.
 func (a *answer) runEpoch(ctx context.Context, number uint32, chain Chain) AttemptResult {
 	a.check.StartEpoch(number)
 	a.check.RequireArtifact(chain.Artifact)
@@ -120,7 +121,7 @@
 	return e.result
 }
 
-// recordDelivered notes a token that the caller has.
+// recordDelivered records a token that was sent to the caller.
 func (a *answer) recordDelivered(token string, artifact engineapi.Artifact) {
 	now := time.Now()
 	a.artifact = artifact
@@ -138,7 +139,8 @@
 	a.failedAt = time.Time{}
 }
 
-// contextTokens estimates how many tokens a chain must know to go on.
+// contextTokens estimates the tokens of the prompt and of the answer so far, which
+// a chain needs in its KV cache to continue.
 func (a *answer) contextTokens() int {
 	bytes := 0
 	for _, m := range a.req.Chat.Messages {
@@ -149,7 +151,7 @@
 
 const bytesPerToken = 4
 
-// recordFailure starts the clock of a recovery.
+// recordFailure starts measuring a recovery.
 func (a *answer) recordFailure(result AttemptResult) {
 	now := time.Now()
 	a.summary.Recoveries = append(a.summary.Recoveries, Recovery{
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -13,7 +13,8 @@
 
 var notesAdapter = engineapi.Adapter{Name: "notes", Version: "1"}
 
-// versionedFleet is a chooser over a fleet whose chains need artifacts of their own.
+// versionedFleet is a fleet whose chains have different artifacts, and the chooser over
+// them.
 type versionedFleet struct {
 	*fleet
 	artifacts []engineapi.Artifact
@@ -29,7 +30,7 @@
 	return chain, err
 }
 
-// newVersionedFleet starts a chain for each artifact, whose engines hold it.
+// newVersionedFleet starts a chain for each artifact. Its engines hold the artifact.
 func newVersionedFleet(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versionedFleet {
 	f := newFleet(t, 0, cfg, Options{})
 	for _, a := range artifacts {
@@ -57,13 +58,12 @@
 	return strings.Join(standin.AnswerBy(a, req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
-// The caller gets one version's answer to the last byte. Its chain dies partway
-// while a new version is rolled out; the next replica has the new weights already,
-// works, and would go on with plausible tokens of another answer. Only the third
-// has the weights that the answer began with.
+// Without the artifact check, a resumed answer mixes two versions of the weights. The
+// chain fails during a rollout: the second replica is healthy but already has the new
+// weights, only the third has those that the answer began with.
 func TestAnswerStaysWithItsVersion(t *testing.T) {
 	old, next := engineapi.Artifact{Weights: "v1"}, engineapi.Artifact{Weights: "v2"}
-	Convey("The resume passes over the other version", t, func() {
+	Convey("The resume skips the chain with the other version", t, func() {
 		v := newVersionedFleet(t, fastEngine, old, next, old)
 		defer v.stop()
 		req := v.request("roll-out")
@@ -80,13 +80,12 @@
 	})
 }
 
-// The caller gets one version's answer to the last byte. A later stage ignores
-// fencing numbers and takes an order for other weights in the middle of the answer;
-// what it reported before is still trusted. Its next span names the weights, and the
-// token is not delivered.
+// An engine loads other weights in the middle of an answer. A later stage ignores
+// fencing numbers and accepts the order while its earlier report is still cached. Its
+// next span names the new weights, and the token must not be delivered.
 func TestWeightsChangeMidAnswer(t *testing.T) {
 	old := engineapi.Artifact{Weights: "v1"}
-	Convey("The span tells", t, func() {
+	Convey("The span shows the change", t, func() {
 		v := newVersionedFleet(t, fastEngine, old, old)
 		defer v.stop()
 		var once sync.Once
@@ -107,19 +106,20 @@
 	})
 }
 
-// The caller gets the adapter's answer. An engine has dropped the adapter for want
-// of memory and told nobody. If it is asked it says so and nothing is sent; within
-// the time that a report is trusted an engine that checks refuses, and one that does
-// not runs the bare model, which its first span tells.
+// An engine drops an adapter for lack of memory without reporting it. If the engine is
+// asked, its report shows the loss and nothing is sent. While an older report is
+// cached, an engine that checks fencing refuses the stream; one that does not runs the
+// base model, which its first span shows. In each case the caller must get the
+// adapter's answer.
 func TestAdapterIsLost(t *testing.T) {
 	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notesAdapter.String()}
 	cases := []struct {
-		name    string
-		checks  bool
-		trusted bool // the engine has been asked a moment ago
-		end     End
+		name   string
+		checks bool
+		cached bool // the engine's report is cached
+		end    End
 	}{
-		{"asked before use", false, false, EndMismatch},
+		{"engine asked before use", false, false, EndMismatch},
 		{"an engine that checks", true, true, EndRefused},
 		{"an engine that does not check", false, true, EndInvalidToken},
 	}
@@ -129,7 +129,7 @@
 			cfg.CheckFencing = c.checks
 			v := newVersionedFleet(t, cfg, withNotes, withNotes)
 			defer v.stop()
-			if c.trusted {
+			if c.cached {
 				before := v.request("before")
 				answer, _, err := v.collect(context.Background(), before, nil)
 				So(err, ShouldBeNil)
@@ -143,7 +143,7 @@
 			So(answer, ShouldEqual, expectedAnswerBy(withNotes, req))
 			So(v.results[0].End, ShouldEqual, c.end)
 			So(v.chains[0][0].Engine.Stats().Opened, ShouldBeLessThanOrEqualTo, 2)
-			// Found once, it is not tried again while it is without the adapter.
+			// The chain is not tried again while the adapter is missing.
 			v.results = nil
 			_, _, err = v.collect(context.Background(), v.request("later"), nil)
 			So(err, ShouldBeNil)
@@ -152,11 +152,11 @@
 	}
 }
 
-// Callers wait for a prompt computed anew on a chain that was taken to have it
-// cached: a later stage has lost its cache, and the first one, whose events are read,
-// has not. The next report before work is sent names another cache.
+// A prompt is routed to a chain for its cache and computed again: a later stage has
+// lost its cache, and the first stage, whose cache events are read, has not. The later
+// stage's next report names another cache, which must be reported through OnCacheLost.
 func TestLaterStageLosesItsCache(t *testing.T) {
-	Convey("Each loss is told once", t, func() {
+	Convey("Each loss is reported once", t, func() {
 		var mu sync.Mutex
 		var lost []string
 		f := newFleet(t, 1, fastEngine, Options{ReportTTL: 1, OnCacheLost: func(model, replica string) {
@@ -179,10 +179,10 @@
 	})
 }
 
-// The caller is answered by an engine that works on prompts and on answers. Someone
-// has ordered the first one to do prompts only; it says so before work is sent.
+// A stream is sent to an engine that was ordered to the prefill role. Its report names
+// the role, so another chain must be used.
 func TestOtherRoleIsNotUsed(t *testing.T) {
-	Convey("Another chain is taken", t, func() {
+	Convey("Another chain is used", t, func() {
 		v := newVersionedFleet(t, fastEngine, engineapi.Artifact{}, engineapi.Artifact{})
 		defer v.stop()
 		So(v.chains[0][0].Engine.Order(engineapi.Order{
--- a/route/stream/cancel.go
+++ b/route/stream/cancel.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// cancelWorkers bounds the cancels underway at once.
+	// cancelWorkers bounds the concurrent cancel calls.
 	cancelWorkers = 32
-	// maxCancels bounds those that wait: one for each stage of the streams
-	// that a node can have open.
+	// maxCancels bounds the queue. It allows one entry for each stage of all
+	// streams that a node can have open.
 	maxCancels    = 1 << 16
 	cancelTimeout = 1 * time.Second
 )
 
-// canceller tells every stage of a chain that an epoch is over. The closing
-// connection tells the first stage only, and a first stage that is frozen or
-// dead tells nobody: the later stages would hold their slots for a stream
-// without a caller. Workers live only while there is something to cancel.
+// canceller cancels an ended epoch on every stage of its chain. Closing the
+// connection informs only the first stage, and a frozen or crashed first stage does
+// not inform the others: they would keep their slots for a stream without a caller.
+// Workers run only while the queue is not empty.
 type canceller struct {
 	client *engineclient.Client
 
@@ -42,7 +42,7 @@
 	return c
 }
 
-// cancel ends a stream's epochs up to the given one on every stage.
+// cancel queues the cancel of a stream's epochs up to the given one, for every stage.
 func (c *canceller) cancel(chain Chain, stream string, epoch uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,8 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
-		// An engine that cannot be told frees the slot itself in time.
+		// The error is ignored: an engine that cannot be reached frees the slot
+		// by its own timeout.
 		c.client.Cancel(ctx, task.address, task.stream, task.epoch)
 		cancel()
 	}
@@ -88,7 +89,7 @@
 	return task, true
 }
 
-// wait returns when nothing is left to cancel, or ctx ends.
+// wait returns when all queued cancels have been sent, or ctx ends.
 func (c *canceller) wait(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		c.mu.Lock()
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -2,7 +2,7 @@
 
 import "github.com/cicadatack/cicadatack/state/engineapi"
 
-// Reason says why Check let a token through or not.
+// Reason says why TokenCheck accepted or rejected a token.
 type Reason uint8
 
 const (
@@ -10,22 +10,22 @@
 	Accepted Reason = iota
 	// ForeignStream tokens belong to another stream.
 	ForeignStream
-	// OldEpoch tokens come late, from a chain that was given up.
+	// OldEpoch tokens come from an earlier epoch of the stream.
 	OldEpoch
-	// FutureEpoch tokens name an epoch that was never opened.
+	// FutureEpoch tokens name an epoch that was never started.
 	FutureEpoch
-	// WrongPosition tokens repeat a token or leave one out.
+	// WrongPosition tokens repeat a position or skip one.
 	WrongPosition
-	// SkippedLayer tokens were made without some layer.
+	// SkippedLayer tokens were computed without one of the layers.
 	SkippedLayer
-	// RepeatedLayer tokens ran a layer twice or out of order.
+	// RepeatedLayer tokens were computed with a layer twice or out of order.
 	RepeatedLayer
 	// BadSpan tokens name layers that the model does not have.
 	BadSpan
-	// TooLong tokens follow an answer that has reached its longest length.
+	// TooLong tokens exceed the maximum number of tokens of an answer.
 	TooLong
-	// WrongArtifact tokens were made in part by other weights or another adapter
-	// than the chain's.
+	// WrongArtifact tokens were computed, on at least one stage, with other weights
+	// or another adapter than the chain's.
 	WrongArtifact
 )
 
@@ -35,46 +35,46 @@
 	"other weights or adapter",
 }
 
-// String returns the reason in words.
+// String returns the text used in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Stray reports whether the token belongs elsewhere, so that it is dropped and
-// says nothing against the chain.
+// Stray reports whether the token belongs to another stream or an earlier epoch. It
+// is dropped and does not count as a fault of the chain.
 func (r Reason) Stray() bool { return r == ForeignStream || r == OldEpoch }
 
 // TokenCheck decides which tokens of a stream may reach the caller. It is a pure
-// state machine for one goroutine; it neither allocates nor blocks.
+// state machine for use by one goroutine, and neither allocates nor blocks.
 type TokenCheck struct {
 	stream       string
 	layers       int
 	maxTokens    int
 	epoch        uint32
 	nextPosition int
-	// artifact is what each span of the present epoch must have run. An engine that
-	// ignores fencing numbers takes other weights in the middle of an answer, and
-	// the caller would get half of it from each: the layers are complete and in
-	// order, so nothing but the span's own word tells. An engine that lies about it
-	// is not found.
+	// artifact is the artifact that each span of the current epoch must report. An
+	// engine that ignores fencing numbers may load other weights in the middle of an
+	// answer. Its layers are still complete and in order, so only the artifact in
+	// the span shows the change; without this check the answer would mix two
+	// versions. An engine that reports a false artifact is not detected.
 	artifact engineapi.Artifact
 }
 
-// NewTokenCheck returns the check of a stream of a model with the given number of
-// layers, whose answer has at most limit tokens.
+// NewTokenCheck returns the check for one stream. layers is the model's number of
+// layers, maxTokens the maximum number of tokens of the answer.
 func NewTokenCheck(stream string, layers, maxTokens int) TokenCheck {
 	return TokenCheck{stream: stream, layers: layers, maxTokens: maxTokens}
 }
 
-// StartEpoch opens an epoch: from now on tokens of any other are refused. The next
-// position stays, because the new chain resumes after the last token accepted.
+// StartEpoch sets the epoch whose tokens are accepted. The next position does not
+// change, because the new chain resumes after the last accepted token.
 func (c *TokenCheck) StartEpoch(epoch uint32) { c.epoch = epoch }
 
-// RequireArtifact says what the epoch's tokens must be made by.
+// RequireArtifact sets the artifact that the epoch's spans must report.
 func (c *TokenCheck) RequireArtifact(a engineapi.Artifact) { c.artifact = a }
 
 // NextPosition returns the position of the next token.
 func (c *TokenCheck) NextPosition() int { return c.nextPosition }
 
-// Verify judges a token, and moves to the next position if it is accepted.
+// Verify checks a token and advances to the next position if it is accepted.
 func (c *TokenCheck) Verify(t *engineapi.TokenTrace) Reason {
 	if reason := c.verifyPosition(t); reason != Accepted {
 		return reason
@@ -89,11 +89,11 @@
 	return Accepted
 }
 
-// VerifyEnd judges the event that closes the answer: it must stand right behind the
-// last token, or tokens were lost before it.
+// VerifyEnd checks the event that closes the answer. Its position must follow the
+// last accepted token; otherwise tokens before it were lost.
 func (c *TokenCheck) VerifyEnd(t *engineapi.TokenTrace) Reason { return c.verifyPosition(t) }
 
-// verifyPosition judges where a token says that it belongs.
+// verifyPosition checks a token's stream, epoch and position.
 func (c *TokenCheck) verifyPosition(t *engineapi.TokenTrace) Reason {
 	switch {
 	case t.Stream != c.stream:
@@ -108,7 +108,7 @@
 	return Accepted
 }
 
-// verifySpans judges whether verifySpans cover layers 0 to layers-1 once and in order.
+// verifySpans checks that spans cover layers 0 to layers-1 once and in order.
 func (c *TokenCheck) verifySpans(spans []engineapi.Span) Reason {
 	expected := 0
 	for i := range spans {
--- a/route/stream/check_test.go
+++ b/route/stream/check_test.go
@@ -52,7 +52,7 @@
 		{"negative", layers(-1, 7), BadSpan},
 		{"overflow", layers(0, maxInt), BadSpan},
 	}
-	Convey("Each fault has its reason, and only a good token moves on", t, func() {
+	Convey("Each fault has its reason, and only a valid token advances the position", t, func() {
 		for _, c := range cases {
 			check := NewTokenCheck("s", 8, 10)
 			check.StartEpoch(2)
@@ -60,15 +60,15 @@
 			So(check.NextPosition() == 1, ShouldEqual, c.want == Accepted)
 		}
 	})
-	Convey("An answer is bounded", t, func() {
+	Convey("A token beyond the maximum length is rejected", t, func() {
 		check := NewTokenCheck("s", 8, 0)
 		check.StartEpoch(2)
 		So(check.Verify(&valid), ShouldEqual, TooLong)
 	})
 }
 
-// TestCheckMatchesReference draws spans at random and compares the verdict with
-// the plain meaning: written out, the layers run must be 0, 1, ..., n-1.
+// TestCheckMatchesReference draws spans at random and compares the decision with a
+// reference: the layers run, listed one by one, must be 0, 1, ..., n-1.
 func TestCheckMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 6).Draw(t, "layers")
@@ -101,7 +101,7 @@
 
 func BenchmarkCheck(b *testing.B) { benchCheck(b, engineapi.Artifact{}) }
 
-// BenchmarkCheckNamed is with a version of the weights and an adapter in each span.
+// BenchmarkCheckNamed runs the check with weights and an adapter named in each span.
 func BenchmarkCheckNamed(b *testing.B) {
 	benchCheck(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
@@ -122,7 +122,7 @@
 			for i := 0; b.Loop(); i++ {
 				trace.Position = i
 				if check.maxTokens = i + 1; check.Verify(&trace) != Accepted {
-					b.Fatal("refused")
+					b.Fatal("valid token rejected")
 				}
 			}
 		})
--- a/route/stream/doc.go
+++ b/route/stream/doc.go
@@ -8,16 +8,20 @@
 //		return writeToCaller(token)
 //	})
 //
-// The failures that it answers: a stage of a chain dies, freezes, is cut off
-// or turns slow partway; an engine skips or repeats a layer, answers for
-// another stream, or goes on sending after it was given up. Each try of a
-// chain is an epoch of the stream. Check lets a token through only if its
-// spans cover every layer once, in order, for this stream, epoch and position.
-// When an epoch fails, the next one runs on another chain and resumes after
-// the last token delivered, so the caller sees one whole answer, byte for byte
-// the undisturbed one. The Runner needs no knowledge of who is alive: it acts
-// on what reaches it, and what it cannot prove it calls unknown.
+// # Failures handled
 //
-// One Runner serves the replicas of one model; what it learns of their speed
-// is kept for all streams.
+// In the middle of an answer a stage of a chain crashes, freezes, becomes
+// unreachable or turns slow. An engine skips or repeats a layer, sends tokens of
+// another stream, or keeps sending after the stream was moved to another chain.
+//
+// Each attempt on a chain is an epoch of the stream. TokenCheck accepts a token
+// only if its spans cover every layer once, in order, for this stream, epoch and
+// position. When an epoch fails, the next epoch runs on another chain and resumes
+// after the last delivered token, so the caller receives one complete answer, byte
+// for byte the same as without the failure. The Runner uses no membership or
+// health state: it acts on the responses it receives, and reports the outcome as
+// unknown when it cannot prove what an engine did.
+//
+// One Runner serves the replicas of one model. The token gaps and resume times
+// that it measures are shared by all streams.
 package stream
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -12,7 +12,7 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// epoch is one try of one chain.
+// epoch is one attempt of an answer on one chain.
 type epoch struct {
 	answer   *answer
 	chain    Chain
@@ -22,17 +22,17 @@
 	gap      gapEstimate
 	slowness slowDetector
 	sentAt   time.Time
-	// openedAt is sent by the clock of the holding check.
+	// openedAt is sentAt on the clock of the report checker.
 	openedAt time.Time
-	// activityReportedAt is when the way check was last activityReportedAt of a token.
+	// activityReportedAt is when a token was last reported to the chain prober.
 	activityReportedAt time.Time
 	hops               hopTimes
 	strayTokens        int
 	result             AttemptResult
 }
 
-// maxStrayTokens bounds the late or foreign tokens that one epoch may bring. They
-// never reach the caller, but a chain that sends many is not worth waiting on.
+// maxStrayTokens bounds the tokens of earlier epochs or other streams in one epoch.
+// They never reach the caller, but a chain that sends more than this is abandoned.
 const maxStrayTokens = 64
 
 func (e *epoch) run(ctx context.Context) {
@@ -62,19 +62,21 @@
 	}
 }
 
-// verify is the check at use.
+// verify checks before sending that the chain's engines hold what the plan says.
 //
-// A chain with other weights or another adapter than made the answer so far is not
-// used: the caller would get one answer's beginning and another's end, both
-// plausible. Nothing was sent, so another chain may be tried.
+// It also rejects a chain with other weights or another adapter than those of the
+// tokens delivered so far: the caller would get the beginning of one answer and the
+// end of another, both plausible. Nothing has been sent at this point, so another
+// chain may be tried.
 func (e *epoch) verify(ctx context.Context) error {
 	if len(e.answer.delivered) > 0 && e.chain.Artifact != e.answer.artifact {
-		return fmt.Errorf("%w: %+v, not %+v", errWrongArtifact, e.chain.Artifact, e.answer.artifact)
+		return fmt.Errorf("%w: got %+v, want %+v", errWrongArtifact, e.chain.Artifact, e.answer.artifact)
 	}
 	return e.answer.runner.reports.verify(ctx, e.answer.req.Chat.Model, e.answer.req.Layers, e.chain, time.Time{})
 }
 
-// chat is the request for this epoch: it resumes after the last token delivered.
+// chat returns the request for this epoch, which resumes after the last delivered
+// token.
 func (e *epoch) chat() engineapi.ChatRequest {
 	chat := e.answer.req.Chat
 	chat.Pipeline = &engineapi.Pipeline{
@@ -104,7 +106,8 @@
 	e.preferCallerCause(ctx)
 }
 
-// handleEvent handles one event of the stream and reports whether the epoch is over.
+// handleEvent waits for one event of the stream, handles it and reports whether the
+// epoch has ended.
 func (e *epoch) handleEvent(ctx context.Context, stream *engineclient.Stream) bool {
 	waitStart := time.Now()
 	event, err := stream.Next()
@@ -137,7 +140,7 @@
 	return false
 }
 
-// handleEnd handles the event that says that the answer is whole.
+// handleEnd handles the event that closes the answer.
 func (e *epoch) handleEnd(event engineclient.Event, stream *engineclient.Stream) bool {
 	reason := e.answer.check.VerifyEnd(&event.Trace)
 	if reason.Stray() {
@@ -153,12 +156,14 @@
 	return true
 }
 
-// drainTimeout bounds the wait for the end of a body whose answer is whole. Engines
-// send it along with the last event; one that does not costs its connection.
+// drainTimeout bounds the wait for the end of the body after the closing event.
+// Engines send both together. If the end does not arrive in time, the connection is
+// closed and cannot be reused.
 const drainTimeout = 20 * time.Millisecond
 
-// dropStray counts a token that belongs elsewhere. The watchdog runs on: such a
-// token is no sign that the chain works for this stream.
+// dropStray drops and counts a token of another stream or an earlier epoch. It does
+// not reset the watchdog: the token does not show that the chain works on this
+// stream.
 func (e *epoch) dropStray(reason Reason) bool {
 	e.answer.summary.StrayTokens++
 	e.answer.runner.strayTokens.Add(1)
@@ -175,7 +180,7 @@
 	return true
 }
 
-// handleStreamError names the end of an epoch whose stream broke off.
+// handleStreamError sets the end of an epoch whose stream failed.
 func (e *epoch) handleStreamError(ctx context.Context, err error) {
 	switch {
 	case errors.Is(context.Cause(e.ctx), errStalled) && e.result.Tokens == 0:
@@ -184,8 +189,8 @@
 	case errors.Is(context.Cause(e.ctx), errStalled):
 		e.setEnd(EndStalled, err)
 	case errors.Is(err, io.EOF):
-		// The marker without the closing event: nothing says that the
-		// tokens that came are all.
+		// The done marker came without the closing event, so tokens may be
+		// missing.
 		e.setEnd(EndConnectionLost, engineclient.ErrCutShort)
 	default:
 		e.setEnd(EndConnectionLost, err)
@@ -193,7 +198,8 @@
 	e.preferCallerCause(ctx)
 }
 
-// preferCallerCause puts a caller's leaving and the deadline before what they caused.
+// preferCallerCause replaces the epoch's end if the caller disconnected or the
+// deadline passed, because the error that was seen follows from that.
 func (e *epoch) preferCallerCause(ctx context.Context) {
 	if e.answer.callerCtx.Err() != nil {
 		e.setEnd(EndCallerGone, e.answer.callerCtx.Err())
@@ -209,7 +215,7 @@
 	e.result.Err = err
 }
 
-// recordToken keeps the times of an accepted token.
+// recordToken records the times of an accepted token.
 func (e *epoch) recordToken(wait time.Duration, spans []engineapi.Span) {
 	e.result.Tokens++
 	e.hops.add(spans)
@@ -224,14 +230,15 @@
 	e.renewReports(spans)
 	e.answer.runner.costs.record(e.answer.kvHandle != "", e.answer.contextTokens(), e.result.FirstToken+e.answer.exportTime)
 	if !e.gap.known {
-		// The first token's own time is all there is to go by; prefill makes
-		// it longer than those that follow, which errs to the safe side.
+		// The first token's time is the only sample for the next gap. It
+		// includes prefill, so the stall timeout is too long rather than too
+		// short.
 		e.gap.sample(gapOf(0, spans))
 	}
 }
 
-// reportActivity tells the way check of a token, twice in the time after which it asks
-// and not with each: all streams share its lock.
+// reportActivity reports a token to the chain prober, at most twice per probe
+// interval, because all streams share the prober's lock.
 func (e *epoch) reportActivity(now time.Time) {
 	if now.Sub(e.activityReportedAt) >= e.answer.runner.prober.probeInterval()/2 {
 		e.activityReportedAt = now
@@ -239,8 +246,9 @@
 	}
 }
 
-// renewReports takes the first token's spans as a sign of what the engines held
-// when the stream was opened, if each stage ran what the plan says.
+// renewReports renews the cached engine reports if the first token's spans show that
+// each stage ran the layers of the plan. The reports are renewed as of the time when
+// the stream was opened.
 func (e *epoch) renewReports(spans []engineapi.Span) {
 	matchesPlan := slices.EqualFunc(spans, e.chain.Stages, func(span engineapi.Span, stage engineapi.Stage) bool {
 		return span.Endpoint == stage.Endpoint && span.First == stage.First && span.Last == stage.Last
@@ -250,8 +258,8 @@
 	}
 }
 
-// stallTimeout is how long to wait for the next token. Each stall before in this
-// answer doubles it: if every chain is slow, moving on makes it worse.
+// stallTimeout returns how long to wait for the next token. It doubles with each
+// earlier stall of this answer: if every chain is slow, changing chains adds load.
 func (e *epoch) stallTimeout() time.Duration {
 	timeout := e.gap.timeout(e.answer.runner.options.MinStallTimeout, e.answer.req.MaxStallTimeout)
 	return min(timeout<<min(e.answer.stalls, maxStallDoublings), max(e.answer.req.MaxStallTimeout, e.answer.runner.options.MinStallTimeout))
@@ -259,7 +267,9 @@
 
 const maxStallDoublings = 6
 
-// finish learns from the epoch, tells its stages and prepares the next one.
+// finish updates the gap estimate, the cached reports and the recovery times from
+// the epoch's result, and cancels the stream on the chain's stages if the answer is
+// not complete.
 func (e *epoch) finish() {
 	e.result.Hops = e.hops.means()
 	if e.result.Tokens > 1 {
@@ -267,8 +277,8 @@
 	}
 	if e.result.End == EndStalled {
 		e.answer.stalls++
-		// The true gap is at least the wait: a chain that was only slow is
-		// given longer next time.
+		// The real gap is at least the time waited. If the chain was only
+		// slow, its next stall timeout is longer.
 		e.gap.sample(time.Since(e.answer.lastTokenAt))
 	}
 	if e.result.Unresponsive {
@@ -284,7 +294,8 @@
 		e.answer.recordFailure(e.result)
 	}
 	if e.result.End == EndRefused {
-		// The engine may refuse because it lost what it last reported.
+		// The engine may have refused because it no longer holds what it last
+		// reported.
 		e.answer.runner.reports.invalidate(e.chain)
 	}
 	if e.result.NotRun {
--- a/route/stream/fleet_test.go
+++ b/route/stream/fleet_test.go
@@ -21,7 +21,7 @@
 	testTokens = 24
 )
 
-// fleet is some two-stage chains of stand-in engines and the chooser over them.
+// fleet is a set of two-stage chains of stand-in engines, and the chooser over them.
 type fleet struct {
 	t      testing.TB
 	client *engineclient.Client
@@ -32,13 +32,13 @@
 	results []AttemptResult
 }
 
-// testTimeouts is the waits of tests that set none. The defaults are for machines
-// of their own: where all packages are tested side by side, a healthy engine is
-// now and then kept from running for 250 ms, and the last chain that a test has
-// is then taken for frozen. Benchmarks measure the defaults.
+// testTimeouts are the timeouts of tests that set none. The defaults assume an otherwise
+// idle machine. When all packages are tested in parallel, a healthy engine sometimes
+// gets no CPU for 250 ms, and a test's last chain would be taken for frozen. Benchmarks
+// use the defaults.
 var testTimeouts = Options{MinStallTimeout: time.Second, ReportTimeout: time.Second}
 
-// newFleet starts n chains, of which half the layers stand on each stage.
+// newFleet starts n chains. Each of the two stages has half of the layers.
 func newFleet(t testing.TB, n int, cfg standin.Config, options Options) *fleet {
 	t.Helper()
 	if _, test := t.(*testing.T); test {
@@ -80,7 +80,7 @@
 	f.client.CloseIdle()
 }
 
-// Choose returns the first chain not excluded.
+// Choose returns the first chain that is not excluded.
 func (f *fleet) Choose(_ context.Context, exclude []string) (Chain, error) {
 	for i := range f.chains {
 		if chain := f.chain(i); !slices.Contains(exclude, chain.Replica) {
@@ -102,7 +102,7 @@
 	}
 }
 
-// Ended keeps the result for the test.
+// Ended records the result for the test.
 func (f *fleet) Ended(_ Chain, result AttemptResult) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -121,13 +121,13 @@
 	}
 }
 
-// expectedAnswer is what the caller of request(stream) must receive.
+// expectedAnswer returns the answer that the caller must receive.
 func expectedAnswer(req Request) string {
 	return strings.Join(standin.Answer(req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
-// collect runs a request; before each token is taken, at is called with its
-// position.
+// collect runs a request. It calls onToken, if not nil, with the position of each token
+// before it adds the token to the answer.
 func (f *fleet) collect(ctx context.Context, req Request, onToken func(position int)) (string, Summary, error) {
 	var answer strings.Builder
 	summary, err := f.runner.Run(ctx, req, func(token string, trace engineapi.TokenTrace) error {
@@ -140,17 +140,17 @@
 	return answer.String(), summary, err
 }
 
-// waitCancelled fails the test unless the stages of all streams given up are told.
+// waitCancelled fails the test unless all cancels are sent within a minute.
 func (f *fleet) waitCancelled() {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	if err := f.runner.Close(ctx); err != nil {
-		f.t.Error("cancels left:", err)
+		f.t.Error("cancels not sent within a minute:", err)
 	}
 }
 
-// waitIdle fails the test unless every stage's slots come free once the stages
-// are told.
+// waitIdle fails the test unless all slots of every stage are freed after the cancels
+// are sent.
 func (f *fleet) waitIdle() {
 	f.waitCancelled()
 	for _, chain := range f.chains {
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -9,34 +9,35 @@
 )
 
 const (
-	// The wait for a token is gapFactor times the mean gap plus devFactor
-	// times its mean deviation: far outside what a steady chain does.
+	// The stall timeout is gapFactor times the mean gap plus devFactor times its
+	// mean deviation, far above the gaps of a chain with steady load.
 	gapFactor = 4
 	devFactor = 8
-	// A sample moves the mean by 1/8 and the deviation by 1/4, as in TCP's
-	// retransmission timer.
+	// Weights of a new sample in the moving averages, as in TCP's retransmission
+	// timer (RFC 6298).
 	meanWeight = 1.0 / 8
 	devWeight  = 1.0 / 4
 )
 
-// gapEstimate follows the time between tokens of a chain, in nanoseconds.
+// gapEstimate is the moving average and mean deviation of the time between a
+// chain's tokens, in nanoseconds.
 type gapEstimate struct {
 	mean, dev float64
 	known     bool
 }
 
 func (g *gapEstimate) sample(gap time.Duration) {
-	x := float64(gap)
+	nanos := float64(gap)
 	if !g.known {
-		*g = gapEstimate{mean: x, dev: x / 2, known: true}
+		*g = gapEstimate{mean: nanos, dev: nanos / 2, known: true}
 		return
 	}
-	g.dev += devWeight * (abs(x-g.mean) - g.dev)
-	g.mean += meanWeight * (x - g.mean)
+	g.dev += devWeight * (abs(nanos-g.mean) - g.dev)
+	g.mean += meanWeight * (nanos - g.mean)
 }
 
-// timeout is the wait after which a chain counts as stalled. It follows what
-// was measured, so that a slow accelerator is not cut off for being slow.
+// timeout returns the wait after which a chain counts as stalled. It adapts to the
+// measured gaps, so that a slow accelerator is not taken for a stalled one.
 func (g *gapEstimate) timeout(minTimeout, maxTimeout time.Duration) time.Duration {
 	if !g.known {
 		return maxTimeout
@@ -52,9 +53,9 @@
 	return x
 }
 
-// gapOf is the gap that a token shows: the wait for it, or the time that the
-// stages say it took if that is longer. The wait alone is too short when the
-// caller reads slowly and tokens pile up.
+// gapOf returns the gap before a token: the wait for it, or the sum of the stages'
+// times if that is longer. The wait alone is too short when the caller reads slowly
+// and tokens queue up in the connection.
 func gapOf(wait time.Duration, spans []engineapi.Span) time.Duration {
 	micros := int64(0)
 	for i := range spans {
@@ -68,7 +69,7 @@
 	maxGapsInShard = 512
 )
 
-// gapTable keeps the estimates of all replicas between streams.
+// gapTable holds the gap estimates of all replicas, shared by all streams.
 type gapTable struct {
 	seed   maphash.Seed
 	shards [gapShards]gapShard
--- a/route/stream/hops.go
+++ b/route/stream/hops.go
@@ -6,7 +6,7 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// hopTimes sums the times of the stages over an epoch.
+// hopTimes sums the span times of each stage over an epoch.
 type hopTimes struct {
 	names []string
 	sums  []int64
--- a/route/stream/leave_test.go
+++ b/route/stream/leave_test.go
@@ -13,20 +13,20 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The caller leaves while tokens come. Every stage is told, and gives its slot
-// back; nothing of 10,000 such streams is left, neither slots nor goroutines.
+// Callers disconnect while tokens arrive. Every stage must be informed and free its
+// slot: 10,000 such streams must leak neither slots nor goroutines.
 func TestCallersLeave(t *testing.T) {
-	const streams, atOnce = 10_000, 64
-	// There is one chain only: on a busy machine the usual waits would now and
-	// then find it starved, which is not what this test judges. An engine
-	// without a step would itself keep all processors busy.
+	const streams, concurrency = 10_000, 64
+	// With the usual timeouts, the only chain would sometimes be taken for stalled on
+	// a busy machine, which this test is not about. Engines with a step time of zero
+	// would keep all processors busy.
 	longTimeouts := Options{MinStallTimeout: time.Minute, ReportTimeout: time.Minute}
-	engines := standin.Config{Step: time.Millisecond, Slots: 2 * atOnce, Queue: streams}
+	engines := standin.Config{Step: time.Millisecond, Slots: 2 * concurrency, Queue: streams}
 	Convey("10,000 cancelled streams leave nothing behind", t, func() {
 		f := newFleet(t, 1, engines, longTimeouts)
 		defer f.stop()
 		var wg sync.WaitGroup
-		semaphore := make(chan struct{}, atOnce)
+		semaphore := make(chan struct{}, concurrency)
 		for i := range streams {
 			semaphore <- struct{}{}
 			wg.Go(func() {
@@ -44,10 +44,11 @@
 	})
 }
 
-// The caller leaves while the first stage is frozen. That stage tells nobody,
-// and the connection that closes tells only that stage.
+// The caller disconnects while the first stage is frozen. Closing the connection
+// informs only the first stage, which does not inform the second, so the second would
+// keep its slot.
 func TestCallerLeavesFrozenStage(t *testing.T) {
-	Convey("The later stage is told by the node itself", t, func() {
+	Convey("The node cancels the stream on the later stage itself", t, func() {
 		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		ctx, cancel := context.WithCancel(context.Background())
@@ -64,15 +65,15 @@
 	})
 }
 
-var errDisconnected = errors.New("the caller's connection is gone")
+var errDisconnected = errors.New("caller's connection closed")
 
-// runAndDisconnect runs a stream whose caller leaves when it is given token at: its
-// context ends, or the token cannot be written to it.
+// runAndDisconnect runs a stream whose caller disconnects at the token with position at:
+// either the context is cancelled, or writing the token fails.
 func (f *fleet) runAndDisconnect(stream string, at int, byContext bool) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f.t.Cleanup(cancel) // no sooner: Run has to clean up by itself
+	f.t.Cleanup(cancel) // not when Run returns: Run must clean up by itself
 	req := request(stream)
-	req.Chat.MaxTokens = 1 << 20 // it does not end by itself
+	req.Chat.MaxTokens = 1 << 20 // does not end before the caller disconnects
 	req.FirstTokenTimeout = time.Minute
 	req.MaxStallTimeout = time.Minute
 	_, err := f.runner.Run(ctx, req, func(_ string, trace engineapi.TokenTrace) error {
@@ -86,6 +87,6 @@
 		return errDisconnected
 	})
 	if !errors.Is(err, ErrCallerGone) {
-		f.t.Error(stream, "should have ended with its caller gone:", err)
+		f.t.Error(stream, "did not end with ErrCallerGone:", err)
 	}
 }
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -11,42 +11,50 @@
 )
 
 const (
-	// probesPerTimeout and ticksIn are how many times in the least wait a chain is
-	// asked and looked at. Two and a half: when it is given up at least two
-	// questions are without an answer, so that one answer that comes late from
-	// an engine short of processor time costs nothing. Looks cost no call, and
-	// are what detection is late by.
+	// probesPerTimeout is the number of probes sent within minTimeout. With 2.5, at
+	// least two probes are unanswered when a chain is abandoned, so one late reply
+	// from an engine short of CPU time does no harm.
 	probesPerTimeout = 2.5
+	// checksPerTimeout is how often within minTimeout the last activity is checked. A
+	// check makes no call. Its interval is the most by which detection is late.
 	checksPerTimeout = 10
-	// probeTimeoutFactor, in least waits, bounds one question. It is longer than the wait
-	// for silence: an answer that comes late is a sign of life all the same.
+	// probeTimeoutFactor times minTimeout bounds one probe. It is longer than the time
+	// after which a chain counts as unresponsive, because a late reply still shows
+	// that the chain works.
 	probeTimeoutFactor = 4
-	// maxTimeoutFactor, in least waits, bounds what slow answers may make of the wait.
+	// maxTimeoutFactor times minTimeout bounds the timeout of a chain whose replies
+	// are slow.
 	maxTimeoutFactor = 4
-	// maxTimeoutDoublings bounds the doublings of one answer.
+	// maxTimeoutDoublings bounds how often one answer doubles the timeout.
 	maxTimeoutDoublings = 4
-	// directProbeDuration is how long an engine that does not know the question is not
-	// asked it: it may be replaced by one that does.
+	// directProbeDuration is how long the stages are probed directly after the first
+	// stage did not know the probe call. The engine may then have been replaced by one
+	// that does.
 	directProbeDuration = time.Minute
-	// maxProbedChains bounds the chains kept.
+	// maxProbedChains bounds the chains whose state is kept.
 	maxProbedChains = 4096
 )
 
-// chainProber tells a chain that works on a prompt, or queues, from one that is
-// lost, while streams wait for their first token.
+// chainProber detects unresponsive chains while streams wait for their first token.
 //
-// The failure that it answers: a link between two stages is lost without a
-// reset before the first token. Each stage answers when the node asks it
-// directly, so the caller waits for the whole time that a long prompt may take.
-// The question therefore goes the way of the activations: to the first stage,
-// and from each stage to the next over the link between them. Prompt and queue
-// do not delay the answer, so silence means that a stage or a link is gone. It
-// goes over other connections than the stream's own; a link that loses a single
-// connection is not found.
+// # Failure without it
 //
-// All streams of a chain share the questions, and none is asked while tokens of
-// any of them come: these took the same way. With first tokens of a second, 50
-// streams a second over 35 chains had 330 questions a second asked, some 200 KB.
+// Before the first token a link between two stages fails without a reset. Each stage
+// still answers when the node calls it directly, so the failure looks like a long
+// prompt and the caller waits for the whole first-token timeout. A probe therefore
+// takes the path of the activations: to the first stage, and from each stage to the
+// next over the link between them. Neither a running prompt nor a queue delays the
+// reply, so a missing reply means that a stage or a link has failed.
+//
+// Probes use other connections than the streams, so the loss of a single connection
+// is not detected.
+//
+// # Load pattern
+//
+// With a first-token time of one second, 50 streams a second over 35 chains made 330
+// probe calls a second, some 200 KB. All streams of a chain therefore share its
+// probes, and no probe is sent while any of them receives tokens, which take the same
+// path.
 type chainProber struct {
 	client     *engineclient.Client
 	reports    *reportChecker
@@ -62,16 +70,16 @@
 	firstAddress string // address of the first stage
 }
 
-// probeState is what is known of one chain. wayCheck.mu guards it.
+// probeState is the state of one chain. chainProber.mu guards it.
 type probeState struct {
-	probedAt time.Time
-	activeAt time.Time
-	// responseTime follows the time of an answer, so that an engine which is slow to
-	// answer is given longer.
+	probedAt time.Time // last probe sent
+	activeAt time.Time // last probe reply or token
+	// responseTime is the time of a probe reply. An engine with slow replies gets a
+	// longer timeout.
 	responseTime gapEstimate
-	// directUntil is until when the first stage is taken not to know the question.
-	// Then each stage is asked by itself, which does not find a lost link
-	// between them.
+	// directUntil is set when the first stage does not know the probe call. Until
+	// then the node calls each stage directly, which does not detect a failed link
+	// between stages.
 	directUntil time.Time
 }
 
@@ -79,18 +87,19 @@
 	return &chainProber{client: client, reports: reports, minTimeout: minTimeout, chains: map[chainKey]*probeState{}}
 }
 
-// checkInterval is the time between two calls of silent.
+// checkInterval is the time between two calls of unresponsive.
 func (c *chainProber) checkInterval() time.Duration { return c.minTimeout / checksPerTimeout }
 
-// probeInterval is the time between two questions.
+// probeInterval is the time between two probes of a chain.
 func (c *chainProber) probeInterval() time.Duration {
 	return time.Duration(float64(c.minTimeout) / probesPerTimeout)
 }
 
-// unresponsive asks along a chain, unless somebody just has, and reports whether it
-// has not been heard of for too long since the given time. Each chain that an
-// answer gave up for silence doubles the wait: if all are slow to answer, to
-// move on makes it worse.
+// unresponsive starts a probe if the last one or the last activity is at least a probe
+// interval ago. It reports whether the chain has shown no activity for its timeout,
+// counted from since at the earliest. doublings is the number of chains that the
+// answer has abandoned as unresponsive. Each doubles the timeout: if all chains are
+// slow to reply, changing chains adds load.
 func (c *chainProber) unresponsive(model string, chain Chain, since time.Time, doublings int) bool {
 	now := time.Now()
 	c.mu.Lock()
@@ -103,9 +112,9 @@
 	return now.Sub(laterOf(since, w.activeAt)) >= w.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
 }
 
-// recordActivity notes that a token came along a chain. If a stage or a link is then lost,
-// the tokens stop with it, and the questions begin an interval later: two of them
-// still fit into the least wait.
+// recordActivity records that a token arrived from a chain. If a stage or link then
+// fails, tokens stop and probes start one interval later, which leaves time for two
+// probes within minTimeout.
 func (c *chainProber) recordActivity(chain Chain, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,7 +129,7 @@
 	return a
 }
 
-// timeout is how long the chain may be silent.
+// timeout returns how long the chain may show no activity.
 func (w *probeState) timeout(minTimeout time.Duration) time.Duration {
 	if !w.responseTime.known {
 		return minTimeout
@@ -128,7 +137,7 @@
 	return w.responseTime.timeout(minTimeout, maxTimeoutFactor*minTimeout)
 }
 
-// state returns what is known of a chain. The caller holds mu.
+// state returns the state of a chain, and creates it if needed. The caller holds mu.
 func (c *chainProber) state(chain Chain) *probeState {
 	key := chainKey{chain.Replica, chain.PlacementVersion, chain.Stages[0].Address}
 	w := c.chains[key]
@@ -142,8 +151,9 @@
 	return w
 }
 
-// probe asks along a chain. The call has a bound of its own, because the stream
-// that started it may end while others wait.
+// probe probes a chain and records the reply. With direct set it calls each stage
+// itself. The call has its own timeout, because the stream that started it may end
+// while others wait for the result.
 func (c *chainProber) probe(model string, chain Chain, w *probeState, start time.Time, direct bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeoutFactor*c.minTimeout)
 	defer cancel()
@@ -172,8 +182,8 @@
 	w.responseTime.sample(now.Sub(start))
 }
 
-// probeChain returns what the stages say of themselves, nothing if the way is not open,
-// and whether the first stage knows the question.
+// probeChain sends a probe along the chain. It returns the reports of the stages, or
+// nil if the probe failed, and whether the first stage supports the probe call.
 func (c *chainProber) probeChain(ctx context.Context, chain Chain) (reports []engineapi.Report, supported bool) {
 	reports, err := c.client.Way(ctx, chain.Stages)
 	if err != nil {
@@ -195,7 +205,7 @@
 	return true
 }
 
-// layerCount is how many layers a chain's stages are to hold.
+// layerCount returns the number of layers that a chain's stages cover.
 func layerCount(chain Chain) int {
 	return chain.Stages[len(chain.Stages)-1].Last + 1
 }
--- a/route/stream/probe_test.go
+++ b/route/stream/probe_test.go
@@ -15,18 +15,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// waitUntil returns when the condition holds; the test's own time limit ends it.
+// waitUntil returns when the condition holds. Only the timeout of go test bounds it.
 func waitUntil(condition func() bool) {
 	for !condition() {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// The caller sees the whole answer, long before a first token's time is up. The
-// link between the stages loses everything without a reset, before the stream is
-// opened or while the first stage works on the prompt. Both stages answer when
-// the node asks them directly; only the question that goes from one to the other
-// stays without an answer.
+// The link between two stages drops all packets without a reset, before the stream is
+// opened or during the prompt. Both stages answer the node's direct calls, so without a
+// probe along the chain the caller waits for the whole first-token timeout.
 func TestLinkLostBeforeFirstToken(t *testing.T) {
 	lost := standin.Faults{CutNext: true}
 	cases := map[string]func(f *fleet){
@@ -56,9 +54,9 @@
 	}
 }
 
-// Callers are not moved from an engine that is well but busy: one works on a
-// long prompt, the other lets the stream queue for a slot. Both answer along the
-// way many times over the wait for silence, and the stream stays.
+// A healthy but busy chain is taken for unresponsive. One engine works on a long prompt,
+// the other queues the stream for a slot. Both answer more probes than fit into the
+// timeout, so the stream must stay.
 func TestBusyChainIsKept(t *testing.T) {
 	const minTimeout, probes = time.Second, 6
 	busy := standin.Faults{Busy: true}
@@ -88,10 +86,10 @@
 	}
 }
 
-// The caller sees the whole answer also before engines that do not know the
-// question along the way: each stage is asked by itself, and a frozen one found.
+// Engines that do not support the probe along the chain are probed one by one, which must
+// still detect a frozen stage.
 func TestEnginesWithoutChainProbe(t *testing.T) {
-	Convey("A frozen stage is found by asking it", t, func() {
+	Convey("A frozen stage is detected by a direct call", t, func() {
 		cfg := fastEngine
 		cfg.NoWay = true
 		f := newFleet(t, 2, cfg, Options{})
@@ -105,7 +103,7 @@
 		So(answer, ShouldEqual, expectedAnswer(req))
 		So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
 	})
-	Convey("A busy stage that answers is kept", t, func() {
+	Convey("A busy stage that answers direct calls is kept", t, func() {
 		const minTimeout, reports = time.Second, 6
 		f := newFleet(t, 2, standin.Config{NoWay: true}, Options{MinStallTimeout: minTimeout})
 		defer f.stop()
@@ -125,7 +123,7 @@
 	})
 }
 
-// probeTransport is a transport that probeTransport questions along the way, or loses them.
+// probeTransport answers the n-th probe if it returns true for n, and loses it otherwise.
 type probeTransport func(probe int) bool
 
 func (a probeTransport) client() *engineclient.Client {
@@ -145,11 +143,12 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// Callers notice nothing when a stage is too busy to answer once: only silence
-// for the whole wait ends it, and the wait starts anew with each answer.
+// A stage that is too busy to answer one probe is taken for unresponsive. Only a whole
+// timeout without replies may count, and each reply must restart it.
 func TestProbeTimeout(t *testing.T) {
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
-	// unresponsiveAfter asks each interval until the chain counts as silent.
+	// unresponsiveAfter checks the chain each interval until it counts as unresponsive,
+	// and returns the time that took.
 	unresponsiveAfter := func(t *testing.T, lost func(probe int) bool, doublings int) time.Duration {
 		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
@@ -161,31 +160,31 @@
 				synctest.Wait()
 			}
 			elapsed = time.Since(start)
-			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // questions underway end
+			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // lets pending probes end
 		})
 		return elapsed
 	}
-	Convey("No answer at all", t, func() {
+	Convey("No reply at all", t, func() {
 		So(unresponsiveAfter(t, func(int) bool { return true }, 0), ShouldEqual, DefaultMinStallTimeout)
 	})
-	Convey("Every second answer lost", t, func() {
+	Convey("Every second reply lost", t, func() {
 		So(unresponsiveAfter(t, func(probe int) bool { return probe%2 == 0 }, 0), ShouldBeGreaterThanOrEqualTo, time.Minute)
 	})
-	Convey("Nothing after ten answers", t, func() {
+	Convey("No reply after the first ten", t, func() {
 		So(unresponsiveAfter(t, func(probe int) bool { return probe > 10 }, 0), ShouldEqual, time.Second+DefaultMinStallTimeout)
 	})
-	Convey("Twice as long after another chain was silent", t, func() {
+	Convey("The timeout doubles after another chain was unresponsive", t, func() {
 		So(unresponsiveAfter(t, func(int) bool { return true }, 1), ShouldEqual, 2*DefaultMinStallTimeout)
 	})
 }
 
-// Callers who wait for a first token are moved as soon as before if their chain is
-// lost, though it was not asked while others' tokens came along it: these stop with
-// it, and two questions stay without an answer before it is given up.
+// Detection is late because no probes are sent while tokens of other streams arrive from
+// the chain. When the chain fails these tokens stop too, and two probes must be
+// unanswered before the chain counts as unresponsive.
 func TestTokensCountAsProbeReplies(t *testing.T) {
 	const gap, tokens = 40 * time.Millisecond, 50
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
-	Convey("Tokens come for two seconds; then all is lost", t, func() {
+	Convey("Tokens arrive for two seconds, then nothing", t, func() {
 		var probesDuringTokens, probesAfterLoss int
 		var detection time.Duration
 		synctest.Test(t, func(t *testing.T) {
@@ -204,7 +203,7 @@
 			}
 			detection = time.Since(last)
 			probesAfterLoss = probes - probesDuringTokens
-			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // questions underway end
+			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // lets pending probes end
 		})
 		So(probesDuringTokens, ShouldEqual, 0)
 		So(probesAfterLoss, ShouldEqual, 2)
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -12,13 +12,13 @@
 	standin "github.com/cicadatack/cicadatack/standin/engine"
 )
 
-// steadyEngine is a stage of 10 ms a token, so a two-stage chain gives a token about
-// every 21 ms.
+// steadyEngine is a stage with a step of 10 ms, so a two-stage chain produces a token
+// about every 21 ms.
 var steadyEngine = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
 
-// BenchmarkRecovery fails the second stage of a chain under some streams at
-// once, when each has had five tokens, and reports how long detection and
-// resume take, as medians and worst cases in milliseconds over all runs.
+// BenchmarkRecovery makes the second stage of a chain fail when each of its streams has
+// delivered five tokens. It reports the times of detection and resume as percentiles and
+// maxima in milliseconds over all runs.
 func BenchmarkRecovery(b *testing.B) {
 	faults := map[string]func(*standin.Server){
 		"killed": func(srv *standin.Server) { srv.Kill() },
@@ -38,7 +38,8 @@
 	}
 }
 
-// failDuringStreams runs streams on one chain, fails it and returns the recoveries.
+// failDuringStreams runs streams on one chain, makes the chain fail and returns the
+// recoveries.
 func failDuringStreams(b *testing.B, streams int, fail func(*standin.Server)) []Recovery {
 	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
@@ -55,7 +56,7 @@
 				}
 			})
 			if err != nil || answer != expectedAnswer(req) || len(summary.Recoveries) != 1 {
-				b.Errorf("not one whole recovered answer: %v %+v", err, summary)
+				b.Errorf("answer incomplete or wrong, or not one recovery: %v %+v", err, summary)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -82,8 +83,9 @@
 	b.ReportMetric(times[len(times)-1], name+"-max-ms")
 }
 
-// BenchmarkResume moves one stream from a chain whose stages live on to
-// another, by recomputing, by importing, and by what the runner has learned.
+// BenchmarkResume moves one stream from a chain with healthy stages to another one, by
+// recomputing, by importing, and by the method that the runner chooses from its
+// measurements.
 func BenchmarkResume(b *testing.B) {
 	fixCosts := map[string]func(*resumeCosts){
 		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
@@ -104,7 +106,7 @@
 				for i := range b.N + 2 {
 					fixCosts[method](f.runner.costs)
 					recovery := f.resumeOnce(b, words, i)
-					if i < 2 { // the runner learns
+					if i < 2 { // the runner measures both methods
 						continue
 					}
 					all = append(all, recovery)
@@ -119,15 +121,15 @@
 	}
 }
 
-// setAll fixes what a way costs at every length.
+// setAll sets the cost of a method in all buckets.
 func (r *resumeCosts) setAll(method int, elapsed time.Duration) {
 	for i := range r.buckets[method] {
 		r.buckets[method][i] = cost{nanos: float64(elapsed), known: true}
 	}
 }
 
-// resumeOnce cuts a stream's connection after a few tokens. The prompt's first
-// word is its own, so that no chain has any of it cached.
+// resumeOnce closes a stream's connection after a few tokens. The prompt's first word is
+// unique, so that no chain has a prefix of the prompt cached.
 func (f *fleet) resumeOnce(b *testing.B, words, run int) Recovery {
 	req := request(fmt.Sprint("moved-", run))
 	req.Chat.Messages = question(fmt.Sprint("run", run, " ") + strings.Repeat("oat ", words-1))
@@ -137,14 +139,13 @@
 		}
 	})
 	if err != nil || answer != expectedAnswer(req) || len(summary.Recoveries) != 1 {
-		b.Fatalf("not one whole recovered answer: %v %+v", err, summary)
+		b.Fatalf("answer incomplete or wrong, or not one recovery: %v %+v", err, summary)
 	}
 	return summary.Recoveries[0]
 }
 
-// BenchmarkFirstTokenLost opens some streams at once along a chain that will
-// bring no token, with a whole one beside it, and reports how long it takes until
-// each is given up, in milliseconds over all runs.
+// BenchmarkFirstTokenLost opens streams on a chain that produces no token, with a healthy
+// chain to move to. It reports how long detection takes, in milliseconds over all runs.
 func BenchmarkFirstTokenLost(b *testing.B) {
 	faults := map[string]func(f *fleet){
 		"link":   func(f *fleet) { f.chains[0][0].Engine.SetFaults(standin.Faults{CutNext: true}) },
@@ -163,8 +164,8 @@
 	}
 }
 
-// openOnLostChain opens streams along a chain that the fault has just hit, and
-// returns the recoveries.
+// openOnLostChain opens streams on a chain right after fail is applied to it, and returns
+// the recoveries.
 func openOnLostChain(b *testing.B, streams int, fail func(*fleet)) []Recovery {
 	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
@@ -180,7 +181,7 @@
 			req := request(fmt.Sprint("stream-", i))
 			answer, summary, err := f.collect(context.Background(), req, nil)
 			if err != nil || answer != expectedAnswer(req) {
-				b.Errorf("not a whole answer: %v %+v", err, summary)
+				b.Errorf("answer incomplete or wrong: %v %+v", err, summary)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -12,35 +12,37 @@
 )
 
 var (
-	errMismatch = errors.New("the engine holds something else than the plan says")
+	errMismatch = errors.New("engine report does not match the plan")
 	// errWrongArtifact ends an epoch before anything is sent.
-	errWrongArtifact   = errors.New("the chain has other weights or another adapter than the answer so far")
-	errIncompleteChain = errors.New("the chain's stages do not cover the model's layers")
+	errWrongArtifact   = errors.New("weights or adapter of the chain differ from those of the delivered tokens")
+	errIncompleteChain = errors.New("stages of the chain do not cover the model's layers")
 )
 
 const (
-	// mismatchTTL is how long a report that does not match is trusted: short,
-	// because the engine may be loading what the plan has just given it, but
-	// long enough that a burst of streams asks once.
+	// mismatchTTL is how long a report that does not match is cached. It is short
+	// because the engine may be loading the layers of a new plan, but long enough
+	// that a burst of streams makes one call.
 	mismatchTTL = 100 * time.Millisecond
-	// maxReports bounds the reports kept.
+	// maxReports bounds the cached reports.
 	maxReports = 4096
-	// renewalTTLs, in times that a report is trusted, is how long answers may renew it
-	// before the engine is asked itself again: spans name the layers but not the
-	// placement version, and one call in 20 s is a tenth of one in 2 s.
+	// renewalTTLs times the TTL is how long tokens may renew a report before the
+	// engine is asked again. Spans name the layers but not the placement version, so
+	// renewal is bounded; one call in 20 s is a tenth of the calls of one in 2 s.
 	renewalTTLs = 10
 )
 
-// reportChecker is the check at use: before work is sent to a chain, what its
-// engines report to hold must be what the plan says. Orders carry a fencing
-// number, but some engines ignore it and some take orders from anyone, so the
-// plan alone does not tell what an engine runs. Without the check the work is
-// sent, and thrown away when its spans are found wrong.
+// reportChecker checks, before a request is sent to a chain, that the engines report
+// what the plan says. Orders carry a fencing number, but some engines ignore it and
+// some accept orders from anyone, so the plan alone does not show what an engine
+// runs. Without the check the request is sent, and its work is discarded when
+// TokenCheck rejects the spans.
 //
-// Load pattern answered: a busy node would ask each stage of each replica that it
-// uses every two seconds, some 70 calls and 20 KB a second at 35 replicas of four
-// stages. What streams show of their engines renews the reports, so that only
-// engines that were quiet are asked (see renew).
+// # Load pattern
+//
+// Asking each stage of each replica in use every two seconds costs a busy node some
+// 70 calls and 20 KB a second at 35 replicas of four stages. Streams renew the
+// reports of their engines, so that only engines without recent streams are asked
+// (see renew).
 type reportChecker struct {
 	client      *engineclient.Client
 	ttl         time.Duration
@@ -50,18 +52,19 @@
 
 	mu      sync.Mutex
 	reports map[string]*cachedReport
-	// cacheIDs are the prefix cacheIDs that engines reported last, by address.
+	// cacheIDs are the prefix caches that engines reported last, by address.
 	cacheIDs map[string]string
 }
 
-// cachedReport is an engine's answer, or one that is being waited for.
+// cachedReport is an engine's report, or a call for one that is in progress.
 type cachedReport struct {
 	requestedAt time.Time
 	ready       chan struct{} // closed when the fields below are set
 	report      engineapi.Report
 	err         error
-	// validAt is when the report was true, by the engine's own word or by an answer
-	// since; reportedAt is when it was by its own word.
+	// validAt is the last time for which the report is confirmed, by the engine
+	// itself or by a stream's tokens. reportedAt is the last time for which the
+	// engine itself confirmed it.
 	validAt, reportedAt time.Time
 }
 
@@ -77,8 +80,8 @@
 	}
 }
 
-// verify returns nil if every stage of chain holds what the plan says, by
-// reports that were asked for after since.
+// verify returns nil if every stage of chain holds what the plan says, according to
+// reports that were requested no earlier than since.
 func (h *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, since time.Time) error {
 	if !covers(chain.Stages, layers) {
 		return errIncompleteChain
@@ -96,10 +99,11 @@
 	return nil
 }
 
-// MismatchesPlan reports whether an engine of a chain says that it holds something else
-// than the chain needs. To find out before the chain is chosen costs no try: while a
-// version is rolled out many replicas differ for a moment, and an answer that used
-// up its tries on them would be refused though others hold what it needs.
+// MismatchesPlan reports whether an engine of a chain reports other contents than the
+// chain needs. A chooser calls it before it returns a chain, so that the chain does
+// not count as an attempt. During a rollout many replicas differ from their plan for
+// a short time; an answer that used its attempts on them would fail although other
+// replicas could serve it.
 func (r *Runner) MismatchesPlan(ctx context.Context, model string, layers int, chain Chain) bool {
 	return errors.Is(r.reports.verify(ctx, model, layers, chain, time.Time{}), errMismatch)
 }
@@ -138,7 +142,7 @@
 	return expected == layers && layers > 0
 }
 
-// awaitMatch waits for the report and compares it.
+// awaitMatch waits for the report and compares it with want.
 func (r *cachedReport) awaitMatch(ctx context.Context, want expectedReport) error {
 	select {
 	case <-r.ready:
@@ -149,13 +153,13 @@
 		return r.err
 	}
 	if !want.matches(r.report) {
-		return fmt.Errorf("%w: %+v, not %+v", errMismatch, r.report, want)
+		return fmt.Errorf("%w: got %+v, want %+v", errMismatch, r.report, want)
 	}
 	return nil
 }
 
-// report returns the report to go by. All streams that need a new one share
-// the one call.
+// report returns a usable cached report or starts a call for a new one, which all
+// streams that need it share.
 func (h *reportChecker) report(want expectedReport, address string, since time.Time) *cachedReport {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -171,8 +175,8 @@
 	return r
 }
 
-// usable reports whether a report is underway or still fresh, and was asked
-// for after since.
+// usable reports whether a report was requested no earlier than since, and is still
+// being fetched or not yet expired.
 func (r *cachedReport) usable(now time.Time, want expectedReport, ttl time.Duration, since time.Time) bool {
 	if r.requestedAt.Before(since) {
 		return false
@@ -188,8 +192,8 @@
 	return now.Sub(r.validAt) < ttl
 }
 
-// fetch fills a report. The call has a bound of its own, because the stream that
-// started it may end while others wait.
+// fetch calls the engine and fills in the report. The call has its own timeout,
+// because the stream that started it may end while others wait for it.
 func (h *reportChecker) fetch(want expectedReport, address string, r *cachedReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), h.timeout)
 	defer cancel()
@@ -202,18 +206,20 @@
 	close(r.ready)
 }
 
-// recordCache notes an engine's cache and says so if it had told of another.
+// recordCache records an engine's prefix cache and calls onCacheLost if the engine
+// reported another one before.
 func (h *reportChecker) recordCache(want expectedReport, address, cacheID string) {
 	if h.updateCacheID(address, cacheID) {
 		h.onCacheLost(want.holding.Model, want.replica)
 	}
 }
 
-// updateCacheID notes an engine's cache and reports whether it had told of another.
+// updateCacheID stores an engine's cache ID and reports whether it has changed.
 //
-// A later stage that restarts alone loses its part of every cached prompt, while
-// the first stage, whose events are read, goes on as before: calls would be sent
-// after a cache that the chain has lost, past replicas that do have it.
+// If only a later stage restarts, it loses its part of every cached prompt. The
+// cache events are read from the first stage, which still has its part, so without
+// this check requests would be routed to the chain for a cache that it has lost,
+// in preference to replicas that have it.
 func (h *reportChecker) updateCacheID(address, cacheID string) bool {
 	if h.onCacheLost == nil || cacheID == "" {
 		return false
@@ -228,14 +234,15 @@
 	return previous != "" && previous != cacheID
 }
 
-// renew notes that a chain's engines held at a moment what the plan says, by a
-// stream's first token.
+// renew records that a chain's engines held at validAt what the plan says, as a
+// stream's first token has shown.
 //
-// The moment is when the stream was sent and not when the token came. Otherwise an
-// engine that is ordered to hold other layers and runs the streams that it has to
-// their end by the old ones would be believed for as long as these last, and sent
-// new work that is thrown away. For the same reason an answer to what was sent
-// before the chain failed, or before the engine last spoke, renews nothing.
+// validAt is the time when the stream was sent, not when the token arrived. An engine
+// that has been ordered to hold other layers may finish its running streams with the
+// old ones. With the token's time its report would stay valid as long as those
+// streams last, and new requests would be sent to it whose work is discarded. For the
+// same reason a stream that was sent before the chain failed, or before the engine's
+// latest report, renews nothing.
 func (h *reportChecker) renew(model string, chain Chain, validAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -250,12 +257,12 @@
 	}
 }
 
-// renewable says whether the report is there, is what the plan says, and is older
-// than the moment.
+// renewable reports whether the report is ready, matches the plan and is older than
+// validAt.
 //
-// A stream shows the weights that ran and that its engines take new work, and of
-// adapters its own alone. Where an engine holds others too they would be believed
-// for as long as there are streams, so there it is asked as before.
+// A stream shows the weights and its own adapter, and that the engines accept new
+// work. It does not show other adapters, so a report that lists any is not renewed:
+// the engine is asked again after the TTL.
 func (r *cachedReport) renewable(want expectedReport, validAt time.Time) bool {
 	if !r.isReady() || r.err != nil || !want.matches(r.report) || !r.validAt.Before(validAt) {
 		return false
@@ -267,8 +274,8 @@
 	return otherAdapters == 0
 }
 
-// recordReports takes what a chain's engines said of themselves when they were asked along
-// the chain, which is what the plan says. A report that is newer stays.
+// recordReports stores the reports that a probe along the chain returned. They match
+// the plan. A newer cached report is kept.
 func (h *reportChecker) recordReports(model string, chain Chain, validAt time.Time, reports []engineapi.Report) {
 	for i, stage := range chain.Stages {
 		h.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
@@ -280,7 +287,7 @@
 	}
 }
 
-// invalidate drops what is known of a chain's engines, after it failed.
+// invalidate drops the cached reports of a chain's engines after the chain failed.
 func (h *reportChecker) invalidate(chain Chain) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/route/stream/reports_test.go
+++ b/route/stream/reports_test.go
@@ -17,8 +17,8 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// callCounter counts the questions for what engines hold and for the way along a
-// chain, and calls opened, if set, once an engine has accepted a stream.
+// callCounter counts the calls for engine reports and the probes along a chain. It calls
+// onOpen, if set, after an engine has accepted a stream.
 type callCounter struct {
 	next     http.RoundTripper
 	holdings atomic.Int64
@@ -40,7 +40,8 @@
 	return response, err
 }
 
-// newFleetWithClock has a clock of its own for the holding check.
+// newFleetWithClock returns a fleet whose report checker uses a fake clock, which advance
+// moves.
 func newFleetWithClock(t *testing.T, chains int) (f *fleet, calls *callCounter, advance func(time.Duration)) {
 	f = newFleet(t, chains, fastEngine, Options{})
 	transport := &http.Transport{}
@@ -61,11 +62,11 @@
 	So(answer, ShouldEqual, expectedAnswer(req))
 }
 
-// A busy node's streams show what its engines hold, so these are not asked as
-// well; one that was quiet is. Answers alone are not gone by for ever: they do not
-// name the placement version.
+// A node with many streams makes too many report calls. Streams renew the reports of
+// their engines, so only engines without recent streams are asked. Renewal is bounded,
+// because tokens do not name the placement version.
 func TestBusyEnginesAreNotAsked(t *testing.T) {
-	Convey("Streams on one chain of two stages, each second", t, func() {
+	Convey("One stream per second on one chain of two stages", t, func() {
 		f, calls, advance := newFleetWithClock(t, 1)
 		defer f.stop()
 		for i := range 18 {
@@ -79,7 +80,7 @@
 		}
 		So(calls.holdings.Load(), ShouldEqual, 4)
 		advance(DefaultReportTTL)
-		f.mustAnswer("after a pause")
+		f.mustAnswer("after an idle period")
 		So(calls.holdings.Load(), ShouldEqual, 6)
 		for i := range 30 {
 			advance(DefaultReportTTL / 2)
@@ -90,17 +91,17 @@
 	})
 }
 
-// The caller sees the undisturbed answer. A long stream runs along a chain; one of
-// its engines, which takes orders from anyone, is ordered to hold other layers and
-// runs the streams that it has to their end by the old ones. Their tokens must not
-// make the node believe that it still holds these, or new work would be sent to it.
+// New requests are sent to an engine that no longer holds the layers of the plan. An
+// engine that accepts orders from anyone is ordered to hold other layers and finishes
+// its running streams with the old ones. The tokens of a long stream must not renew the
+// engine's report.
 func TestLongStreamsDoNotHideNewLayers(t *testing.T) {
 	other := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 2}
 	for _, c := range []struct {
 		name     string
-		position int // of the token before which the engine changes
+		position int // token before which the engine changes
 	}{{"before the first token", -1}, {"later", failAt}} {
-		Convey("A stream sent before the engine changed renews nothing: "+c.name, t, func() {
+		Convey("A stream sent before the engine changed renews no report: "+c.name, t, func() {
 			f, calls, advance := newFleetWithClock(t, 2)
 			defer f.stop()
 			change := func() {
@@ -124,7 +125,7 @@
 			So(f.results[1].NotRun, ShouldBeTrue)
 		})
 	}
-	Convey("What was sent before the chain failed renews nothing", t, func() {
+	Convey("A stream sent before the chain failed renews no report", t, func() {
 		f, calls, advance := newFleetWithClock(t, 1)
 		defer f.stop()
 		f.mustAnswer("first")
@@ -142,19 +143,18 @@
 	})
 }
 
-// reports are what the engines of a chain say of themselves.
+// reports probes a chain and returns the reports of its engines.
 func (f *fleet) reports(chain int) []engineapi.Report {
 	all, err := f.runner.prober.client.Way(context.Background(), f.chain(chain).Stages)
 	So(err, ShouldBeNil)
 	return all
 }
 
-// The caller of a prompt that a replica had cached is sent after a cache that a
-// later stage has lost, or to a replica that lost an adapter. What engines say along
-// their chain is taken whole, so that a chain whose streams keep it from being asked
-// in any other way shows both.
+// A request is routed to a chain for a cache or an adapter that a later stage has lost.
+// While streams renew an engine's report, no report call is made, so the reports in a
+// probe reply must replace the cached ones completely, with cache and adapters.
 func TestChainProbeUpdatesWholeReport(t *testing.T) {
-	Convey("Engines that were asked along their chain", t, func() {
+	Convey("Reports of a probe along the chain", t, func() {
 		f, calls, _ := newFleetWithClock(t, 1)
 		defer f.stop()
 		f.mustAnswer("first")
@@ -169,7 +169,7 @@
 		So(lost, ShouldEqual, 1)
 		So(checker.reports[chain.Stages[1].Address].report.Adapters, ShouldResemble, reports[1].Adapters)
 
-		// Streams of the bare model show nothing of the adapter.
+		// Streams without an adapter do not show whether the adapter is loaded.
 		before := checker.reports[chain.Stages[1].Address]
 		checker.renew(testModel, chain, checker.now().Add(3))
 		So(checker.reports[chain.Stages[1].Address], ShouldEqual, before)
@@ -177,8 +177,9 @@
 	})
 }
 
-// BenchmarkHoldingCalls is a node with 50 streams a second over 35 chains of two
-// stages at the default settings, by the time of a first token and of the others:
+// BenchmarkHoldingCalls measures the report calls and probes of a node with 50 streams a
+// second over 35 chains of two stages, at the default settings and for several times of
+// the first token and of the following ones:
 //
 //	go test -run '^$' -bench HoldingCalls -benchtime 1x ./route/stream
 func BenchmarkHoldingCalls(b *testing.B) {
@@ -193,13 +194,13 @@
 	}
 }
 
-// streamLoad is the times of a benchmark's streams.
+// streamLoad is the token times and length of a benchmark's streams.
 type streamLoad struct {
 	first, step time.Duration
 	tokens      int
 }
 
-func (l streamLoad) lasts() time.Duration { return l.first + time.Duration(l.tokens-1)*l.step }
+func (l streamLoad) duration() time.Duration { return l.first + time.Duration(l.tokens-1)*l.step }
 
 func countHoldingCalls(b *testing.B, load streamLoad) {
 	const (
@@ -207,9 +208,9 @@
 		stages      = 2
 		rate        = 50 // a second
 		length      = 20 * time.Second
-		promptWords = 3 // of a prompt, which each stage works on
+		promptWords = 3 // in the prompt; each stage computes all of them
 	)
-	warmUp := load.lasts() + 2*time.Second
+	warmUp := load.duration() + 2*time.Second
 	cfg := standin.Config{Step: load.step, Slots: 256, PrefillToken: (load.first - load.step) / (stages * promptWords)}
 	f := newFleet(b, chains, cfg, Options{})
 	defer f.stop()
@@ -232,7 +233,7 @@
 			req.Chat.MaxTokens = load.tokens
 			req.Chooser = fixedChain{f, rand.IntN(chains)}
 			if answer, _, err := f.collect(context.Background(), req, nil); err != nil || answer != expectedAnswer(req) {
-				b.Error("not whole: ", err)
+				b.Error("answer incomplete or wrong:", err)
 			}
 		})
 	}
@@ -242,7 +243,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// fixedChain chooses one chain.
+// fixedChain is a chooser that always returns the same chain of a fleet.
 type fixedChain struct {
 	*fleet
 	i int
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// resumeCosts learns what it takes a chain to reach its first token, by how
-// much it must know and by the way in which it learns it: recomputing all, or
-// importing exported KV cache. Which is quicker depends on accelerators and
-// links, so it is measured, in buckets of doubling length.
+// resumeCosts estimates the time to the first token of a chain, by the number of
+// context tokens and by the method: recompute the context, or import exported KV
+// cache. Which one is faster depends on accelerators and links, so both are measured,
+// in buckets of doubling length.
 type resumeCosts struct {
 	mu      sync.Mutex
 	buckets [2][costBuckets]cost
@@ -46,20 +46,21 @@
 }
 
 const (
-	// minExportRecompute is the least time of a recompute for which asking for an
-	// export can pay: below it the answer is on its way again sooner.
+	// minExportRecompute is the shortest recompute time for which an export is
+	// requested. Shorter recomputes finish before an export could.
 	minExportRecompute = 20 * time.Millisecond
-	// minTrialRecompute is the least for which an import is tried unmeasured: a
-	// first try that proves slower should not be felt by the caller.
+	// minTrialRecompute is the shortest recompute time for which an import is tried
+	// without a measurement. If the first import proves slower, the caller should not
+	// notice it.
 	minTrialRecompute = 50 * time.Millisecond
-	// exportTimeoutDivisor is the part of the recompute that the wait for an export may
-	// cost. A stage that is frozen or cut off does not answer, and waiting
-	// longer would lose more than an import could win.
+	// exportTimeoutDivisor: the export may take the recompute time divided by it. A
+	// frozen or unreachable stage does not answer, and a longer wait would lose more
+	// time than an import could save.
 	exportTimeoutDivisor = 4
 )
 
-// importPays reports whether importing is expected to be quicker, and how long
-// the export may take.
+// importPays reports whether importing is expected to be faster than recomputing, and
+// returns the timeout of the export.
 func (r *resumeCosts) importPays(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,8 +75,9 @@
 	return importTime < recomputeTime, recomputeTime / exportTimeoutDivisor
 }
 
-// estimate goes by the nearest bucket measured. From a shorter one it scales
-// up; a longer one it takes as it is. The caller holds mu.
+// estimate returns the cost in the nearest measured bucket. The cost of a bucket of
+// shorter contexts is scaled up; that of a longer one is used unchanged. The caller
+// holds mu.
 func (r *resumeCosts) estimate(method, tokens int) (time.Duration, bool) {
 	bucket := bucketOf(tokens)
 	for distance := range costBuckets {
@@ -89,10 +91,10 @@
 	return 0, false
 }
 
-// prepareResume asks the chain that failed for its KV cache if importing it is
-// expected to be quicker than recomputing. Engines keep the cache of a stream
-// that has ended for a while; if any stage is gone the export fails, and the
-// next chain recomputes.
+// prepareResume requests an export of the KV cache from the failed chain if importing
+// it is expected to be faster than recomputing. Engines keep the KV cache of an ended
+// stream for a while. If a stage is unavailable the export fails and the next chain
+// recomputes the context.
 func (a *answer) prepareResume(ctx context.Context, failed Chain, result AttemptResult) {
 	a.kvHandle = ""
 	a.exportTime = 0
--- a/route/stream/resume_test.go
+++ b/route/stream/resume_test.go
@@ -9,18 +9,17 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The caller sees the undisturbed answer, sooner if the chain that failed can
-// still export its KV cache and importing was measured to be quicker. A chain
-// with a stage gone, or one that lost its cache, cannot, and the next chain
-// recomputes.
+// A resumed answer imports the KV cache if the failed chain can still export it and
+// importing was measured to be faster. A chain with a failed stage or a lost cache cannot
+// export, and the next chain must recompute. The answer is unchanged in each case.
 func TestResumeByImport(t *testing.T) {
 	cases := []struct {
 		name     string
 		fail     func(*fleet)
 		imported bool
 	}{
-		{"stages alive", func(f *fleet) { f.chains[0][0].CutConnections() }, true},
-		{"a stage gone", func(f *fleet) { f.chains[0][1].Kill() }, false},
+		{"stages healthy", func(f *fleet) { f.chains[0][0].CutConnections() }, true},
+		{"a stage killed", func(f *fleet) { f.chains[0][1].Kill() }, false},
 		{"a stage that lost its cache", func(f *fleet) {
 			f.chains[0][0].CutConnections()
 			f.waitIdle()
@@ -62,7 +61,7 @@
 		{"import slower", map[int]cost{1000: half}, map[int]cost{1000: second}, 1000, false},
 		{"scaled from shorter", map[int]cost{1000: half}, map[int]cost{8000: second}, 8000, true},
 	}
-	Convey("Import is chosen by what was measured", t, func() {
+	Convey("The method is chosen by the measurements", t, func() {
 		for _, c := range cases {
 			var costs resumeCosts
 			for tokens, measured := range c.recompute {
--- a/route/stream/reuse_test.go
+++ b/route/stream/reuse_test.go
@@ -13,10 +13,9 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// Callers ask one after the other for whole answers of one engine. The streams
-// follow each other on one connection: the marker and the end of the body are
-// read after the closing event, which alone would leave the connection unusable
-// and, at some hundred answers a second, the node without local ports.
+// A node runs out of local ports at some hundred answers a second because each stream
+// opens a connection. A connection can be reused only if the done marker and the end of
+// the body are read after the closing event.
 func TestWholeAnswersShareAConnection(t *testing.T) {
 	var connections atomic.Int64
 	mux := http.NewServeMux()
@@ -27,7 +26,7 @@
 		trace := `"cicadatack":{"stream":"s","epoch":1,"position":%d,"spans":[{"first":0,"last":0}]}`
 		fmt.Fprintf(w, `data: {"choices":[{"delta":{"content":"a"}}],`+trace+"}\n\n", 0)
 		fmt.Fprintf(w, `data: {"choices":[{"delta":{},"finish_reason":"stop"}],`+trace+"}\n\n", 1)
-		w.(http.Flusher).Flush() // so that the body's end comes apart from its last event
+		w.(http.Flusher).Flush() // sends the end of the body separately from the last event
 		fmt.Fprint(w, "data: [DONE]\n\n")
 	})
 	server := httptest.NewUnstartedServer(mux)
@@ -50,6 +49,6 @@
 		}
 	}
 	if n := connections.Load(); n > 2 {
-		t.Errorf("%d connections for 50 answers, one after the other", n)
+		t.Errorf("%d connections for 50 consecutive answers, want at most 2", n)
 	}
 }
--- a/route/stream/runner.go
+++ b/route/stream/runner.go
@@ -9,11 +9,11 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// Deliver hands a token to the caller. An error means that the caller has
-// gone. The trace's spans are good until it returns.
+// Deliver sends a token to the caller. An error means that the caller has
+// disconnected. The trace's spans are valid until Deliver returns.
 type Deliver func(token string, trace engineapi.TokenTrace) error
 
-// Runner runs streams over the replicas of one model. It is safe for
+// Runner runs streams on the replicas of one model. It is safe for
 // concurrent use.
 type Runner struct {
 	client      *engineclient.Client
@@ -27,7 +27,6 @@
 	strayTokens atomic.Int64
 }
 
-// New returns a runner.
 func New(client *engineclient.Client, chooser Chooser, options Options) *Runner {
 	options = options.withDefaults()
 	reports := newReportChecker(client, options)
@@ -43,14 +42,15 @@
 	}
 }
 
-// Close waits until the stages of streams given up have been told, or ctx ends.
+// Close waits until all pending cancels have been sent, or ctx ends.
 func (r *Runner) Close(ctx context.Context) error { return r.cancels.wait(ctx) }
 
-// StrayTokens returns how many late or foreign tokens were dropped so far.
+// StrayTokens returns how many tokens of earlier epochs or other streams were
+// dropped since the runner was created.
 func (r *Runner) StrayTokens() int64 { return r.strayTokens.Load() }
 
-// Run makes one answer and delivers its tokens. The summary's outcome holds
-// also if an error is returned: the error says why the answer is not whole.
+// Run generates one answer and delivers its tokens. The summary is also valid when
+// an error is returned; the error says why the answer is incomplete.
 func (r *Runner) Run(ctx context.Context, req Request, deliver Deliver) (Summary, error) {
 	req.FirstTokenTimeout = orDefault(req.FirstTokenTimeout, DefaultFirstTokenTimeout)
 	req.MaxStallTimeout = orDefault(req.MaxStallTimeout, DefaultMaxStallTimeout)
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -17,7 +17,7 @@
 
 var fastEngine = standin.Config{Step: time.Millisecond, Slots: 256}
 
-// failAt is the position before which a chain is made to fail.
+// failAt is the position of the token before which a chain is made to fail.
 const failAt = 5
 
 func injectFaults(stage int, faults standin.Faults) func(*fleet) {
@@ -26,11 +26,10 @@
 
 func layer(n int) *int { return &n }
 
-// The caller sees one whole answer, byte for byte the undisturbed one. The
-// first chain is made to fail when token 5 is delivered; the runner notices by
-// the connection, by the wait for a token or by the check, and resumes on the
-// second chain after the last token delivered. A token that was delivered
-// twice, left out or made by the wrong layers would change the bytes.
+// A chain fails in the middle of an answer. The runner detects it by the connection, by
+// the stall timeout or by the token check, and resumes on the second chain after the
+// last delivered token. A token that is delivered twice, missing or computed with the
+// wrong layers would change the answer's bytes.
 func TestChainFailsPartway(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -42,7 +41,7 @@
 		{"second stage killed", func(f *fleet) { f.chains[0][1].Kill() }, EndConnectionLost, Accepted},
 		{"first stage frozen", injectFaults(0, standin.Faults{Freeze: true}), EndStalled, Accepted},
 		{"second stage frozen", injectFaults(1, standin.Faults{Freeze: true}), EndStalled, Accepted},
-		{"node cut off", func(f *fleet) { f.chains[0][0].CutConnections() }, EndConnectionLost, Accepted},
+		{"connections of the node closed", func(f *fleet) { f.chains[0][0].CutConnections() }, EndConnectionLost, Accepted},
 		{"link between stages lost", injectFaults(0, standin.Faults{CutNext: true}), EndStalled, Accepted},
 		{"second stage slow", injectFaults(1, standin.Faults{Slow: 5000}), EndStalled, Accepted},
 		{"skipped layer", injectFaults(1, standin.Faults{SkipLayer: layer(6)}), EndInvalidToken, SkippedLayer},
@@ -50,7 +49,7 @@
 		{"repeated layer", injectFaults(0, standin.Faults{RepeatLayer: layer(2)}), EndInvalidToken, RepeatedLayer},
 		{"wrong stream", injectFaults(0, standin.Faults{WrongStream: true}), EndInvalidToken, WrongPosition},
 		{"wrong position", injectFaults(0, standin.Faults{WrongPosition: true}), EndInvalidToken, WrongPosition},
-		{"marker before the end", injectFaults(0, standin.Faults{EarlyDone: failAt + 2}), EndConnectionLost, Accepted},
+		{"done marker before the closing event", injectFaults(0, standin.Faults{EarlyDone: failAt + 2}), EndConnectionLost, Accepted},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -72,12 +71,12 @@
 	}
 }
 
-// Callers are sent to an engine that looked idle a minute ago. Reports come with
-// tokens now and then and are passed on with these; at the end of an epoch that was
-// cut off the last one is old, and its age counts from when it was sent. So an epoch
-// tells only of the report that closes its answer.
+// Requests are routed to an engine by an outdated load report. Reports come with some
+// tokens and give their age at the time of sending, so at the end of a failed epoch the
+// last one would be taken for newer than it is. An epoch must report only the load in
+// its closing event.
 func TestFailedEpochReportsNoLoad(t *testing.T) {
-	Convey("A chain that is killed partway and one that ends its answer", t, func() {
+	Convey("One chain is killed during the answer, the other completes it", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("load"), func(position int) {
@@ -92,9 +91,9 @@
 	})
 }
 
-// The caller sees the undisturbed answer. Two of three chains fail, each with
-// a fault, on a stage and at a position drawn at random, so that faults come
-// together, one after the other, before the first token and at the last one.
+// Two of three chains fail during one answer. Fault, stage and position are drawn at
+// random, so that faults occur together, one after the other, before the first token
+// and at the last one. The answer must be complete and unchanged.
 func TestTwoChainsFailAtRandom(t *testing.T) {
 	faults := []func(*standin.Server){
 		func(srv *standin.Server) { srv.Kill() },
@@ -108,10 +107,10 @@
 		setFaults(standin.Faults{LateTokens: 3, IgnoreCancel: true}),
 		setFaults(standin.Faults{Drain: true}),
 	}
-	const trials, atOnce = 60, 6
-	Convey("Whatever fails, the answer is whole", t, func() {
+	const trials, concurrency = 60, 6
+	Convey("The answer is complete whatever fails", t, func() {
 		var wg sync.WaitGroup
-		semaphore := make(chan struct{}, atOnce)
+		semaphore := make(chan struct{}, concurrency)
 		for trial := range trials {
 			semaphore <- struct{}{}
 			wg.Go(func() {
@@ -151,9 +150,9 @@
 	}
 }
 
-// The caller sees the undisturbed answer. The first chain dies at token 5; the
-// engine of the second mixes tokens of the old epoch into the new one's, at
-// the position that is due. Only the epoch tells them from the true ones.
+// Tokens of an old epoch are delivered in the new one. The first chain fails at token 5,
+// and the second chain's engine mixes tokens of the old epoch into the stream, at the
+// expected position. Only the epoch number distinguishes them.
 func TestLateTokensOfAnOldEpoch(t *testing.T) {
 	Convey("Late tokens are dropped and counted", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
@@ -170,7 +169,7 @@
 		So(summary.StrayTokens, ShouldBeGreaterThanOrEqualTo, 2*(testTokens-failAt-1))
 		So(f.runner.StrayTokens(), ShouldEqual, summary.StrayTokens)
 	})
-	Convey("A chain that brings nothing but late tokens is given up", t, func() {
+	Convey("A chain that sends too many late tokens is abandoned", t, func() {
 		f := newFleet(t, 3, fastEngine, Options{})
 		defer f.stop()
 		f.chains[1][0].Engine.SetFaults(standin.Faults{LateTokens: 2 * maxStrayTokens})
@@ -186,11 +185,11 @@
 	})
 }
 
-// The caller sees the undisturbed answer. Both chains begin with the same
-// engine; the second stage of the first dies. The cancel of the old epoch
-// reaches the shared engine while the new epoch runs there, and must spare it.
+// A cancel of the old epoch ends the new one. Both chains share their first engine, and
+// the second stage of the first chain fails. The cancel reaches the shared engine while
+// the new epoch runs there.
 func TestChainsShareAStage(t *testing.T) {
-	Convey("A cancel of the old epoch spares the new one", t, func() {
+	Convey("The cancel of the old epoch does not end the new one", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		own := f.chains[1][0]
@@ -209,12 +208,11 @@
 	})
 }
 
-// The caller sees the undisturbed answer, and not at the pace of a stage that
-// turned slow but never stops for long enough to count as stalled. The stream
-// moves once; without another chain it stays where it is.
+// An answer stays slow to its end because a stage has turned slow without exceeding the
+// stall timeout. The stream must change chains once, and stay if there is no other chain.
 func TestSlowChainIsLeft(t *testing.T) {
 	for _, chains := range []int{1, 2} {
-		Convey(fmt.Sprint("With chains: ", chains), t, func() {
+		Convey(fmt.Sprint("Number of chains: ", chains), t, func() {
 			f := newFleet(t, chains, fastEngine, Options{})
 			defer f.stop()
 			req := request("crawl")
@@ -226,8 +224,8 @@
 				case 1:
 					startedAt = time.Now()
 				case slowWindowTokens:
-					// On a busy machine the usual gap is long, and only more than
-					// slowFactor times it is slow.
+					// On a busy machine the baseline gap is long, and only gaps
+					// above slowFactor times the baseline are slow.
 					slow = max(slow, 3*slowFactor*time.Since(startedAt)/slowWindowTokens)
 				case 2 * slowWindowTokens:
 					f.chains[0][1].Engine.SetFaults(standin.Faults{SlowPerToken: slow})
@@ -243,10 +241,10 @@
 	}
 }
 
-// The caller sees an answer although more chains than epochs are allowed hold
-// something else, as while a new plan is carried out: trying them runs nothing.
+// A request fails during a rollout because the first chains do not match the plan. An
+// attempt on such a chain runs nothing, so it must not count against MaxExecutions.
 func TestMismatchesDoNotUseUpEpochs(t *testing.T) {
-	Convey("Chains that did nothing count as tries only", t, func() {
+	Convey("Chains that ran nothing count against MaxAttempts only", t, func() {
 		f := newFleet(t, 4, fastEngine, Options{MaxExecutions: 1, MaxAttempts: 4})
 		defer f.stop()
 		for _, chain := range f.chains[:3] {
@@ -260,8 +258,8 @@
 	})
 }
 
-// Callers notice nothing when their node was paused: its timers all run late
-// and at once, while tokens wait unread, and none of them gives a chain up.
+// After a pause of the node all its timers fire late and at once, while tokens are still
+// unread. Without the excuse every stream would abandon its chain.
 func TestWatchdogExcusesItsOwnPause(t *testing.T) {
 	Convey("A late timer is excused once", t, func() {
 		w := newWatchdog(func(error) {})
@@ -279,12 +277,12 @@
 	})
 }
 
-// The caller sees the undisturbed answer. An engine that ignores fencing
-// numbers has taken an old order and holds other layers than the plan says.
-// Asked before work is sent it says so, and its chain does no step.
+// A request runs on an engine that holds other layers than the plan says, because the
+// engine ignores fencing numbers and accepted an old order. Its report shows this
+// before anything is sent.
 func TestEngineHoldsOtherLayers(t *testing.T) {
 	old := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 0}
-	Convey("Before the first use the report is found not to match", t, func() {
+	Convey("Before the first use the report does not match", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		So(f.chains[0][1].Engine.Order(old), ShouldBeNil)
@@ -297,7 +295,7 @@
 		So(f.chains[0][0].Engine.Stats().Steps, ShouldEqual, 0)
 		So(summary.Epochs, ShouldEqual, 2)
 	})
-	Convey("Within the time that a report is trusted the spans show it", t, func() {
+	Convey("While the old report is cached the spans show the wrong layers", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
@@ -321,10 +319,10 @@
 	})
 }
 
-// The caller sees an answer, late but whole: a stage that is frozen before the
-// first token is not told from a long prefill by waiting, so it is asked.
+// A stage that is frozen before the first token looks like a long prefill, so the caller
+// waits for the whole first-token timeout. Probes tell the two apart.
 func TestFrozenBeforeFirstToken(t *testing.T) {
-	Convey("A frozen stage is found long before the first token's time is up", t, func() {
+	Convey("A frozen stage is detected long before the first-token timeout", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
@@ -350,10 +348,10 @@
 	})
 }
 
-// The caller is not cut off for using a slow accelerator: its steady gap is
-// longer than the floor, and the wait follows what is measured.
+// An answer of a slow accelerator is taken for stalled because its steady gap exceeds
+// MinStallTimeout. The stall timeout must adapt to the measured gaps.
 func TestSlowAcceleratorIsNotCut(t *testing.T) {
-	Convey("A steady gap above the floor is no stall", t, func() {
+	Convey("A steady gap above MinStallTimeout is no stall", t, func() {
 		f := newFleet(t, 1, standin.Config{Step: 30 * time.Millisecond}, Options{MinStallTimeout: 20 * time.Millisecond})
 		defer f.stop()
 		req := request("slow")
@@ -364,8 +362,8 @@
 	})
 }
 
-// The caller is told what became of the request. All chains die: before the
-// send nothing can have run, partway some of it has.
+// The reported outcome must be true when all chains fail. Nothing can have run if they
+// failed before the request was sent; part of it has run if they fail during the answer.
 func TestAllChainsDead(t *testing.T) {
 	kill := func(f *fleet) {
 		for _, chain := range f.chains {
@@ -373,7 +371,7 @@
 			chain[1].Kill()
 		}
 	}
-	Convey("Dead before the send: not run", t, func() {
+	Convey("Killed before the request is sent: not run", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		kill(f)
@@ -382,21 +380,22 @@
 		So(summary.Outcome, ShouldEqual, OutcomeNotRun)
 		So(answer, ShouldBeEmpty)
 	})
-	Convey("Dead after the check at use: refused connections prove not run", t, func() {
+	Convey("Killed while their reports are cached: refused connections prove not run", t, func() {
 		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		_, _, err := f.collect(context.Background(), request("before"), nil)
 		So(err, ShouldBeNil)
 		kill(f)
-		// A request written to a connection before its end is seen leaves
-		// unknown, so the client must have seen the end of those it kept.
+		// A request that is written to a closed connection before the client
+		// notices the close has the outcome unknown, so the idle connections
+		// are closed first.
 		f.client.CloseIdle()
 		_, summary, err := f.collect(context.Background(), request("dead"), nil)
 		So(err, ShouldNotBeNil)
 		So(summary.Outcome, ShouldEqual, OutcomeNotRun)
 		So(summary.LastResult.End, ShouldEqual, EndUnreachable)
 	})
-	Convey("Dead partway: unknown, and what came is a prefix of the answer", t, func() {
+	Convey("Killed during the answer: unknown, and a prefix of the answer was delivered", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
 		req := request("partway")
@@ -411,16 +410,16 @@
 	})
 }
 
-// The caller of a full chain is served by another one. The full engine refuses
-// before any work, so its part is known not to have run.
+// A request to a full chain must be served by another one. The full engine refuses before
+// any work, so its attempt is known not to have run.
 func TestRefusals(t *testing.T) {
-	Convey("Full and draining chains refuse; what is underway on them finishes", t, func() {
+	Convey("Full and draining chains refuse new streams and finish the running ones", t, func() {
 		f := newFleet(t, 2, standin.Config{Step: time.Millisecond, Slots: 1}, Options{})
 		defer f.stop()
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		underway := request("underway")
-		underway.Chat.MaxTokens = 400 // more than the engine runs ahead of the caller
+		underway.Chat.MaxTokens = 400 // more than an engine generates ahead of the caller's reads
 		var answer string
 		var summary, other Summary
 		var err, otherErr error
@@ -447,7 +446,7 @@
 	})
 }
 
-// The caller has asked for an answer by a time; it passes while tokens come.
+// The request's deadline passes while tokens arrive. The chain must not continue.
 func TestDeadline(t *testing.T) {
 	Convey("The deadline ends the answer and frees the chain", t, func() {
 		f := newFleet(t, 1, fastEngine, Options{})
@@ -462,10 +461,10 @@
 	})
 }
 
-// The caller sees the undisturbed answer although the first chain works on
-// after its epoch was cancelled: its connection is closed, and its epoch old.
+// The first chain continues after its epoch was cancelled. Its connection is closed and
+// its epoch is old, so its tokens must not reach the caller.
 func TestEngineIgnoresCancel(t *testing.T) {
-	Convey("A chain that ignores the cancel disturbs nothing", t, func() {
+	Convey("A chain that ignores the cancel does not affect the answer", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{MinStallTimeout: 30 * time.Millisecond})
 		defer f.stop()
 		req := request("ignores")
--- a/route/stream/slow.go
+++ b/route/stream/slow.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// slowWindowTokens is how many tokens are looked at together.
+	// slowWindowTokens is the number of tokens over which the mean gap is taken.
 	slowWindowTokens = 16
-	// slowFactor times the usual gap is far more than a growing batch makes of
-	// it, so a burst does not set streams moving.
+	// slowFactor times the baseline gap is far above the gaps of a growing batch, so
+	// a burst of requests does not make streams change chains.
 	slowFactor = 8
-	// minSlowGap is a gap that a reader does not feel yet: about what callers
-	// are promised for 95 tokens in 100.
+	// minSlowGap is the largest gap that never counts as slow. A reader does not
+	// notice it, and it is about the 95th percentile promised to callers.
 	minSlowGap = 40 * time.Millisecond
 )
 
-// slowDetector compares the gaps of the last tokens with what is usual for the chain.
-// A stage or link that turns slow without stopping is never a stall; an answer
-// of hundreds of tokens would crawl to its end.
+// slowDetector compares the mean gap of the last tokens with the chain's baseline.
+// A stage or link that turns slow but does not stop never exceeds the stall
+// timeout, and without the detector an answer of hundreds of tokens would stay slow
+// to its end.
 type slowDetector struct {
 	baseline time.Duration
 	sum      time.Duration
@@ -27,7 +28,7 @@
 	slow     bool
 }
 
-// add takes the gap of one token; slow is set anew with each full window.
+// add adds the gap of one token. It updates slow at the end of each window.
 func (d *slowDetector) add(gap time.Duration) {
 	d.sum += gap
 	d.count++
@@ -42,14 +43,14 @@
 	d.slow = mean > max(slowFactor*d.baseline, minSlowGap)
 }
 
-// leaveSlowChain gives up a chain that has turned slow, if there is another one,
-// and once in an answer at most: if every chain is slow, moving on costs a
-// prefill each time and wins nothing.
+// leaveSlowChain ends the epoch of a chain that has turned slow if the chooser has
+// another chain. It does so at most once per answer: if every chain is slow, each
+// change costs a prefill and gains nothing.
 func (e *epoch) leaveSlowChain(ctx context.Context) bool {
-	if !e.slowness.slow || e.answer.switchedFromSlow || !e.mayLeaveChain() {
+	if !e.slowness.slow || e.answer.leftSlowChain || !e.mayLeaveChain() {
 		return false
 	}
-	e.answer.switchedFromSlow = true
+	e.answer.leftSlowChain = true
 	nextChain, err := e.answer.chooser().Choose(ctx, append(slices.Clone(e.answer.exclude), e.chain.Replica))
 	if err != nil {
 		return false
@@ -60,8 +61,8 @@
 }
 
 // mayLeaveChain reports whether another epoch is allowed after this one. The
-// chooser must not be asked for a chain that is then not used: it would wait
-// for that chain's end.
+// chooser must not be asked for a chain that is then not used, because it expects
+// Ended for each chain that it returns.
 func (e *epoch) mayLeaveChain() bool {
 	o := e.answer.runner.options
 	return e.answer.executions+1 < o.MaxExecutions && int(e.number) < o.MaxAttempts
--- a/route/stream/token_bench_test.go
+++ b/route/stream/token_bench_test.go
@@ -13,12 +13,11 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// BenchmarkRunnerToken measures what a token costs the node, without network
-// and engine: decoding, check, times and watchdog.
+// BenchmarkRunnerToken measures the node's work per token without network and engine:
+// decoding, token check, measurements and watchdog.
 func BenchmarkRunnerToken(b *testing.B) { benchToken(b, engineapi.Artifact{}) }
 
-// BenchmarkRunnerTokenNamed is with a version of the weights and an adapter in each
-// span.
+// BenchmarkRunnerTokenNamed does the same with weights and an adapter named in each span.
 func BenchmarkRunnerTokenNamed(b *testing.B) {
 	benchToken(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
@@ -42,14 +41,14 @@
 func (o oneChain) Choose(context.Context, []string) (Chain, error) { return o.chain, nil }
 func (o oneChain) Ended(Chain, AttemptResult)                      {}
 
-// cannedEngine answers as the engines of a chain would, from memory.
+// cannedEngine is a transport that replies like the engines of a chain, from memory.
 type cannedEngine struct {
 	stages   []engineapi.Stage
 	tokens   int
 	artifact engineapi.Artifact
 }
 
-// RoundTrip answers holding calls and chats.
+// RoundTrip answers report calls and chats.
 func (c *cannedEngine) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Request: r}
 	if r.URL.Path != engineapi.PathHolding {
@@ -79,7 +78,7 @@
 	rest       []byte
 }
 
-// cannedWith is the event of a token whose spans name an artifact.
+// cannedWith returns the event of a token whose spans name an artifact.
 func cannedWith(a engineapi.Artifact) string {
 	if a == (engineapi.Artifact{}) {
 		return cannedEvent
@@ -91,7 +90,7 @@
 
 const cannedEvent = `data: {"id":"canned","object":"chat.completion.chunk","model":"toy","choices":[{"index":0,"delta":{"content":" tide.1234"},"finish_reason":%s}],"cicadatack":{"stream":"canned","epoch":1,"position":%d,"spans":[{"endpoint":"127.0.0.1:41267","first":0,"last":3,"micros":1893},{"endpoint":"127.0.0.1:36809","first":4,"last":7,"micros":1145}]}}` + "\n\n"
 
-// Read renders events as they are asked for.
+// Read generates the events as they are read.
 func (a *cannedAnswer) Read(p []byte) (int, error) {
 	for len(a.rest) == 0 {
 		switch {
--- a/route/stream/types.go
+++ b/route/stream/types.go
@@ -13,104 +13,106 @@
 var Error = errs.Class("stream")
 
 var (
-	// ErrNoChain reports that no chain is left to try.
-	ErrNoChain = errors.New("no chain to run on")
-	// ErrAttemptsExhausted reports that all the epochs allowed have failed.
-	ErrAttemptsExhausted = errors.New("every epoch allowed has failed")
-	// ErrCallerGone reports that the caller has left.
-	ErrCallerGone = errors.New("the caller has left")
-	// ErrDeadline reports that the request's deadline has passed.
-	ErrDeadline = errors.New("the deadline has passed")
+	// ErrNoChain reports that the Chooser returned no chain.
+	ErrNoChain = errors.New("no chain available")
+	// ErrAttemptsExhausted reports that MaxExecutions or MaxAttempts was reached.
+	ErrAttemptsExhausted = errors.New("all allowed attempts failed")
+	// ErrCallerGone reports that the caller disconnected.
+	ErrCallerGone = errors.New("caller disconnected")
+	// ErrDeadline reports that the request's deadline passed.
+	ErrDeadline = errors.New("request deadline exceeded")
 )
 
 // Chain is a replica of a model: engines that together hold all its layers.
 type Chain struct {
-	// Replica names the chain towards the Chooser.
+	// Replica is the replica's name, by which Chooser.Choose excludes chains.
 	Replica string
 	// Stages are the engines in the order of their layers.
 	Stages []engineapi.Stage
-	// PlacementVersion is the plan's version, which engines must report too.
+	// PlacementVersion is the plan's version. Every engine must report the same one.
 	PlacementVersion int64
-	// Artifact is what every stage must hold and run. An answer stays with that of
-	// its first token.
+	// Artifact is the weights and adapter that every stage must hold and run. All
+	// tokens of an answer come from the artifact that made its first token.
 	Artifact engineapi.Artifact
 }
 
-// Chooser picks the chain of each epoch and learns how it went. It is called
-// from many goroutines.
+// Chooser picks the chain of each epoch and receives the epoch's result. It is
+// called from many goroutines.
 type Chooser interface {
-	// Choose returns a chain that is none of exclude, or an error if no
-	// chain should be tried now; the stream then ends.
+	// Choose returns a chain whose replica is not in exclude. An error ends the
+	// stream: no chain should be tried now.
 	Choose(ctx context.Context, exclude []string) (Chain, error)
 	// Ended reports the end of an epoch, once for each chain chosen.
 	Ended(chain Chain, result AttemptResult)
 }
 
-// Request is one answer to be made.
+// Request is one answer to be generated.
 type Request struct {
-	// StreamID is the stream's id, never used twice.
+	// StreamID identifies the stream and is never reused.
 	StreamID string
 	// Layers is how many layers the model has.
 	Layers int
-	// Chat is the caller's request; Chat.Pipeline is set by the Runner.
+	// Chat is the caller's request. The Runner sets Chat.Pipeline.
 	Chat engineapi.ChatRequest
 	// FirstTokenTimeout bounds the time from sending to a chain until its
-	// first token, prefill included; zero means DefaultFirstTokenTimeout.
+	// first token, prefill included. Zero means DefaultFirstTokenTimeout.
 	FirstTokenTimeout time.Duration
-	// MaxStallTimeout is the longest wait for a token that the adaptive bound may
-	// grow to; zero means DefaultTokenStall.
+	// MaxStallTimeout is the upper bound of the adaptive stall timeout. Zero means
+	// DefaultMaxStallTimeout.
 	MaxStallTimeout time.Duration
-	// Deadline ends the answer; zero means none.
+	// Deadline ends the answer. Zero means none.
 	Deadline time.Time
-	// Chooser, if set, takes the place of the Runner's for this answer: it can
-	// know whose request it is and what its prompt begins with.
+	// Chooser, if set, replaces the Runner's Chooser for this answer. It can use
+	// the request's team and prompt prefix for its choice.
 	Chooser Chooser
 }
 
-// Outcome is what became of a request.
+// Outcome is the outcome of a request.
 type Outcome uint8
 
 const (
-	// OutcomeUnknown answers may have run in part.
+	// OutcomeUnknown requests may have run in part.
 	OutcomeUnknown Outcome = iota
-	// OutcomeNotRun answers provably were not run by any engine.
+	// OutcomeNotRun requests provably were not run by any engine.
 	OutcomeNotRun
-	// OutcomeDone answers were delivered whole.
+	// OutcomeDone requests were answered completely.
 	OutcomeDone
 )
 
 var outcomeNames = [...]string{"unknown", "not-run", "done"}
 
-// String returns the outcome as it stands in Cicadatack-Outcome.
+// String returns the value of the header Cicadatack-Outcome.
 func (o Outcome) String() string { return outcomeNames[o] }
 
 // End says how an epoch ended.
 type End uint8
 
 const (
-	// EndDone epochs brought the answer to its end.
+	// EndDone epochs completed the answer.
 	EndDone End = iota
-	// EndCallerGone epochs were given up because the caller left.
+	// EndCallerGone epochs were cancelled because the caller disconnected.
 	EndCallerGone
-	// EndDeadline epochs ran into the request's deadline.
+	// EndDeadline epochs exceeded the request's deadline.
 	EndDeadline
-	// EndMismatch chains were not used: an engine does not hold what the
-	// plan says, or could not be asked.
+	// EndMismatch chains were sent nothing: an engine does not hold what the
+	// plan says, or did not answer when asked.
 	EndMismatch
-	// EndRefused chains refused before any work.
+	// EndRefused chains refused the request before any work.
 	EndRefused
 	// EndUnreachable chains could not be connected to.
 	EndUnreachable
-	// EndNoFirstToken epochs brought no token within FirstTokenTimeout.
+	// EndNoFirstToken epochs produced no token within FirstTokenTimeout, or their
+	// chain stopped answering probes before that.
 	EndNoFirstToken
-	// EndStalled epochs stopped bringing tokens.
+	// EndStalled epochs stopped producing tokens.
 	EndStalled
-	// EndConnectionLost epochs lost their connection, or a stage behind it.
+	// EndConnectionLost epochs lost the connection to the first stage, or the
+	// first stage closed the stream because a later stage failed.
 	EndConnectionLost
-	// EndInvalidToken epochs brought a token that Check refused.
+	// EndInvalidToken epochs produced a token that TokenCheck rejected.
 	EndInvalidToken
-	// EndSlow epochs were left for another chain because their tokens came
-	// far slower than the chain's usual.
+	// EndSlow epochs were moved to another chain because their token gaps were far
+	// above the chain's baseline.
 	EndSlow
 )
 
@@ -119,33 +121,33 @@
 	"unreachable", "no first token", "stalled", "cut", "rejected", "slow",
 }
 
-// String returns the end in words.
+// String returns the text used in metrics and decision logs.
 func (e End) String() string { return endNames[e] }
 
-// AttemptResult is what an epoch tells of its chain.
+// AttemptResult is the result of an epoch, as reported to the Chooser.
 type AttemptResult struct {
 	Epoch uint32
 	End   End
-	// NotRun is set if the chain provably did nothing.
+	// NotRun is set if the chain provably did no work.
 	NotRun bool
-	// Reason is set if End is EndRejected.
+	// Reason is why the token was rejected, if End is EndInvalidToken.
 	Reason Reason
-	// Unresponsive is set if End is EndNoFirstToken because the chain was not heard of,
-	// long before the time of a first token was up.
+	// Unresponsive is set if End is EndNoFirstToken because the chain answered no
+	// probe, before FirstTokenTimeout passed.
 	Unresponsive bool
-	// Err is the error below, if there was one.
+	// Err is the underlying error, or nil.
 	Err error
 	// Status is the HTTP status of a refusal, or zero.
 	Status int
 	// Tokens is how many tokens the epoch delivered.
 	Tokens int
-	// FirstToken is the time from sending to the first token, zero if none came.
+	// FirstToken is the time from sending to the first token, or zero without one.
 	FirstToken time.Duration
-	// MeanGap is the mean time between tokens, zero if fewer than two came.
+	// MeanGap is the mean time between tokens, or zero with fewer than two.
 	MeanGap time.Duration
-	// Load is the report that closed the answer, or nil. Those that came with
-	// tokens are old by then: a report says how old it was when it was sent, so one
-	// of a minute ago would be taken for new.
+	// Load is the load report in the answer's closing event, or nil. Reports in
+	// earlier events are not kept: AgeMillis is a report's age when it was sent, so
+	// a report of a minute ago would be taken for a new one at the epoch's end.
 	Load *engineapi.Load
 	// Hops are the mean times of the stages and their outgoing links.
 	Hops []Hop
@@ -155,35 +157,36 @@
 type Hop struct {
 	Endpoint string
 	Micros   float64
-	// StepMicros is the engine's own report of the time of its layers, for who
-	// knows it; zero if not known.
+	// StepMicros is the time of the layers alone, as the engine reports it, or zero
+	// if unknown. The Chooser fills it in.
 	StepMicros float64
 }
 
-// Recovery is one change of chain partway.
+// Recovery is one change of chain during an answer.
 type Recovery struct {
-	// Cause is how the epoch before ended, Reason why if it was rejected.
+	// Cause is how the previous epoch ended, Reason why if its token was rejected.
 	Cause  End
 	Reason Reason
-	// DetectionTime is the time from the last token of the old chain, or its
-	// start, until it was given up.
+	// DetectionTime is the time from the old chain's last token, or from the start
+	// of the epoch, until the failure was detected.
 	DetectionTime time.Duration
-	// ResumeTime is the time from then to the next token; zero if none came.
+	// ResumeTime is the time from the detection to the next token, or zero without
+	// one.
 	ResumeTime time.Duration
-	// Imported is set if the new chain was given exported KV cache.
+	// Imported is set if the new chain imported exported KV cache.
 	Imported bool
 }
 
-// Summary is what became of a request.
+// Summary is the result of a request.
 type Summary struct {
 	Outcome Outcome
-	// FinishReason is the engine's reason for the answer's end.
+	// FinishReason is the engine's finish_reason.
 	FinishReason string
 	// Tokens is how many tokens were delivered.
 	Tokens int
 	// Epochs is how many chains were tried.
 	Epochs int
-	// StrayTokens is how many late or foreign tokens were dropped.
+	// StrayTokens is how many tokens of earlier epochs or other streams were dropped.
 	StrayTokens int
 	// FirstToken is the time from Run to the first token.
 	FirstToken time.Duration
@@ -197,32 +200,35 @@
 	DefaultFirstTokenTimeout = 10 * time.Second
 	DefaultMaxStallTimeout   = 10 * time.Second
 	// DefaultMinStallTimeout is well above the pauses of a busy but healthy chain
-	// on a local network, and leaves room for the 300 ms aimed at.
+	// on a local network, and below the target of 300 ms for detecting a stall.
 	DefaultMinStallTimeout = 250 * time.Millisecond
-	// DefaultMaxExecutions allows for chains that die together or twice.
+	// DefaultMaxExecutions allows for several chains that fail together, or one
+	// after the other.
 	DefaultMaxExecutions = 4
-	// DefaultMaxAttempts leaves room for chains that a new plan is just changing;
-	// trying one that does nothing costs a round trip.
+	// DefaultMaxAttempts allows for chains that a new plan is being rolled out to.
+	// An attempt that runs nothing costs one round trip.
 	DefaultMaxAttempts   = 8
 	DefaultReportTTL     = 2 * time.Second
 	DefaultReportTimeout = 300 * time.Millisecond
 	DefaultMaxTokens     = 1 << 16
 )
 
-// Options are a Runner's settings; zero fields mean the defaults.
+// Options are a Runner's settings. Zero fields mean the defaults.
 type Options struct {
-	// MinStallTimeout is the least wait for a token before a chain is given up.
+	// MinStallTimeout is the lower bound of the adaptive stall timeout, and of the
+	// time without a probe reply after which a chain counts as unresponsive.
 	MinStallTimeout time.Duration
-	// MaxExecutions bounds the chains that may have worked on one request,
-	// MaxAttempts those that were tried, the ones that did nothing included.
+	// MaxExecutions bounds the chains that may have run part of a request.
+	// MaxAttempts bounds the chains tried, including those that provably ran nothing.
 	MaxExecutions, MaxAttempts int
-	// ReportTTL is how long an engine's matching report is trusted;
-	// ReportTimeout bounds the wait for one.
+	// ReportTTL is how long a matching engine report is cached. ReportTimeout bounds
+	// the call that fetches one.
 	ReportTTL, ReportTimeout time.Duration
-	// MaxTokens bounds an answer, and with it what is kept for a resumption.
+	// MaxTokens bounds an answer, and with it the tokens kept for resuming.
 	MaxTokens int
-	// OnCacheLost, if set, is told when a stage of a replica reports another cache
-	// than before: the chain then recomputes every prompt from that stage on.
+	// OnCacheLost, if set, is called when a stage of a replica reports a different
+	// prefix cache than before. The chain then recomputes every prompt from that
+	// stage on.
 	OnCacheLost func(model, replica string)
 }
 
--- a/route/stream/watchdog.go
+++ b/route/stream/watchdog.go
@@ -9,19 +9,21 @@
 )
 
 var (
-	errStalled      = errors.New("no token in time")
-	errUnresponsive = fmt.Errorf("%w: the chain does not answer", errStalled)
+	errStalled      = errors.New("no token within the stall timeout")
+	errUnresponsive = fmt.Errorf("%w: the chain answers no probe", errStalled)
 )
 
-// maxTimerDelay is how late the watchdog may run before it takes itself, not the
-// chain, to have stood still.
+// maxTimerDelay is how late the timer may fire before the watchdog assumes that this
+// node was paused, and not the chain.
 const maxTimerDelay = 50 * time.Millisecond
 
-// watchdog ends an epoch that brings nothing in time. If this node was paused
-// all its timers fire at once when it wakes, while tokens that came meanwhile
-// wait unread; cutting then would move every stream for nothing. A watchdog
-// that runs late therefore waits once more, but only once, or a node that is
-// always late would never find a stall.
+// watchdog cancels an epoch that produces no token in time.
+//
+// When this node resumes after a pause, all its timers fire at once, while tokens that
+// arrived during the pause are still unread. Cancelling then would move every stream
+// to another chain without need. A watchdog whose timer fires late therefore waits
+// for one more timeout. It does so only once, because otherwise a node whose timers
+// are always late would never detect a stall.
 type watchdog struct {
 	cancel context.CancelCauseFunc
 
@@ -30,14 +32,14 @@
 	expiresAt    time.Time // zero while disarmed
 	timeout      time.Duration
 	firstToken   *firstTokenWait // not nil until the first token
-	delayExcused bool            // a late run has been excused since arm
+	delayExcused bool            // a late timer has been excused since arm
 }
 
-// firstTokenWait is the wait for a first token. How long prefill and the engine's
-// queue take is not known, so the bound is long; a stage that is frozen, or a
-// link that is lost, is found sooner by asking along the way, see wayCheck.
+// firstTokenWait is the wait for a first token. The time of prefill and of the
+// engine's queue is not known, so the deadline is late. chainProber detects a frozen
+// stage or a failed link sooner.
 type firstTokenWait struct {
-	silentSince  time.Time
+	silentSince  time.Time // the chain's silence is counted from this time at the earliest
 	deadline     time.Time
 	unresponsive func(since time.Time) bool
 }
@@ -46,7 +48,7 @@
 	return &watchdog{cancel: cancel}
 }
 
-// arm starts the wait for the next token anew.
+// arm restarts the wait for the next token.
 func (w *watchdog) arm(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -55,9 +57,8 @@
 	w.restart(timeout)
 }
 
-// armFirstToken starts the wait for the first token, which ends after limit, or
-// once silent, called each interval, says that the chain has not been heard of
-// for too long. silent must not block.
+// armFirstToken starts the wait for the first token. It ends after limit, or when
+// unresponsive returns true, which is called each interval and must not block.
 func (w *watchdog) armFirstToken(interval, limit time.Duration, unresponsive func(since time.Time) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -80,7 +81,7 @@
 	w.timer.Reset(delay)
 }
 
-// disarm stops the wait, while the caller reads or when the epoch is over.
+// disarm stops the wait, while a token is delivered or when the epoch has ended.
 func (w *watchdog) disarm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -104,32 +105,32 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.firstToken != firstToken {
-		return // the token came meanwhile
+		return // the token arrived in the meantime
 	}
 	if unresponsive {
 		w.cancel(errUnresponsive)
 		return
 	}
-	// From when this look was due: late by a little each time, ten of them would
-	// add up to a tenth of the wait.
+	// The next check is scheduled from the time when this one was due. Otherwise the
+	// small delays of ten checks would add up to a tenth of the timeout.
 	delay := min(time.Until(w.expiresAt)+w.timeout, time.Until(firstToken.deadline))
 	w.schedule(max(delay, 0))
 }
 
-// expired reports whether the wait is over, or returns the first wait that
-// has to be looked into.
+// expired reports whether the wait has timed out. While a first token is awaited it
+// returns the wait for which unresponsive has to be called.
 func (w *watchdog) expired(now time.Time) (*firstTokenWait, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.expiresAt.IsZero() || now.Before(w.expiresAt) {
-		return nil, false // disarmed or armed anew while this call was on its way
+		return nil, false // disarmed or armed again before this call took the lock
 	}
 	delayed := now.Sub(w.expiresAt) > maxTimerDelay
 	waiting := w.firstToken != nil && now.Before(w.firstToken.deadline)
 	if delayed && waiting {
-		// The answers that this node did not read count for nothing against the
-		// chain: the silence is counted anew. It may happen again and again,
-		// because until ends the wait all the same.
+		// Replies that this node has not read yet must not count against the
+		// chain, so the silence is counted from now. This may happen any number
+		// of times, because the deadline still ends the wait.
 		w.firstToken.silentSince = now
 		w.restart(w.timeout)
 		return nil, false
