--- a/route/stream/doc.go
+++ b/route/stream/doc.go
@@ -3,7 +3,7 @@
 //	runner := stream.New(engineclient.New(nil), chooser, stream.Options{})
 //	defer runner.Close(ctx)
 //	summary, err := runner.Run(ctx, stream.Request{
-//		Stream: "s-17", Layers: 8, Chat: chat,
+//		StreamID: "s-17", Layers: 8, Chat: chat,
 //	}, func(token string, trace engineapi.TokenTrace) error {
 //		return writeToCaller(token)
 //	})
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -16,7 +16,7 @@
 	// from an engine short of CPU time does no harm.
 	probesPerTimeout = 2.5
 	// checksPerTimeout is how often within minTimeout the last activity is checked. A
-	// check makes no call. Its interval is the most by which detection is late.
+	// check makes no call. Detection is late by at most one check interval.
 	checksPerTimeout = 10
 	// probeTimeoutFactor times minTimeout bounds one probe. It is longer than the time
 	// after which a chain counts as unresponsive, because a late reply still shows
@@ -28,8 +28,8 @@
 	// maxTimeoutDoublings bounds how often one answer doubles the timeout.
 	maxTimeoutDoublings = 4
 	// directProbeDuration is how long the stages are probed directly after the first
-	// stage did not know the probe call. The engine may then have been replaced by one
-	// that does.
+	// stage did not know the probe call. Then the call is tried again, because the
+	// engine may have been replaced by one that knows it.
 	directProbeDuration = time.Minute
 	// maxProbedChains bounds the chains whose state is kept.
 	maxProbedChains = 4096
@@ -104,12 +104,12 @@
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.state(chain)
-	if now.Sub(laterOf(since, laterOf(w.probedAt, w.activeAt))) >= c.probeInterval() {
-		w.probedAt = now
-		go c.probe(model, chain, w, now, now.Before(w.directUntil))
+	s := c.state(chain)
+	if now.Sub(laterOf(since, laterOf(s.probedAt, s.activeAt))) >= c.probeInterval() {
+		s.probedAt = now
+		go c.probe(model, chain, s, now, now.Before(s.directUntil))
 	}
-	return now.Sub(laterOf(since, w.activeAt)) >= w.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
+	return now.Sub(laterOf(since, s.activeAt)) >= s.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
 }
 
 // recordActivity records that a token arrived from a chain. If a stage or link then
@@ -118,8 +118,8 @@
 func (c *chainProber) recordActivity(chain Chain, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w := c.state(chain)
-	w.activeAt = laterOf(w.activeAt, at)
+	s := c.state(chain)
+	s.activeAt = laterOf(s.activeAt, at)
 }
 
 func laterOf(a, b time.Time) time.Time {
@@ -130,31 +130,31 @@
 }
 
 // timeout returns how long the chain may show no activity.
-func (w *probeState) timeout(minTimeout time.Duration) time.Duration {
-	if !w.responseTime.known {
+func (s *probeState) timeout(minTimeout time.Duration) time.Duration {
+	if !s.responseTime.known {
 		return minTimeout
 	}
-	return w.responseTime.timeout(minTimeout, maxTimeoutFactor*minTimeout)
+	return s.responseTime.timeout(minTimeout, maxTimeoutFactor*minTimeout)
 }
 
 // state returns the state of a chain, and creates it if needed. The caller holds mu.
 func (c *chainProber) state(chain Chain) *probeState {
 	key := chainKey{chain.Replica, chain.PlacementVersion, chain.Stages[0].Address}
-	w := c.chains[key]
-	if w == nil {
+	s := c.chains[key]
+	if s == nil {
 		if len(c.chains) >= maxProbedChains {
 			clear(c.chains)
 		}
-		w = &probeState{}
-		c.chains[key] = w
+		s = &probeState{}
+		c.chains[key] = s
 	}
-	return w
+	return s
 }
 
 // probe probes a chain and records the reply. With direct set it calls each stage
 // itself. The call has its own timeout, because the stream that started it may end
 // while others wait for the result.
-func (c *chainProber) probe(model string, chain Chain, w *probeState, start time.Time, direct bool) {
+func (c *chainProber) probe(model string, chain Chain, s *probeState, start time.Time, direct bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeoutFactor*c.minTimeout)
 	defer cancel()
 	requestedAt := c.reports.now()
@@ -172,14 +172,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !direct && !supported {
-		w.directUntil = start.Add(directProbeDuration)
+		s.directUntil = start.Add(directProbeDuration)
 	}
 	if !alive {
 		return
 	}
 	now := time.Now()
-	w.activeAt = laterOf(w.activeAt, now)
-	w.responseTime.sample(now.Sub(start))
+	s.activeAt = laterOf(s.activeAt, now)
+	s.responseTime.sample(now.Sub(start))
 }
 
 // probeChain sends a probe along the chain. It returns the reports of the stages, or
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -82,13 +82,13 @@
 
 // verify returns nil if every stage of chain holds what the plan says, according to
 // reports that were requested no earlier than since.
-func (h *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, since time.Time) error {
+func (c *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, since time.Time) error {
 	if !covers(chain.Stages, layers) {
 		return errIncompleteChain
 	}
 	reports := make([]*cachedReport, len(chain.Stages))
 	for i, stage := range chain.Stages {
-		reports[i] = h.report(expectedFrom(model, stage, chain), stage.Address, since)
+		reports[i] = c.report(expectedFrom(model, stage, chain), stage.Address, since)
 	}
 	for i, report := range reports {
 		want := expectedFrom(model, chain.Stages[i], chain)
@@ -126,8 +126,8 @@
 	}
 }
 
-func (w expectedReport) matches(report engineapi.Report) bool {
-	return report.Holding == w.holding && report.Runs(w.artifact)
+func (e expectedReport) matches(report engineapi.Report) bool {
+	return report.Holding == e.holding && report.Runs(e.artifact)
 }
 
 // covers reports whether stages hold layers 0 to layers-1 once and in order.
@@ -160,18 +160,18 @@
 
 // report returns a usable cached report or starts a call for a new one, which all
 // streams that need it share.
-func (h *reportChecker) report(want expectedReport, address string, since time.Time) *cachedReport {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if r, ok := h.reports[address]; ok && r.usable(h.now(), want, h.ttl, since) {
+func (c *reportChecker) report(want expectedReport, address string, since time.Time) *cachedReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r, ok := c.reports[address]; ok && r.usable(c.now(), want, c.ttl, since) {
 		return r
 	}
-	if len(h.reports) >= maxReports {
-		clear(h.reports)
+	if len(c.reports) >= maxReports {
+		clear(c.reports)
 	}
-	r := &cachedReport{ready: make(chan struct{}), requestedAt: h.now()}
-	h.reports[address] = r
-	go h.fetch(want, address, r)
+	r := &cachedReport{ready: make(chan struct{}), requestedAt: c.now()}
+	c.reports[address] = r
+	go c.fetch(want, address, r)
 	return r
 }
 
@@ -194,23 +194,23 @@
 
 // fetch calls the engine and fills in the report. The call has its own timeout,
 // because the stream that started it may end while others wait for it.
-func (h *reportChecker) fetch(want expectedReport, address string, r *cachedReport) {
-	ctx, cancel := context.WithTimeout(context.Background(), h.timeout)
+func (c *reportChecker) fetch(want expectedReport, address string, r *cachedReport) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	r.report, r.err = h.client.Holding(ctx, address)
+	r.report, r.err = c.client.Holding(ctx, address)
 	if r.err == nil {
-		h.recordCache(want, address, r.report.Cache)
+		c.recordCache(want, address, r.report.Cache)
 	}
-	r.validAt = h.now()
+	r.validAt = c.now()
 	r.reportedAt = r.validAt
 	close(r.ready)
 }
 
 // recordCache records an engine's prefix cache and calls onCacheLost if the engine
 // reported another one before.
-func (h *reportChecker) recordCache(want expectedReport, address, cacheID string) {
-	if h.updateCacheID(address, cacheID) {
-		h.onCacheLost(want.holding.Model, want.replica)
+func (c *reportChecker) recordCache(want expectedReport, address, cacheID string) {
+	if c.updateCacheID(address, cacheID) {
+		c.onCacheLost(want.holding.Model, want.replica)
 	}
 }
 
@@ -220,17 +220,17 @@
 // cache events are read from the first stage, which still has its part, so without
 // this check requests would be routed to the chain for a cache that it has lost,
 // in preference to replicas that have it.
-func (h *reportChecker) updateCacheID(address, cacheID string) bool {
-	if h.onCacheLost == nil || cacheID == "" {
+func (c *reportChecker) updateCacheID(address, cacheID string) bool {
+	if c.onCacheLost == nil || cacheID == "" {
 		return false
 	}
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	previous := h.cacheIDs[address]
-	if len(h.cacheIDs) >= maxReports {
-		clear(h.cacheIDs)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	previous := c.cacheIDs[address]
+	if len(c.cacheIDs) >= maxReports {
+		clear(c.cacheIDs)
 	}
-	h.cacheIDs[address] = cacheID
+	c.cacheIDs[address] = cacheID
 	return previous != "" && previous != cacheID
 }
 
@@ -243,16 +243,16 @@
 // streams last, and new requests would be sent to it whose work is discarded. For the
 // same reason a stream that was sent before the chain failed, or before the engine's
 // latest report, renews nothing.
-func (h *reportChecker) renew(model string, chain Chain, validAt time.Time) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *reportChecker) renew(model string, chain Chain, validAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, stage := range chain.Stages {
-		r, ok := h.reports[stage.Address]
+		r, ok := c.reports[stage.Address]
 		if !ok || !r.renewable(expectedFrom(model, stage, chain), validAt) {
 			continue
 		}
-		if validAt.Sub(r.reportedAt) < renewalTTLs*h.ttl {
-			h.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: r.report, validAt: validAt, reportedAt: r.reportedAt}
+		if validAt.Sub(r.reportedAt) < renewalTTLs*c.ttl {
+			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: r.report, validAt: validAt, reportedAt: r.reportedAt}
 		}
 	}
 }
@@ -276,24 +276,24 @@
 
 // recordReports stores the reports that a probe along the chain returned. They match
 // the plan. A newer cached report is kept.
-func (h *reportChecker) recordReports(model string, chain Chain, validAt time.Time, reports []engineapi.Report) {
+func (c *reportChecker) recordReports(model string, chain Chain, validAt time.Time, reports []engineapi.Report) {
 	for i, stage := range chain.Stages {
-		h.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
-		h.mu.Lock()
-		if r, ok := h.reports[stage.Address]; ok && r.isReady() && r.validAt.Before(validAt) {
-			h.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: reports[i], validAt: validAt, reportedAt: validAt}
+		c.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
+		c.mu.Lock()
+		if r, ok := c.reports[stage.Address]; ok && r.isReady() && r.validAt.Before(validAt) {
+			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: reports[i], validAt: validAt, reportedAt: validAt}
 		}
-		h.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
 // invalidate drops the cached reports of a chain's engines after the chain failed.
-func (h *reportChecker) invalidate(chain Chain) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
+func (c *reportChecker) invalidate(chain Chain) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for _, stage := range chain.Stages {
-		if r, ok := h.reports[stage.Address]; ok && r.isReady() {
-			delete(h.reports, stage.Address)
+		if r, ok := c.reports[stage.Address]; ok && r.isReady() {
+			delete(c.reports, stage.Address)
 		}
 	}
 }
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -243,7 +243,7 @@
 
 // A request fails during a rollout because the first chains do not match the plan. An
 // attempt on such a chain runs nothing, so it must not count against MaxExecutions.
-func TestMismatchesDoNotUseUpEpochs(t *testing.T) {
+func TestMismatchesDoNotUseUpExecutions(t *testing.T) {
 	Convey("Chains that ran nothing count against MaxAttempts only", t, func() {
 		f := newFleet(t, 4, fastEngine, Options{MaxExecutions: 1, MaxAttempts: 4})
 		defer f.stop()
@@ -350,7 +350,7 @@
 
 // An answer of a slow accelerator is taken for stalled because its steady gap exceeds
 // MinStallTimeout. The stall timeout must adapt to the measured gaps.
-func TestSlowAcceleratorIsNotCut(t *testing.T) {
+func TestSlowAcceleratorIsNotStalled(t *testing.T) {
 	Convey("A steady gap above MinStallTimeout is no stall", t, func() {
 		f := newFleet(t, 1, standin.Config{Step: 30 * time.Millisecond}, Options{MinStallTimeout: 20 * time.Millisecond})
 		defer f.stop()
--- a/route/stream/slow.go
+++ b/route/stream/slow.go
@@ -13,7 +13,8 @@
 	// a burst of requests does not make streams change chains.
 	slowFactor = 8
 	// minSlowGap is the largest gap that never counts as slow. A reader does not
-	// notice it, and it is about the 95th percentile promised to callers.
+	// notice it, and it is about the 95th percentile of token gaps that callers are
+	// promised.
 	minSlowGap = 40 * time.Millisecond
 )
 
