--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -1,6 +1,6 @@
-// Package chains turns a replica of a model into the chain of engines that a
-// stream is sent along: from the layers that the document gives, or from the
-// plan in force.
+// Package chains resolves a replica of a model to the chain of engines that runs its
+// streams. The layers of each engine come from the document, or from the plan in force
+// if the document leaves them out.
 package chains
 
 import (
@@ -17,53 +17,53 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// Error is the class of this layer's errors.
+// Error is the class of this package's errors.
 var Error = errs.Class("chains")
 
-// ErrNoPlan reports a replica whose layers nobody has cut yet.
+// ErrNoPlan reports a replica whose layers are neither in the document nor planned yet.
 var ErrNoPlan = errors.New("no plan for the replica yet")
 
-// ErrNoAdapter reports a replica that is not planned to hold the adapter asked for.
-var ErrNoAdapter = errors.New("the replica is not to hold the adapter")
+// ErrNoAdapter reports a replica whose plan does not include the requested adapter.
+var ErrNoAdapter = errors.New("the replica's plan does not include the adapter")
 
-// Plans returns the layers of a replica that the document leaves open.
+// Plans returns the plans of replicas whose layers are not in the document.
 type Plans interface {
 	// Agreed returns the plan in force, as far as this node knows.
 	Agreed(model, replica string) (agreed plan.Replica, ok bool)
 }
 
-// Resolver resolves replicas. Plans may be nil: then the document must give
-// the layers. Safe for concurrent use.
+// Resolver resolves replicas to chains. Plans may be nil; the document must then give
+// the layers. It is safe for concurrent use.
 type Resolver struct {
 	Plans Plans
 }
 
 // Chain returns the chain of a replica of c's service.
 func (r *Resolver) Chain(c *callparser.Call, replica string) (stream.Chain, error) {
-	spec := find(c.Service.Model, replica)
+	spec := findReplica(c.Service.Model, replica)
 	if spec == nil {
 		return stream.Chain{}, Error.Wrap(fmt.Errorf("no replica is named %q", replica))
 	}
-	agreed, err := r.agreed(c, spec)
+	replicaPlan, err := r.replicaPlan(c, spec)
 	if err != nil {
 		return stream.Chain{}, Error.Wrap(err)
 	}
-	artifact, err := artifactOf(c, agreed)
+	artifact, err := artifactOf(c, replicaPlan)
 	if err != nil {
 		return stream.Chain{}, Error.Wrap(err)
 	}
-	return build(c.Directory, replica, agreed, artifact)
+	return buildChain(c.Directory, replica, replicaPlan, artifact)
 }
 
-// artifactOf is what a call runs on a replica. Of two versions of its adapter it is
-// the one that the replica was given first: the other may still be loading, and is
-// alone once it is there.
-func artifactOf(c *callparser.Call, agreed plan.Replica) (engineapi.Artifact, error) {
-	artifact := engineapi.Artifact{Weights: agreed.Weights}
+// artifactOf returns the weights and adapter that a call runs on a replica. If the plan
+// lists two versions of the adapter, it is the first: the other one may still be
+// loading, and the plan lists it alone once it is loaded.
+func artifactOf(c *callparser.Call, replicaPlan plan.Replica) (engineapi.Artifact, error) {
+	artifact := engineapi.Artifact{Weights: replicaPlan.Weights}
 	if c.Adapter == "" {
 		return artifact, nil
 	}
-	for _, a := range agreed.Adapters {
+	for _, a := range replicaPlan.Adapters {
 		if a.Name == c.Adapter {
 			artifact.Adapter = engineapi.Adapter(a).String()
 			return artifact, nil
@@ -72,32 +72,32 @@
 	return artifact, fmt.Errorf("%w: %q", ErrNoAdapter, c.Adapter)
 }
 
-// DocumentVersion is the placement version of chains whose layers stand in the
-// document. No plan decides about them, so engines are not asked to agree on a
-// number; what they hold is still compared.
+// DocumentVersion is the placement version of chains whose layers are in the document.
+// No plan decides their layers, so there is no version for the engines to agree on. The
+// layers that engines report are still compared with the document.
 const DocumentVersion = 0
 
-func (r *Resolver) agreed(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
+func (r *Resolver) replicaPlan(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
 	if len(spec.Stages[0].Layers) > 0 {
-		return fixed(spec), nil
+		return planFromDocument(spec), nil
 	}
 	if r.Plans != nil {
-		if agreed, ok := r.Plans.Agreed(c.Service.Name, spec.Name); ok {
-			return agreed, nil
+		if replicaPlan, ok := r.Plans.Agreed(c.Service.Name, spec.Name); ok {
+			return replicaPlan, nil
 		}
 	}
 	return plan.Replica{}, fmt.Errorf("%w: %q", ErrNoPlan, spec.Name)
 }
 
-func fixed(spec *document.Replica) plan.Replica {
-	agreed := plan.Replica{Version: DocumentVersion}
+func planFromDocument(spec *document.Replica) plan.Replica {
+	replicaPlan := plan.Replica{Version: DocumentVersion}
 	for _, s := range spec.Stages {
-		agreed.Stages = append(agreed.Stages, plan.Stage{Endpoint: s.Endpoint, First: s.Layers[0], Last: s.Layers[1]})
+		replicaPlan.Stages = append(replicaPlan.Stages, plan.Stage{Endpoint: s.Endpoint, First: s.Layers[0], Last: s.Layers[1]})
 	}
-	return agreed
+	return replicaPlan
 }
 
-func find(m *document.Model, replica string) *document.Replica {
+func findReplica(m *document.Model, replica string) *document.Replica {
 	for i := range m.Replicas {
 		if m.Replicas[i].Name == replica {
 			return &m.Replicas[i]
@@ -106,9 +106,9 @@
 	return nil
 }
 
-func build(d *docindex.Directory, replica string, agreed plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
-	chain := stream.Chain{Replica: replica, PlacementVersion: agreed.Version, Artifact: artifact}
-	for _, s := range agreed.Stages {
+func buildChain(d *docindex.Directory, replica string, replicaPlan plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
+	chain := stream.Chain{Replica: replica, PlacementVersion: replicaPlan.Version, Artifact: artifact}
+	for _, s := range replicaPlan.Stages {
 		e, ok := d.Endpoint(s.Endpoint)
 		if !ok {
 			return stream.Chain{}, Error.Wrap(fmt.Errorf("no endpoint is named %q", s.Endpoint))
--- a/route/chains/chains_test.go
+++ b/route/chains/chains_test.go
@@ -11,18 +11,18 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-type agreed []plan.Stage
+type fakePlans []plan.Stage
 
-func (a agreed) Agreed(_, replica string) (plan.Replica, bool) {
+func (a fakePlans) Agreed(_, replica string) (plan.Replica, bool) {
 	return plan.Replica{
 		Version: 7, Stages: a, Weights: "v2",
 		Adapters: []plan.Adapter{{Name: "notes", Version: "1"}, {Name: "notes", Version: "2"}},
 	}, replica == "planned"
 }
 
-// A chain's layers are the document's, or the plan's where the document leaves
-// them open, with the number to fence by. Nothing is guessed: without a plan, or
-// with an engine that the document does not name, there is no chain.
+// A chain's layers come from the document, or from the plan if the document leaves them
+// out, together with the plan's placement version. Without a plan, or with an engine
+// that the document does not name, resolving fails instead of guessing layers.
 func TestChain(t *testing.T) {
 	doc := &document.Document{
 		Endpoints: []document.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: "127.0.0.1:2"}},
@@ -33,13 +33,13 @@
 		}}}},
 	}
 	c := &callparser.Call{Service: &doc.Services[0], Directory: docindex.Build(doc, 1, "digest")}
-	planned := agreed{{Endpoint: "a", Last: 1}, {Endpoint: "b", First: 2, Last: 7}}
+	planned := fakePlans{{Endpoint: "a", Last: 1}, {Endpoint: "b", First: 2, Last: 7}}
 	cases := []struct {
-		replica string
-		plans   Plans
-		version int64
-		cut     int // the last layer of the first stage
-		fails   bool
+		replica        string
+		plans          Plans
+		version        int64
+		firstStageLast int // the last layer of the first stage
+		fails          bool
 	}{
 		{"fixed", nil, DocumentVersion, 3, false},
 		{"fixed", planned, DocumentVersion, 3, false},
@@ -47,20 +47,20 @@
 		{"open", planned, 0, 0, true},
 		{"open", nil, 0, 0, true},
 		{"unknown", planned, 0, 0, true},
-		{"planned", agreed{{Endpoint: "gone", Last: 7}}, 0, 0, true},
+		{"planned", fakePlans{{Endpoint: "gone", Last: 7}}, 0, 0, true},
 	}
-	for _, c2 := range cases {
-		chain, err := (&Resolver{Plans: c2.plans}).Chain(c, c2.replica)
-		if (err != nil) != c2.fails {
-			t.Errorf("%s: %v", c2.replica, err)
+	for _, tc := range cases {
+		chain, err := (&Resolver{Plans: tc.plans}).Chain(c, tc.replica)
+		if (err != nil) != tc.fails {
+			t.Errorf("%s: %v", tc.replica, err)
 			continue
 		}
-		if err == nil && (chain.PlacementVersion != c2.version || chain.Stages[0].Last != c2.cut || chain.Stages[1].Address != "127.0.0.1:2") {
-			t.Errorf("%s: %+v", c2.replica, chain)
+		if err == nil && (chain.PlacementVersion != tc.version || chain.Stages[0].Last != tc.firstStageLast || chain.Stages[1].Address != "127.0.0.1:2") {
+			t.Errorf("%s: %+v", tc.replica, chain)
 		}
 	}
 	if _, err := (&Resolver{}).Chain(c, "open"); !errors.Is(err, ErrNoPlan) {
-		t.Errorf("without a plan: %v", err)
+		t.Errorf("got %v without a plan, want ErrNoPlan", err)
 	}
 	c.Adapter = "notes"
 	chain, err := (&Resolver{Plans: planned}).Chain(c, "planned")
@@ -70,7 +70,7 @@
 	c.Adapter = "other"
 	for _, replica := range []string{"planned", "fixed"} {
 		if _, err := (&Resolver{Plans: planned}).Chain(c, replica); !errors.Is(err, ErrNoAdapter) {
-			t.Errorf("%s, an adapter that it does not hold: %v", replica, err)
+			t.Errorf("%s: got %v for an adapter that is not planned, want ErrNoAdapter", replica, err)
 		}
 	}
 }
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -11,15 +11,16 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-var notes = engineapi.Adapter{Name: "notes", Version: "1"}
+var notesAdapter = engineapi.Adapter{Name: "notes", Version: "1"}
 
-// versions is a chooser over a fleet whose chains need artifacts of their own.
-type versions struct {
+// versionedFleet is a fleet whose chains have different artifacts, and the chooser over
+// them.
+type versionedFleet struct {
 	*fleet
 	artifacts []engineapi.Artifact
 }
 
-func (v versions) Choose(ctx context.Context, exclude []string) (Chain, error) {
+func (v versionedFleet) Choose(ctx context.Context, exclude []string) (Chain, error) {
 	chain, err := v.fleet.Choose(ctx, exclude)
 	for i := range v.chains {
 		if chain.Replica == v.chain(i).Replica {
@@ -29,8 +30,8 @@
 	return chain, err
 }
 
-// newVersions starts a chain for each artifact, whose engines hold it.
-func newVersions(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versions {
+// newVersionedFleet starts a chain for each artifact. Its engines hold the artifact.
+func newVersionedFleet(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versionedFleet {
 	f := newFleet(t, 0, cfg, Options{})
 	for _, a := range artifacts {
 		cfg.Weights = a.Weights
@@ -40,31 +41,30 @@
 		})
 		for _, srv := range f.chains[len(f.chains)-1] {
 			if a.Adapter != "" {
-				So(srv.Engine.OrderAdapters(engineapi.AdapterOrder{Adapters: []engineapi.Adapter{notes}, Version: 1}), ShouldBeNil)
+				So(srv.Engine.OrderAdapters(engineapi.AdapterOrder{Adapters: []engineapi.Adapter{notesAdapter}, Version: 1}), ShouldBeNil)
 			}
 		}
 	}
-	return versions{f, artifacts}
+	return versionedFleet{f, artifacts}
 }
 
-func (v versions) request(stream string) Request {
+func (v versionedFleet) request(stream string) Request {
 	req := request(stream)
 	req.Chooser = v
 	return req
 }
 
-func answerBy(a engineapi.Artifact, req Request) string {
+func expectedAnswerBy(a engineapi.Artifact, req Request) string {
 	return strings.Join(standin.AnswerBy(a, req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
-// The caller gets one version's answer to the last byte. Its chain dies partway
-// while a new version is rolled out; the next replica has the new weights already,
-// works, and would go on with plausible tokens of another answer. Only the third
-// has the weights that the answer began with.
+// Without the artifact check, a resumed answer mixes two versions of the weights. The
+// chain fails during a rollout: the second replica is healthy but already has the new
+// weights, only the third has those that the answer began with.
 func TestAnswerStaysWithItsVersion(t *testing.T) {
 	old, next := engineapi.Artifact{Weights: "v1"}, engineapi.Artifact{Weights: "v2"}
-	Convey("The resume passes over the other version", t, func() {
-		v := newVersions(t, quick, old, next, old)
+	Convey("The resume skips the chain with the other version", t, func() {
+		v := newVersionedFleet(t, fastEngine, old, next, old)
 		defer v.stop()
 		req := v.request("roll-out")
 		answer, summary, err := v.collect(context.Background(), req, func(position int) {
@@ -73,21 +73,20 @@
 			}
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, answerBy(old, req))
+		So(answer, ShouldEqual, expectedAnswerBy(old, req))
 		So(summary.Epochs, ShouldEqual, 3)
-		So(v.ended[1].End, ShouldEqual, EndMismatch)
+		So(v.results[1].End, ShouldEqual, EndMismatch)
 		So(v.chains[1][0].Engine.Stats().Opened, ShouldEqual, 0)
 	})
 }
 
-// The caller gets one version's answer to the last byte. A later stage ignores
-// fencing numbers and takes an order for other weights in the middle of the answer;
-// what it reported before is still trusted. Its next span names the weights, and the
-// token is not delivered.
+// An engine loads other weights in the middle of an answer. A later stage ignores
+// fencing numbers and accepts the order while its earlier report is still cached. Its
+// next span names the new weights, and the token must not be delivered.
 func TestWeightsChangeMidAnswer(t *testing.T) {
 	old := engineapi.Artifact{Weights: "v1"}
-	Convey("The span tells", t, func() {
-		v := newVersions(t, quick, old, old)
+	Convey("The span shows the change", t, func() {
+		v := newVersionedFleet(t, fastEngine, old, old)
 		defer v.stop()
 		var once sync.Once
 		req := v.request("mid-answer")
@@ -102,88 +101,89 @@
 			})
 		})
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, answerBy(old, req))
-		So(summary.Recoveries[0].Reason, ShouldEqual, OtherArtifact)
+		So(answer, ShouldEqual, expectedAnswerBy(old, req))
+		So(summary.Recoveries[0].Reason, ShouldEqual, WrongArtifact)
 	})
 }
 
-// The caller gets the adapter's answer. An engine has dropped the adapter for want
-// of memory and told nobody. If it is asked it says so and nothing is sent; within
-// the time that a report is trusted an engine that checks refuses, and one that does
-// not runs the bare model, which its first span tells.
+// An engine drops an adapter for lack of memory without reporting it. If the engine is
+// asked, its report shows the loss and nothing is sent. While an older report is
+// cached, an engine that checks fencing refuses the stream; one that does not runs the
+// base model, which its first span shows. In each case the caller must get the
+// adapter's answer.
 func TestAdapterIsLost(t *testing.T) {
-	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notes.String()}
+	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notesAdapter.String()}
 	cases := []struct {
-		name    string
-		checks  bool
-		trusted bool // the engine has been asked a moment ago
-		end     End
+		name   string
+		checks bool
+		cached bool // the engine's report is cached
+		end    End
 	}{
-		{"asked before use", false, false, EndMismatch},
+		{"engine asked before use", false, false, EndMismatch},
 		{"an engine that checks", true, true, EndRefused},
-		{"an engine that does not check", false, true, EndRejected},
+		{"an engine that does not check", false, true, EndInvalidToken},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
-			cfg := quick
+			cfg := fastEngine
 			cfg.CheckFencing = c.checks
-			v := newVersions(t, cfg, withNotes, withNotes)
+			v := newVersionedFleet(t, cfg, withNotes, withNotes)
 			defer v.stop()
-			if c.trusted {
+			if c.cached {
 				before := v.request("before")
 				answer, _, err := v.collect(context.Background(), before, nil)
 				So(err, ShouldBeNil)
-				So(answer, ShouldEqual, answerBy(withNotes, before))
+				So(answer, ShouldEqual, expectedAnswerBy(withNotes, before))
 			}
 			v.chains[0][1].Engine.DropAdapters()
-			v.ended = nil
+			v.results = nil
 			req := v.request("after")
 			answer, _, err := v.collect(context.Background(), req, nil)
 			So(err, ShouldBeNil)
-			So(answer, ShouldEqual, answerBy(withNotes, req))
-			So(v.ended[0].End, ShouldEqual, c.end)
+			So(answer, ShouldEqual, expectedAnswerBy(withNotes, req))
+			So(v.results[0].End, ShouldEqual, c.end)
 			So(v.chains[0][0].Engine.Stats().Opened, ShouldBeLessThanOrEqualTo, 2)
-			// Found once, it is not tried again while it is without the adapter.
-			v.ended = nil
+			// The chain is not tried again while the adapter is missing.
+			v.results = nil
 			_, _, err = v.collect(context.Background(), v.request("later"), nil)
 			So(err, ShouldBeNil)
-			So(v.ended[0].End, ShouldEqual, EndMismatch)
+			So(v.results[0].End, ShouldEqual, EndMismatch)
 		})
 	}
 }
 
-// Callers wait for a prompt computed anew on a chain that was taken to have it
-// cached: a later stage has lost its cache, and the first one, whose events are read,
-// has not. The next report before work is sent names another cache.
+// A prompt is routed to a chain for its cache and computed again: a later stage has
+// lost its cache, and the first stage, whose cache events are read, has not. The later
+// stage's next report names another cache, which must be reported through OnCacheLost.
 func TestLaterStageLosesItsCache(t *testing.T) {
-	Convey("Each loss is told once", t, func() {
+	Convey("Each loss is reported once", t, func() {
 		var mu sync.Mutex
 		var lost []string
-		f := newFleet(t, 1, quick, Options{HoldingTTL: 1, CacheLost: func(model, replica string) {
+		f := newFleet(t, 1, fastEngine, Options{ReportTTL: 1, OnCacheLost: func(model, replica string) {
 			mu.Lock()
 			defer mu.Unlock()
 			lost = append(lost, model+"/"+replica)
 		}})
 		defer f.stop()
-		ask := func(stream string) {
+		run := func(stream string) {
 			_, _, err := f.collect(context.Background(), request(stream), nil)
 			So(err, ShouldBeNil)
 		}
-		ask("first")
-		ask("second")
+		run("first")
+		run("second")
 		So(lost, ShouldBeEmpty)
 		f.chains[0][1].Engine.DropCache()
-		ask("third")
-		ask("fourth")
+		run("third")
+		run("fourth")
 		So(lost, ShouldResemble, []string{testModel + "/replica-0"})
 	})
 }
 
-// The caller is answered by an engine that works on prompts and on answers. Someone
-// has ordered the first one to do prompts only; it says so before work is sent.
+// A stream is sent to an engine that was ordered to the prefill role. Its report names
+// the role, so another chain must be used.
 func TestOtherRoleIsNotUsed(t *testing.T) {
-	Convey("Another chain is taken", t, func() {
-		v := newVersions(t, quick, engineapi.Artifact{}, engineapi.Artifact{})
+	Convey("Another chain is used", t, func() {
+		v := newVersionedFleet(t, fastEngine, engineapi.Artifact{}, engineapi.Artifact{})
 		defer v.stop()
 		So(v.chains[0][0].Engine.Order(engineapi.Order{
 			Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 1, Role: engineapi.RolePrefill,
@@ -191,7 +191,7 @@
 		req := v.request("role")
 		answer, _, err := v.collect(context.Background(), req, nil)
 		So(err, ShouldBeNil)
-		So(answer, ShouldEqual, undisturbed(req))
-		So(v.ended[0].End, ShouldEqual, EndMismatch)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(v.results[0].End, ShouldEqual, EndMismatch)
 	})
 }
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -2,7 +2,7 @@
 
 import "github.com/cicadatack/cicadatack/state/engineapi"
 
-// Reason says why Check let a token through or not.
+// Reason says why TokenCheck accepted or rejected a token.
 type Reason uint8
 
 const (
@@ -10,23 +10,23 @@
 	Accepted Reason = iota
 	// ForeignStream tokens belong to another stream.
 	ForeignStream
-	// OldEpoch tokens come late, from a chain that was given up.
+	// OldEpoch tokens come from an earlier epoch of the stream.
 	OldEpoch
-	// FutureEpoch tokens name an epoch that was never opened.
+	// FutureEpoch tokens name an epoch that was never started.
 	FutureEpoch
-	// WrongPosition tokens repeat a token or leave one out.
+	// WrongPosition tokens repeat a position or skip one.
 	WrongPosition
-	// SkippedLayer tokens were made without some layer.
+	// SkippedLayer tokens were computed without one of the layers.
 	SkippedLayer
-	// RepeatedLayer tokens ran a layer twice or out of order.
+	// RepeatedLayer tokens were computed with a layer twice or out of order.
 	RepeatedLayer
 	// BadSpan tokens name layers that the model does not have.
 	BadSpan
-	// TooLong tokens follow an answer that has reached its longest length.
+	// TooLong tokens exceed the maximum number of tokens of an answer.
 	TooLong
-	// OtherArtifact tokens were made in part by other weights or another adapter
-	// than the chain's.
-	OtherArtifact
+	// WrongArtifact tokens were computed, on at least one stage, with other weights
+	// or another adapter than the chain's.
+	WrongArtifact
 )
 
 var reasonNames = [...]string{
@@ -35,66 +35,66 @@
 	"other weights or adapter",
 }
 
-// String returns the reason in words.
+// String returns the text used in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Stray reports whether the token belongs elsewhere, so that it is dropped and
-// says nothing against the chain.
+// Stray reports whether the token belongs to another stream or an earlier epoch. It
+// is dropped and does not count as a fault of the chain.
 func (r Reason) Stray() bool { return r == ForeignStream || r == OldEpoch }
 
-// Check decides which tokens of a stream may reach the caller. It is a pure
-// state machine for one goroutine; it neither allocates nor blocks.
-type Check struct {
-	stream string
-	layers int
-	limit  int
-	epoch  uint32
-	next   int
-	// artifact is what each span of the present epoch must have run. An engine that
-	// ignores fencing numbers takes other weights in the middle of an answer, and
-	// the caller would get half of it from each: the layers are complete and in
-	// order, so nothing but the span's own word tells. An engine that lies about it
-	// is not found.
+// TokenCheck decides which tokens of a stream may reach the caller. It is a pure
+// state machine for use by one goroutine, and neither allocates nor blocks.
+type TokenCheck struct {
+	stream       string
+	layers       int
+	maxTokens    int
+	epoch        uint32
+	nextPosition int
+	// artifact is the artifact that each span of the current epoch must report. An
+	// engine that ignores fencing numbers may load other weights in the middle of an
+	// answer. Its layers are still complete and in order, so only the artifact in
+	// the span shows the change; without this check the answer would mix two
+	// versions. An engine that reports a false artifact is not detected.
 	artifact engineapi.Artifact
 }
 
-// NewCheck returns the check of a stream of a model with the given number of
-// layers, whose answer has at most limit tokens.
-func NewCheck(stream string, layers, limit int) Check {
-	return Check{stream: stream, layers: layers, limit: limit}
+// NewTokenCheck returns the check for one stream. layers is the model's number of
+// layers, maxTokens the maximum number of tokens of the answer.
+func NewTokenCheck(stream string, layers, maxTokens int) TokenCheck {
+	return TokenCheck{stream: stream, layers: layers, maxTokens: maxTokens}
 }
 
-// Begin opens an epoch: from now on tokens of any other are refused. The next
-// position stays, because the new chain resumes after the last token accepted.
-func (c *Check) Begin(epoch uint32) { c.epoch = epoch }
+// StartEpoch sets the epoch whose tokens are accepted. The next position does not
+// change, because the new chain resumes after the last accepted token.
+func (c *TokenCheck) StartEpoch(epoch uint32) { c.epoch = epoch }
 
-// Require says what the epoch's tokens must be made by.
-func (c *Check) Require(a engineapi.Artifact) { c.artifact = a }
+// RequireArtifact sets the artifact that the epoch's spans must report.
+func (c *TokenCheck) RequireArtifact(a engineapi.Artifact) { c.artifact = a }
 
-// Next returns the position of the next token.
-func (c *Check) Next() int { return c.next }
+// NextPosition returns the position of the next token.
+func (c *TokenCheck) NextPosition() int { return c.nextPosition }
 
-// Token judges a token, and moves to the next position if it is accepted.
-func (c *Check) Token(t *engineapi.TokenTrace) Reason {
-	if reason := c.place(t); reason != Accepted {
+// Verify checks a token and advances to the next position if it is accepted.
+func (c *TokenCheck) Verify(t *engineapi.TokenTrace) Reason {
+	if reason := c.verifyPosition(t); reason != Accepted {
 		return reason
 	}
-	if c.next >= c.limit {
+	if c.nextPosition >= c.maxTokens {
 		return TooLong
 	}
-	if reason := c.spans(t.Spans); reason != Accepted {
+	if reason := c.verifySpans(t.Spans); reason != Accepted {
 		return reason
 	}
-	c.next++
+	c.nextPosition++
 	return Accepted
 }
 
-// End judges the event that closes the answer: it must stand right behind the
-// last token, or tokens were lost before it.
-func (c *Check) End(t *engineapi.TokenTrace) Reason { return c.place(t) }
+// VerifyEnd checks the event that closes the answer. Its position must follow the
+// last accepted token; otherwise tokens before it were lost.
+func (c *TokenCheck) VerifyEnd(t *engineapi.TokenTrace) Reason { return c.verifyPosition(t) }
 
-// place judges where a token says that it belongs.
-func (c *Check) place(t *engineapi.TokenTrace) Reason {
+// verifyPosition checks a token's stream, epoch and position.
+func (c *TokenCheck) verifyPosition(t *engineapi.TokenTrace) Reason {
 	switch {
 	case t.Stream != c.stream:
 		return ForeignStream
@@ -102,30 +102,30 @@
 		return OldEpoch
 	case t.Epoch > c.epoch:
 		return FutureEpoch
-	case t.Position != c.next:
+	case t.Position != c.nextPosition:
 		return WrongPosition
 	}
 	return Accepted
 }
 
-// spans judges whether spans cover layers 0 to layers-1 once and in order.
-func (c *Check) spans(spans []engineapi.Span) Reason {
-	due := 0
+// verifySpans checks that spans cover layers 0 to layers-1 once and in order.
+func (c *TokenCheck) verifySpans(spans []engineapi.Span) Reason {
+	expected := 0
 	for i := range spans {
 		s := &spans[i]
 		switch {
 		case s.First < 0 || s.Last < s.First || s.Last >= c.layers:
 			return BadSpan
-		case s.First > due:
+		case s.First > expected:
 			return SkippedLayer
-		case s.First < due:
+		case s.First < expected:
 			return RepeatedLayer
 		case s.Artifact != c.artifact:
-			return OtherArtifact
+			return WrongArtifact
 		}
-		due = s.Last + 1
+		expected = s.Last + 1
 	}
-	if due != c.layers {
+	if expected != c.layers {
 		return SkippedLayer
 	}
 	return Accepted
--- a/route/stream/leave_test.go
+++ b/route/stream/leave_test.go
@@ -13,25 +13,25 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// The caller leaves while tokens come. Every stage is told, and gives its slot
-// back; nothing of 10,000 such streams is left, neither slots nor goroutines.
+// Callers disconnect while tokens arrive. Every stage must be informed and free its
+// slot: 10,000 such streams must leak neither slots nor goroutines.
 func TestCallersLeave(t *testing.T) {
-	const streams, atOnce = 10_000, 64
-	// There is one chain only: on a busy machine the usual waits would now and
-	// then find it starved, which is not what this test judges. An engine
-	// without a step would itself keep all processors busy.
-	patient := Options{StallFloor: time.Minute, HoldingTimeout: time.Minute}
-	engines := standin.Config{Step: time.Millisecond, Slots: 2 * atOnce, Queue: streams}
+	const streams, concurrency = 10_000, 64
+	// With the usual timeouts, the only chain would sometimes be taken for stalled on
+	// a busy machine, which this test is not about. Engines with a step time of zero
+	// would keep all processors busy.
+	longTimeouts := Options{MinStallTimeout: time.Minute, ReportTimeout: time.Minute}
+	engines := standin.Config{Step: time.Millisecond, Slots: 2 * concurrency, Queue: streams}
 	Convey("10,000 cancelled streams leave nothing behind", t, func() {
-		f := newFleet(t, 1, engines, patient)
+		f := newFleet(t, 1, engines, longTimeouts)
 		defer f.stop()
 		var wg sync.WaitGroup
-		places := make(chan struct{}, atOnce)
+		semaphore := make(chan struct{}, concurrency)
 		for i := range streams {
-			places <- struct{}{}
+			semaphore <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-places }()
-				f.leave(fmt.Sprint("leaver-", i), i%3, i%2 == 0)
+				defer func() { <-semaphore }()
+				f.runAndDisconnect(fmt.Sprint("leaver-", i), i%3, i%2 == 0)
 			})
 		}
 		wg.Wait()
@@ -44,11 +44,12 @@
 	})
 }
 
-// The caller leaves while the first stage is frozen. That stage tells nobody,
-// and the connection that closes tells only that stage.
+// The caller disconnects while the first stage is frozen. Closing the connection
+// informs only the first stage, which does not inform the second, so the second would
+// keep its slot.
 func TestCallerLeavesFrozenStage(t *testing.T) {
-	Convey("The later stage is told by the node itself", t, func() {
-		f := newFleet(t, 1, quick, Options{})
+	Convey("The node cancels the stream on the later stage itself", t, func() {
+		f := newFleet(t, 1, fastEngine, Options{})
 		defer f.stop()
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
@@ -64,17 +65,17 @@
 	})
 }
 
-var errHungUp = errors.New("the caller's connection is gone")
+var errDisconnected = errors.New("caller's connection closed")
 
-// leave runs a stream whose caller leaves when it is given token at: its
-// context ends, or the token cannot be written to it.
-func (f *fleet) leave(stream string, at int, byContext bool) {
+// runAndDisconnect runs a stream whose caller disconnects at the token with position at:
+// either the context is cancelled, or writing the token fails.
+func (f *fleet) runAndDisconnect(stream string, at int, byContext bool) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f.t.Cleanup(cancel) // no sooner: Run has to clean up by itself
+	f.t.Cleanup(cancel) // not when Run returns: Run must clean up by itself
 	req := request(stream)
-	req.Chat.MaxTokens = 1 << 20 // it does not end by itself
+	req.Chat.MaxTokens = 1 << 20 // does not end before the caller disconnects
 	req.FirstTokenTimeout = time.Minute
-	req.TokenStall = time.Minute
+	req.MaxStallTimeout = time.Minute
 	_, err := f.runner.Run(ctx, req, func(_ string, trace engineapi.TokenTrace) error {
 		if trace.Position < at {
 			return nil
@@ -83,9 +84,9 @@
 			cancel()
 			return nil
 		}
-		return errHungUp
+		return errDisconnected
 	})
 	if !errors.Is(err, ErrCallerGone) {
-		f.t.Error(stream, "should have ended with its caller gone:", err)
+		f.t.Error(stream, "did not end with ErrCallerGone:", err)
 	}
 }
--- /dev/null
+++ b/route/stream/probe_test.go
@@ -0,0 +1,212 @@
+package stream
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+	. "github.com/smartystreets/goconvey/convey"
+)
+
+// waitUntil returns when the condition holds. Only the timeout of go test bounds it.
+func waitUntil(condition func() bool) {
+	for !condition() {
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// The link between two stages drops all packets without a reset, before the stream is
+// opened or during the prompt. Both stages answer the node's direct calls, so without a
+// probe along the chain the caller waits for the whole first-token timeout.
+func TestLinkLostBeforeFirstToken(t *testing.T) {
+	lost := standin.Faults{CutNext: true}
+	cases := map[string]func(f *fleet){
+		"before the open": func(f *fleet) { f.chains[0][0].Engine.SetFaults(lost) },
+		"during the prompt": func(f *fleet) {
+			f.chains[0][0].Engine.SetFaults(standin.Faults{Busy: true})
+			go func() {
+				waitUntil(func() bool { return f.chains[0][1].Engine.Running() > 0 })
+				f.chains[0][0].Engine.SetFaults(lost)
+			}()
+		},
+	}
+	for name, lose := range cases {
+		Convey(name, t, func() {
+			f := newFleet(t, 2, fastEngine, Options{})
+			defer f.stop()
+			_, _, err := f.collect(context.Background(), request("before"), nil)
+			So(err, ShouldBeNil)
+			lose(f)
+			req := request("lost")
+			answer, summary, err := f.collect(context.Background(), req, nil)
+			So(err, ShouldBeNil)
+			So(answer, ShouldEqual, expectedAnswer(req))
+			So(summary.Recoveries[0].Cause, ShouldEqual, EndNoFirstToken)
+			So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
+		})
+	}
+}
+
+// A healthy but busy chain is taken for unresponsive. One engine works on a long prompt,
+// the other queues the stream for a slot. Both answer more probes than fit into the
+// timeout, so the stream must stay.
+func TestBusyChainIsKept(t *testing.T) {
+	const minTimeout, probes = time.Second, 6
+	busy := standin.Faults{Busy: true}
+	for name, slots := range map[string]int{"long prompt": 2, "queue": 1} {
+		Convey(name, t, func() {
+			cfg := standin.Config{Slots: slots, Queue: 1}
+			f := newFleet(t, 2, cfg, Options{MinStallTimeout: minTimeout})
+			defer f.stop()
+			first := f.chains[0][0].Engine
+			first.SetFaults(busy)
+			occupantCtx, cancelOccupant := context.WithCancel(context.Background())
+			defer cancelOccupant()
+			go f.collect(occupantCtx, request("occupant"), nil)
+			waitUntil(func() bool { return first.Running() == 1 })
+			go func() {
+				probesBefore := first.Stats().Ways
+				waitUntil(func() bool { return first.Stats().Ways >= probesBefore+probes })
+				cancelOccupant()
+				first.SetFaults(standin.Faults{})
+			}()
+			req := request("patient")
+			answer, summary, err := f.collect(context.Background(), req, nil)
+			So(err, ShouldBeNil)
+			So(answer, ShouldEqual, expectedAnswer(req))
+			So(summary.Epochs, ShouldEqual, 1)
+		})
+	}
+}
+
+// Engines that do not support the probe along the chain are probed one by one, which must
+// still detect a frozen stage.
+func TestEnginesWithoutChainProbe(t *testing.T) {
+	Convey("A frozen stage is detected by a direct call", t, func() {
+		cfg := fastEngine
+		cfg.NoWay = true
+		f := newFleet(t, 2, cfg, Options{})
+		defer f.stop()
+		_, _, err := f.collect(context.Background(), request("before"), nil)
+		So(err, ShouldBeNil)
+		f.chains[0][1].Engine.SetFaults(standin.Faults{Freeze: true})
+		req := request("frozen")
+		answer, summary, err := f.collect(context.Background(), req, nil)
+		So(err, ShouldBeNil)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
+	})
+	Convey("A busy stage that answers direct calls is kept", t, func() {
+		const minTimeout, reports = time.Second, 6
+		f := newFleet(t, 2, standin.Config{NoWay: true}, Options{MinStallTimeout: minTimeout})
+		defer f.stop()
+		first := f.chains[0][0].Engine
+		first.SetFaults(standin.Faults{Busy: true})
+		go func() {
+			waitUntil(func() bool { return first.Running() == 1 })
+			reportsBefore := first.Stats().Holdings
+			waitUntil(func() bool { return first.Stats().Holdings >= reportsBefore+reports })
+			first.SetFaults(standin.Faults{})
+		}()
+		req := request("busy")
+		answer, summary, err := f.collect(context.Background(), req, nil)
+		So(err, ShouldBeNil)
+		So(answer, ShouldEqual, expectedAnswer(req))
+		So(summary.Epochs, ShouldEqual, 1)
+	})
+}
+
+// probeTransport answers the n-th probe if it returns true for n, and loses it otherwise.
+type probeTransport func(probe int) bool
+
+func (a probeTransport) client() *engineclient.Client {
+	probes := 0
+	return engineclient.New(roundTripFunc(func(r *http.Request) (*http.Response, error) {
+		probes++
+		if !a(probes) {
+			<-r.Context().Done()
+			return nil, r.Context().Err()
+		}
+		body := io.NopCloser(strings.NewReader(`{"holdings":[{"model":"toy","first":0,"last":7,"placement_version":1}]}`))
+		return &http.Response{StatusCode: http.StatusOK, Body: body}, nil
+	}))
+}
+
+type roundTripFunc func(*http.Request) (*http.Response, error)
+
+func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
+
+// A stage that is too busy to answer one probe is taken for unresponsive. Only a whole
+// timeout without replies may count, and each reply must restart it.
+func TestProbeTimeout(t *testing.T) {
+	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
+	// unresponsiveAfter checks the chain each interval until it counts as unresponsive,
+	// and returns the time that took.
+	unresponsiveAfter := func(t *testing.T, lost func(probe int) bool, doublings int) time.Duration {
+		var elapsed time.Duration
+		synctest.Test(t, func(t *testing.T) {
+			client := probeTransport(func(probe int) bool { return !lost(probe) }).client()
+			c := newChainProber(client, newReportChecker(client, Options{}.withDefaults()), DefaultMinStallTimeout)
+			start := time.Now()
+			for !c.unresponsive(testModel, chain, start, doublings) && time.Since(start) < time.Minute {
+				time.Sleep(c.checkInterval())
+				synctest.Wait()
+			}
+			elapsed = time.Since(start)
+			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // lets pending probes end
+		})
+		return elapsed
+	}
+	Convey("No reply at all", t, func() {
+		So(unresponsiveAfter(t, func(int) bool { return true }, 0), ShouldEqual, DefaultMinStallTimeout)
+	})
+	Convey("Every second reply lost", t, func() {
+		So(unresponsiveAfter(t, func(probe int) bool { return probe%2 == 0 }, 0), ShouldBeGreaterThanOrEqualTo, time.Minute)
+	})
+	Convey("No reply after the first ten", t, func() {
+		So(unresponsiveAfter(t, func(probe int) bool { return probe > 10 }, 0), ShouldEqual, time.Second+DefaultMinStallTimeout)
+	})
+	Convey("The timeout doubles after another chain was unresponsive", t, func() {
+		So(unresponsiveAfter(t, func(int) bool { return true }, 1), ShouldEqual, 2*DefaultMinStallTimeout)
+	})
+}
+
+// Detection is late because no probes are sent while tokens of other streams arrive from
+// the chain. When the chain fails these tokens stop too, and two probes must be
+// unanswered before the chain counts as unresponsive.
+func TestTokensCountAsProbeReplies(t *testing.T) {
+	const gap, tokens = 40 * time.Millisecond, 50
+	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
+	Convey("Tokens arrive for two seconds, then nothing", t, func() {
+		var probesDuringTokens, probesAfterLoss int
+		var detection time.Duration
+		synctest.Test(t, func(t *testing.T) {
+			probes := 0
+			client := probeTransport(func(probe int) bool { probes = probe; return false }).client()
+			c := newChainProber(client, newReportChecker(client, Options{}.withDefaults()), DefaultMinStallTimeout)
+			start := time.Now()
+			last := start
+			for !c.unresponsive(testModel, chain, start, 0) && time.Since(start) < time.Minute {
+				time.Sleep(c.checkInterval())
+				synctest.Wait()
+				if now := time.Now(); now.Sub(last) >= gap && now.Sub(start) < gap*tokens {
+					c.recordActivity(chain, now)
+					last, probesDuringTokens = now, probes
+				}
+			}
+			detection = time.Since(last)
+			probesAfterLoss = probes - probesDuringTokens
+			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // lets pending probes end
+		})
+		So(probesDuringTokens, ShouldEqual, 0)
+		So(probesAfterLoss, ShouldEqual, 2)
+		So(detection, ShouldEqual, DefaultMinStallTimeout)
+	})
+}
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -12,13 +12,13 @@
 	standin "github.com/cicadatack/cicadatack/standin/engine"
 )
 
-// steady is a stage of 10 ms a token, so a two-stage chain gives a token about
-// every 21 ms.
-var steady = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
+// steadyEngine is a stage with a step of 10 ms, so a two-stage chain produces a token
+// about every 21 ms.
+var steadyEngine = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
 
-// BenchmarkRecovery fails the second stage of a chain under some streams at
-// once, when each has had five tokens, and reports how long detection and
-// resume take, as medians and worst cases in milliseconds over all runs.
+// BenchmarkRecovery makes the second stage of a chain fail when each of its streams has
+// delivered five tokens. It reports the times of detection and resume as percentiles and
+// maxima in milliseconds over all runs.
 func BenchmarkRecovery(b *testing.B) {
 	faults := map[string]func(*standin.Server){
 		"killed": func(srv *standin.Server) { srv.Kill() },
@@ -29,18 +29,19 @@
 			b.Run(fmt.Sprintf("%s/streams=%d", name, streams), func(b *testing.B) {
 				var all []Recovery
 				for b.Loop() {
-					all = append(all, failUnder(b, streams, faults[name])...)
+					all = append(all, failDuringStreams(b, streams, faults[name])...)
 				}
-				report(b, "detect", all, func(r Recovery) time.Duration { return r.Detection })
-				report(b, "resume", all, func(r Recovery) time.Duration { return r.Resume })
+				reportPercentiles(b, "detect", all, func(r Recovery) time.Duration { return r.DetectionTime })
+				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
 			})
 		}
 	}
 }
 
-// failUnder runs streams on one chain, fails it and returns the recoveries.
-func failUnder(b *testing.B, streams int, fail func(*standin.Server)) []Recovery {
-	f := newFleet(b, 2, steady, Options{})
+// failDuringStreams runs streams on one chain, makes the chain fail and returns the
+// recoveries.
+func failDuringStreams(b *testing.B, streams int, fail func(*standin.Server)) []Recovery {
+	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
 	var running, finished sync.WaitGroup
 	running.Add(streams)
@@ -54,8 +55,8 @@
 					running.Done()
 				}
 			})
-			if err != nil || answer != undisturbed(req) || len(summary.Recoveries) != 1 {
-				b.Errorf("not one whole recovered answer: %v %+v", err, summary)
+			if err != nil || answer != expectedAnswer(req) || len(summary.Recoveries) != 1 {
+				b.Errorf("answer incomplete or wrong, or not one recovery: %v %+v", err, summary)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -68,7 +69,7 @@
 	return all
 }
 
-func report(b *testing.B, name string, all []Recovery, of func(Recovery) time.Duration) {
+func reportPercentiles(b *testing.B, name string, all []Recovery, of func(Recovery) time.Duration) {
 	if len(all) == 0 {
 		return
 	}
@@ -82,12 +83,13 @@
 	b.ReportMetric(times[len(times)-1], name+"-max-ms")
 }
 
-// BenchmarkResume moves one stream from a chain whose stages live on to
-// another, by recomputing, by importing, and by what the runner has learned.
+// BenchmarkResume moves one stream from a chain with healthy stages to another one, by
+// recomputing, by importing, and by the method that the runner chooses from its
+// measurements.
 func BenchmarkResume(b *testing.B) {
-	ways := map[string]func(*resumeCosts){
-		"recompute": func(c *resumeCosts) { c.learnAll(imported, time.Hour) },
-		"import":    func(c *resumeCosts) { c.learnAll(recompute, time.Hour) },
+	fixCosts := map[string]func(*resumeCosts){
+		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
+		"import":    func(c *resumeCosts) { c.setAll(methodRecompute, time.Hour) },
 		"chosen":    func(c *resumeCosts) {},
 	}
 	cfg := standin.Config{
@@ -95,16 +97,16 @@
 		ImportToken: 5 * time.Microsecond, ImportFixed: 5 * time.Millisecond,
 	}
 	for _, words := range []int{64, 512, 4096, 16384} {
-		for _, way := range []string{"recompute", "import", "chosen"} {
-			b.Run(fmt.Sprintf("tokens=%d/%s", words, way), func(b *testing.B) {
+		for _, method := range []string{"recompute", "import", "chosen"} {
+			b.Run(fmt.Sprintf("tokens=%d/%s", words, method), func(b *testing.B) {
 				f := newFleet(b, 2, cfg, Options{})
 				defer f.stop()
 				var all []Recovery
 				imports := 0
 				for i := range b.N + 2 {
-					ways[way](f.runner.resumes)
-					recovery := f.moveOnce(b, words, i)
-					if i < 2 { // the runner learns
+					fixCosts[method](f.runner.costs)
+					recovery := f.resumeOnce(b, words, i)
+					if i < 2 { // the runner measures both methods
 						continue
 					}
 					all = append(all, recovery)
@@ -112,23 +114,23 @@
 						imports++
 					}
 				}
-				report(b, "resume", all, func(r Recovery) time.Duration { return r.Resume })
+				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
 				b.ReportMetric(float64(imports)/float64(len(all)), "imported")
 			})
 		}
 	}
 }
 
-// learnAll fixes what a way costs at every length.
-func (r *resumeCosts) learnAll(way int, took time.Duration) {
-	for i := range r.buckets[way] {
-		r.buckets[way][i] = cost{nanos: float64(took), known: true}
+// setAll sets the cost of a method in all buckets.
+func (r *resumeCosts) setAll(method int, elapsed time.Duration) {
+	for i := range r.buckets[method] {
+		r.buckets[method][i] = cost{nanos: float64(elapsed), known: true}
 	}
 }
 
-// moveOnce cuts a stream's connection after a few tokens. The prompt's first
-// word is its own, so that no chain has any of it cached.
-func (f *fleet) moveOnce(b *testing.B, words, run int) Recovery {
+// resumeOnce closes a stream's connection after a few tokens. The prompt's first word is
+// unique, so that no chain has a prefix of the prompt cached.
+func (f *fleet) resumeOnce(b *testing.B, words, run int) Recovery {
 	req := request(fmt.Sprint("moved-", run))
 	req.Chat.Messages = question(fmt.Sprint("run", run, " ") + strings.Repeat("oat ", words-1))
 	answer, summary, err := f.collect(context.Background(), req, func(position int) {
@@ -136,15 +138,14 @@
 			f.chains[0][0].CutConnections()
 		}
 	})
-	if err != nil || answer != undisturbed(req) || len(summary.Recoveries) != 1 {
-		b.Fatalf("not one whole recovered answer: %v %+v", err, summary)
+	if err != nil || answer != expectedAnswer(req) || len(summary.Recoveries) != 1 {
+		b.Fatalf("answer incomplete or wrong, or not one recovery: %v %+v", err, summary)
 	}
 	return summary.Recoveries[0]
 }
 
-// BenchmarkFirstTokenLost opens some streams at once along a chain that will
-// bring no token, with a whole one beside it, and reports how long it takes until
-// each is given up, in milliseconds over all runs.
+// BenchmarkFirstTokenLost opens streams on a chain that produces no token, with a healthy
+// chain to move to. It reports how long detection takes, in milliseconds over all runs.
 func BenchmarkFirstTokenLost(b *testing.B) {
 	faults := map[string]func(f *fleet){
 		"link":   func(f *fleet) { f.chains[0][0].Engine.SetFaults(standin.Faults{CutNext: true}) },
@@ -155,18 +156,18 @@
 			b.Run(fmt.Sprintf("%s/streams=%d", name, streams), func(b *testing.B) {
 				var all []Recovery
 				for b.Loop() {
-					all = append(all, openOnLost(b, streams, faults[name])...)
+					all = append(all, openOnLostChain(b, streams, faults[name])...)
 				}
-				report(b, "detect", all, func(r Recovery) time.Duration { return r.Detection })
+				reportPercentiles(b, "detect", all, func(r Recovery) time.Duration { return r.DetectionTime })
 			})
 		}
 	}
 }
 
-// openOnLost opens streams along a chain that the fault has just hit, and
-// returns the recoveries.
-func openOnLost(b *testing.B, streams int, fail func(*fleet)) []Recovery {
-	f := newFleet(b, 2, steady, Options{})
+// openOnLostChain opens streams on a chain right after fail is applied to it, and returns
+// the recoveries.
+func openOnLostChain(b *testing.B, streams int, fail func(*fleet)) []Recovery {
+	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
 	if _, _, err := f.collect(context.Background(), request("before"), nil); err != nil {
 		b.Fatal(err)
@@ -179,8 +180,8 @@
 		finished.Go(func() {
 			req := request(fmt.Sprint("stream-", i))
 			answer, summary, err := f.collect(context.Background(), req, nil)
-			if err != nil || answer != undisturbed(req) {
-				b.Errorf("not a whole answer: %v %+v", err, summary)
+			if err != nil || answer != expectedAnswer(req) {
+				b.Errorf("answer incomplete or wrong: %v %+v", err, summary)
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- /dev/null
+++ b/route/stream/reports.go
@@ -0,0 +1,308 @@
+package stream
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+)
+
+var (
+	errMismatch = errors.New("engine report does not match the plan")
+	// errWrongArtifact ends an epoch before anything is sent.
+	errWrongArtifact   = errors.New("weights or adapter of the chain differ from those of the delivered tokens")
+	errIncompleteChain = errors.New("stages of the chain do not cover the model's layers")
+)
+
+const (
+	// mismatchTTL is how long a report that does not match is cached. It is short
+	// because the engine may be loading the layers of a new plan, but long enough
+	// that a burst of streams makes one call.
+	mismatchTTL = 100 * time.Millisecond
+	// maxReports bounds the cached reports.
+	maxReports = 4096
+	// renewalTTLs times the TTL is how long tokens may renew a report before the
+	// engine is asked again. Spans name the layers but not the placement version, so
+	// renewal is bounded; one call in 20 s is a tenth of the calls of one in 2 s.
+	renewalTTLs = 10
+)
+
+// reportChecker checks, before a request is sent to a chain, that the engines report
+// what the plan says. Orders carry a fencing number, but some engines ignore it and
+// some accept orders from anyone, so the plan alone does not show what an engine
+// runs. Without the check the request is sent, and its work is discarded when
+// TokenCheck rejects the spans.
+//
+// # Load pattern
+//
+// Asking each stage of each replica in use every two seconds costs a busy node some
+// 70 calls and 20 KB a second at 35 replicas of four stages. Streams renew the
+// reports of their engines, so that only engines without recent streams are asked
+// (see renew).
+type reportChecker struct {
+	client      *engineclient.Client
+	ttl         time.Duration
+	timeout     time.Duration
+	onCacheLost func(model, replica string)
+	now         func() time.Time
+
+	mu      sync.Mutex
+	reports map[string]*cachedReport
+	// cacheIDs are the prefix caches that engines reported last, by address.
+	cacheIDs map[string]string
+}
+
+// cachedReport is an engine's report, or a call for one that is in progress.
+type cachedReport struct {
+	requestedAt time.Time
+	ready       chan struct{} // closed when the fields below are set
+	report      engineapi.Report
+	err         error
+	// validAt is the last time for which the report is confirmed, by the engine
+	// itself or by a stream's tokens. reportedAt is the last time for which the
+	// engine itself confirmed it.
+	validAt, reportedAt time.Time
+}
+
+func newReportChecker(client *engineclient.Client, o Options) *reportChecker {
+	return &reportChecker{
+		client:      client,
+		ttl:         o.ReportTTL,
+		timeout:     o.ReportTimeout,
+		onCacheLost: o.OnCacheLost,
+		now:         time.Now,
+		reports:     map[string]*cachedReport{},
+		cacheIDs:    map[string]string{},
+	}
+}
+
+// verify returns nil if every stage of chain holds what the plan says, according to
+// reports that were requested no earlier than since.
+func (c *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, since time.Time) error {
+	if !covers(chain.Stages, layers) {
+		return errIncompleteChain
+	}
+	reports := make([]*cachedReport, len(chain.Stages))
+	for i, stage := range chain.Stages {
+		reports[i] = c.report(expectedFrom(model, stage, chain), stage.Address, since)
+	}
+	for i, report := range reports {
+		want := expectedFrom(model, chain.Stages[i], chain)
+		if err := report.awaitMatch(ctx, want); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// MismatchesPlan reports whether an engine of a chain reports other contents than the
+// chain needs. A chooser calls it before it returns a chain, so that the chain does
+// not count as an attempt. During a rollout many replicas differ from their plan for
+// a short time; an answer that used its attempts on them would fail although other
+// replicas could serve it.
+func (r *Runner) MismatchesPlan(ctx context.Context, model string, layers int, chain Chain) bool {
+	return errors.Is(r.reports.verify(ctx, model, layers, chain, time.Time{}), errMismatch)
+}
+
+// expectedReport is what a stage must report.
+type expectedReport struct {
+	holding  engineapi.Holding
+	artifact engineapi.Artifact
+	replica  string
+}
+
+func expectedFrom(model string, stage engineapi.Stage, chain Chain) expectedReport {
+	return expectedReport{
+		holding: engineapi.Holding{
+			Model: model, Weights: chain.Artifact.Weights, First: stage.First, Last: stage.Last,
+			PlacementVersion: chain.PlacementVersion,
+		},
+		artifact: chain.Artifact,
+		replica:  chain.Replica,
+	}
+}
+
+func (e expectedReport) matches(report engineapi.Report) bool {
+	return report.Holding == e.holding && report.Runs(e.artifact)
+}
+
+// covers reports whether stages hold layers 0 to layers-1 once and in order.
+func covers(stages []engineapi.Stage, layers int) bool {
+	expected := 0
+	for _, s := range stages {
+		if s.First != expected || s.Last < s.First {
+			return false
+		}
+		expected = s.Last + 1
+	}
+	return expected == layers && layers > 0
+}
+
+// awaitMatch waits for the report and compares it with want.
+func (r *cachedReport) awaitMatch(ctx context.Context, want expectedReport) error {
+	select {
+	case <-r.ready:
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	if r.err != nil {
+		return r.err
+	}
+	if !want.matches(r.report) {
+		return fmt.Errorf("%w: got %+v, want %+v", errMismatch, r.report, want)
+	}
+	return nil
+}
+
+// report returns a usable cached report or starts a call for a new one, which all
+// streams that need it share.
+func (c *reportChecker) report(want expectedReport, address string, since time.Time) *cachedReport {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if r, ok := c.reports[address]; ok && r.usable(c.now(), want, c.ttl, since) {
+		return r
+	}
+	if len(c.reports) >= maxReports {
+		clear(c.reports)
+	}
+	r := &cachedReport{ready: make(chan struct{}), requestedAt: c.now()}
+	c.reports[address] = r
+	go c.fetch(want, address, r)
+	return r
+}
+
+// usable reports whether a report was requested no earlier than since, and is still
+// being fetched or not yet expired.
+func (r *cachedReport) usable(now time.Time, want expectedReport, ttl time.Duration, since time.Time) bool {
+	if r.requestedAt.Before(since) {
+		return false
+	}
+	select {
+	case <-r.ready:
+	default:
+		return true
+	}
+	if r.err != nil || !want.matches(r.report) {
+		ttl = min(ttl, mismatchTTL)
+	}
+	return now.Sub(r.validAt) < ttl
+}
+
+// fetch calls the engine and fills in the report. The call has its own timeout,
+// because the stream that started it may end while others wait for it.
+func (c *reportChecker) fetch(want expectedReport, address string, r *cachedReport) {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
+	defer cancel()
+	r.report, r.err = c.client.Holding(ctx, address)
+	if r.err == nil {
+		c.recordCache(want, address, r.report.Cache)
+	}
+	r.validAt = c.now()
+	r.reportedAt = r.validAt
+	close(r.ready)
+}
+
+// recordCache records an engine's prefix cache and calls onCacheLost if the engine
+// reported another one before.
+func (c *reportChecker) recordCache(want expectedReport, address, cacheID string) {
+	if c.updateCacheID(address, cacheID) {
+		c.onCacheLost(want.holding.Model, want.replica)
+	}
+}
+
+// updateCacheID stores an engine's cache ID and reports whether it has changed.
+//
+// If only a later stage restarts, it loses its part of every cached prompt. The
+// cache events are read from the first stage, which still has its part, so without
+// this check requests would be routed to the chain for a cache that it has lost,
+// in preference to replicas that have it.
+func (c *reportChecker) updateCacheID(address, cacheID string) bool {
+	if c.onCacheLost == nil || cacheID == "" {
+		return false
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	previous := c.cacheIDs[address]
+	if len(c.cacheIDs) >= maxReports {
+		clear(c.cacheIDs)
+	}
+	c.cacheIDs[address] = cacheID
+	return previous != "" && previous != cacheID
+}
+
+// renew records that a chain's engines held at validAt what the plan says, as a
+// stream's first token has shown.
+//
+// validAt is the time when the stream was sent, not when the token arrived. An engine
+// that has been ordered to hold other layers may finish its running streams with the
+// old ones. With the token's time its report would stay valid as long as those
+// streams last, and new requests would be sent to it whose work is discarded. For the
+// same reason a stream that was sent before the chain failed, or before the engine's
+// latest report, renews nothing.
+func (c *reportChecker) renew(model string, chain Chain, validAt time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, stage := range chain.Stages {
+		r, ok := c.reports[stage.Address]
+		if !ok || !r.renewable(expectedFrom(model, stage, chain), validAt) {
+			continue
+		}
+		if validAt.Sub(r.reportedAt) < renewalTTLs*c.ttl {
+			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: r.report, validAt: validAt, reportedAt: r.reportedAt}
+		}
+	}
+}
+
+// renewable reports whether the report is ready, matches the plan and is older than
+// validAt.
+//
+// A stream shows the weights and its own adapter, and that the engines accept new
+// work. It does not show other adapters, so a report that lists any is not renewed:
+// the engine is asked again after the TTL.
+func (r *cachedReport) renewable(want expectedReport, validAt time.Time) bool {
+	if !r.isReady() || r.err != nil || !want.matches(r.report) || !r.validAt.Before(validAt) {
+		return false
+	}
+	otherAdapters := len(r.report.Adapters)
+	if want.artifact.Adapter != "" {
+		otherAdapters--
+	}
+	return otherAdapters == 0
+}
+
+// recordReports stores the reports that a probe along the chain returned. They match
+// the plan. A newer cached report is kept.
+func (c *reportChecker) recordReports(model string, chain Chain, validAt time.Time, reports []engineapi.Report) {
+	for i, stage := range chain.Stages {
+		c.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
+		c.mu.Lock()
+		if r, ok := c.reports[stage.Address]; ok && r.isReady() && r.validAt.Before(validAt) {
+			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: reports[i], validAt: validAt, reportedAt: validAt}
+		}
+		c.mu.Unlock()
+	}
+}
+
+// invalidate drops the cached reports of a chain's engines after the chain failed.
+func (c *reportChecker) invalidate(chain Chain) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, stage := range chain.Stages {
+		if r, ok := c.reports[stage.Address]; ok && r.isReady() {
+			delete(c.reports, stage.Address)
+		}
+	}
+}
+
+func (r *cachedReport) isReady() bool {
+	select {
+	case <-r.ready:
+		return true
+	default:
+		return false
+	}
+}
--- /dev/null
+++ b/route/stream/reports_test.go
@@ -0,0 +1,252 @@
+package stream
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	. "github.com/smartystreets/goconvey/convey"
+
+	"github.com/cicadatack/cicadatack/route/engineclient"
+	standin "github.com/cicadatack/cicadatack/standin/engine"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+)
+
+// callCounter counts the calls for engine reports and the probes along a chain. It calls
+// onOpen, if set, after an engine has accepted a stream.
+type callCounter struct {
+	next     http.RoundTripper
+	holdings atomic.Int64
+	probes   atomic.Int64
+	onOpen   func()
+}
+
+func (h *callCounter) RoundTrip(r *http.Request) (*http.Response, error) {
+	if r.URL.Path == engineapi.PathHolding {
+		h.holdings.Add(1)
+	}
+	if r.URL.Path == engineapi.PathWay {
+		h.probes.Add(1)
+	}
+	response, err := h.next.RoundTrip(r)
+	if err == nil && h.onOpen != nil && r.URL.Path == engineapi.PathChat {
+		h.onOpen()
+	}
+	return response, err
+}
+
+// newFleetWithClock returns a fleet whose report checker uses a fake clock, which advance
+// moves.
+func newFleetWithClock(t *testing.T, chains int) (f *fleet, calls *callCounter, advance func(time.Duration)) {
+	f = newFleet(t, chains, fastEngine, Options{})
+	transport := &http.Transport{}
+	t.Cleanup(transport.CloseIdleConnections)
+	calls = &callCounter{next: transport}
+	f.runner.reports.client = engineclient.New(calls)
+	f.runner.client = f.runner.reports.client
+	var elapsed atomic.Int64
+	startedAt := time.Now()
+	f.runner.reports.now = func() time.Time { return startedAt.Add(time.Duration(elapsed.Load())) }
+	return f, calls, func(d time.Duration) { elapsed.Add(int64(d)) }
+}
+
+func (f *fleet) mustAnswer(stream string) {
+	req := request(stream)
+	answer, _, err := f.collect(context.Background(), req, nil)
+	So(err, ShouldBeNil)
+	So(answer, ShouldEqual, expectedAnswer(req))
+}
+
+// A node with many streams makes too many report calls. Streams renew the reports of
+// their engines, so only engines without recent streams are asked. Renewal is bounded,
+// because tokens do not name the placement version.
+func TestBusyEnginesAreNotAsked(t *testing.T) {
+	Convey("One stream per second on one chain of two stages", t, func() {
+		f, calls, advance := newFleetWithClock(t, 1)
+		defer f.stop()
+		for i := range 18 {
+			f.mustAnswer(fmt.Sprint("busy-", i))
+			advance(DefaultReportTTL / 2)
+		}
+		So(calls.holdings.Load(), ShouldEqual, 2)
+		for i := range 6 {
+			f.mustAnswer(fmt.Sprint("longer-", i))
+			advance(DefaultReportTTL / 2)
+		}
+		So(calls.holdings.Load(), ShouldEqual, 4)
+		advance(DefaultReportTTL)
+		f.mustAnswer("after an idle period")
+		So(calls.holdings.Load(), ShouldEqual, 6)
+		for i := range 30 {
+			advance(DefaultReportTTL / 2)
+			f.runner.reports.recordReports(testModel, f.chain(0), f.runner.reports.now(), f.reports(0))
+			f.mustAnswer(fmt.Sprint("told-", i))
+		}
+		So(calls.holdings.Load(), ShouldEqual, 6)
+	})
+}
+
+// New requests are sent to an engine that no longer holds the layers of the plan. An
+// engine that accepts orders from anyone is ordered to hold other layers and finishes
+// its running streams with the old ones. The tokens of a long stream must not renew the
+// engine's report.
+func TestLongStreamsDoNotHideNewLayers(t *testing.T) {
+	other := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 2}
+	for _, c := range []struct {
+		name     string
+		position int // token before which the engine changes
+	}{{"before the first token", -1}, {"later", failAt}} {
+		Convey("A stream sent before the engine changed renews no report: "+c.name, t, func() {
+			f, calls, advance := newFleetWithClock(t, 2)
+			defer f.stop()
+			change := func() {
+				So(f.chains[0][1].Engine.Order(other), ShouldBeNil)
+				advance(DefaultReportTTL)
+			}
+			if c.position < 0 {
+				calls.onOpen = sync.OnceFunc(change)
+			}
+			req := request("long")
+			answer, _, err := f.collect(context.Background(), req, func(position int) {
+				if position == c.position {
+					change()
+				}
+			})
+			So(err, ShouldBeNil)
+			So(answer, ShouldEqual, expectedAnswer(req))
+
+			f.mustAnswer("new")
+			So(f.results[1].End, ShouldEqual, EndMismatch)
+			So(f.results[1].NotRun, ShouldBeTrue)
+		})
+	}
+	Convey("A stream sent before the chain failed renews no report", t, func() {
+		f, calls, advance := newFleetWithClock(t, 1)
+		defer f.stop()
+		f.mustAnswer("first")
+		checker, chain := f.runner.reports, f.chain(0)
+		sent := checker.now()
+		advance(time.Millisecond)
+		checker.invalidate(chain)
+		checker.renew(testModel, chain, sent)
+		f.mustAnswer("second")
+		So(calls.holdings.Load(), ShouldEqual, 4)
+		checker.renew(testModel, chain, sent)
+		advance(DefaultReportTTL - time.Millisecond/2)
+		f.mustAnswer("third")
+		So(calls.holdings.Load(), ShouldEqual, 4)
+	})
+}
+
+// reports probes a chain and returns the reports of its engines.
+func (f *fleet) reports(chain int) []engineapi.Report {
+	all, err := f.runner.prober.client.Way(context.Background(), f.chain(chain).Stages)
+	So(err, ShouldBeNil)
+	return all
+}
+
+// A request is routed to a chain for a cache or an adapter that a later stage has lost.
+// While streams renew an engine's report, no report call is made, so the reports in a
+// probe reply must replace the cached ones completely, with cache and adapters.
+func TestChainProbeUpdatesWholeReport(t *testing.T) {
+	Convey("Reports of a probe along the chain", t, func() {
+		f, calls, _ := newFleetWithClock(t, 1)
+		defer f.stop()
+		f.mustAnswer("first")
+		checker, chain := f.runner.reports, f.chain(0)
+		lost := 0
+		checker.onCacheLost = func(string, string) { lost++ }
+		reports := f.reports(0)
+		checker.recordReports(testModel, chain, checker.now().Add(1), reports)
+		reports[1].Cache = "another"
+		reports[1].Adapters = []engineapi.Adapter{{Name: "notes", Version: "1"}}
+		checker.recordReports(testModel, chain, checker.now().Add(2), reports)
+		So(lost, ShouldEqual, 1)
+		So(checker.reports[chain.Stages[1].Address].report.Adapters, ShouldResemble, reports[1].Adapters)
+
+		// Streams without an adapter do not show whether the adapter is loaded.
+		before := checker.reports[chain.Stages[1].Address]
+		checker.renew(testModel, chain, checker.now().Add(3))
+		So(checker.reports[chain.Stages[1].Address], ShouldEqual, before)
+		So(calls.holdings.Load(), ShouldEqual, 2)
+	})
+}
+
+// BenchmarkHoldingCalls measures the report calls and probes of a node with 50 streams a
+// second over 35 chains of two stages, at the default settings and for several times of
+// the first token and of the following ones:
+//
+//	go test -run '^$' -bench HoldingCalls -benchtime 1x ./route/stream
+func BenchmarkHoldingCalls(b *testing.B) {
+	const short, long = 20 * time.Millisecond, 100 * time.Millisecond
+	for _, load := range []streamLoad{
+		{first: short, step: short, tokens: 24},
+		{first: time.Second, step: short, tokens: 24},
+		{first: time.Second, step: long, tokens: 81},
+	} {
+		name := fmt.Sprintf("first token %v, then %d each %v", load.first, load.tokens-1, load.step)
+		b.Run(name, func(b *testing.B) { countHoldingCalls(b, load) })
+	}
+}
+
+// streamLoad is the token times and length of a benchmark's streams.
+type streamLoad struct {
+	first, step time.Duration
+	tokens      int
+}
+
+func (l streamLoad) duration() time.Duration { return l.first + time.Duration(l.tokens-1)*l.step }
+
+func countHoldingCalls(b *testing.B, load streamLoad) {
+	const (
+		chains      = 35
+		stages      = 2
+		rate        = 50 // a second
+		length      = 20 * time.Second
+		promptWords = 3 // in the prompt; each stage computes all of them
+	)
+	warmUp := load.duration() + 2*time.Second
+	cfg := standin.Config{Step: load.step, Slots: 256, PrefillToken: (load.first - load.step) / (stages * promptWords)}
+	f := newFleet(b, chains, cfg, Options{})
+	defer f.stop()
+	transport := &http.Transport{MaxIdleConnsPerHost: rate}
+	defer transport.CloseIdleConnections()
+	calls := &callCounter{next: transport}
+	f.runner.reports.client = engineclient.New(calls)
+	f.runner.prober.client = f.runner.reports.client
+	var running sync.WaitGroup
+	holdingsBefore, probesBefore := int64(0), int64(0)
+	ticker := time.NewTicker(time.Second / rate)
+	defer ticker.Stop()
+	for i := range int((warmUp + length).Seconds() * rate) {
+		<-ticker.C
+		if i == int(warmUp.Seconds()*rate) {
+			holdingsBefore, probesBefore = calls.holdings.Load(), calls.probes.Load()
+		}
+		running.Go(func() {
+			req := request(fmt.Sprint("stream-", i))
+			req.Chat.MaxTokens = load.tokens
+			req.Chooser = fixedChain{f, rand.IntN(chains)}
+			if answer, _, err := f.collect(context.Background(), req, nil); err != nil || answer != expectedAnswer(req) {
+				b.Error("answer incomplete or wrong:", err)
+			}
+		})
+	}
+	running.Wait()
+	b.ReportMetric(float64(calls.holdings.Load()-holdingsBefore)/length.Seconds(), "holding-calls/s")
+	b.ReportMetric(float64(calls.probes.Load()-probesBefore)/length.Seconds(), "way-calls/s")
+	b.ReportMetric(0, "ns/op")
+}
+
+// fixedChain is a chooser that always returns the same chain of a fleet.
+type fixedChain struct {
+	*fleet
+	i int
+}
+
+func (o fixedChain) Choose(context.Context, []string) (Chain, error) { return o.chain(o.i), nil }
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// resumeCosts learns what it takes a chain to reach its first token, by how
-// much it must know and by the way in which it learns it: recomputing all, or
-// importing exported KV cache. Which is quicker depends on accelerators and
-// links, so it is measured, in buckets of doubling length.
+// resumeCosts estimates the time to the first token of a chain, by the number of
+// context tokens and by the method: recompute the context, or import exported KV
+// cache. Which one is faster depends on accelerators and links, so both are measured,
+// in buckets of doubling length.
 type resumeCosts struct {
 	mu      sync.Mutex
 	buckets [2][costBuckets]cost
@@ -22,94 +22,96 @@
 }
 
 const (
-	costBuckets = 24
-	costWeight  = 1.0 / 4
-	recompute   = 0
-	imported    = 1
+	costBuckets     = 24
+	costWeight      = 1.0 / 4
+	methodRecompute = 0
+	methodImport    = 1
 )
 
 func bucketOf(tokens int) int { return min(bits.Len(uint(max(tokens, 0))), costBuckets-1) }
 
-func (r *resumeCosts) learn(byImport bool, tokens int, took time.Duration) {
-	way := recompute
+func (r *resumeCosts) record(byImport bool, tokens int, elapsed time.Duration) {
+	method := methodRecompute
 	if byImport {
-		way = imported
+		method = methodImport
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	c := &r.buckets[way][bucketOf(tokens)]
+	c := &r.buckets[method][bucketOf(tokens)]
 	if !c.known {
-		*c = cost{nanos: float64(took), known: true}
+		*c = cost{nanos: float64(elapsed), known: true}
 		return
 	}
-	c.nanos += costWeight * (float64(took) - c.nanos)
+	c.nanos += costWeight * (float64(elapsed) - c.nanos)
 }
 
 const (
-	// worthAsking is the least time of a recompute for which asking for an
-	// export can pay: below it the answer is on its way again sooner.
-	worthAsking = 20 * time.Millisecond
-	// worthExploring is the least for which an import is tried unmeasured: a
-	// first try that proves slower should not be felt by the caller.
-	worthExploring = 50 * time.Millisecond
-	// exportPart is the part of the recompute that the wait for an export may
-	// cost. A stage that is frozen or cut off does not answer, and waiting
-	// longer would lose more than an import could win.
-	exportPart = 4
+	// minExportRecompute is the shortest recompute time for which an export is
+	// requested. Shorter recomputes finish before an export could.
+	minExportRecompute = 20 * time.Millisecond
+	// minTrialRecompute is the shortest recompute time for which an import is tried
+	// without a measurement. If the first import proves slower, the caller should not
+	// notice it.
+	minTrialRecompute = 50 * time.Millisecond
+	// exportTimeoutDivisor: the export may take the recompute time divided by it. A
+	// frozen or unreachable stage does not answer, and a longer wait would lose more
+	// time than an import could save.
+	exportTimeoutDivisor = 4
 )
 
-// importPays reports whether importing is expected to be quicker, and how long
-// the export may take.
+// importPays reports whether importing is expected to be faster than recomputing, and
+// returns the timeout of the export.
 func (r *resumeCosts) importPays(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	again, known := r.estimate(recompute, tokens)
-	if !known || again < worthAsking {
+	recomputeTime, known := r.estimate(methodRecompute, tokens)
+	if !known || recomputeTime < minExportRecompute {
 		return false, 0
 	}
-	byImport, known := r.estimate(imported, tokens)
+	importTime, known := r.estimate(methodImport, tokens)
 	if !known {
-		return again >= worthExploring, again / exportPart
+		return recomputeTime >= minTrialRecompute, recomputeTime / exportTimeoutDivisor
 	}
-	return byImport < again, again / exportPart
+	return importTime < recomputeTime, recomputeTime / exportTimeoutDivisor
 }
 
-// estimate goes by the nearest bucket measured. From a shorter one it scales
-// up; a longer one it takes as it is. The caller holds mu.
-func (r *resumeCosts) estimate(way, tokens int) (time.Duration, bool) {
-	at := bucketOf(tokens)
+// estimate returns the cost in the nearest measured bucket. The cost of a bucket of
+// shorter contexts is scaled up; that of a longer one is used unchanged. The caller
+// holds mu.
+func (r *resumeCosts) estimate(method, tokens int) (time.Duration, bool) {
+	bucket := bucketOf(tokens)
 	for distance := range costBuckets {
-		if lower := at - distance; lower >= 0 && r.buckets[way][lower].known {
-			return time.Duration(r.buckets[way][lower].nanos * float64(int(1)<<distance)), true
+		if lower := bucket - distance; lower >= 0 && r.buckets[method][lower].known {
+			return time.Duration(r.buckets[method][lower].nanos * float64(int(1)<<distance)), true
 		}
-		if higher := at + distance; higher < costBuckets && r.buckets[way][higher].known {
-			return time.Duration(r.buckets[way][higher].nanos), true
+		if higher := bucket + distance; higher < costBuckets && r.buckets[method][higher].known {
+			return time.Duration(r.buckets[method][higher].nanos), true
 		}
 	}
 	return 0, false
 }
 
-// prepareResume asks the chain that failed for its KV cache if importing it is
-// expected to be quicker than recomputing. Engines keep the cache of a stream
-// that has ended for a while; if any stage is gone the export fails, and the
-// next chain recomputes.
+// prepareResume requests an export of the KV cache from the failed chain if importing
+// it is expected to be faster than recomputing. Engines keep the KV cache of an ended
+// stream for a while. If a stage is unavailable the export fails and the next chain
+// recomputes the context.
 func (a *answer) prepareResume(ctx context.Context, failed Chain, result AttemptResult) {
-	a.handle = ""
-	a.exporting = 0
+	a.kvHandle = ""
+	a.exportTime = 0
 	if result.NotRun || result.Tokens == 0 {
 		return
 	}
-	pays, timeout := a.r.resumes.importPays(a.contextTokens())
+	pays, timeout := a.runner.costs.importPays(a.contextTokens())
 	if !pays {
 		return
 	}
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	reply, err := a.r.client.Export(ctx, failed.Stages[0].Address, a.req.Stream)
+	reply, err := a.runner.client.Export(ctx, failed.Stages[0].Address, a.req.StreamID)
 	if err != nil {
 		return
 	}
-	a.handle = reply.Handle
-	a.exporting = time.Since(start)
+	a.kvHandle = reply.Handle
+	a.exportTime = time.Since(start)
 }
--- a/route/stream/watchdog.go
+++ b/route/stream/watchdog.go
@@ -9,138 +9,139 @@
 )
 
 var (
-	errStalled = errors.New("no token in time")
-	errSilent  = fmt.Errorf("%w: the chain does not answer", errStalled)
+	errStalled      = errors.New("no token within the stall timeout")
+	errUnresponsive = fmt.Errorf("%w: the chain answers no probe", errStalled)
 )
 
-// pauseGrace is how late the watchdog may run before it takes itself, not the
-// chain, to have stood still.
-const pauseGrace = 50 * time.Millisecond
+// maxTimerDelay is how late the timer may fire before the watchdog assumes that this
+// node was paused, and not the chain.
+const maxTimerDelay = 50 * time.Millisecond
 
-// watchdog ends an epoch that brings nothing in time. If this node was paused
-// all its timers fire at once when it wakes, while tokens that came meanwhile
-// wait unread; cutting then would move every stream for nothing. A watchdog
-// that runs late therefore waits once more, but only once, or a node that is
-// always late would never find a stall.
+// watchdog cancels an epoch that produces no token in time.
+//
+// When this node resumes after a pause, all its timers fire at once, while tokens that
+// arrived during the pause are still unread. Cancelling then would move every stream
+// to another chain without need. A watchdog whose timer fires late therefore waits
+// for one more timeout. It does so only once, because otherwise a node whose timers
+// are always late would never detect a stall.
 type watchdog struct {
 	cancel context.CancelCauseFunc
 
-	mu    sync.Mutex
-	timer *time.Timer
-	due   time.Time // zero while disarmed
-	wait  time.Duration
-	first *firstWait // not nil until the first token
-	late  bool       // a late run has been excused since arm
+	mu           sync.Mutex
+	timer        *time.Timer
+	expiresAt    time.Time // zero while disarmed
+	timeout      time.Duration
+	firstToken   *firstTokenWait // not nil until the first token
+	delayExcused bool            // a late timer has been excused since arm
 }
 
-// firstWait is the wait for a first token. How long prefill and the engine's
-// queue take is not known, so the bound is long; a stage that is frozen, or a
-// link that is lost, is found sooner by asking along the way, see wayCheck.
-type firstWait struct {
-	since  time.Time
-	until  time.Time
-	silent func(since time.Time) bool
+// firstTokenWait is the wait for a first token. The time of prefill and of the
+// engine's queue is not known, so the deadline is late. chainProber detects a frozen
+// stage or a failed link sooner.
+type firstTokenWait struct {
+	silentSince  time.Time // the chain's silence is counted from this time at the earliest
+	deadline     time.Time
+	unresponsive func(since time.Time) bool
 }
 
 func newWatchdog(cancel context.CancelCauseFunc) *watchdog {
 	return &watchdog{cancel: cancel}
 }
 
-// arm starts the wait for the next token anew.
-func (w *watchdog) arm(wait time.Duration) {
+// arm restarts the wait for the next token.
+func (w *watchdog) arm(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.first = nil
-	w.late = false
-	w.set(wait)
+	w.firstToken = nil
+	w.delayExcused = false
+	w.restart(timeout)
 }
 
-// armFirst starts the wait for the first token, which ends after limit, or
-// once silent, called each interval, says that the chain has not been heard of
-// for too long. silent must not block.
-func (w *watchdog) armFirst(interval, limit time.Duration, silent func(since time.Time) bool) {
+// armFirstToken starts the wait for the first token. It ends after limit, or when
+// unresponsive returns true, which is called each interval and must not block.
+func (w *watchdog) armFirstToken(interval, limit time.Duration, unresponsive func(since time.Time) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	w.first = &firstWait{since: now, until: now.Add(limit), silent: silent}
-	w.set(min(interval, limit))
+	w.firstToken = &firstTokenWait{silentSince: now, deadline: now.Add(limit), unresponsive: unresponsive}
+	w.restart(min(interval, limit))
 }
 
-func (w *watchdog) set(wait time.Duration) {
-	w.wait = wait
-	w.schedule(wait)
+func (w *watchdog) restart(timeout time.Duration) {
+	w.timeout = timeout
+	w.schedule(timeout)
 }
 
-func (w *watchdog) schedule(wait time.Duration) {
-	w.due = time.Now().Add(wait)
+func (w *watchdog) schedule(delay time.Duration) {
+	w.expiresAt = time.Now().Add(delay)
 	if w.timer == nil {
-		w.timer = time.AfterFunc(wait, w.fire)
+		w.timer = time.AfterFunc(delay, w.fire)
 		return
 	}
-	w.timer.Reset(wait)
+	w.timer.Reset(delay)
 }
 
-// disarm stops the wait, while the caller reads or when the epoch is over.
+// disarm stops the wait, while a token is delivered or when the epoch has ended.
 func (w *watchdog) disarm() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.due = time.Time{}
-	w.first = nil
+	w.expiresAt = time.Time{}
+	w.firstToken = nil
 	if w.timer != nil {
 		w.timer.Stop()
 	}
 }
 
 func (w *watchdog) fire() {
-	first, over := w.expired(time.Now())
-	if over {
+	firstToken, timedOut := w.expired(time.Now())
+	if timedOut {
 		w.cancel(errStalled)
 		return
 	}
-	if first == nil {
+	if firstToken == nil {
 		return
 	}
-	silent := first.silent(first.since)
+	unresponsive := firstToken.unresponsive(firstToken.silentSince)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.first != first {
-		return // the token came meanwhile
+	if w.firstToken != firstToken {
+		return // the token arrived in the meantime
 	}
-	if silent {
-		w.cancel(errSilent)
+	if unresponsive {
+		w.cancel(errUnresponsive)
 		return
 	}
-	// From when this look was due: late by a little each time, ten of them would
-	// add up to a tenth of the wait.
-	next := min(time.Until(w.due)+w.wait, time.Until(first.until))
-	w.schedule(max(next, 0))
+	// The next check is scheduled from the time when this one was due. Otherwise the
+	// small delays of ten checks would add up to a tenth of the timeout.
+	delay := min(time.Until(w.expiresAt)+w.timeout, time.Until(firstToken.deadline))
+	w.schedule(max(delay, 0))
 }
 
-// expired reports whether the wait is over, or returns the first wait that
-// has to be looked into.
-func (w *watchdog) expired(now time.Time) (*firstWait, bool) {
+// expired reports whether the wait has timed out. While a first token is awaited it
+// returns the wait for which unresponsive has to be called.
+func (w *watchdog) expired(now time.Time) (*firstTokenWait, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.due.IsZero() || now.Before(w.due) {
-		return nil, false // disarmed or armed anew while this call was on its way
+	if w.expiresAt.IsZero() || now.Before(w.expiresAt) {
+		return nil, false // disarmed or armed again before this call took the lock
 	}
-	late := now.Sub(w.due) > pauseGrace
-	waiting := w.first != nil && now.Before(w.first.until)
-	if late && waiting {
-		// The answers that this node did not read count for nothing against the
-		// chain: the silence is counted anew. It may happen again and again,
-		// because until ends the wait all the same.
-		w.first.since = now
-		w.set(w.wait)
+	delayed := now.Sub(w.expiresAt) > maxTimerDelay
+	waiting := w.firstToken != nil && now.Before(w.firstToken.deadline)
+	if delayed && waiting {
+		// Replies that this node has not read yet must not count against the
+		// chain, so the silence is counted from now. This may happen any number
+		// of times, because the deadline still ends the wait.
+		w.firstToken.silentSince = now
+		w.restart(w.timeout)
 		return nil, false
 	}
-	if late && !w.late {
-		w.late = true
-		w.set(w.wait)
+	if delayed && !w.delayExcused {
+		w.delayExcused = true
+		w.restart(w.timeout)
 		return nil, false
 	}
 	if waiting {
-		return w.first, false
+		return w.firstToken, false
 	}
 	return nil, true
 }
