--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -24,14 +24,14 @@
 	eligibleMembers []*member // the eligible members, as doc.go defines them
 	changes         []Change
 
-	detector             *health.Detector
-	nodeCount            int    // number of nodes that use the service; zero if unknown
-	subsetVersion        uint64 // number of times the subset was computed
-	groupedHealthVersion uint64 // version of the detector at the last call of groupByHealthState
-	rng                  *rand.Rand
-	meanCost             float64 // moving average of the cost of requests, tokens
-	meanAnswerSeconds    float64 // moving average of the time to a whole answer, seconds
-	initialFraction      float64 // fraction of its capacity with which a new replica begins its slow start
+	detector                  *health.Detector
+	nodeCount                 int    // number of nodes that use the service; zero if unknown
+	subsetVersion             uint64 // number of times the subset was computed
+	detectorVersionAtGrouping uint64 // version of the detector at the last call of groupByHealthState
+	rng                       *rand.Rand
+	meanCost                  float64 // moving average of the cost of requests, tokens
+	meanAnswerSeconds         float64 // moving average of the time to a whole answer, seconds
+	initialCapacityFraction   float64 // fraction of its capacity with which a new replica begins its slow start
 }
 
 // leavingState records which sources report that a replica is leaving.
@@ -360,7 +360,7 @@
 }
 
 func (b *Balancer) regroupIfHealthChanged(now time.Time) {
-	if b.detector.Version() != b.groupedHealthVersion {
+	if b.detector.Version() != b.detectorVersionAtGrouping {
 		b.groupByHealthState(now)
 	}
 }
@@ -369,12 +369,12 @@
 // The function is called at each health evaluation, and when a health state, a
 // leaving mark or the subset changes. It is not called for each request.
 func (b *Balancer) groupByHealthState(now time.Time) {
-	b.groupedHealthVersion = b.detector.Version()
+	b.detectorVersionAtGrouping = b.detector.Version()
 	b.probingMembers = b.probingMembers[:0]
 	b.groupTierByHealthState(now, &b.nearTier)
 	b.groupTierByHealthState(now, &b.spillTier)
 	b.updateEligibleMembers()
-	b.updateInitialFraction(now)
+	b.updateInitialCapacityFraction(now)
 }
 
 // updateEligibleMembers finds the eligible members. If no member is usable, these are
@@ -419,11 +419,11 @@
 	}
 }
 
-// updateInitialFraction sets the fraction of their capacity with which new replicas
+// updateInitialCapacityFraction sets the fraction of their capacity with which new replicas
 // begin their slow start. The fraction rises once replicas in slow start make up
 // more than half of the total capacity. Without this rise, the few old replicas
 // would be overloaded with all requests when a service grows tenfold.
-func (b *Balancer) updateInitialFraction(now time.Time) {
+func (b *Balancer) updateInitialCapacityFraction(now time.Time) {
 	slowStartCapacity := 0.0
 	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
 		for _, m := range t.usableMembers {
@@ -436,7 +436,7 @@
 	if totalCapacity := b.nearTier.capacity() + b.spillTier.capacity(); totalCapacity > 0 {
 		slowStartShare = slowStartCapacity / totalCapacity
 	}
-	b.initialFraction = max(minInitialFraction, 2*slowStartShare-1)
+	b.initialCapacityFraction = max(minInitialCapacityFraction, 2*slowStartShare-1)
 }
 
 // slowStartFraction returns the fraction of its capacity that a replica may use
@@ -446,5 +446,5 @@
 		return 1
 	}
 	elapsedFraction := float64(now.Sub(m.slowStartBeganAt)) / float64(b.cfg.SlowStart)
-	return max(b.initialFraction, min(1, elapsedFraction))
+	return max(b.initialCapacityFraction, min(1, elapsedFraction))
 }
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -27,10 +27,10 @@
 	// Config.SubsetSize replicas. Leaving out only a few replicas saves little and
 	// gives replicas unequal numbers of nodes.
 	useAllFactor = 2
-	// minInitialFraction is the fraction of its capacity with which a new replica
+	// minInitialCapacityFraction is the fraction of its capacity with which a new replica
 	// begins its slow start. The fraction is larger if most of the capacity is in
-	// slow start; see updateInitialFraction.
-	minInitialFraction = 0.1
+	// slow start; see updateInitialCapacityFraction.
+	minInitialCapacityFraction = 0.1
 	// maxCandidateTries bounds how many replicas are tried one by one to select a
 	// candidate. This keeps the cost of the tries independent of the number of
 	// excluded replicas and replicas in backoff. After maxCandidateTries failed
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// noiseDeviations sets which differences count as noise (random variation). The
+// noiseStandardDeviations sets which differences count as noise (random variation). The
 // number of other nodes' requests at a replica differs from the expected number by
-// noise if the difference is at most noiseDeviations standard deviations of a Poisson
+// noise if the difference is at most noiseStandardDeviations standard deviations of a Poisson
 // distribution.
-const noiseDeviations = 2
+const noiseStandardDeviations = 2
 
 // maxScanWhenAllFull is how many replicas of each tier are examined, in round-robin
 // order. More are examined only while every replica examined so far is excluded or
@@ -17,13 +17,13 @@
 // a hundred replicas.
 const maxScanWhenAllFull = 16
 
-// meanLoad returns the load per unit of capacity over both tiers.
-func (b *Balancer) meanLoad() float64 {
+// meanUtilization returns the load per unit of capacity over both tiers.
+func (b *Balancer) meanUtilization() float64 {
 	nearCapacity, spillCapacity := b.nearTier.capacity(), b.spillTier.capacity()
 	if nearCapacity+spillCapacity == 0 {
 		return 0
 	}
-	return (b.nearTier.meanLoad()*nearCapacity + b.spillTier.meanLoad()*spillCapacity) / (nearCapacity + spillCapacity)
+	return (b.nearTier.meanUtilization()*nearCapacity + b.spillTier.meanUtilization()*spillCapacity) / (nearCapacity + spillCapacity)
 }
 
 // acceptsPrefixWhenAllFull reports whether a replica accepts a request by its
@@ -39,8 +39,8 @@
 // less time than such a queue costs. With the bound used here, an owner still gets
 // as many requests as other replicas.
 func (b *Balancer) acceptsPrefixWhenAllFull(now time.Time, m *member) bool {
-	meanOwnLoad := (b.nearTier.inflightRequests + b.spillTier.inflightRequests) / (b.nearTier.capacity() + b.spillTier.capacity())
-	return b.candidateWhenAllFull(now, m).adjustedLoad <= meanOwnLoad
+	ownRequestsPerCapacity := (b.nearTier.inflightRequests + b.spillTier.inflightRequests) / (b.nearTier.capacity() + b.spillTier.capacity())
+	return b.candidateWhenAllFull(now, m).scoreWhenAllFull <= ownRequestsPerCapacity
 }
 
 // pickWhenAllFull picks the replica with the fewest of this node's requests
@@ -55,7 +55,7 @@
 // requests at a replica count only if there are more or fewer of them than noise
 // explains.
 func (b *Balancer) pickWhenAllFull(now time.Time, q Query) (Choice, bool) {
-	var best, runnerUp memberWithAdjustedLoad
+	var best, runnerUp memberWithScore
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
 		if len(t.usableMembers) == 0 {
 			continue
@@ -89,22 +89,22 @@
 	return c, true
 }
 
-// memberWithAdjustedLoad is a replica with the load by which replicas are compared
+// memberWithScore is a replica with the load by which replicas are compared
 // while all of them are full. A lower load is better.
-type memberWithAdjustedLoad struct {
-	member       *member
-	inBackoff    bool    // the replica was full and refused a request less than Config.Backoff ago
-	adjustedLoad float64 // requests per unit of effective capacity, multiplied by the slowness
+type memberWithScore struct {
+	member           *member
+	inBackoff        bool    // the replica was full and refused a request less than Config.Backoff ago
+	scoreWhenAllFull float64 // requests per unit of effective capacity, multiplied by the slowness
 }
 
-func (r memberWithAdjustedLoad) betterThan(other memberWithAdjustedLoad) bool {
+func (r memberWithScore) betterThan(other memberWithScore) bool {
 	if r.member == nil || other.member == nil {
 		return r.member != nil
 	}
 	if r.inBackoff != other.inBackoff {
 		return other.inBackoff
 	}
-	return r.adjustedLoad < other.adjustedLoad
+	return r.scoreWhenAllFull < other.scoreWhenAllFull
 }
 
 // candidateWhenAllFull returns a replica with its adjusted load. The adjusted load
@@ -112,11 +112,11 @@
 // nodes' requests at the replica exceed or fall short of the expected number, apart
 // from the part of that difference that noise explains. The expected number is the
 // replica's capacity times the mean load from other nodes in its tier.
-func (b *Balancer) candidateWhenAllFull(now time.Time, m *member) memberWithAdjustedLoad {
-	expectedRequests := m.tier.meanOtherNodeLoad() * m.capacity
-	noiseRequests := noiseDeviations * math.Sqrt(expectedRequests)
+func (b *Balancer) candidateWhenAllFull(now time.Time, m *member) memberWithScore {
+	expectedRequests := m.tier.otherNodeRequestsPerCapacity() * m.capacity
+	noiseRequests := noiseStandardDeviations * math.Sqrt(expectedRequests)
 	excessRequests := b.estimatedOtherNodeRequests(now, m) - expectedRequests
 	significantExcess := max(excessRequests-noiseRequests, min(excessRequests+noiseRequests, 0))
-	adjustedLoad := (float64(m.inflightRequests) + significantExcess) / b.effectiveCapacity(now, m) * m.health.Slowness()
-	return memberWithAdjustedLoad{member: m, inBackoff: now.Before(m.backoffUntil), adjustedLoad: adjustedLoad}
+	scoreWhenAllFull := (float64(m.inflightRequests) + significantExcess) / b.effectiveCapacity(now, m) * m.health.Slowness()
+	return memberWithScore{member: m, inBackoff: now.Before(m.backoffUntil), scoreWhenAllFull: scoreWhenAllFull}
 }
--- a/decide/balance/load.go
+++ b/decide/balance/load.go
@@ -21,7 +21,7 @@
 // the report would reduce the apparent load from other nodes. The more requests the
 // node sent to a replica, the less loaded the replica would look.
 type inflightHistory struct {
-	counts         [historyTimeSteps]int32 // indexed by the time step modulo historyTimeSteps
+	inflightCounts [historyTimeSteps]int32 // indexed by the time step modulo historyTimeSteps
 	newestTimeStep int64                   // time step of the newest count
 }
 
@@ -37,16 +37,16 @@
 		h.setAllCounts(timeStep, h.countAt(now))
 	}
 	for h.newestTimeStep < timeStep {
-		previousCount := h.counts[h.newestTimeStep%historyTimeSteps]
+		previousCount := h.inflightCounts[h.newestTimeStep%historyTimeSteps]
 		h.newestTimeStep++
-		h.counts[h.newestTimeStep%historyTimeSteps] = previousCount
+		h.inflightCounts[h.newestTimeStep%historyTimeSteps] = previousCount
 	}
-	h.counts[timeStep%historyTimeSteps] = count
+	h.inflightCounts[timeStep%historyTimeSteps] = count
 }
 
 func (h *inflightHistory) setAllCounts(timeStep int64, count int32) {
-	for i := range h.counts {
-		h.counts[i] = count
+	for i := range h.inflightCounts {
+		h.inflightCounts[i] = count
 	}
 	h.newestTimeStep = timeStep
 }
@@ -56,7 +56,7 @@
 func (h *inflightHistory) countAt(t time.Time) int32 {
 	timeStep := min(timeStepOf(t), h.newestTimeStep)
 	timeStep = max(timeStep, h.newestTimeStep-historyTimeSteps+1, 0)
-	return h.counts[timeStep%historyTimeSteps]
+	return h.inflightCounts[timeStep%historyTimeSteps]
 }
 
 // replicaLoad is what the node knows of the load on one replica.
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -59,7 +59,7 @@
 // replica that had the least load when the reports were made (herding).
 func (b *Balancer) estimatedOtherNodeRequests(now time.Time, m *member) float64 {
 	reportWeight := m.reportWeight(now, b.meanAnswerSeconds)
-	return reportWeight*m.replicaLoad.reportedOtherNodeRequests + (1-reportWeight)*m.tier.meanOtherNodeLoad()*m.capacity
+	return reportWeight*m.replicaLoad.reportedOtherNodeRequests + (1-reportWeight)*m.tier.otherNodeRequestsPerCapacity()*m.capacity
 }
 
 // estimatedLoad returns the replica's load in requests. While the replica has free
@@ -216,18 +216,18 @@
 	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
 	}
-	if b.meanLoad() >= 1 {
+	if b.meanUtilization() >= 1 {
 		return b.acceptsPrefixWhenAllFull(now, m)
 	}
-	loadBound := max(t.meanLoad()*b.cfg.AffinityLoadFactor, b.cfg.AffinityFloor)
-	if (b.estimatedLoad(now, m)+1)*m.health.Slowness() > math.Ceil(loadBound*b.effectiveCapacity(now, m)) {
+	utilizationLimit := max(t.meanUtilization()*b.cfg.AffinityLoadFactor, b.cfg.AffinityFloor)
+	if (b.estimatedLoad(now, m)+1)*m.health.Slowness() > math.Ceil(utilizationLimit*b.effectiveCapacity(now, m)) {
 		return false
 	}
 	if t == &b.spillTier || len(b.spillTier.usableMembers) == 0 {
 		return true
 	}
 	utilization := b.utilization(now, m)
-	return utilization < b.cfg.SpillThreshold || b.spillTier.meanLoad()+b.cfg.SpillMargin >= utilization
+	return utilization < b.cfg.SpillThreshold || b.spillTier.meanUtilization()+b.cfg.SpillMargin >= utilization
 }
 
 // pickByLoad picks the better of two candidates from the near tier. If the
@@ -236,7 +236,7 @@
 // request is worth spilling. If the mean load of the subset has reached
 // SpillThreshold, pickByLoad calls pickWhenAllFull instead.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
-	if b.meanLoad() >= b.cfg.SpillThreshold {
+	if b.meanUtilization() >= b.cfg.SpillThreshold {
 		return b.pickWhenAllFull(now, q)
 	}
 	nearBetter, nearWorse := b.twoChoices(now, q, &b.nearTier)
@@ -310,7 +310,7 @@
 // look like a difference in load.
 func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
 	weight := m.reportWeight(now, b.meanAnswerSeconds)
-	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.meanOtherNodeLoad()*m.capacity)
+	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.otherNodeRequestsPerCapacity()*m.capacity)
 }
 
 // selectCandidate selects the first candidate if exclude is nil, and otherwise the
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -31,17 +31,17 @@
 // that picks by this rule alone. Otherwise the policy is a Balancer.
 type policy struct {
 	*Balancer
-	pickRule     func(p *policy, q Query) Replica
-	replicas     []Replica
-	nextIndex    int
-	reportedLoad map[string]int
-	cacheIndex   *cacheindex.Index // nil if prefixes are placed by hash alone
+	pickRule         func(p *policy, q Query) Replica
+	replicas         []Replica
+	nextReplicaIndex int
+	reportedLoad     map[string]int
+	cacheIndex       *cacheindex.Index // nil if prefixes are placed by hash alone
 }
 
 // fixedRulePolicy returns a constructor of policies with the given rule.
 func fixedRulePolicy(pickRule func(p *policy, q Query) Replica) func(int) *policy {
 	return func(node int) *policy {
-		return &policy{Balancer: New(Config{}), pickRule: pickRule, nextIndex: node * 5, reportedLoad: map[string]int{}}
+		return &policy{Balancer: New(Config{}), pickRule: pickRule, nextReplicaIndex: node * 5, reportedLoad: map[string]int{}}
 	}
 }
 
@@ -53,8 +53,8 @@
 }
 
 func (p *policy) nextRoundRobinOfFirst(count int) Replica {
-	p.nextIndex++
-	return p.replicas[p.nextIndex%count]
+	p.nextReplicaIndex++
+	return p.replicas[p.nextReplicaIndex%count]
 }
 
 var (
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -24,7 +24,7 @@
 
 	inflightRequests          float64 // number of this node's in-flight requests at the usable members
 	reportedOtherNodeRequests float64 // number of other nodes' requests at the usable members, from load reports
-	reportedCapacity          float64 // total capacity of the usable members that have reported their load
+	reportingMembersCapacity  float64 // total capacity of the usable members that have reported their load
 }
 
 // ringPoint is a point on the hash ring of prefixes.
@@ -57,7 +57,7 @@
 func (t *tier) clearUsableMembers() {
 	t.usableMembers = t.usableMembers[:0]
 	t.cumulativeCapacity = t.cumulativeCapacity[:0]
-	t.inflightRequests, t.reportedOtherNodeRequests, t.reportedCapacity = 0, 0, 0
+	t.inflightRequests, t.reportedOtherNodeRequests, t.reportingMembersCapacity = 0, 0, 0
 	t.equalCapacity = true
 }
 
@@ -70,7 +70,7 @@
 	t.inflightRequests += float64(m.inflightRequests)
 	if !m.lastReportMadeAt.IsZero() {
 		t.reportedOtherNodeRequests += m.reportedOtherNodeRequests
-		t.reportedCapacity += m.capacity
+		t.reportingMembersCapacity += m.capacity
 	}
 }
 
@@ -93,28 +93,28 @@
 	}
 	t.reportedOtherNodeRequests += change
 	if firstReport {
-		t.reportedCapacity += m.capacity
+		t.reportingMembersCapacity += m.capacity
 	}
 }
 
-// meanOtherNodeLoad returns the number of other nodes' requests per unit of
+// otherNodeRequestsPerCapacity returns the number of other nodes' requests per unit of
 // capacity, over the usable members that have reported their load.
-func (t *tier) meanOtherNodeLoad() float64 {
-	if t.reportedCapacity == 0 {
+func (t *tier) otherNodeRequestsPerCapacity() float64 {
+	if t.reportingMembersCapacity == 0 {
 		return 0
 	}
-	return t.reportedOtherNodeRequests / t.reportedCapacity
+	return t.reportedOtherNodeRequests / t.reportingMembersCapacity
 }
 
-// meanLoad returns the number of all nodes' requests per unit of capacity, over the
+// meanUtilization returns the number of all nodes' requests per unit of capacity, over the
 // usable members. Members that have not reported their load count with
-// meanOtherNodeLoad.
-func (t *tier) meanLoad() float64 {
+// otherNodeRequestsPerCapacity.
+func (t *tier) meanUtilization() float64 {
 	capacity := t.capacity()
 	if capacity == 0 {
 		return 0
 	}
-	return t.inflightRequests/capacity + t.meanOtherNodeLoad()
+	return t.inflightRequests/capacity + t.otherNodeRequestsPerCapacity()
 }
 
 // nextRoundRobin returns the next usable member in weighted round-robin order.
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -134,14 +134,14 @@
 
 type fleetCall struct {
 	*Answer
-	id               uint64
-	node             *fleetNode
-	replica          *fleetReplica
-	cost             float64
-	receivedTokens   float64       // number of tokens that the caller received
-	sentAt           time.Time     // when the node sent the request to the replica
-	timeToFirstToken time.Duration // measured from sentAt
-	ended            bool
+	id                      uint64
+	node                    *fleetNode
+	replica                 *fleetReplica
+	cost                    float64
+	receivedTokens          float64       // number of tokens that the caller received
+	sentToReplicaAt         time.Time     // when the node sent the request to the replica
+	replicaTimeToFirstToken time.Duration // measured from sentAt
+	ended                   bool
 }
 
 // RunFleet runs the simulation and returns the calls sent after Warmup, in order of
@@ -293,7 +293,7 @@
 	n.balancer.Sent(r.Now, choice.Replica, c.cost)
 	n.inflightCalls++
 	c.replica = r.replicas[slices.IndexFunc(r.replicas, func(e *fleetReplica) bool { return e.id == choice.Replica })]
-	c.sentAt = r.Now
+	c.sentToReplicaAt = r.Now
 	r.serveOrQueue(c)
 }
 
@@ -318,8 +318,8 @@
 	if tokenIndex == 0 {
 		c.TimeToFirstToken = r.Now.Sub(Start) - c.SentAt
 		if c.node != nil {
-			c.timeToFirstToken = r.Now.Sub(c.sentAt)
-			c.node.balancer.Started(r.Now, c.replica.id, c.timeToFirstToken)
+			c.replicaTimeToFirstToken = r.Now.Sub(c.sentToReplicaAt)
+			c.node.balancer.Started(r.Now, c.replica.id, c.replicaTimeToFirstToken)
 		}
 	}
 	if tokenIndex%tokensPerReport == 0 {
@@ -347,7 +347,7 @@
 	if c.node == nil {
 		return
 	}
-	result := balance.Result{Cost: c.cost, TimeToFirstToken: c.timeToFirstToken, TotalTime: r.Now.Sub(c.sentAt), Started: c.timeToFirstToken > 0}
+	result := balance.Result{Cost: c.cost, TimeToFirstToken: c.replicaTimeToFirstToken, TotalTime: r.Now.Sub(c.sentToReplicaAt), Started: c.replicaTimeToFirstToken > 0}
 	if !c.Completed {
 		result.Failure = health.Canceled
 	}
