--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -72,9 +72,9 @@
 
 // SetReplicas replaces the list of the service's replicas. Replicas that were in
 // the previous list keep their state. New replicas get a slow start, unless the
-// previous list was empty. The cost is the sorting of the list, plus at most one
-// rendezvous score per pair of a replica and a peer. Only replicas of the failure
-// domains in the subset are scored.
+// previous list was empty. SetReplicas sorts the list and computes at most one
+// rendezvous score per pair of a replica and a peer. It computes scores only for
+// replicas of the failure domains in the subset.
 func (b *Balancer) SetReplicas(now time.Time, replicas []Replica) {
 	previous := b.replicas
 	b.replicas = hashReplicas(replicas)
@@ -153,9 +153,10 @@
 
 // MarkLeaving records whether one source says that a replica is leaving. A replica
 // gets no new requests while any source says that it is leaving. Each source can
-// withdraw only its own statement. If the latest statement won regardless of its
-// source, the platform's list could undo the replica's own report of its shutdown,
-// because that list lags. Requests would then go to the leaving replica again.
+// withdraw only its own statement. Suppose that the latest statement won
+// regardless of its source. The platform's list, which lags, could then undo the
+// replica's own report of its shutdown, and the leaving replica would receive
+// requests again.
 func (b *Balancer) MarkLeaving(now time.Time, id string, source Source, leaving bool) {
 	state := b.leavingStates[id]
 	state.sources &^= 1 << source
@@ -271,10 +272,10 @@
 
 // normalizedDecodeTime returns the time from the first part of the answer to its
 // end, in seconds, scaled to an answer of mean cost. The time to the first part is
-// excluded, because that time is ten times shorter if the prompt's prefix is cached.
-// If that time counted, replicas with cold caches would be ejected as slow. The
-// replicas that take over the prefixes of an ejected replica would then have cold
-// caches too.
+// excluded, because that time is ten times shorter if the prompt's prefix is
+// cached. If that time counted, replicas with cold caches would be ejected as
+// slow. The prefixes of an ejected replica would move to other replicas. These do
+// not have the prefixes cached and would look slow too.
 func (b *Balancer) normalizedDecodeTime(r Result) float64 {
 	decodeTime := (r.TotalTime - r.TimeToFirstToken).Seconds()
 	if r.TimeToFirstToken > 0 && r.Cost > 0 {
@@ -322,7 +323,8 @@
 }
 
 // Capacity returns the number of slots of the eligible replicas. A replica in slow
-// start counts with the fraction of its slots that it may use now.
+// start counts with the fraction of its slots that it may use now. Unlike the
+// capacity that doc.go defines, this number does not depend on weights.
 func (b *Balancer) Capacity(now time.Time) int {
 	slots := 0.0
 	for _, m := range b.eligibleMembers {
@@ -377,13 +379,14 @@
 	b.updateInitialCapacityFraction(now)
 }
 
-// updateEligibleMembers finds the eligible members. If no member is usable, these are
-// the ejected and probed members, which Pick uses as a last resort.
+// updateEligibleMembers finds the eligible members. If no member is usable, the
+// members that are ejected or probed and not leaving are eligible. Pick uses such
+// members as a last resort.
 //
-// Suppose that ejected replicas were never eligible and that all other replicas are
-// leaving. The node would then have no slots and refuse every request, so that Pick
-// would never be called. An ejection ends only at a health evaluation, and only Pick
-// evaluates health. The ejection would therefore never end.
+// If ejected replicas were never eligible, an ejection could last forever. Suppose
+// that all other replicas are leaving. The node would then have no slots and
+// refuse every request, so that Pick would never be called. An ejection ends only
+// at a health evaluation, and only Pick evaluates health.
 func (b *Balancer) updateEligibleMembers() {
 	b.eligibleMembers = append(append(b.eligibleMembers[:0], b.nearTier.usableMembers...), b.spillTier.usableMembers...)
 	if len(b.eligibleMembers) > 0 {
@@ -419,10 +422,11 @@
 	}
 }
 
-// updateInitialCapacityFraction sets the fraction of their capacity with which new replicas
-// begin their slow start. The fraction rises once replicas in slow start make up
-// more than half of the total capacity. Without this rise, the few old replicas
-// would be overloaded with all requests when a service grows tenfold.
+// updateInitialCapacityFraction sets the fraction of their capacity with which new
+// replicas begin their slow start. The fraction rises once replicas in slow start
+// make up more than half of the total capacity. Without this rise, when a service
+// grows tenfold, the few old replicas would receive nearly all requests and be
+// overloaded.
 func (b *Balancer) updateInitialCapacityFraction(now time.Time) {
 	slowStartCapacity := 0.0
 	for _, t := range []*tier{&b.nearTier, &b.spillTier} {
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -47,10 +47,11 @@
 	return counts
 }
 
-// If a leaving endpoint is picked, it refuses the request. A statement by any one
-// source is enough to mark an endpoint as leaving. Only the same source may withdraw
-// the mark, because the platform's list lags: it still shows an endpoint as live
-// after the endpoint has reported its own shutdown.
+// A leaving endpoint refuses requests. A statement by any one source is enough to
+// mark an endpoint as leaving. Only the same source may withdraw the mark, because
+// the platform's list lags: it still shows an endpoint as live after the endpoint
+// has reported its own shutdown. If the list could withdraw the mark, requests
+// would go to that endpoint and be refused.
 func TestLeavingEndsOnlyBySameSource(t *testing.T) {
 	const id = "replica-0"
 	refusal := func(b *Balancer) {
@@ -158,11 +159,11 @@
 	})
 }
 
-// If a node counts no slots for an ejected replica, it can refuse every caller until
-// the environment document changes. This happens if one of two replicas is ejected
-// and the other one then leaves: a node without slots refuses callers on admission.
-// Health is evaluated only when a replica is picked for a request, so the ejection
-// never ends.
+// If one of two replicas is ejected and the other one then leaves, no replica is
+// usable. If the node counted no slots for the ejected replica, it would refuse
+// every request on admission. Health is evaluated only when a replica is picked
+// for a request, so the ejection would never end. The node would refuse all
+// requests until operators change the environment document.
 func TestEjectedReplicaKeepsCapacityWhenOthersLeave(t *testing.T) {
 	Convey("Given two replicas, one ejected and one leaving", t, func() {
 		b := newBalancer(2, 1)
@@ -181,10 +182,12 @@
 	})
 }
 
-// If requests that a node sends after a report reduce the apparent load from other
-// nodes, the node sends ever more requests to the same replica. Here a report shows
-// 10 requests, 4 of them this node's when the report was made. The other 6 are from
-// other nodes, whatever this node has sent or finished since.
+// The load from other nodes is the reported load minus this node's own requests at
+// the time of the report. If the node subtracted its current requests, each
+// request that it sends would make the replica look less loaded, and the node
+// would send still more requests there. Here a report shows 10 requests. When the
+// report was made, 4 of them were this node's. The other 6 are from other nodes,
+// whatever this node has sent or finished since.
 func TestReportSubtractsOwnRequestsAtItsTime(t *testing.T) {
 	Convey("Given a report that was made a second ago", t, func() {
 		var loadState replicaLoad
@@ -314,10 +317,10 @@
 	}
 }
 
-// If a change of the lists moves more of a subset than it must, nodes lose
-// connections and replicas lose warm caches. If a node or replica is removed, only
-// the node-replica pairs to which it belongs may disappear. The pairs of a removed
-// node move to its peers.
+// If the removal of a node or replica changes more of the subsets than necessary,
+// nodes lose connections and replicas lose warm caches. Only the node-replica
+// pairs to which the removed node or replica belongs may disappear. The pairs of a
+// removed node move to its peers.
 func TestSubsetChangesOnlyAffectedPairs(t *testing.T) {
 	const nodes, replicas = 96, 435
 	pairsOf := func(nodeCount int, replicas []hashedReplica) map[string]bool {
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -27,14 +27,14 @@
 	// Config.SubsetSize replicas. Leaving out only a few replicas saves little and
 	// gives replicas unequal numbers of nodes.
 	useAllFactor = 2
-	// minInitialCapacityFraction is the fraction of its capacity with which a new replica
-	// begins its slow start. The fraction is larger if most of the capacity is in
-	// slow start; see updateInitialCapacityFraction.
+	// A new replica begins its slow start with at least minInitialCapacityFraction
+	// of its capacity. It begins with more if most of the capacity of the subset
+	// is in slow start; see updateInitialCapacityFraction.
 	minInitialCapacityFraction = 0.1
 	// maxCandidateTries bounds how many replicas are tried one by one to select a
-	// candidate. This keeps the cost of the tries independent of the number of
-	// excluded replicas and replicas in backoff. After maxCandidateTries failed
-	// tries, Pick scans the usable replicas.
+	// candidate. A try fails if the replica is excluded or in backoff. The bound
+	// keeps the cost of the tries independent of the number of such replicas.
+	// After maxCandidateTries failed tries, Pick scans the usable replicas.
 	maxCandidateTries = 4
 	// maxRingReplicas bounds the number of replicas on the hash ring that are tried
 	// for one request.
@@ -46,9 +46,10 @@
 	// ringPointsPerReplica is the number of points of each replica on the hash
 	// ring. With 32 points each replica owns a nearly equal part of the prefixes.
 	ringPointsPerReplica = 32
-	// switchMargin is the smallest difference in load, in requests, for which Pick
-	// prefers the second candidate to the first. Smaller differences are noise.
-	// Round robin spreads requests more evenly than choices based on noise.
+	// switchMargin is a difference in load, in requests. Pick compares the next
+	// replica in round-robin order with a random replica. The random one is picked
+	// only if its load is lower by more than switchMargin. Smaller differences are
+	// noise. Round robin spreads requests more evenly than choices based on noise.
 	switchMargin = 1.0
 	// movingAverageGain is the weight of a new sample in the moving averages of
 	// request costs and answer times.
--- a/decide/balance/doc.go
+++ b/decide/balance/doc.go
@@ -24,13 +24,20 @@
 //
 // # Terms
 //
+//   - Replica: an endpoint of the service.
+//   - Attempt: one sending of a request to one replica. A request whose attempt fails
+//     may be sent again in another attempt.
 //   - Slot: room for one running request at a replica. A replica queues requests
 //     beyond its slots. It is full when all its slots are taken.
 //   - Capacity: the slots of a replica times its weight.
 //   - Load: the number of running and waiting requests of all nodes at a replica.
-//     Utilization is the load per unit of effective capacity. The score of a replica is
-//     its utilization with one more request, multiplied by its slowness (package
-//     health). Lower scores are better.
+//   - Utilization: the load of a replica per unit of its effective capacity.
+//   - Mean utilization, of a tier or of the subset: the load of all its usable members
+//     divided by their capacity. Slow start does not reduce this capacity.
+//   - Slowness: the delay of a replica relative to the median delay of the subset,
+//     limited to the range from 1 to 4 (package health).
+//   - Score: the utilization that a replica would have with one more request,
+//     multiplied by its slowness. Lower scores are better.
 //   - In flight: sent to a replica and not ended.
 //   - Peers: the other nodes of the node's failure domain.
 //   - Nearest failure domain: the node's own. If the service has no replica there, it is
@@ -55,6 +62,9 @@
 //     refuses a request because it is full.
 //   - Slow start: a time in which a new or returning replica may use only a growing
 //     fraction of its capacity. Effective capacity is this fraction of the capacity.
+//   - Noise: random variation of the number of requests.
+//   - Environment document: the configuration of services, endpoints and teams that
+//     operators deploy.
 //
 // # Load patterns, and what fails without this package
 //
@@ -66,15 +76,15 @@
 //     replica is overloaded before its report shows the overload (herding). The
 //     balancer adds the requests that the node itself has sent since the report was
 //     made. The weight of a report decays at the rate at which requests end. A
-//     difference in load that random variation can explain is ignored.
+//     difference in load that noise can explain is ignored.
 //   - A hot key: the prefix of many prompts is cached by one replica. Sending these
 //     prompts to that replica saves work until the replica is overloaded. Consistent
 //     hashing with bounded loads moves the surplus requests to the next replicas on the
 //     hash ring.
 //   - All replicas full: a request can take only a slot that another request has just
 //     freed. With round robin the request goes to a different replica, and the freed
-//     slot stays idle until load reports show it. The balancer picks the replica that
-//     has the fewest of the node's own requests relative to its capacity.
+//     slot stays idle until load reports show the free slot. The balancer picks the
+//     replica that has the fewest of the node's own requests relative to its capacity.
 //   - Replicas joining during a load peak: a new replica has cold caches and no load,
 //     so every choice by load would pick it. With slow start, the replica's share of
 //     the requests grows gradually.
@@ -84,7 +94,8 @@
 //     load of that domain shows that it is full. Only the surplus requests spill.
 //   - Many nodes and replicas: if each of 2,200 nodes used each of 10,000 replicas, the
 //     nodes would hold 22 million connections. The load reports of each replica would
-//     be divided among 2,200 nodes. Each node therefore uses a subset of the replicas.
+//     be divided among 2,200 nodes, and each node would receive few of them. Each node
+//     therefore uses a subset of the replicas.
 //
 // # The subset
 //
--- a/decide/balance/full_test.go
+++ b/decide/balance/full_test.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// fullBalancer returns a balancer with four replicas of 16 slots. Their load
-// reports say that all slots are taken, four of them by requests of this node.
+// fullBalancer returns a balancer with four replicas of 16 slots. All 16 slots of
+// each replica are taken, 4 of them by requests of this node.
 func fullBalancer() *Balancer {
 	b := New(Config{Node: "vm-1", FailureDomain: "fd-0", Seed: 1})
 	replicas := makeReplicas(4, 2)
@@ -27,10 +27,10 @@
 }
 
 func TestFullReplicas(t *testing.T) {
-	// Without pickWhenAllFull, an admitted request waits in an engine's queue while
-	// a slot that another request of the same node has just freed is idle. With
-	// round robin the request goes to a different replica. Load reports show the
-	// free slot only later.
+	// Without pickWhenAllFull, a request waits in the queue of one engine while a
+	// slot of another engine is idle. The idle slot was freed when another request
+	// of this node ended. Round robin does not prefer that engine, and load
+	// reports show the free slot only later.
 	Convey("Given replicas that are all full", t, func() {
 		b := fullBalancer()
 		Convey("the next request goes where one of this node's requests ended, in any failure domain", func() {
--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -81,11 +81,12 @@
 // these prompts whose prefix was cached.
 func (s *simulation) cacheHitRatio() float64 { return float64(s.cacheHits) / float64(s.cacheLookups) }
 
-// If prefixes are placed by hashing alone, the requests of a hot prefix that its
-// owner cannot serve go to endpoints by load. Such an endpoint must compute the
-// prefix, although other endpoints have the prefix cached. Here a third of the calls
-// have the same prompt prefix, the other calls have one of sixty. The load of the hot
-// prefix exceeds the capacity of its owner.
+// If requests are assigned to endpoints by the hash of their prefix alone, the
+// owner of a hot prefix cannot serve all requests with that prefix. The surplus
+// requests go to endpoints that are chosen by load. Such an endpoint must compute
+// the prefix, although other endpoints have the prefix cached. Here a third of the
+// calls have the same prompt prefix, the other calls have one of sixty. The load
+// of the hot prefix exceeds the capacity of its owner.
 //
 // Cache events tell which endpoints have a prefix cached, but they arrive late and
 // some are lost. In the second pattern, four endpoints lose their caches at 20 s
--- a/decide/balance/load.go
+++ b/decide/balance/load.go
@@ -6,8 +6,9 @@
 )
 
 const (
-	// The history of the number of in-flight requests covers historyTimeSteps steps
-	// of timeStepLength each: 3.2 s, more than three polls at one-second intervals.
+	// The history of the number of in-flight requests has historyTimeSteps steps of
+	// timeStepLength each. It covers 3.2 s, which is more than three polls at
+	// one-second intervals.
 	timeStepLength   = 100 * time.Millisecond
 	historyTimeSteps = 32
 )
@@ -15,13 +16,13 @@
 // inflightHistory records how many requests of this node were in flight at a
 // replica in each recent time step.
 //
-// A load report is already old when it arrives. To get the load from other nodes,
-// the node subtracts the number of its own requests that were in flight when the
-// report was made. If it subtracted the current number instead, requests sent since
-// the report would reduce the apparent load from other nodes. The more requests the
-// node sent to a replica, the less loaded the replica would look.
+// A load report counts the requests of all nodes and is already old when it
+// arrives. The load from other nodes is the reported load minus this node's own
+// in-flight requests at the time of the report. If the node subtracted its current
+// requests instead, each request that it sends would make the replica look less
+// loaded. The node would then send still more requests to that replica.
 type inflightHistory struct {
-	inflightCounts [historyTimeSteps]int32 // indexed by the time step modulo historyTimeSteps
+	inflightCounts [historyTimeSteps]int32 // number of in-flight requests per time step, indexed by the time step modulo historyTimeSteps
 	newestTimeStep int64                   // time step of the newest count
 }
 
@@ -30,7 +31,7 @@
 	return t.UnixNano() / int64(timeStepLength)
 }
 
-// recordCount records that the number of in-flight requests is count from now on.
+// recordCount records that count requests are in flight from time now on.
 func (h *inflightHistory) recordCount(now time.Time, count int32) {
 	timeStep := timeStepOf(now)
 	if timeStep-h.newestTimeStep >= historyTimeSteps {
@@ -52,7 +53,7 @@
 }
 
 // countAt returns the number of in-flight requests at time t. If t is before the
-// recorded time steps, it returns the number in the oldest recorded step.
+// oldest recorded time step, countAt returns the number in that step.
 func (h *inflightHistory) countAt(t time.Time) int32 {
 	timeStep := min(timeStepOf(t), h.newestTimeStep)
 	timeStep = max(timeStep, h.newestTimeStep-historyTimeSteps+1, 0)
@@ -118,9 +119,9 @@
 }
 
 // reportWeight returns the weight of the last report in the estimate of the load
-// from other nodes. The weight is 1 for a report made just now. The requests that
-// the report counted end after meanAnswerSeconds on average. The weight therefore
-// decays exponentially with meanAnswerSeconds as its time constant.
+// from other nodes. A report made just now has the weight 1. The requests that a
+// report counts take meanAnswerSeconds on average. The weight therefore decays
+// exponentially with meanAnswerSeconds as its time constant.
 func (l *replicaLoad) reportWeight(now time.Time, meanAnswerSeconds float64) float64 {
 	if l.lastReportMadeAt.IsZero() {
 		return 0
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -64,10 +64,10 @@
 	})
 }
 
-// With round robin, a twelfth of the callers waits tens of seconds if one of twelve
-// endpoints becomes six times slower. The endpoint gets more requests than it can
-// serve, so its queue grows for as long as it is slow. Here the endpoint becomes
-// slow at 20 s.
+// With round robin, a twelfth of the callers waits tens of seconds if one of
+// twelve endpoints becomes six times slower. The slow endpoint gets more requests
+// than it can serve, and its queue grows as long as the endpoint is slow. Here the
+// endpoint becomes slow at 20 s.
 func TestSlowEndpointGetsNoRequests(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom = faultAt
@@ -84,7 +84,7 @@
 	})
 }
 
-// With round robin, each endpoint receives every prefix, more prefixes than its
+// With round robin, each endpoint receives all prefixes, which are more than its
 // cache holds. With hashing without a load bound, one endpoint receives all
 // requests of the hot prefix and is overloaded. Here a third of the calls have the
 // same prompt prefix, the other calls have one of sixty. A cached prefix saves 540
@@ -111,10 +111,11 @@
 }
 
 // If cold endpoints that join during a load peak get too many requests, callers
-// wait at these endpoints for tens of seconds. Here six endpoints join. They are nine
-// times slower at first and warm after 20 s. With round robin they get as many
-// requests as the other endpoints at once. Without slow start they get too many
-// requests, because their load reports show the load too late.
+// wait at these endpoints for tens of seconds. Here six endpoints join that are
+// nine times slower at first and warm after 20 s. With round robin, the new
+// endpoints immediately get as many requests as the other endpoints. Without slow
+// start, they get too many requests, because load reports show their load too
+// late.
 func TestColdEndpointsJoinUnderLoad(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.measureFrom, s.measureUntil, s.coldSlowdown = faultAt, 2*faultAt, 8
@@ -180,8 +181,8 @@
 
 // If a node keeps sending to an endpoint that refuses requests because it is
 // shutting down, each such call loses an attempt. With round robin, a twelfth of
-// all requests go to that endpoint until the list of replicas is updated. The first
-// refusal must be enough for the node that received it to stop.
+// all requests go to that endpoint until the list of replicas is updated. After
+// the first refusal, the node that received it must stop sending to that endpoint.
 func TestRefusalAsLeavingEndsRequests(t *testing.T) {
 	loadPattern := func(s *simulation) {
 		s.schedule(faultAt, func() { s.engines[5].leaving = true })
@@ -196,10 +197,11 @@
 	})
 }
 
-// With round robin, half of the requests go to the other failure domain although the
-// endpoints of the nearest domain have free slots. Each of these requests takes 80 ms
-// longer. If only the nearest domain is used and the load exceeds the capacity of its
-// endpoints, they are overloaded. Only the surplus should go to the other domain.
+// With round robin, half of the requests go to the other failure domain although
+// the endpoints of the nearest domain have free slots. Each of these requests
+// takes 80 ms longer. If only the nearest domain is used, its endpoints are
+// overloaded when the load exceeds their capacity. Only the surplus should go to
+// the other domain.
 func TestOnlySurplusSpills(t *testing.T) {
 	domains := []string{"bandung", "bekasi"}
 	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -52,11 +52,14 @@
 	return len(q.Exclude) > 0 && slices.Contains(q.Exclude, m.ID)
 }
 
-// estimatedOtherNodeRequests estimates the number of requests from other nodes at
-// the replica. The older the replica's last report, the closer the estimate is to
-// the mean load from other nodes in the tier. An old report no longer says how
-// replicas differ. If all nodes acted on old reports, they would all send to the
-// replica that had the least load when the reports were made (herding).
+// estimatedOtherNodeRequests estimates the number of other nodes' requests at the
+// replica. The estimate is a weighted mean of two numbers. The first is the number
+// at the time of the replica's last report. The second is the number that the
+// replica would have if the other nodes' requests in the tier were spread in
+// proportion to capacity. The older the report, the less the first number counts,
+// because an old report no longer says how replicas differ. If all nodes acted on
+// old reports, they would all send to the replica that had the least load when the
+// reports were made (herding).
 func (b *Balancer) estimatedOtherNodeRequests(now time.Time, m *member) float64 {
 	reportWeight := m.reportWeight(now, b.meanAnswerSeconds)
 	return reportWeight*m.replicaLoad.reportedOtherNodeRequests + (1-reportWeight)*m.tier.otherNodeRequestsPerCapacity()*m.capacity
@@ -65,7 +68,7 @@
 // estimatedLoad returns the replica's load in requests. While the replica has free
 // slots, each request counts as 1, because a request with a slot of its own does
 // not wait for other requests. Once the replica is full, the node's own requests
-// are weighted by cost if that increases the load.
+// are weighted by cost if the weighted sum is larger than their number.
 func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
 	otherNodeRequests := b.estimatedOtherNodeRequests(now, m)
 	requestCount := float64(m.inflightRequests) + otherNodeRequests
@@ -91,8 +94,8 @@
 	return b.estimatedLoad(now, m) / b.effectiveCapacity(now, m)
 }
 
-// pickFromHolders picks among the replicas that probably have the beginning of the
-// prompt cached and that accept the request. It prefers the replica with the longest
+// pickFromHolders picks a replica that probably has the beginning of the prompt
+// cached and that acceptsPrefix accepts. It prefers the replica with the longest
 // cached part. Among replicas with equally long parts, it prefers the owner of the
 // prefix and then the replica with the lowest score.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
@@ -156,8 +159,9 @@
 	return &b.nearTier
 }
 
-// pickByPrefix searches the hash ring, beginning at the owner of the prefix. It picks
-// the first replica that accepts the request (consistent hashing with bounded loads).
+// pickByPrefix searches the hash ring, beginning at the owner of the prefix. It
+// picks the first replica that acceptsPrefix accepts (consistent hashing with
+// bounded loads).
 func (b *Balancer) pickByPrefix(now time.Time, q Query) (Choice, bool) {
 	t := b.prefixTier()
 	if len(t.usableMembers) == 0 {
@@ -207,11 +211,16 @@
 	return i
 }
 
-// acceptsPrefix reports whether a replica accepts a request by the request's
-// prefix. The replica's load must not exceed the limit set by AffinityLoadFactor and
-// AffinityFloor. A replica of the near tier must also not have reached SpillThreshold
-// while the mean load of the spill tier is lower by more than SpillMargin. If the
-// mean load of the subset is 1 or more, acceptsPrefixWhenAllFull decides instead.
+// acceptsPrefix reports whether a replica may be picked for a request because of
+// the request's prefix. A replica that is excluded, in backoff or not usable may
+// not be picked. If the mean utilization of the subset is 1 or more,
+// acceptsPrefixWhenAllFull decides. Otherwise two conditions must hold:
+//   - The replica's load with this request, multiplied by its slowness, does not
+//     exceed the limit that AffinityLoadFactor and AffinityFloor set.
+//   - If the replica is in the near tier and has reached SpillThreshold, the mean
+//     utilization of the spill tier is at most SpillMargin lower than the
+//     replica's utilization. This condition applies only if the spill tier has
+//     usable replicas.
 func (b *Balancer) acceptsPrefix(now time.Time, q Query, t *tier, m *member) bool {
 	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
@@ -230,11 +239,12 @@
 	return utilization < b.cfg.SpillThreshold || b.spillTier.meanUtilization()+b.cfg.SpillMargin >= utilization
 }
 
-// pickByLoad picks the better of two candidates from the near tier. If the
-// utilization of that candidate has reached SpillThreshold, pickByLoad selects two
-// candidates from the spill tier too. It picks the better of these two if the
-// request is worth spilling. If the mean load of the subset has reached
-// SpillThreshold, pickByLoad calls pickWhenAllFull instead.
+// If the mean utilization of the subset has reached SpillThreshold, pickByLoad
+// calls pickWhenAllFull. Otherwise it selects two candidates from the near tier.
+// It picks the better one if the utilization of that candidate is below
+// SpillThreshold. If not, pickByLoad selects two candidates from the spill tier as
+// well. It picks the better of these if worthSpilling is true or the near tier has
+// no candidate, and otherwise the better candidate of the near tier.
 func (b *Balancer) pickByLoad(now time.Time, q Query) (Choice, bool) {
 	if b.meanUtilization() >= b.cfg.SpillThreshold {
 		return b.pickWhenAllFull(now, q)
@@ -301,13 +311,13 @@
 	return first, second
 }
 
-// switchThreshold returns by how many requests the load of the second candidate, m,
-// must be lower than the load of the first for the second to be picked. The result
-// is switchMargin plus a standard deviation. This is the standard deviation of the
-// number of other nodes' requests at m, as far as the last report of m does not show
-// that number. The number of requests from many nodes is Poisson distributed.
-// Without the addition, random variation that no recent report has measured would
-// look like a difference in load.
+// switchThreshold returns by how many requests the load of the second candidate,
+// m, must be lower than the load of the first for m to be picked. The result is
+// the sum of switchMargin and the standard deviation of the estimated number of
+// other nodes' requests at m. The number of requests from many nodes is Poisson
+// distributed. The standard deviation is zero if m has just reported its load and
+// grows with the age of that report. Without the standard deviation, random errors
+// of the estimate would look like differences in load.
 func (b *Balancer) switchThreshold(now time.Time, m *member) float64 {
 	weight := m.reportWeight(now, b.meanAnswerSeconds)
 	return switchMargin + math.Sqrt((1-weight*weight)*m.tier.otherNodeRequestsPerCapacity()*m.capacity)
@@ -337,9 +347,11 @@
 	return t.memberAt(b.rng.Float64())
 }
 
-// scanUsableMembers examines the usable replicas from a random one on. It returns the
-// first that is neither excluded nor in backoff. If there is none and exclude is nil,
-// it returns a replica that is in backoff and not excluded, if there is one.
+// scanUsableMembers examines the usable replicas in order, beginning at a random
+// one. It returns the first replica that is neither excluded nor in backoff. If
+// all replicas are excluded or in backoff, the result depends on exclude. If
+// exclude is nil, scanUsableMembers returns a replica that is in backoff and not
+// excluded, or nil. Otherwise it returns nil.
 func (b *Balancer) scanUsableMembers(now time.Time, q Query, t *tier, exclude *member) *member {
 	var memberInBackoff *member
 	startIndex := b.rng.IntN(len(t.usableMembers))
@@ -359,9 +371,9 @@
 	return memberInBackoff
 }
 
-// pickLastResort picks the ejected or probed replica with the lowest score. A request
-// to such a replica may fail, but if none were picked, the request would certainly be
-// refused. Leaving replicas are never picked.
+// pickLastResort picks the ejected or probed replica with the lowest score. A
+// request to such a replica may fail, but without a replica the request would
+// certainly be refused. Leaving replicas are never picked.
 func (b *Balancer) pickLastResort(now time.Time, q Query) (Choice, bool) {
 	var bestMember *member
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
--- a/decide/balance/pollschedule.go
+++ b/decide/balance/pollschedule.go
@@ -7,14 +7,15 @@
 )
 
 // PollSchedule orders endpoints by the time of their last contact, oldest first. A
-// contact is a load report that an endpoint made or a poll that is sent to it. A
-// round is the time in which every endpoint can be polled once. It is the number of
-// endpoints times the poll interval.
+// contact with an endpoint is a load report that the endpoint made, or a poll that
+// is sent to the endpoint. Callers can send one poll per interval. A round is the
+// time in which each endpoint can be polled once: the interval times the number of
+// endpoints.
 //
-// Sixteen times a second, a node polls the endpoint with the oldest contact for its
-// load. When the node scanned all endpoints for the oldest contact, the processor
-// time of an idle node grew with the number of replicas. Polls for cache events are
-// scheduled in the same way. The zero value holds no endpoint.
+// Up to sixteen times a second, a node polls the endpoint with the oldest contact
+// for its load. If the node scanned all endpoints to find that endpoint, the
+// processor time of an idle node would grow with the number of replicas. Polls for
+// cache events are scheduled in the same way. The zero value holds no endpoint.
 type PollSchedule struct {
 	entriesByContact  list.List // *pollEntry values, oldest contact first
 	elementByEndpoint map[string]*list.Element
@@ -27,8 +28,8 @@
 
 func entryOf(element *list.Element) *pollEntry { return element.Value.(*pollEntry) }
 
-// SetEndpoints replaces the endpoints. Endpoints of the previous set keep the times
-// of their contacts; new ones count as never contacted.
+// SetEndpoints replaces the set of endpoints. Endpoints that were in the previous
+// set keep the time of their last contact. New endpoints count as never contacted.
 func (s *PollSchedule) SetEndpoints(endpoints []string) {
 	oldElements := s.elementByEndpoint
 	s.elementByEndpoint = make(map[string]*list.Element, len(endpoints))
@@ -51,8 +52,9 @@
 	}
 }
 
-// Touch records a contact with an endpoint. Polls count as contacts. Otherwise an
-// endpoint that does not answer would be polled repeatedly before the others.
+// Touch records a contact with an endpoint. Callers should call Touch for polls
+// too. If only answers counted, an endpoint that does not answer would be polled
+// repeatedly before the others.
 func (s *PollSchedule) Touch(endpoint string, contactTime time.Time) {
 	element := s.elementByEndpoint[endpoint]
 	if element == nil || contactTime.Before(entryOf(element).lastContact) {
@@ -70,8 +72,8 @@
 func (s *PollSchedule) Has(endpoint string) bool { return s.elementByEndpoint[endpoint] != nil }
 
 // HalfRoundElapsed reports whether the last contact with an endpoint was at least
-// half a round ago. Callers use HalfRoundElapsed for polls that cost nothing because
-// the polls are combined with another request.
+// half a round ago. Callers use HalfRoundElapsed for polls that cost nothing
+// because they are sent as part of another request.
 func (s *PollSchedule) HalfRoundElapsed(endpoint string, now time.Time, interval time.Duration) bool {
 	e := s.elementByEndpoint[endpoint]
 	if e == nil {
@@ -91,25 +93,26 @@
 	return entryOf(oldest).endpoint, entryOf(oldest).lastContact, true
 }
 
-// Due reports whether the endpoint with the oldest contact must be polled now, so
-// that each endpoint is contacted at least once per round. There is one opportunity
-// for a poll per interval.
+// Due reports whether a poll must be sent now, so that each endpoint is contacted
+// at least once per round. The poll must go to the endpoint with the oldest
+// contact.
 //
-// Answers to requests and to polls for cache events carry load reports too. Polling
-// regardless of these reports brought no new information and took the largest part
-// of an idle node's processor time.
+// Answers to requests and to polls for cache events carry load reports too.
+// Polling regardless of these reports brought no new information and took the
+// largest part of an idle node's processor time.
 //
-// Skipping a poll whenever the oldest contact is recent would not be enough. After
-// a burst of answers from all endpoints, all endpoints would become due at the same
-// time, and the last of them would wait for two rounds. Due therefore looks ahead:
-// it assumes that the endpoints are polled one per opportunity, in their order. It
-// returns true if any endpoint would then be polled too late.
+// Due does not simply compare the age of the oldest contact with a round. After a
+// burst of answers from all endpoints, all endpoints would then become due at the
+// same time, and the last of them would wait for two rounds. Due therefore looks
+// ahead: it assumes that one endpoint is polled per interval from now on, oldest
+// contact first. It returns true if any endpoint would then be polled too late.
 func (s *PollSchedule) Due(now time.Time, interval time.Duration) bool {
 	maxAge := time.Duration(s.entriesByContact.Len()) * interval
 	// The answer to a poll counts as a contact too and arrives a little after the
-	// poll. At the poll one round later, that contact is a little less than one round
-	// old. The limit for the first endpoint is therefore half an interval less than a
-	// round.
+	// poll. One round after the poll, that contact is therefore a little less than
+	// a round old. With a limit of a whole round, the next poll would be sent one
+	// interval late. The limit for the first endpoint is therefore half an
+	// interval less than a round.
 	maxAge += interval / 2
 	for e := s.entriesByContact.Front(); e != nil; e = e.Next() {
 		maxAge -= interval
--- a/decide/balance/pollschedule_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -35,12 +35,12 @@
 	})
 }
 
-// If an endpoint has no contact for more than a round, nodes send requests to it
-// although it is already shutting down. A round is one poll interval per endpoint.
-// Without other traffic, only polls show that an endpoint is leaving, and there is
-// at most one poll per interval. Answers to requests make some polls unnecessary.
-// After a burst of answers from all endpoints, no endpoint may wait two rounds for
-// its next contact.
+// If an endpoint has no contact for more than a round, nodes send requests to that
+// endpoint although it is already shutting down. Without other traffic, only polls
+// show that an endpoint is leaving, and there is at most one poll per interval. A
+// round is the interval times the number of endpoints. Answers to requests make
+// some polls unnecessary. After a burst of answers from all endpoints, no endpoint
+// may wait two rounds for its next contact.
 func TestDue(t *testing.T) {
 	const interval = time.Second
 	endpoints := []string{"a", "b", "c", "d"}
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -103,7 +103,7 @@
 
 	prefillTime, cachedPrefillTime time.Duration
 	reportLag, crossDomainDelay    time.Duration
-	coldSlowdown                   float64       // added to the slowdown of a cold endpoint, falling to zero in warmupTime
+	coldSlowdown                   float64       // added to the slowdown of a cold endpoint; decreases to zero during warmupTime
 	measureFrom, measureUntil      time.Duration // a call is measured if it arrives in this interval, counted from epoch
 	firstTokenDelays               []time.Duration
 	measuredCalls, failedCalls     int
@@ -246,8 +246,8 @@
 	c.policy.Finished(s.now, e.ID, r)
 }
 
-// failEngine makes an endpoint fail. Its calls break at once or, if the endpoint
-// freezes, end at the timeout of the attempt.
+// failEngine makes an endpoint fail. The running and waiting calls of the endpoint
+// fail at once or, if the endpoint freezes, at the timeout of the attempt.
 func (s *simulation) failEngine(e *engine, freezes bool) {
 	e.dead, e.frozen = !freezes, freezes
 	for _, c := range slices.Concat(e.runningCalls, e.waitingCalls) {
@@ -345,9 +345,9 @@
 	return count
 }
 
-// timeToLastRequest returns how long after the fault the endpoints still received
-// requests. Requests after the first gap of three seconds do not count. An ejection
-// causes such a gap, and the requests after the gap are probes.
+// timeToLastRequest returns the time from the fault to the last request that the
+// endpoints received. Requests after the first gap of three seconds do not count.
+// An ejection causes such a gap, and the requests after the gap are probes.
 func timeToLastRequest(faultAt time.Duration, engines ...*engine) time.Duration {
 	longest := time.Duration(0)
 	for _, e := range engines {
--- a/decide/balance/status.go
+++ b/decide/balance/status.go
@@ -11,7 +11,7 @@
 const maxKeptChanges = 64
 
 // Change records that a replica was ejected, is being probed or returned to use.
-// The caller logs it.
+// The caller should log each change.
 type Change struct {
 	At       time.Time
 	Replica  string
@@ -20,8 +20,8 @@
 	Cause health.Cause
 }
 
-// Changes returns the changes since the last call, oldest first. Call it after Pick
-// and Finished.
+// Changes returns the changes since the last call, oldest first. Callers should
+// call Changes after Pick and after Finished.
 func (b *Balancer) Changes() []Change {
 	changes := b.changes
 	b.changes = nil
@@ -46,7 +46,8 @@
 	// InFlight is the number of this node's in-flight requests at the replica.
 	InFlight int
 	// OtherNodeRequests estimates the number of other nodes' requests at the
-	// replica, from its last load report and the mean load of its tier.
+	// replica, from its last load report and the load reports of the other
+	// replicas in its tier.
 	OtherNodeRequests float64
 	// ReportAge is the age of the replica's last load report. It is negative if no
 	// report has arrived.
--- a/decide/balance/subset.go
+++ b/decide/balance/subset.go
@@ -8,8 +8,9 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// roundingSalt makes the rounding of the number of nodes per replica independent of
-// the scores by which replicas select nodes.
+// roundingSalt is a hash key for rounding the number of nodes per replica. With a
+// key of its own, the rounding is independent of the rendezvous scores by which
+// replicas select nodes.
 const roundingSalt = 0x5bd1e995
 
 // hashedReplica is a replica of the service with the hash of its ID.
@@ -97,10 +98,10 @@
 	return replicasByDomain
 }
 
-// domainRingDistance returns the distance by which domains of the same nearness are
-// ordered. Every domain has a position on one ring. The requests of a domain spill to
-// the domains that follow it on the ring. Therefore each domain receives spilled
-// requests from equally many other domains.
+// domainRingDistance returns the distance by which domains of the same nearness
+// are ordered. Every domain has a position on a ring, given by its hash. The
+// requests of a domain spill to the next domains on the ring. Therefore each
+// domain receives spilled requests from equally many other domains.
 func (s *subsetChooser) domainRingDistance(domain string) uint64 {
 	return rendezvous.Hash(domain) - rendezvous.Hash(s.cfg.FailureDomain)
 }
@@ -140,9 +141,9 @@
 	return chosen
 }
 
-// roundNodesPerReplica rounds the number of nodes per replica to an integer for one
-// replica. The fractional part is the share of the replicas for which the number is
-// rounded up.
+// roundNodesPerReplica rounds the number of nodes per replica up or down for one
+// replica. The fractional part of the number is the share of the replicas for
+// which the number is rounded up.
 func roundNodesPerReplica(replicaHash uint64, nodesPerReplica float64) int {
 	rounded, fraction := math.Modf(nodesPerReplica)
 	if rendezvous.ToUnitInterval(rendezvous.Score(roundingSalt, replicaHash)) < fraction {
@@ -152,7 +153,7 @@
 }
 
 // isAmongTopNodes reports whether this node is among the n nodes with the highest
-// score for the replica.
+// rendezvous score for the replica.
 func (s *subsetChooser) isAmongTopNodes(replicaHash uint64, n int) bool {
 	nodeScore := rendezvous.Score(replicaHash, s.nodeHash)
 	for _, peerHash := range s.peerHashes {
@@ -166,17 +167,17 @@
 	return n > 0
 }
 
-// topRankedReplicas returns the n replicas with the highest score for this node. A
-// node that does not know its peers chooses its replicas in this way.
+// topRankedReplicas returns the n replicas with the highest rendezvous score for
+// this node. A node that does not know its peers chooses its replicas in this way.
 func (s *subsetChooser) topRankedReplicas(replicas []hashedReplica, n int) []hashedReplica {
 	sorted := s.sortedByRank(replicas)
 	return sorted[:min(n, len(sorted))]
 }
 
-// sortedByRank returns the replicas by descending score for this node, an order that
-// differs between nodes. If all nodes used the same order, nodes that send round
-// robin at the same rate would all send to the same replica at the same time. Each
-// replica would receive its requests in bursts.
+// sortedByRank returns the replicas by descending rendezvous score for this node,
+// an order that differs between nodes. If all nodes used the same order, nodes
+// that send round robin at the same rate would all send to the same replica at the
+// same time. Each replica would receive its requests in bursts.
 func (s *subsetChooser) sortedByRank(replicas []hashedReplica) []hashedReplica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b hashedReplica) int {
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// tier is one of the two parts of the subset: the replicas of the nearest failure
-// domain, or the replicas to which requests spill.
+// tier is one of the two parts of the subset, the near tier or the spill tier, as
+// doc.go defines them.
 type tier struct {
 	members       []*member
 	prefixRing    []ringPoint
@@ -97,8 +97,8 @@
 	}
 }
 
-// otherNodeRequestsPerCapacity returns the number of other nodes' requests per unit of
-// capacity, over the usable members that have reported their load.
+// otherNodeRequestsPerCapacity returns the number of other nodes' requests per
+// unit of capacity, over the usable members that have reported their load.
 func (t *tier) otherNodeRequestsPerCapacity() float64 {
 	if t.reportingMembersCapacity == 0 {
 		return 0
@@ -106,8 +106,8 @@
 	return t.reportedOtherNodeRequests / t.reportingMembersCapacity
 }
 
-// meanUtilization returns the number of all nodes' requests per unit of capacity, over the
-// usable members. Members that have not reported their load count with
+// meanUtilization returns the mean utilization of the tier, as doc.go defines it.
+// For members that have not reported their load, it assumes
 // otherNodeRequestsPerCapacity.
 func (t *tier) meanUtilization() float64 {
 	capacity := t.capacity()
@@ -117,8 +117,8 @@
 	return t.inflightRequests/capacity + t.otherNodeRequestsPerCapacity()
 }
 
-// nextRoundRobin returns the next usable member in weighted round-robin order.
-// Members are returned in proportion to their capacity.
+// nextRoundRobin returns the next usable member in weighted round-robin order. How
+// often it returns a member is proportional to the capacity of that member.
 func (t *tier) nextRoundRobin() *member {
 	return t.usableMembers[t.nextRoundRobinIndex()]
 }
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -29,7 +29,7 @@
 	Prefix uint64
 	// Holders lists the replicas that probably have the beginning of the prompt
 	// cached. The replica with the longest cached part comes first. The list is a
-	// hint and may be wrong.
+	// hint: some of these replicas may no longer have that part cached.
 	Holders []cacheindex.Holder
 	// Cost is the expected work for the request in tokens; 0 means unknown.
 	Cost float64
@@ -60,8 +60,8 @@
 	// CachedBlocks is the estimated number of the prompt's blocks in the picked
 	// replica's cache. It is known only if Reason is ReasonPrefixCached.
 	CachedBlocks int
-	// Alternatives lists replicas that were considered and not picked. Unused
-	// entries have an empty ID.
+	// Alternatives lists replicas that were considered and not picked. An unused
+	// entry has an empty ID.
 	Alternatives [maxAlternatives]Candidate
 }
 
@@ -142,16 +142,17 @@
 type Source uint8
 
 const (
-	// SourcePlatform is the platform's list of VMs. The list shows a shutdown later
-	// than the replica itself reports the shutdown.
+	// SourcePlatform is the platform's list of VMs. A shutdown appears in this
+	// list later than in the load report of the replica.
 	SourcePlatform Source = iota
-	// SourceEndpoint is the load report of the replica itself.
+	// SourceEndpoint is the replica itself, which states in a load report that it
+	// is leaving.
 	SourceEndpoint
 	// SourcePeer is another node.
 	SourcePeer
 	// SourceOperator is the environment document or a drain command.
 	SourceOperator
-	// sourceRefusal is a refusal of a request by the replica because it is shutting
-	// down.
+	// sourceRefusal is the replica itself, which refuses a request because it is
+	// shutting down.
 	sourceRefusal
 )
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -6,8 +6,8 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// FIFO is a baseline for the admission queue. It starts requests in order of arrival,
-// without shares of teams and without limits. Unless DropExpired is set, FIFO refuses
+// FIFO is a baseline for the admission queue. It starts requests in order of
+// arrival, without team shares or limits. Unless DropExpired is set, FIFO refuses
 // no request.
 type FIFO struct {
 	Slots int // number of requests that run at the same time
@@ -36,7 +36,8 @@
 	return f.dispatch(now)
 }
 
-// Abandon frees the slot of a request whose caller has gone.
+// Abandon frees the slot of a request whose caller has disconnected, and starts
+// the next request.
 func (f *FIFO) Abandon(now time.Time, id uint64) []admission.Verdict { return f.Finish(now, id, 0) }
 
 // SetCapacity changes the number of slots.
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -31,12 +31,12 @@
 	TeamCount       int
 	// OfferedLoad is the rate of calls divided by Capacity.
 	OfferedLoad float64
-	// Preload precedes the load of the run.
+	// Preload is offered before the load of the run.
 	Preload Preload
 	// CallerTimeout is how long a caller waits for its whole answer.
 	CallerTimeout time.Duration
-	// Duration is the duration of the run. RunFleet returns only the calls sent
-	// after Warmup.
+	// Duration is the length of the run. RunFleet leaves out the calls that were
+	// sent before Warmup.
 	Duration, Warmup time.Duration
 	Seed             uint64
 	// RoundRobin sends the calls directly to the replicas by round robin, without
@@ -53,21 +53,23 @@
 	HideNodeCountFromBalancers bool
 }
 
-// Preload is a load that is offered before the load of the run. A pause without
-// calls follows it.
+// Preload is a load that is offered before the load of the run. No calls are sent
+// during a pause between the two.
 type Preload struct {
 	// OfferedLoad is the rate of calls divided by Capacity.
-	OfferedLoad     float64
+	OfferedLoad float64
+	// Duration is how long calls of the preload are sent. Pause is the time without
+	// calls after that.
 	Duration, Pause time.Duration
 }
 
 const (
 	// reportInterval is the shortest time between two load reports made by a
-	// replica. If a report is to be sent earlier, the replica sends its last report
-	// again.
+	// replica. If another report is needed sooner, the replica sends its last
+	// report again.
 	reportInterval = 100 * time.Millisecond
-	// tokensPerReport is the number of tokens of an answer between two load reports
-	// sent with the answer.
+	// tokensPerReport is the number of tokens between two load reports that a
+	// replica sends with an answer.
 	tokensPerReport = 8
 	// queueUpdateInterval is how often a node recomputes the number of slots of its
 	// queue. The node also recomputes the number at each report and answer.
@@ -104,8 +106,8 @@
 type fleetRun struct {
 	Fleet
 	*Loop
-	arrivalRNG       *rand.Rand // random numbers for the times of arrivals only, so that these do not depend on how calls are served
-	assignmentRNG    *rand.Rand // random numbers for the nodes and teams of calls
+	arrivalRNG       *rand.Rand // for the arrival times of calls only; these are thus the same however calls are served
+	assignmentRNG    *rand.Rand // for assigning calls to nodes and teams
 	nodes            []*fleetNode
 	replicas         []*fleetReplica
 	nextReplicaIndex int
@@ -140,12 +142,12 @@
 	cost                    float64
 	receivedTokens          float64       // number of tokens that the caller received
 	sentToReplicaAt         time.Time     // when the node sent the request to the replica
-	replicaTimeToFirstToken time.Duration // measured from sentAt
+	replicaTimeToFirstToken time.Duration // measured from sentToReplicaAt
 	ended                   bool
 }
 
-// RunFleet runs the simulation and returns the calls sent after Warmup, in order of
-// arrival.
+// RunFleet runs the simulation. It returns the answers to the calls that were sent
+// after Warmup, in order of the arrival of these calls.
 func RunFleet(f Fleet) []*Answer {
 	r := &fleetRun{Fleet: f, Loop: NewLoop(), arrivalRNG: rand.New(rand.NewPCG(f.Seed, 3)), assignmentRNG: rand.New(rand.NewPCG(f.Seed, 4))}
 	var replicas []balance.Replica
@@ -395,7 +397,7 @@
 	e := c.replica
 	if i := slices.Index(e.waitingCalls, c); i >= 0 {
 		e.waitingCalls = slices.Delete(e.waitingCalls, i, i+1)
-		e.runningCalls++ // the call has no slot; this cancels out the subtraction in releaseSlot
+		e.runningCalls++ // the call has no slot; this cancels out the decrement in releaseSlot
 		r.releaseSlot(c)
 	}
 }
--- a/decide/internal/sim/loop.go
+++ b/decide/internal/sim/loop.go
@@ -2,8 +2,11 @@
 // callers and one service in simulated time. Only tests use it. The same seed gives
 // the same run.
 //
-// A slot is room for one running request at a replica. The offered load is the rate of
-// calls divided by the rate that the replicas can answer.
+// A slot is room for one running request at a replica. A load is a stream of calls. The
+// offered load is the rate of calls divided by the rate that the replicas can answer. A
+// verdict is a decision of the admission queue to start or refuse a request. A tick is
+// a call that the queue needs at a certain time, because its decisions depend on time
+// too.
 package sim
 
 import (
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -8,8 +8,8 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// Policy decides which requests start. The admission queue and the baselines
-// implement Policy.
+// Policy decides which requests start. The admission queue and FIFO implement
+// Policy.
 type Policy interface {
 	Offer(now time.Time, r admission.Request) []admission.Verdict
 	Finish(now time.Time, id uint64, cost float64) []admission.Verdict
@@ -18,7 +18,8 @@
 	Tick(now time.Time) ([]admission.Verdict, time.Time)
 }
 
-// Load is a stream of calls with Poisson arrivals.
+// Load is a stream of calls of one team. The calls arrive at random times (Poisson
+// arrivals).
 type Load struct {
 	Team              string
 	Class             admission.Class
@@ -35,7 +36,7 @@
 	SlotRate         float64 // tokens per second per slot
 	Duration         time.Duration
 	Loads            []Load
-	SlotsByStartTime map[time.Duration]int // number of slots by the time from which it applies, measured from Start
+	SlotsByStartTime map[time.Duration]int // key: a time, measured from Start; value: the number of slots from that time on
 	StallAt          time.Duration         // no request finishes after this time, measured from Start; zero means that all requests finish
 	Seed             uint64                // seed of arrivals and costs
 }
@@ -150,9 +151,9 @@
 	}
 }
 
-// Goodput returns the tokens per second that calls received from slots in the
-// interval. Only calls that started by their deadline count. If load indexes are
-// given, only calls of these loads count.
+// Goodput returns how many tokens per second the slots generated in the interval
+// for calls that started by their deadline. If load indexes are given, only calls
+// of these loads count.
 func (r *Result) Goodput(slotRate float64, from, to time.Duration, loadIndexes ...int) float64 {
 	tokens := 0.0
 	for _, c := range r.Calls {
