--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -16,13 +16,13 @@
 	return Replica{Name: name, MemoryBytes: memoryBytes, Planned: planned, Held: planned, Serving: true}
 }
 
-func (r Replica) withLoad(a Adapter, rate, busy float64) Replica {
-	r.UseRate, r.Utilization = map[Adapter]float64{a: rate}, busy
+func (r Replica) withLoad(a Adapter, rate, utilization float64) Replica {
+	r.UseRate, r.Utilization = map[Adapter]float64{a: rate}, utilization
 	return r
 }
 
-// Without one of these rules, requests for an adapter are refused, queue, or wait for
-// repeated loads.
+// Without any one of these rules, requests for an adapter are refused, wait in a queue, or
+// wait for repeated loads of the adapter.
 func TestDecide(t *testing.T) {
 	loading := serving("a", 100, notes1)
 	loading.Held = nil
@@ -71,22 +71,22 @@
 }
 
 func summary(r Result) string {
-	all := ""
+	text := ""
 	for i, c := range r.Changes {
 		if i > 0 {
-			all += " "
+			text += " "
 		}
 		var names []string
 		for _, a := range c.Adapters {
 			names = append(names, a.Name+"@"+a.Version)
 		}
-		all += c.Replica + fmt.Sprint(names)
+		text += c.Replica + fmt.Sprint(names)
 	}
-	return all
+	return text
 }
 
-// Whatever the memory and the use, changes stay within the memory, never drop the last
-// holder of an adapter, and end within 100 rounds.
+// For any memory and use rates, the planned adapters of a replica fit in its memory, and no
+// adapter loses its last holder. After at most 100 rounds, Decide returns no more changes.
 func TestDecideConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var wanted []Desired
@@ -95,22 +95,22 @@
 		}
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
-			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "room"))
-			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "busy")
+			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "memory"))
+			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "utilization")
 			r.UseRate = map[Adapter]float64{}
-			free := r.MemoryBytes
+			freeBytes := r.MemoryBytes
 			for _, w := range wanted {
 				a := Adapter{w.Name, rapid.SampledFrom([]string{"1", "2"}).Draw(t, "version")}
-				r.UseRate[a] = rapid.Float64Range(0, 5).Draw(t, "uses")
-				if rapid.Bool().Draw(t, "planned") && free >= w.Bytes {
+				r.UseRate[a] = rapid.Float64Range(0, 5).Draw(t, "use rate")
+				if rapid.Bool().Draw(t, "planned") && freeBytes >= w.Bytes {
 					r.Planned = append(r.Planned, a)
-					free -= w.Bytes
+					freeBytes -= w.Bytes
 				}
 			}
 			r.Held = r.Planned
 			replicas = append(replicas, r)
 		}
-		held := heldNames(replicas)
+		initiallyHeld := heldNames(replicas)
 		for round := 0; ; round++ {
 			result := Decide(wanted, replicas)
 			if len(result.Changes) == 0 {
@@ -120,7 +120,7 @@
 				t.Fatal("changes do not end", result.Changes)
 			}
 			applyChanges(t, wanted, replicas, result)
-			for name := range held {
+			for name := range initiallyHeld {
 				if !heldNames(replicas)[name] {
 					t.Fatalf("no replica holds %q any more: %+v", name, result.Changes)
 				}
@@ -129,20 +129,21 @@
 	})
 }
 
-// heldNames returns the names of the adapters of which any replica holds any version.
+// heldNames returns the names of the adapters of which at least one replica holds a
+// version.
 func heldNames(replicas []Replica) map[string]bool {
-	all := map[string]bool{}
+	names := map[string]bool{}
 	for _, r := range replicas {
 		for _, a := range r.Held {
-			all[a.Name] = true
+			names[a.Name] = true
 		}
 	}
-	return all
+	return names
 }
 
-// applyChanges carries out the changes of one round. Adapters that are held and stay planned
-// are held at once; new ones are held only after the next round without a change of their
-// replica.
+// applyChanges carries out the changes of one round. A replica keeps the held adapters that
+// stay in its plan. It holds the new adapters of its plan only after a round without a
+// change for this replica.
 func applyChanges(t *rapid.T, wanted []Desired, replicas []Replica, result Result) {
 	for i := range replicas {
 		r := &replicas[i]
@@ -151,27 +152,27 @@
 			r.Held = r.Planned
 			continue
 		}
-		before := r.Held
+		heldBefore := r.Held
 		r.Planned = result.Changes[index].Adapters
-		r.Held = slices.DeleteFunc(slices.Clone(r.Planned), func(a Adapter) bool { return !slices.Contains(before, a) })
-		total := int64(0)
+		r.Held = slices.DeleteFunc(slices.Clone(r.Planned), func(a Adapter) bool { return !slices.Contains(heldBefore, a) })
+		plannedBytes := int64(0)
 		for _, a := range r.Planned {
 			for _, w := range wanted {
 				if w.Name == a.Name {
-					total += w.Bytes
+					plannedBytes += w.Bytes
 				}
 			}
 		}
-		if total > r.MemoryBytes {
-			t.Fatalf("%s has memory for %d bytes and should hold %d", r.Name, r.MemoryBytes, total)
+		if plannedBytes > r.MemoryBytes {
+			t.Fatalf("%s has memory for %d bytes and should hold %d", r.Name, r.MemoryBytes, plannedBytes)
 		}
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
-	const kinds = 10
+	const adapterCount = 10
 	var wanted []Desired
-	for i := range kinds {
+	for i := range adapterCount {
 		wanted = append(wanted, Desired{Adapter{fmt.Sprint("adapter-", i), "2"}, 10, 4})
 	}
 	for _, n := range []int{10, 100, 1000, 10_000} {
@@ -180,7 +181,7 @@
 			for i := range replicas {
 				replicas[i] = serving(fmt.Sprint("replica-", i), 1000)
 				if planned {
-					replicas[i].Planned = []Adapter{wanted[i%kinds].Adapter}
+					replicas[i].Planned = []Adapter{wanted[i%adapterCount].Adapter}
 					replicas[i].Held = replicas[i].Planned
 				}
 			}
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -10,8 +10,9 @@
 	"pgregory.net/rapid"
 )
 
-// minCapacity returns the capacity of the layer that has the least, which is the number of
-// tokens that the domain can hold at once. It is zero if some layer has no holder.
+// minCapacity returns the token capacity of the layer that has the least. This is the number
+// of tokens that the domain can hold at once. minCapacity returns zero if a layer has no
+// holder.
 func minCapacity(m Model, replicas []Replica) float64 {
 	c := newCoverage(m, replicas)
 	lowest := math.Inf(1)
@@ -24,29 +25,30 @@
 	return lowest
 }
 
-// bestCapacity returns the highest capacity of all plans in which each replica holds a span
-// that fits in its memory.
-func bestCapacity(m Model, replicas []Replica, at int) float64 {
-	if at == len(replicas) {
+// bestCapacity returns the highest minCapacity of all plans that give a span which fits in
+// memory, or none, to each replica from index on. The replicas before index keep their
+// spans.
+func bestCapacity(m Model, replicas []Replica, index int) float64 {
+	if index == len(replicas) {
 		return minCapacity(m, replicas)
 	}
-	highest := bestCapacity(m, replicas, at+1) // it holds nothing
-	for n := 1; n <= m.MaxLayers(replicas[at].MemoryMB, 1); n++ {
+	highest := bestCapacity(m, replicas, index+1) // this replica holds no layers
+	for n := 1; n <= m.MaxLayers(replicas[index].MemoryMB, 1); n++ {
 		for from := 0; from+n <= m.Layers; from++ {
-			replicas[at].Held = Span{from, from + n}
-			highest = max(highest, bestCapacity(m, replicas, at+1))
+			replicas[index].Held = Span{from, from + n}
+			highest = max(highest, bestCapacity(m, replicas, index+1))
 		}
 	}
-	replicas[at].Held = Span{}
+	replicas[index].Held = Span{}
 	return highest
 }
 
-// On small cases the plan is compared with all possible plans. It gives up capacity for
-// second holders of layers, so it may have less than the best, but on average at least
-// half.
+// On small domains the capacity of the plan (minCapacity) is compared with the best of all
+// possible plans. Plan prefers second holders of layers to capacity, so its capacity may be
+// lower than the best. On average over the cases it must be at least half of the best.
 func TestPlanAgainstAllPlans(t *testing.T) {
 	small := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
-	sum, cases := 0.0, 0
+	sumOfRatios, caseCount := 0.0, 0
 	compare := func(t *rapid.T) {
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 4).Draw(t, "cards") {
@@ -57,48 +59,50 @@
 			planned = applyOrders(planned, Plan(small, planned))
 		}
 		highest := bestCapacity(small, slices.Clone(replicas), 0)
-		got := minCapacity(small, planned)
+		planCapacity := minCapacity(small, planned)
 		if highest == 0 {
 			return
 		}
-		sum, cases = sum+got/highest, cases+1
+		sumOfRatios, caseCount = sumOfRatios+planCapacity/highest, caseCount+1
 	}
-	// With only 70 cases the mean differs by a tenth between runs.
+	// With only 70 cases, the mean ratio of capacities differs by a tenth between runs.
 	const casesPerDraw = 3
 	rapid.Check(t, func(t *rapid.T) {
 		for range casesPerDraw {
 			compare(t)
 		}
 	})
-	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", cases, sum/float64(cases))
-	if sum < float64(cases)/2 {
-		t.Errorf("the plan has %.2f of the highest capacity on average", sum/float64(cases))
+	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", caseCount, sumOfRatios/float64(caseCount))
+	if sumOfRatios < float64(caseCount)/2 {
+		t.Errorf("the plan has %.2f of the highest capacity on average", sumOfRatios/float64(caseCount))
 	}
 }
 
-// consecutiveSpans gives replicas adjoining spans, each as long as fits in the given
-// fraction of its memory, and starts again at the first layer after the last.
-func consecutiveSpans(m Model, replicas []Replica, fill float64) []Replica {
+// consecutiveSpans gives each replica the span that follows the span of the replica before.
+// The length of a span is what MaxLayers returns for the memory fraction. No span
+// extends past the last layer, and the span after the last layer begins at the first layer.
+func consecutiveSpans(m Model, replicas []Replica, memoryFraction float64) []Replica {
 	next := 0
 	for i := range replicas {
-		n := min(m.MaxLayers(replicas[i].MemoryMB, fill), m.Layers-next)
+		n := min(m.MaxLayers(replicas[i].MemoryMB, memoryFraction), m.Layers-next)
 		replicas[i].Held = Span{next, next + n}
 		next = (next + n) % m.Layers
 	}
 	return replicas
 }
 
-// The plan is compared with naive plans for a typical domain by the capacity of the layer
-// that has the least, and by the number of replicas whose loss leaves all layers covered.
+// The plan for a typical domain is compared with simpler plans by the token capacity of the
+// layer that has the least. The test also logs how many replicas are expendable: the loss
+// of one such replica leaves all layers covered.
 func TestPlanAgainstNaivePlans(t *testing.T) {
-	byMemory := func(replicas []Replica) []Replica {
+	sortedByMemory := func(replicas []Replica) []Replica {
 		slices.SortStableFunc(replicas, func(a, b Replica) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
 		return replicas
 	}
-	equalSpans := func(replicas []Replica, grid int) []Replica {
+	spansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
 		next := 0
 		for i := range replicas {
-			n := min(layersOnGrid(replicas[i].MemoryMB, grid), model.Layers-next)
+			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-next)
 			replicas[i].Held = Span{next, next + n}
 			next = (next + n) % model.Layers
 		}
@@ -109,21 +113,21 @@
 		replicas []Replica
 	}{
 		{"the plan", applyOrders(typicalDomain(), Plan(model, typicalDomain()))},
-		{"fast cards only, filled", consecutiveSpans(model, byMemory(typicalDomain())[:5], 1)},
-		{"one after the other, 0.9 of each", consecutiveSpans(model, byMemory(typicalDomain()), 0.9)},
-		{"spans on a grid of 5", equalSpans(byMemory(typicalDomain()), 5)},
-		{"spans on a grid of 7", equalSpans(byMemory(typicalDomain()), 7)},
+		{"fast cards only, filled", consecutiveSpans(model, sortedByMemory(typicalDomain())[:5], 1)},
+		{"one after the other, 0.9 of each", consecutiveSpans(model, sortedByMemory(typicalDomain()), 0.9)},
+		{"spans on a grid of 5", spansOnGrid(sortedByMemory(typicalDomain()), 5)},
+		{"spans on a grid of 7", spansOnGrid(sortedByMemory(typicalDomain()), 7)},
 	}
 	capacities := map[string]float64{}
 	for _, p := range plans {
-		expendable := 0
+		expendableReplicas := 0
 		for _, r := range p.replicas {
 			if FullyCovered(model, without(p.replicas, r.ID)) {
-				expendable++
+				expendableReplicas++
 			}
 		}
 		capacities[p.name] = minCapacity(model, p.replicas)
-		t.Logf("%-34s capacity %7.0f tokens, any one of %d of %d replicas may be lost", p.name, capacities[p.name], expendable, len(p.replicas))
+		t.Logf("%-34s capacity %7.0f tokens, any one of %d of %d replicas may be lost", p.name, capacities[p.name], expendableReplicas, len(p.replicas))
 	}
 	for name, capacity := range capacities {
 		if name != "the plan" && capacity > capacities["the plan"] {
@@ -132,8 +136,8 @@
 	}
 }
 
-// layersOnGrid returns the number of layers that a card holds if spans must be multiples of
-// the grid, or all that fit if that is less than one multiple.
-func layersOnGrid(memoryMB float64, grid int) int {
-	return max(1, model.MaxLayers(memoryMB, 1)/grid) * min(grid, model.MaxLayers(memoryMB, 1))
+// layersOnGrid returns the number of layers that a card holds if the length of a span must be
+// a multiple of gridLayers. If fewer than gridLayers fit, it returns the number that fits.
+func layersOnGrid(memoryMB float64, gridLayers int) int {
+	return max(1, model.MaxLayers(memoryMB, 1)/gridLayers) * min(gridLayers, model.MaxLayers(memoryMB, 1))
 }
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -7,20 +7,20 @@
 	"pgregory.net/rapid"
 )
 
-// model has 80 layers and the memory per token and layer of a typical site.
+// model has the number of layers and the memory per layer and token of a typical site.
 var model = Model{Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375}
 
-// Memory of the kinds of cards, in megabytes.
+// Memory of a card for weights and requests, in megabytes, by kind of card.
 const (
-	h100  = 72000
-	a100s = 36000
-	l4    = 21600
-	t4    = 14400
+	h100MB = 72000
+	a100MB = 36000
+	l4MB   = 21600
+	t4MB   = 14400
 )
 
-func replicasWithMemory(memory ...float64) []Replica {
-	replicas := make([]Replica, len(memory))
-	for i, mb := range memory {
+func replicasWithMemory(memoryMB ...float64) []Replica {
+	replicas := make([]Replica, len(memoryMB))
+	for i, mb := range memoryMB {
 		replicas[i] = Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: mb}
 	}
 	return replicas
@@ -28,7 +28,7 @@
 
 // typicalDomain returns the replicas of a failure domain without the fastest kind of card.
 func typicalDomain() []Replica {
-	return replicasWithMemory(a100s, l4, l4, l4, l4, l4, l4, l4, l4, t4, t4, t4)
+	return replicasWithMemory(a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB)
 }
 
 // applyOrders returns the replicas after they have carried out the orders.
@@ -54,13 +54,13 @@
 	return out
 }
 
-// The first plan of an empty domain covers all layers and leaves capacity for requests on
-// every replica.
+// The first plan of a domain whose replicas hold no layers covers all layers. It leaves
+// memory for at least 80,000 tokens on every replica.
 func TestFirstPlanCoversAllLayers(t *testing.T) {
 	for name, replicas := range map[string][]Replica{
-		"one fast card": replicasWithMemory(h100, a100s, l4, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
-		"no fast card":  typicalDomain(),
-		"two middling":  replicasWithMemory(a100s, a100s, l4, l4, l4, l4, t4, t4, t4, t4, t4, t4, t4),
+		"one fast card":            replicasWithMemory(h100MB, a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
+		"no fast card":             typicalDomain(),
+		"two cards of middle size": replicasWithMemory(a100MB, a100MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
 	} {
 		replicas = applyOrders(replicas, Plan(model, replicas))
 		if !FullyCovered(model, replicas) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// A plan computed again from the ordered spans gives no second order. This happens when
-// another node takes over, or before the replicas have reported.
+// Another node takes over, or the replicas have not reported their new spans yet, and the
+// plan is computed again from the ordered spans. The second plan must contain no order.
 func TestPlanIsStable(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
@@ -84,8 +84,9 @@
 	}
 }
 
-// While layers have no holder, the requests of the domain must run in or cross to another
-// domain. Whichever replica is lost, one round of orders must close the gap.
+// While layers have no holder, the requests of the domain must run in another domain or
+// cross to it. After the loss of any one replica, the orders of one plan must close the
+// gap.
 func TestAnyLossIsRepaired(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
@@ -99,24 +100,26 @@
 	}
 }
 
-// A replica that has taken over layers of its neighbour has less capacity and limits the
-// whole domain. Once another replica holds these layers, it gives them back.
+// A replica that has taken over layers of its neighbour has less token capacity and limits
+// the whole domain. Once another replica holds these layers, the plan takes them from the
+// replica again.
 func TestExtraLayersAreGivenBack(t *testing.T) {
 	replicas := []Replica{
-		{ID: "a", MemoryMB: l4, Held: Span{0, 11}}, // more than TargetFill
-		{ID: "b", MemoryMB: h100, Held: Span{8, 36}},
-		{ID: "c", MemoryMB: h100, Held: Span{36, 64}},
-		{ID: "d", MemoryMB: h100, Held: Span{52, 80}},
+		{ID: "a", MemoryMB: l4MB, Held: Span{0, 11}}, // more than TargetFill
+		{ID: "b", MemoryMB: h100MB, Held: Span{8, 36}},
+		{ID: "c", MemoryMB: h100MB, Held: Span{36, 64}},
+		{ID: "d", MemoryMB: h100MB, Held: Span{52, 80}},
 	}
 	orders := Plan(model, replicas)
-	part := Span{0, model.MaxLayers(l4, TargetFill)}
-	if len(orders) != 1 || orders[0].ID != "a" || orders[0].Hold != part || orders[0].Reason != ReasonShrink {
-		t.Errorf("orders %v, want a to hold %v", orders, part)
+	wantSpan := Span{0, model.MaxLayers(l4MB, TargetFill)}
+	if len(orders) != 1 || orders[0].ID != "a" || orders[0].Hold != wantSpan || orders[0].Reason != ReasonShrink {
+		t.Errorf("orders %v, want a to hold %v", orders, wantSpan)
 	}
 }
 
-// An excluded replica, for example one that is draining, doesn't count as a holder: other
-// replicas hold its layers before it leaves, and it gets no order.
+// If a draining replica counted as a holder, its layers would have no holder after it has
+// left. So other replicas are ordered to hold the layers of an excluded replica, and the
+// excluded replica gets no order.
 func TestExcludedReplicaIsReplaced(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
@@ -162,40 +165,41 @@
 				}
 			}
 			replicas = applyOrders(replicas, orders)
-			if rapid.Bool().Draw(t, "lose") && len(replicas) > 4 {
+			if rapid.Bool().Draw(t, "lose a replica") && len(replicas) > 4 {
 				replicas = replicas[1:]
 			} else {
-				replicas = append(replicas, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4})
+				replicas = append(replicas, Replica{ID: fmt.Sprintf("new%02d", step), MemoryMB: l4MB})
 			}
 		}
 	})
 }
 
-// The plan is compared with spans of equal length by the capacity of the layer that has
-// the least. Equal spans fill the small replicas and leave the large ones idle.
+// The plan is compared with spans of equal length by the token capacity of the layer that
+// has the least. Equal spans fill the small replicas and leave most memory of the large
+// replicas unused.
 func TestCapacityAgainstEqualSpans(t *testing.T) {
 	replicas := typicalDomain()
 	planned := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
-	equal := append([]Replica(nil), replicas...)
-	per := (model.Layers + len(equal) - 1) / len(equal)
-	for i := range equal {
-		equal[i].Held = Span{i * per, min(model.Layers, (i+1)*per)}
+	equalSpans := append([]Replica(nil), replicas...)
+	layersPerReplica := (model.Layers + len(equalSpans) - 1) / len(equalSpans)
+	for i := range equalSpans {
+		equalSpans[i].Held = Span{i * layersPerReplica, min(model.Layers, (i+1)*layersPerReplica)}
 	}
-	if planned < 1.5*minCapacity(model, equal) {
-		t.Errorf("capacity of the weakest layer: %.0f tokens, with equal spans %.0f", planned, minCapacity(model, equal))
+	if planned < 1.5*minCapacity(model, equalSpans) {
+		t.Errorf("capacity of the weakest layer: %.0f tokens, with equal spans %.0f", planned, minCapacity(model, equalSpans))
 	}
 }
 
-// A plan may give a replica two orders: to move to a gap, and then, as a neighbour of the
-// rest of the gap, to take that too. Both orders would go out at once with the same order
-// count, and the replica would accept whichever arrives first. If that is the shorter span,
-// the rest of the gap stays without a holder until the next plan. So a plan contains at
-// most one order for each replica.
+// A replica may get two orders in one plan: to move to a gap and, as a neighbour of the rest
+// of the gap, to take that rest too. Both orders would be sent at once with the same order
+// count, and the replica would accept the one that arrives first. If that order has the
+// shorter span, the rest of the gap has no holder until the next plan. So a plan must
+// contain at most one order for each replica.
 func TestNoReplicaIsOrderedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var replicas []Replica
 		for i := range rapid.IntRange(3, 16).Draw(t, "cards") {
-			r := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100, a100s, l4, t4}).Draw(t, "memory")}
+			r := Replica{ID: fmt.Sprintf("r%02d", i), MemoryMB: rapid.SampledFrom([]float64{h100MB, a100MB, l4MB, t4MB}).Draw(t, "memory")}
 			r.Excluded = rapid.IntRange(0, 5).Draw(t, "leaving") == 0
 			if n := model.MaxLayers(r.MemoryMB, TargetFill); rapid.IntRange(0, 3).Draw(t, "empty") > 0 {
 				from := rapid.IntRange(0, model.Layers-n).Draw(t, "from")
