--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -133,14 +133,14 @@
 	Convey("Given idle nodes at the start of a rush", t, func() {
 		for name, prelude := range map[string]sim.Preload{
 			"after the start": {},
-			"after low load":  {OfferedLoad: 0.3, Duration: 8 * time.Second, Pause: 8 * time.Second},
-			"after full load": {OfferedLoad: 1, Duration: 8 * time.Second, Pause: 8 * time.Second},
+			"after low load":  {OfferedLoad: 0.3, Duration: 8 * time.Second, IdleTime: 8 * time.Second},
+			"after full load": {OfferedLoad: 1, Duration: 8 * time.Second, IdleTime: 8 * time.Second},
 		} {
 			for _, load := range []float64{2, 4} {
 				Convey(fmt.Sprintf("%s, at %gx load nearly all refusals come at once from the first second on", name, load), func() {
 					result := simulate(t, name, load, func(f *sim.Fleet) {
 						f.SharedPrompt, f.DomainCount, f.Preload = true, 3, prelude
-						f.Warmup = prelude.Duration + prelude.Pause
+						f.Warmup = prelude.Duration + prelude.IdleTime
 						f.Duration = f.Warmup + 12*time.Second
 					})
 					lateRefusals := len(result.refusalDelays) - countBelow(result.refusalDelays, immediateRefusal)
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -54,13 +54,13 @@
 }
 
 // Preload is a load that is offered before the load of the run. No calls are sent
-// during a pause between the two.
+// in the IdleTime between the two.
 type Preload struct {
 	// OfferedLoad is the rate of calls divided by Capacity.
 	OfferedLoad float64
-	// Duration is how long calls of the preload are sent. Pause is the time without
+	// Duration is how long calls of the preload are sent. IdleTime is the time without
 	// calls after that.
-	Duration, Pause time.Duration
+	Duration, IdleTime time.Duration
 }
 
 const (
@@ -208,12 +208,12 @@
 
 // nextArrival draws the time of the next call at random.
 func (r *fleetRun) nextArrival() time.Time {
-	preloadEnd, pauseEnd := Start.Add(r.Preload.Duration), Start.Add(r.Preload.Duration+r.Preload.Pause)
+	preloadEnd, mainLoadStart := Start.Add(r.Preload.Duration), Start.Add(r.Preload.Duration+r.Preload.IdleTime)
 	if r.Now.Before(preloadEnd) {
 		if at := r.Now.Add(r.interarrivalTime(r.Preload.OfferedLoad)); at.Before(preloadEnd) {
 			return at
 		}
-		return pauseEnd
+		return mainLoadStart
 	}
 	return r.Now.Add(r.interarrivalTime(r.OfferedLoad))
 }
