--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -224,7 +224,7 @@
 // call of Started shows earlier than Finished that a replica is not frozen.
 func (b *Balancer) Started(now time.Time, id string, timeToFirstToken time.Duration) {
 	if m := b.members[id]; m != nil {
-		b.detector.Heard(now, m.health, timeToFirstToken)
+		b.detector.FirstResponse(now, m.health, timeToFirstToken)
 	}
 }
 
@@ -260,7 +260,7 @@
 
 func (b *Balancer) observeOutcome(now time.Time, m *member, r Result) {
 	if !r.Started {
-		b.detector.Heard(now, m.health, r.TotalTime)
+		b.detector.FirstResponse(now, m.health, r.TotalTime)
 	}
 	if r.Failure == health.None {
 		b.meanAnswerSeconds = movingAverage(b.meanAnswerSeconds, r.TotalTime.Seconds())
@@ -356,7 +356,7 @@
 func (b *Balancer) evaluateHealth(now time.Time) {
 	if b.detector.Due(now) {
 		b.expireLeavingRefusals(now)
-		b.detector.Judge(now)
+		b.detector.Evaluate(now)
 		b.groupByHealthState(now)
 	}
 }
--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -112,7 +112,7 @@
 				b.Finished(epoch, id, Result{Failure: health.Unreachable})
 			}
 		}
-		So(b.detector.Out(), ShouldEqual, 1)
+		So(b.detector.OutOfRotation(), ShouldEqual, 1)
 		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.Consecutive}})
 		So(b.Changes(), ShouldBeEmpty)
 		status := b.Status(epoch)
@@ -171,7 +171,7 @@
 			b.Sent(epoch, "replica-0", 1)
 			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.Broken})
 		}
-		So(b.detector.Out(), ShouldEqual, 1)
+		So(b.detector.OutOfRotation(), ShouldEqual, 1)
 		So(b.Capacity(epoch), ShouldEqual, 64)
 		b.SetLeaving(epoch, "replica-1", true)
 		So(b.Capacity(epoch), ShouldEqual, 64)
--- a/decide/balance/hint_test.go
+++ b/decide/balance/hint_test.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		for _, e := range s.engines {
-			p.cacheIndex.Apply(s.now, e.ID, e.cacheEvents.pageAfter(s.now, p.cacheIndex.After(e.ID)))
+			p.cacheIndex.Apply(s.now, e.ID, e.cacheEvents.pageAfter(s.now, p.cacheIndex.LastSequence(e.ID)))
 		}
 	}
 	s.schedule(eventPollInterval, s.pollEvents)
--- a/decide/entrypoints/entrypoints_test.go
+++ b/decide/entrypoints/entrypoints_test.go
@@ -20,7 +20,7 @@
 	return all
 }
 
-func changed(a, b []string) (n int) {
+func countMissing(a, b []string) (n int) {
 	for _, x := range a {
 		if !slices.Contains(b, x) {
 			n++
@@ -29,8 +29,9 @@
 	return n
 }
 
-// A team's limit is split over its homes, so a change of the list must move few
-// of them, and a team must need few however many nodes there are.
+// Guards against limits that move between nodes: a team's limit is split over its homes,
+// so a change of the member list must change few of them. A team must also need few
+// homes, however many nodes there are.
 func TestHomes(t *testing.T) {
 	Convey("Given 2,200 nodes and a team of a two-hundredth of the load", t, func() {
 		all := members(2200, 23)
@@ -40,10 +41,10 @@
 		So(len(homes), ShouldEqual, k)
 		all[17].Load = 0.9
 		So(Homes("dispatch", all, k), ShouldResemble, homes)
-		gone := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.ID == homes[3] })
-		So(changed(homes, Homes("dispatch", gone, k)), ShouldEqual, 1)
-		So(changed(homes, Homes("dispatch", members(2300, 23), k)), ShouldBeLessThan, 8)
-		So(changed(homes, Homes("bakers", all, k)), ShouldBeGreaterThan, 35)
+		withoutOne := slices.DeleteFunc(slices.Clone(all), func(m Member) bool { return m.ID == homes[3] })
+		So(countMissing(homes, Homes("dispatch", withoutOne, k)), ShouldEqual, 1)
+		So(countMissing(homes, Homes("dispatch", members(2300, 23), k)), ShouldBeLessThan, 8)
+		So(countMissing(homes, Homes("bakers", all, k)), ShouldBeGreaterThan, 35)
 	})
 	Convey("The number of homes grows with the share, from two to all", t, func() {
 		So(HomeCount(0, 9), ShouldEqual, 2)
@@ -54,10 +55,10 @@
 	})
 }
 
-// A caller that is named a node which leaves or is dead loses its requests there
-// until its answer runs out. A full node is still better than no address.
+// Guards against answers that name a draining or dead node: the caller loses its requests
+// there until the answer expires. A full node is still better than no address.
 func TestAnswer(t *testing.T) {
-	Convey("Given nine nodes of which some are leaving or silent", t, func() {
+	Convey("Given nine nodes of which some are draining or suspected", t, func() {
 		all := members(9, 3)
 		all[0].Draining, all[1].Suspected, all[2].Suspected = true, true, true
 		named := map[string]bool{}
@@ -77,7 +78,7 @@
 			So(named[m.ID], ShouldBeFalse)
 		}
 	})
-	Convey("Given that all nodes are full, callers still get addresses", t, func() {
+	Convey("Given only full nodes, callers still get addresses", t, func() {
 		all := members(3, 1)
 		for i := range all {
 			all[i].Load = 1.5
@@ -88,33 +89,34 @@
 		a := Answer(Query{Team: "bakers"}, []Member{{ID: "vm-0", Draining: true}})
 		So(a.Addresses, ShouldBeEmpty)
 		So(a.ValidFor, ShouldEqual, RetryAfter)
-		So(ServeOn(3*time.Second), ShouldEqual, 23*time.Second)
+		So(DrainDuration(3*time.Second), ShouldEqual, 23*time.Second)
 	})
 	Convey("Given homes in three domains, most requests stay in the caller's", t, func() {
-		near := 0.0
+		localShare := 0.0
 		for caller := range 300 {
 			q := Query{Team: "bakers", Caller: fmt.Sprint(caller), Share: 1, FailureDomain: "fd-2"}
 			for _, a := range Answer(q, members(9, 3)).Addresses {
 				if a.FailureDomain == q.FailureDomain {
-					near += a.Weight / 300
+					localShare += a.Weight / 300
 				}
 			}
 		}
-		t.Logf("share of requests in the caller's domain: %.2f", near)
-		So(near, ShouldBeGreaterThan, 0.8)
+		t.Logf("share of requests in the caller's domain: %.2f", localShare)
+		So(localShare, ShouldBeGreaterThan, 0.8)
 	})
 }
 
-// A failure domain is lost: its nodes are gone at once, and callers keep their
-// answers for up to ValidFor. A caller with an address elsewhere goes there by
-// itself; one without has nowhere to go. So every answer names two domains, and
-// the homes, which alone have a part of the team's limit, stand in two.
+// Guards against callers that are cut off by the loss of a failure domain. Its nodes are
+// gone at once, and callers keep their answers for up to ValidFor. A caller with an
+// address in another domain connects to it; a caller without one has no node left. Every
+// answer must therefore name two domains, and so must the homes, which alone have a part
+// of the team's limit.
 func TestLossOfAFailureDomain(t *testing.T) {
 	for _, c := range []struct {
 		nodes, domains int
 		share          float64
 	}{{6, 3, 0}, {9, 3, 0}, {9, 3, 0.5}, {9, 2, 1}, {230, 23, 0.01}} {
-		all, alone := members(c.nodes, c.domains), 0
+		all, singleDomain := members(c.nodes, c.domains), 0
 		const teams = 100
 		for team := range teams {
 			q := Query{Team: fmt.Sprint(team), Caller: "192.0.2.7", Share: c.share, FailureDomain: "fd-1"}
@@ -123,29 +125,29 @@
 				domains[a.FailureDomain] = true
 			}
 			if len(domains) < 2 {
-				alone++
+				singleDomain++
 			}
 		}
-		if alone > 0 {
-			t.Errorf("%d nodes in %d domains, share %.2f: %d of %d answers name one domain only", c.nodes, c.domains, c.share, alone, teams)
+		if singleDomain > 0 {
+			t.Errorf("%d nodes in %d domains, share %.2f: %d of %d answers name only one domain", c.nodes, c.domains, c.share, singleDomain, teams)
 		}
 	}
 }
 
-// spreadOf returns the load of the busiest node over the mean. 240 teams, a few
-// of them large, have callers of whom a tenth ask again at each step. A blind
-// answer knows no loads.
-func spreadOf(nodes, callers int, headroom float64, blind bool) float64 {
+// peakLoadRatio returns the load of the busiest node divided by the mean. A tenth of the
+// callers of 240 teams, a few of them large, ask again in each step. With ignoreLoad,
+// answers do not consider the nodes' loads.
+func peakLoadRatio(nodes, callers int, headroom float64, ignoreLoad bool) float64 {
 	const teams, domains, steps, meanLoad = 240, 23, 40, 0.5
 	random := rand.New(rand.NewPCG(1, 2))
-	all, at, sum := members(nodes, domains), map[string]int{}, 0.0
+	all, index, sum := members(nodes, domains), map[string]int{}, 0.0
 	for i, m := range all {
-		at[m.ID] = i
+		index[m.ID] = i
 	}
 	for i := range teams {
 		sum += 1 / float64(i+5)
 	}
-	var homes [][]Member // by caller; those of a team share one
+	var homes [][]Member // by caller; the callers of a team share one slice
 	var queries []Query
 	for i := range teams {
 		share := 1 / float64(i+5) / sum
@@ -156,48 +158,49 @@
 			homes = append(homes, h)
 		}
 	}
-	load, held := make([]float64, nodes), make([][]Address, len(queries))
+	load, answers := make([]float64, nodes), make([][]Address, len(queries))
 	add := func(c int, sign float64) {
-		for _, a := range held[c] {
-			load[at[a.ID]] += sign * a.Weight * float64(nodes) / float64(len(queries))
+		for _, a := range answers[c] {
+			load[index[a.ID]] += sign * a.Weight * float64(nodes) / float64(len(queries))
 		}
 	}
 	for step := range steps {
-		known := slices.Clone(load)
+		knownLoad := slices.Clone(load)
 		for c, q := range queries {
 			if step > 0 && random.IntN(10) > 0 {
 				continue
 			}
 			for i := range homes[c] {
-				if m := &homes[c][i]; !blind {
-					m.Load = known[at[m.ID]] * meanLoad
+				if m := &homes[c][i]; !ignoreLoad {
+					m.Load = knownLoad[index[m.ID]] * meanLoad
 				}
 			}
 			add(c, -1)
-			held[c] = withWeights(q, choose(q, homes[c]))
+			answers[c] = withWeights(q, selectHomes(q, homes[c]))
 			add(c, 1)
 		}
 	}
 	return slices.Max(load)
 }
 
-// Callers of a team whose homes are full wait though other nodes are idle: the
-// hashes of teams collide. Answers that know the loads move callers on.
-func TestSpread(t *testing.T) {
+// Guards against callers that wait because the homes of their team are full while other
+// nodes are idle, which happens when the hashes of teams collide. Answers that consider
+// the loads move callers to other homes.
+func TestLoadSpread(t *testing.T) {
 	Convey("Given 240 teams over 230 nodes", t, func() {
-		busiest, blind := spreadOf(230, 2000, HomeHeadroom, false), spreadOf(230, 2000, HomeHeadroom, true)
-		t.Logf("busiest node over the mean: %.2f, blind %.2f", busiest, blind)
+		busiest, ignoringLoad := peakLoadRatio(230, 2000, HomeHeadroom, false), peakLoadRatio(230, 2000, HomeHeadroom, true)
+		t.Logf("load of the busiest node over the mean: %.2f, without loads %.2f", busiest, ignoringLoad)
 		So(busiest, ShouldBeLessThan, 1.8)
-		So(busiest, ShouldBeLessThan, blind*2/3)
+		So(busiest, ShouldBeLessThan, ignoringLoad*2/3)
 	})
 }
 
-// BenchmarkSpread prints the spread at the target size.
-func BenchmarkSpread(b *testing.B) {
+// BenchmarkLoadSpread reports the peak load ratio at the target size.
+func BenchmarkLoadSpread(b *testing.B) {
 	for _, headroom := range []float64{1, 2, HomeHeadroom, 8} {
 		b.Run(fmt.Sprint("headroom ", headroom), func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(spreadOf(2200, 20000, headroom, false), "busiest/mean")
+				b.ReportMetric(peakLoadRatio(2200, 20000, headroom, false), "busiest/mean")
 			}
 		})
 	}
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -5,96 +5,96 @@
 	"time"
 )
 
-// bucket is a token bucket that may go into debt by one request, so that a
-// request larger than the burst is slow but not impossible.
+// bucket is a token bucket that one request may overdraw, so that a request larger than
+// the burst is delayed but not impossible.
 type bucket struct {
-	level float64 // tokens
-	at    time.Time
+	tokens    float64 // negative while in debt
+	updatedAt time.Time
 }
 
-// refill adds to the team's bucket what has accrued. It goes from one end of a
-// loan to the next: at one rate for the whole time, a loan that has just come in
-// or run out would count for time in which the rate was another node's.
+// refill adds the tokens accrued since the last refill. It advances from one loan end to
+// the next, because the rate changes there: a single rate for the whole interval would
+// also apply to time in which another node used that rate.
 func (t *team) refill(now time.Time, burst time.Duration) {
 	b := &t.bucket
-	if b.at.IsZero() {
-		b.at = now
-		b.level = t.rate(now) * burst.Seconds()
+	if b.updatedAt.IsZero() {
+		b.updatedAt = now
+		b.tokens = t.rate(now) * burst.Seconds()
 	}
-	for now.After(b.at) {
-		next := t.nextEnd(b.at, now)
-		b.level += t.rate(b.at) * next.Sub(b.at).Seconds()
-		b.level = min(b.level, t.rate(next)*burst.Seconds())
-		b.at = next
+	for now.After(b.updatedAt) {
+		next := t.nextLoanEnd(b.updatedAt, now)
+		b.tokens += t.rate(b.updatedAt) * next.Sub(b.updatedAt).Seconds()
+		b.tokens = min(b.tokens, t.rate(next)*burst.Seconds())
+		b.updatedAt = next
 	}
 }
 
-// nextEnd returns the first end of a loan after the given time, or now if
-// there is none before.
-func (t *team) nextEnd(after, now time.Time) time.Time {
+// nextLoanEnd returns the earliest end of a loan between after and now, or now if no loan
+// ends in between.
+func (t *team) nextLoanEnd(after, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
-		next = p.owed.endIn(after, next)
-		for _, l := range p.lent {
-			next = l.endIn(after, next)
+		next = p.borrowedLoan.endBetween(after, next)
+		for _, l := range p.lentLoans {
+			next = l.endBetween(after, next)
 		}
 	}
 	return next
 }
 
-// take books the cost if the bucket is not in debt.
+// take deducts the cost unless the bucket is in debt.
 func (b *bucket) take(cost float64) bool {
-	if b.level <= 0 {
+	if b.tokens <= 0 {
 		return false
 	}
-	b.level -= cost
+	b.tokens -= cost
 	return true
 }
 
-// comeBack says when a refused caller will find room: when the debt is paid off
-// and those told to come back before it have been let through, at their part of
-// the rate. The debt alone is paid in milliseconds; told only that, all who are
-// beyond the limit would come back at once, again and again.
-func (t *team) comeBack(now time.Time, cost float64) time.Duration {
+// retryAfter returns when a refused caller will be admitted: once the debt is paid off
+// and the callers refused earlier have been served, at retryRateShare of the rate. The
+// debt alone is paid off within milliseconds. If callers were told only that time, all
+// callers beyond the limit would retry at once, again and again.
+func (t *team) retryAfter(now time.Time, cost float64) time.Duration {
 	rate := t.rate(now)
 	if rate <= 0 {
 		return maxRetryAfter
 	}
-	room := now.Add(toDuration(-t.bucket.level / rate))
-	if t.returnsAt.After(room) {
-		room = t.returnsAt
+	retryAt := now.Add(toDuration(-t.bucket.tokens / rate))
+	if t.lastRetryAt.After(retryAt) {
+		retryAt = t.lastRetryAt
 	}
-	room = room.Add(toDuration(cost / (returnPart * rate)))
-	t.returnsAt = room
-	if last := now.Add(maxRetryAfter); room.After(last) {
-		t.returnsAt = last
+	retryAt = retryAt.Add(toDuration(cost / (retryRateShare * rate)))
+	t.lastRetryAt = retryAt
+	if latest := now.Add(maxRetryAfter); retryAt.After(latest) {
+		t.lastRetryAt = latest
 	}
-	return max(t.returnsAt.Sub(now), minRetryAfter)
+	return max(t.lastRetryAt.Sub(now), minRetryAfter)
 }
 
 func toDuration(seconds float64) time.Duration {
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// demand measures offered tokens per second.
+// demand is an exponentially decaying average of the offered tokens per second.
 type demand struct {
-	sum float64
-	at  time.Time
+	decayedSum float64
+	updatedAt  time.Time
 }
 
 func (d *demand) add(now time.Time, cost float64, window time.Duration) {
-	d.sum = d.faded(now, window) + cost
-	d.at = now
+	d.decayedSum = d.decayed(now, window) + cost
+	d.updatedAt = now
 }
 
 func (d *demand) perSecond(now time.Time, window time.Duration) float64 {
-	return d.faded(now, window) / window.Seconds()
+	return d.decayed(now, window) / window.Seconds()
 }
 
-func (d *demand) faded(now time.Time, window time.Duration) float64 {
-	age := now.Sub(d.at)
-	if d.sum == 0 || age <= 0 {
-		return d.sum
+func (d *demand) decayed(now time.Time, window time.Duration) float64 {
+	age := now.Sub(d.updatedAt)
+	if d.decayedSum == 0 || age <= 0 {
+		return d.decayedSum
 	}
-	return d.sum * math.Exp(-age.Seconds()/window.Seconds())
+	return d.decayedSum * math.Exp(-age.Seconds()/window.Seconds())
 }
--- /dev/null
+++ b/decide/limits/exchangepeers.go
@@ -0,0 +1,91 @@
+package limits
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// renewAfterShare is the part of a lease after which a loan in use is requested again,
+// before any new lender is asked. Otherwise existing loans would expire while the node
+// looks for more, and it would never reach its demand.
+const renewAfterShare = 0.7
+
+// candidate is a peer with which this node should exchange for a team's limit.
+type candidate struct {
+	node string
+	// renew is set if a loan has to be renewed or released.
+	renew       bool
+	lastRequest time.Time
+}
+
+// ExchangePeers returns the peers that this node should exchange with for its teams'
+// limits, the most urgent first. Peers whose loans are due for renewal or release come
+// first. While a team's demand here exceeds its rate, the team's other homes follow, the
+// least recently asked first.
+//
+// Without it, a node contacts all homes of its teams in turn, whether or not it needs
+// them. With 2,200 nodes these are 144 homes, each contacted every 576 s, while loans
+// last 20 s: the loans expire and only the even split is left. A node that requests only
+// what it lacks needs few lenders, because it can serve only a few times its even share
+// itself.
+func (s *Splitter) ExchangePeers(now time.Time) []string {
+	byNode := map[string]candidate{}
+	for _, name := range slices.Sorted(maps.Keys(s.teams)) {
+		for _, c := range s.teams[name].candidates(now, s.cfg) {
+			byNode[c.node] = c.merge(byNode[c.node])
+		}
+	}
+	all := slices.SortedFunc(maps.Values(byNode), compareUrgency)
+	names := make([]string, 0, len(all))
+	for _, c := range all {
+		names = append(names, c.node)
+	}
+	return names
+}
+
+// candidates returns the peers to exchange with for this team. A node that is not a home
+// borrows like a home.
+func (t *team) candidates(now time.Time, cfg Config) []candidate {
+	if len(t.peers) == 0 && t.offered.decayedSum == 0 {
+		return nil
+	}
+	short := cfg.Headroom*t.offered.perSecond(now, cfg.DemandWindow) > t.rate(now)
+	var all []candidate
+	for _, node := range t.homes {
+		if node == cfg.Self {
+			continue
+		}
+		c := candidate{node: node}
+		borrowing := false
+		if p := t.findPeer(node); p != nil {
+			c.lastRequest = p.lastRequest
+			borrowing = p.borrowedLoan.rateAt(now) > 0
+		}
+		c.renew = borrowing && now.Sub(c.lastRequest) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
+		if c.renew || short && !borrowing {
+			all = append(all, c)
+		}
+	}
+	return all
+}
+
+// merge combines the candidates of two teams for the same peer.
+func (c candidate) merge(other candidate) candidate {
+	c.renew = c.renew || other.renew
+	if other.lastRequest.After(c.lastRequest) {
+		c.lastRequest = other.lastRequest
+	}
+	return c
+}
+
+func compareUrgency(a, b candidate) int {
+	if a.renew != b.renew {
+		if a.renew {
+			return -1
+		}
+		return 1
+	}
+	return cmp.Or(a.lastRequest.Compare(b.lastRequest), cmp.Compare(a.node, b.node))
+}
--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -1,27 +1,29 @@
-// Package peerreports decides what a node makes of what others have found out about replicas.
+// Package peerreports decides how a node uses what other nodes report about replicas.
 //
 // # Load pattern
 //
-// Some replicas die or turn slow, and all nodes of a failure domain send to them.
+// Some replicas die or become slow while all nodes of a failure domain send requests to
+// them.
 //
-// # Without it
+// # Failure without it
 //
-// Each node finds out for itself, by a stream that goes silent for each replica: with forty
-// nodes before nine lost replicas that is hundreds of streams, and hundreds of connections
-// and reports at the replicas that live.
+// Each node detects the fault by itself, through a stalled stream per replica. With forty
+// nodes and nine lost replicas that is hundreds of stalled streams, and hundreds of
+// connections and status requests to the remaining replicas.
 //
 // # Rules
 //
-//   - A claim says what a node has seen itself: a replica that accepts no connection, one
-//     that turns requests away although it has room, or how slow a replica says it is. It
-//     has an age, and counts for ValidFor.
-//   - What Enough nodes have seen independently is believed. What fewer have is looked at
-//     by a few nodes, the confirmers, whom all nodes agree on; so one node's wrong view
-//     convinces nobody alone, and a rumor does not send everybody to the same replica.
-//   - Of the replicas of one service at most the part MostTaken is left out on the word of
-//     others: a network that fails looks like replicas that do.
-//   - A message holds Most claims, the youngest first. Claims that no node would make are
-//     passed over and counted.
+//   - An observation states what a node has seen itself: a replica that accepts no
+//     connection, a replica that refuses requests although it has capacity, or the
+//     slowdown that a replica reports of itself. It has an age and is valid for ValidFor.
+//   - A node accepts what Quorum nodes have observed independently. If fewer nodes have
+//     observed it, a few nodes, the Verifiers, check the replica. All nodes agree on which
+//     nodes these are. So a single wrong observation convinces no other node, and does not
+//     make all nodes contact the same replica.
+//   - At most the share MaxExcludedShare of a service's replicas is excluded because of
+//     reports from other nodes: a network fault looks like lost replicas.
+//   - A message holds at most MaxPerMessage observations, the most recent first.
+//     Observations that no node would send are dropped and counted.
 package peerreports
 
 import (
@@ -34,204 +36,213 @@
 )
 
 const (
-	// ValidFor is how long a claim counts: some exchanges.
+	// ValidFor is how long an observation is valid. It covers several exchanges.
 	ValidFor = 1500 * time.Millisecond
-	// Enough nodes are believed.
-	Enough = 3
-	// Confirmers is how many nodes look for themselves at what fewer have seen.
-	Confirmers = 3
-	// MostTaken is the greatest part of a service's replicas that is left out on the word
-	// of others.
-	MostTaken = 0.25
-	// Most is how many claims a message holds.
-	Most = 128
-	// mostNodes and mostPace bound what a claim may say.
-	mostNodes = 1 << 16
-	mostPace  = 1e4
+	// Quorum is the number of nodes that must have made an observation for it to be
+	// accepted without verification.
+	Quorum = 3
+	// Verifiers is the number of nodes that check a replica which fewer nodes have
+	// reported.
+	Verifiers = 3
+	// MaxExcludedShare is the largest share of a service's replicas that is excluded
+	// because of reports from other nodes.
+	MaxExcludedShare = 0.25
+	// MaxPerMessage is the maximum number of observations in a message.
+	MaxPerMessage = 128
+	// maxNodes and maxSlowdown bound the values of a valid observation.
+	maxNodes    = 1 << 16
+	maxSlowdown = 1e4
 )
 
-// Claim is what one or more nodes have seen of a replica.
-type Claim struct {
+// Observation is what one or more nodes have observed about a replica.
+type Observation struct {
 	Replica string
-	// Lost says that it accepts no connection.
-	Lost bool
-	// TurnsAway says that it lives and refuses what it is sent although it has room.
-	TurnsAway bool
-	// Pace is, of one that is not lost, how much slower than its kind it says it is.
-	Pace float64
-	// Age is how long ago it was seen.
+	// Unreachable is set if the replica accepts no connection.
+	Unreachable bool
+	// Refusing is set if the replica is alive but refuses requests although it has
+	// capacity.
+	Refusing bool
+	// Slowdown is the factor by which a reachable replica reports to be slower than
+	// others of its kind.
+	Slowdown float64
+	// Age is the time since the observation.
 	Age time.Duration
-	// Nodes is how many have seen it.
+	// Nodes is the number of nodes that made the observation.
 	Nodes int
 }
 
-// valid says whether a node could have made the claim, and it still counts.
-func (c Claim) valid() bool {
-	known := c.Replica != "" && c.Nodes > 0 && c.Nodes <= mostNodes && c.Age >= 0 && c.Age < ValidFor
-	return known && (c.Lost || c.TurnsAway || c.Pace >= 1 && c.Pace <= mostPace)
+// valid reports whether a node could have made the observation and it has not expired.
+func (o Observation) valid() bool {
+	known := o.Replica != "" && o.Nodes > 0 && o.Nodes <= maxNodes && o.Age >= 0 && o.Age < ValidFor
+	return known && (o.Unreachable || o.Refusing || o.Slowdown >= 1 && o.Slowdown <= maxSlowdown)
 }
 
-// saying is what one node told last.
-type saying struct {
-	at     time.Time
-	hub    bool
-	claims []Claim
+// message is the last message received from a node.
+type message struct {
+	received     time.Time
+	hub          bool
+	observations []Observation
 }
 
-// Board is what one node has been told. The zero value is ready. It is not safe for
-// concurrent use.
-type Board struct {
-	told map[string]saying
+// Aggregator holds what other nodes have reported to this node. The zero value is ready
+// to use. It is not safe for concurrent use.
+type Aggregator struct {
+	latest map[string]message
 }
 
-// Tell notes what a node told: its own claims, or, as a hub, those of several. It says how
-// many were passed over.
-func (b *Board) Tell(now time.Time, node string, hub bool, claims []Claim) (dropped int) {
-	if b.told == nil {
-		b.told = map[string]saying{}
+// Record stores the message of a node: its own observations or, from a hub, those of
+// several nodes. It returns how many observations were dropped.
+func (a *Aggregator) Record(now time.Time, node string, hub bool, observations []Observation) (dropped int) {
+	if a.latest == nil {
+		a.latest = map[string]message{}
 	}
-	for name, s := range b.told {
-		if now.Sub(s.at) >= ValidFor {
-			delete(b.told, name)
+	for name, m := range a.latest {
+		if now.Sub(m.received) >= ValidFor {
+			delete(a.latest, name)
 		}
 	}
-	kept := make([]Claim, 0, min(len(claims), Most))
-	for _, c := range claims {
-		if !c.valid() || len(kept) == Most {
+	kept := make([]Observation, 0, min(len(observations), MaxPerMessage))
+	for _, o := range observations {
+		if !o.valid() || len(kept) == MaxPerMessage {
 			dropped++
 			continue
 		}
-		kept = append(kept, c)
+		kept = append(kept, o)
 	}
-	b.told[node] = saying{at: now, hub: hub, claims: kept}
+	a.latest[node] = message{received: now, hub: hub, observations: kept}
 	return dropped
 }
 
-// Follow forgets all but what one hub told: that holds what any other told before.
-func (b *Board) Follow(hub string) {
-	for node := range b.told {
+// KeepOnly drops the messages of all nodes except one hub, whose message includes the
+// observations of the others.
+func (a *Aggregator) KeepOnly(hub string) {
+	for node := range a.latest {
 		if node != hub {
-			delete(b.told, node)
+			delete(a.latest, node)
 		}
 	}
 }
 
-// Others is what others have seen.
-func (b *Board) Others(now time.Time) []Claim {
-	return b.merge(now, nil, func(string, saying) bool { return true })
+// FromOthers returns the observations of other nodes.
+func (a *Aggregator) FromOthers(now time.Time) []Observation {
+	return a.merge(now, nil, func(string, message) bool { return true })
 }
 
-// Answer is what a node that asked is told: another hub what was seen here and told by
-// those that ask here, any other node all but its own.
-func (b *Board) Answer(now time.Time, own []Claim, asker string, hub bool) []Claim {
-	return b.merge(now, own, func(node string, s saying) bool {
+// ReplyTo returns the observations to send to a node that asked. Another hub gets this
+// node's own observations and those of the nodes that report here. Any other node gets
+// all observations but its own.
+func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
+	return a.merge(now, own, func(node string, m message) bool {
 		if hub {
-			return !s.hub
+			return !m.hub
 		}
 		return node != asker
 	})
 }
 
-// subject is what claims are about; those that agree on it are added up.
+// subject identifies what an observation is about. Observations with the same subject are
+// merged.
 type subject struct {
-	replica         string
-	lost, turnsAway bool
+	replica               string
+	unreachable, refusing bool
 }
 
-func (b *Board) merge(now time.Time, own []Claim, counts func(node string, s saying) bool) []Claim {
-	merged := map[subject]Claim{}
-	add := func(c Claim) {
-		if !c.valid() {
+func (a *Aggregator) merge(now time.Time, own []Observation, include func(node string, m message) bool) []Observation {
+	merged := map[subject]Observation{}
+	add := func(o Observation) {
+		if !o.valid() {
 			return
 		}
-		key := subject{c.Replica, c.Lost, c.TurnsAway}
+		key := subject{o.Replica, o.Unreachable, o.Refusing}
 		known, ok := merged[key]
 		if !ok {
-			merged[key] = c
+			merged[key] = o
 			return
 		}
-		known.Nodes = min(known.Nodes+c.Nodes, mostNodes)
-		if c.Age < known.Age {
-			known.Age, known.Pace = c.Age, c.Pace
+		known.Nodes = min(known.Nodes+o.Nodes, maxNodes)
+		if o.Age < known.Age {
+			known.Age, known.Slowdown = o.Age, o.Slowdown
 		}
 		merged[key] = known
 	}
-	for _, c := range own {
-		add(c)
+	for _, o := range own {
+		add(o)
 	}
-	for node, s := range b.told {
-		if !counts(node, s) {
+	for node, m := range a.latest {
+		if !include(node, m) {
 			continue
 		}
-		for _, c := range s.claims {
-			c.Age += now.Sub(s.at)
-			add(c)
+		for _, o := range m.observations {
+			o.Age += now.Sub(m.received)
+			add(o)
 		}
 	}
-	return youngest(merged)
+	return newestFirst(merged)
 }
 
-func youngest(merged map[subject]Claim) []Claim {
-	list := make([]Claim, 0, len(merged))
-	for _, c := range merged {
-		list = append(list, c)
+func newestFirst(merged map[subject]Observation) []Observation {
+	list := make([]Observation, 0, len(merged))
+	for _, o := range merged {
+		list = append(list, o)
 	}
-	slices.SortFunc(list, func(x, y Claim) int {
+	slices.SortFunc(list, func(x, y Observation) int {
 		return cmp.Or(cmp.Compare(x.Age, y.Age), cmp.Compare(x.Replica, y.Replica))
 	})
-	return list[:min(len(list), Most)]
+	return list[:min(len(list), MaxPerMessage)]
 }
 
-// View is what a node knows itself of the replicas of one service.
+// View is what a node itself knows about the replicas of one service.
 type View struct {
-	// Node is its name, Near those of all nodes of its failure domain.
-	Node string
-	Near []string
-	// Known says whether a replica is one of the service, Lost whether it is taken for
-	// lost.
-	Known, Lost func(replica string) bool
-	// Replicas is how many there are, Taken how many of them are taken for lost.
-	Replicas, Taken int
+	// Node is the name of this node. DomainNodes are the names of all nodes in its
+	// failure domain.
+	Node        string
+	DomainNodes []string
+	// Known reports whether a replica belongs to the service, Suspected whether this node
+	// already treats it as lost.
+	Known, Suspected func(replica string) bool
+	// Replicas is the number of replicas, SuspectedCount how many of them this node
+	// already treats as lost.
+	Replicas, SuspectedCount int
 }
 
-// Verdict is what a node does about claims.
-type Verdict struct {
-	// Believe are claims that it takes for true, Look those of which it looks at the
-	// replica.
-	Believe, Look []Claim
+// Decision is how a node handles observations.
+type Decision struct {
+	// Accept holds the observations to act on, Verify those whose replica this node
+	// should check.
+	Accept, Verify []Observation
 }
 
-// Judge decides on what others have seen.
-func Judge(claims []Claim, v View) Verdict {
-	var verdict Verdict
-	room := int(math.Floor(float64(v.Replicas)*MostTaken)) - v.Taken
-	for _, c := range claims {
-		if !v.Known(c.Replica) || c.Lost && v.Lost(c.Replica) {
+// Evaluate decides how a node handles the observations of other nodes.
+func Evaluate(observations []Observation, v View) Decision {
+	var decision Decision
+	allowance := int(math.Floor(float64(v.Replicas)*MaxExcludedShare)) - v.SuspectedCount
+	for _, o := range observations {
+		if !v.Known(o.Replica) || o.Unreachable && v.Suspected(o.Replica) {
 			continue
 		}
 		switch {
-		case c.Nodes >= Enough && !c.Lost && !c.TurnsAway:
-			verdict.Believe = append(verdict.Believe, c)
-		case c.Nodes >= Enough && room > 0:
-			room--
-			verdict.Believe = append(verdict.Believe, c)
-		case c.TurnsAway: // there is nothing to look at: it answers all but requests
-		case v.Confirms(c.Replica):
-			verdict.Look = append(verdict.Look, c)
+		case o.Nodes >= Quorum && !o.Unreachable && !o.Refusing:
+			decision.Accept = append(decision.Accept, o)
+		case o.Nodes >= Quorum && allowance > 0:
+			allowance--
+			decision.Accept = append(decision.Accept, o)
+		case o.Refusing: // not verifiable: the replica answers everything except requests
+		case v.Verifies(o.Replica):
+			decision.Verify = append(decision.Verify, o)
 		}
 	}
-	return verdict
+	return decision
 }
 
-// Confirms says whether the node is one of those that look at a replica for all.
-func (v View) Confirms(replica string) bool {
+// Verifies reports whether this node is one of the Verifiers of a replica.
+func (v View) Verifies(replica string) bool {
 	key := rendezvous.Hash(replica)
 	own := rendezvous.Score(key, rendezvous.Hash(v.Node))
-	before := 0
-	for _, name := range v.Near {
+	rankedHigher := 0
+	for _, name := range v.DomainNodes {
 		if name != v.Node && rendezvous.Score(key, rendezvous.Hash(name)) > own {
-			before++
+			rankedHigher++
 		}
 	}
-	return before < Confirmers
+	return rankedHigher < Verifiers
 }
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -31,18 +31,18 @@
 	name   string
 	now    func() time.Time
 	own    func() map[string]float64
-	seen   func() []peerreports.Claim
+	seen   func() []peerreports.Observation
 	client *http.Client
 
 	mu       sync.Mutex
-	board    reservations.Board
-	evidence peerreports.Board
+	board    reservations.Aggregator
+	evidence peerreports.Aggregator
 	dropped  int
 }
 
 // New returns an Exchange of a node that knows nothing. own says what this node has
 // booked now, seen which replicas it has seen lost or slow.
-func New(name string, now func() time.Time, own func() map[string]float64, seen func() []peerreports.Claim) *Exchange {
+func New(name string, now func() time.Time, own func() map[string]float64, seen func() []peerreports.Observation) *Exchange {
 	return &Exchange{
 		name: name, now: now, own: own, seen: seen,
 		client: &http.Client{Timeout: timeout, Transport: &http.Transport{IdleConnTimeout: 30 * time.Second}},
@@ -56,19 +56,19 @@
 func (e *Exchange) Close() { e.client.CloseIdleConnections() }
 
 // Others is what other nodes have booked, as far as it is known.
-func (e *Exchange) Others() reservations.Held {
+func (e *Exchange) Others() reservations.Totals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.board.Others(e.now())
+	return e.board.FromOthers(e.now())
 }
 
 // Claims are what other nodes have seen of replicas, and how many claims were passed over
 // since the last call as no node would make them.
-func (e *Exchange) Claims() (claims []peerreports.Claim, dropped int) {
+func (e *Exchange) Claims() (claims []peerreports.Observation, dropped int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	dropped, e.dropped = e.dropped, 0
-	return e.evidence.Others(e.now()), dropped
+	return e.evidence.FromOthers(e.now()), dropped
 }
 
 // AsHub tells the other hubs of the failure domain what is known here, and hears what
@@ -78,8 +78,8 @@
 	for _, hub := range hubs {
 		own, seen := e.held(), e.seen()
 		e.mu.Lock()
-		local := e.board.Local(e.now(), own)
-		claims := e.evidence.Answer(e.now(), seen, hub.Name, true)
+		local := e.board.HubTotals(e.now(), own)
+		claims := e.evidence.ReplyTo(e.now(), seen, hub.Name, true)
 		e.mu.Unlock()
 		answer, err := e.call(ctx, hub, true, local, claims)
 		if err != nil {
@@ -108,9 +108,9 @@
 	return last
 }
 
-func (e *Exchange) held() reservations.Held { return reservations.Held{Nodes: 1, Amounts: e.own()} }
+func (e *Exchange) held() reservations.Totals { return reservations.Totals{Nodes: 1, Amounts: e.own()} }
 
-func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Held, claims []peerreports.Claim) (*bookingspb.ExchangeResponse, error) {
+func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Totals, claims []peerreports.Observation) (*bookingspb.ExchangeResponse, error) {
 	peer := bookingspb.NewBookingsProtobufClient("http://"+to.Address, e.client)
 	answer, err := peer.Exchange(ctx, &bookingspb.ExchangeRequest{Node: e.name, Hub: hub, Held: toWire(held), Claims: claimsToWire(claims)})
 	return answer, Error.Wrap(err)
@@ -120,11 +120,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if alone {
-		e.board.Follow(from.Name)
-		e.evidence.Follow(from.Name)
+		e.board.KeepOnly(from.Name)
+		e.evidence.KeepOnly(from.Name)
 	}
-	e.board.Tell(e.now(), from.Name, true, fromWire(answer.GetHeld()))
-	e.dropped += e.evidence.Tell(e.now(), from.Name, true, claimsFromWire(answer.GetClaims()))
+	e.board.Record(e.now(), from.Name, true, fromWire(answer.GetHeld()))
+	e.dropped += e.evidence.Record(e.now(), from.Name, true, claimsFromWire(answer.GetClaims()))
 }
 
 // server answers other nodes.
@@ -137,36 +137,36 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	e.dropped += e.evidence.Tell(now, request.GetNode(), request.GetHub(), claimsFromWire(request.GetClaims()))
-	e.board.Tell(now, request.GetNode(), request.GetHub(), fromWire(request.GetHeld()))
-	answer := e.board.Answer(now, own, request.GetNode(), request.GetHub())
-	claims := e.evidence.Answer(now, seen, request.GetNode(), request.GetHub())
+	e.dropped += e.evidence.Record(now, request.GetNode(), request.GetHub(), claimsFromWire(request.GetClaims()))
+	e.board.Record(now, request.GetNode(), request.GetHub(), fromWire(request.GetHeld()))
+	answer := e.board.ReplyTo(now, own, request.GetNode(), request.GetHub())
+	claims := e.evidence.ReplyTo(now, seen, request.GetNode(), request.GetHub())
 	return &bookingspb.ExchangeResponse{Held: toWire(answer), Claims: claimsToWire(claims)}, nil
 }
 
-func claimsToWire(claims []peerreports.Claim) []*bookingspb.Claim {
+func claimsToWire(claims []peerreports.Observation) []*bookingspb.Claim {
 	wire := make([]*bookingspb.Claim, 0, len(claims))
 	for _, c := range claims {
 		wire = append(wire, &bookingspb.Claim{
-			Replica: c.Replica, Lost: c.Lost, TurnsAway: c.TurnsAway, Pace: float32(c.Pace),
+			Replica: c.Replica, Lost: c.Unreachable, TurnsAway: c.Refusing, Pace: float32(c.Slowdown),
 			AgeMillis: int32(c.Age.Milliseconds()), Nodes: int32(c.Nodes),
 		})
 	}
 	return wire
 }
 
-func claimsFromWire(wire []*bookingspb.Claim) []peerreports.Claim {
-	claims := make([]peerreports.Claim, 0, len(wire))
+func claimsFromWire(wire []*bookingspb.Claim) []peerreports.Observation {
+	claims := make([]peerreports.Observation, 0, len(wire))
 	for _, c := range wire {
-		claims = append(claims, peerreports.Claim{
-			Replica: c.GetReplica(), Lost: c.GetLost(), TurnsAway: c.GetTurnsAway(), Pace: float64(c.GetPace()),
+		claims = append(claims, peerreports.Observation{
+			Replica: c.GetReplica(), Unreachable: c.GetLost(), Refusing: c.GetTurnsAway(), Slowdown: float64(c.GetPace()),
 			Age: time.Duration(c.GetAgeMillis()) * time.Millisecond, Nodes: int(c.GetNodes()),
 		})
 	}
 	return claims
 }
 
-func toWire(held reservations.Held) *bookingspb.Held {
+func toWire(held reservations.Totals) *bookingspb.Held {
 	wire := &bookingspb.Held{Nodes: int32(held.Nodes)}
 	for replica, amount := range held.Amounts {
 		wire.Replicas = append(wire.Replicas, replica)
@@ -177,8 +177,8 @@
 
 // fromWire reads what another node told. Of lists of different lengths, which no node
 // writes, the part that both have counts.
-func fromWire(wire *bookingspb.Held) reservations.Held {
-	held := reservations.Held{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
+func fromWire(wire *bookingspb.Held) reservations.Totals {
+	held := reservations.Totals{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
 	amounts := wire.GetAmounts()
 	for i, replica := range wire.GetReplicas() {
 		if i < len(amounts) && amounts[i] > 0 {
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -39,7 +39,7 @@
 	// learns the usual gap between events; after stallTimeout without events the path is
 	// checked.
 	lastEventAt  atomic.Int64
-	detector     stall.Pace
+	detector     stall.Detector
 	stallTimeout atomic.Int64
 	// checkedSilence is how long the stream had been silent at the last check that found
 	// nothing. The next event resets it.
@@ -99,16 +99,16 @@
 func (m *pathMonitor) recordEvents() {
 	now := m.attempt.req.server.Now().Sub(m.attempt.startedAt)
 	if silence := m.checkedSilence.Swap(0); silence > 0 {
-		m.detector.Vain(time.Duration(silence))
+		m.detector.FalseAlarm(time.Duration(silence))
 	}
 	if last := m.lastEventAt.Swap(int64(now)); last > 0 {
-		m.detector.Heard(now - time.Duration(last))
+		m.detector.ObserveGap(now - time.Duration(last))
 	}
 	if m.timer == nil {
 		return
 	}
 	m.attempt.target.Active.RecordEvent()
-	timeout := m.detector.Patience(m.attempt.req.maxPause())
+	timeout := m.detector.Timeout(m.attempt.req.maxPause())
 	m.stallTimeout.Store(int64(timeout))
 	m.timer.Reset(timeout)
 }
@@ -177,7 +177,7 @@
 	silent, maxPause := m.silentFor(), m.attempt.req.maxPause()
 	m.checkedSilence.Store(int64(silent))
 	if silent < maxPause {
-		m.timer.Reset(stall.Again(silent, maxPause))
+		m.timer.Reset(stall.RecheckAfter(silent, maxPause))
 		return
 	}
 	m.timer.Reset(recheckInterval)
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -319,10 +319,10 @@
 // reports would keep each other alive.
 func TestPeerReportsAreNotForwarded(t *testing.T) {
 	m := twoStageModel()
-	reports := []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: peerreports.Enough}, {Replica: "b1", Pace: 5, Nodes: peerreports.Enough}}
+	reports := []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: peerreports.Quorum}, {Replica: "b1", Slowdown: 5, Nodes: peerreports.Quorum}}
 	domainNodes := []string{"n1", "n2", "n3", "n4", "n5"}
 	decision := m.Evaluate("n4", domainNodes, reports)
-	if len(decision.Believe) != 2 || len(m.Suspects()) != 1 || !m.ReportedByPeers("b1") || len(m.Slow()) != 1 {
+	if len(decision.Accept) != 2 || len(m.Suspects()) != 1 || !m.ReportedByPeers("b1") || len(m.Slow()) != 1 {
 		t.Fatalf("%+v", decision)
 	}
 	if seen := m.Observations(); len(seen) != 0 {
@@ -353,7 +353,7 @@
 	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("b1", 4, 8)}, soleNode(10))
 	verifications := 0
 	for range 20 {
-		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Claim{{Replica: "a1", Lost: true, Nodes: 1}}).Look)
+		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: 1}}).Verify)
 		now = now.Add(verifyInterval / 10)
 	}
 	if verifications != 2 {
@@ -375,7 +375,7 @@
 	verifications := 0
 	for range 40 {
 		for i, m := range nodes {
-			for _, c := range m.Evaluate(names[i], names, nodes[1-i].Observations()).Look {
+			for _, c := range m.Evaluate(names[i], names, nodes[1-i].Observations()).Verify {
 				verifications++
 				m.SetSlowdown(c.Replica, 1)
 			}
@@ -386,11 +386,11 @@
 		t.Errorf("%d verifications of a replica that never was slow", verifications)
 	}
 	nodes[0].SetSlowdown("a1", 5)
-	if verify := nodes[1].Evaluate("n2", names, nodes[0].Observations()).Look; len(verify) != 1 {
+	if verify := nodes[1].Evaluate("n2", names, nodes[0].Observations()).Verify; len(verify) != 1 {
 		t.Errorf("a slow replica is not verified: %+v", verify)
 	}
 	nodes[0].SetSlowdown("a1", 1)
-	if seen := nodes[0].Observations(); len(seen) != 1 || seen[0].Pace != 1 {
+	if seen := nodes[0].Observations(); len(seen) != 1 || seen[0].Slowdown != 1 {
 		t.Errorf("the recovery is not reported: %+v", seen)
 	}
 }
@@ -419,9 +419,9 @@
 func TestReportedRefusalsBackOff(t *testing.T) {
 	m := twoStageModel()
 	domainNodes := []string{"n1", "n2", "n3", "n4"}
-	reports := []peerreports.Claim{{Replica: "a1", TurnsAway: true, Nodes: peerreports.Enough}, {Replica: "b1", TurnsAway: true, Nodes: 1}}
+	reports := []peerreports.Observation{{Replica: "a1", Refusing: true, Nodes: peerreports.Quorum}, {Replica: "b1", Refusing: true, Nodes: 1}}
 	decision := m.Evaluate("n4", domainNodes, reports)
-	if len(decision.Believe) != 1 || len(decision.Look) != 0 || len(m.Suspects()) != 0 {
+	if len(decision.Accept) != 1 || len(decision.Verify) != 0 || len(m.Suspects()) != 0 {
 		t.Fatalf("%+v", decision)
 	}
 	target := choose(t, m, 10)
@@ -432,7 +432,7 @@
 		t.Errorf("forwarded: %+v", seen)
 	}
 	m.Finish(target, Result{FaultAddress: "a2", NoCapacity: true})
-	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].TurnsAway {
+	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a2" || !seen[0].Refusing {
 		t.Errorf("this node's own refusals: %+v", seen)
 	}
 }
