--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -11,7 +11,7 @@
 // Desired is an adapter of a model as the document defines it.
 type Desired struct {
 	Adapter
-	// Bytes is the memory that the adapter takes, summed over all layers.
+	// Bytes is the memory that the adapter takes in all layers together.
 	Bytes int64
 	// Replicas is the number of replicas that should hold the adapter.
 	Replicas int
@@ -20,8 +20,8 @@
 // Replica is the plan of a replica with the state that its engines report.
 type Replica struct {
 	Name string
-	// MemoryBytes is the memory for adapters, summed over all layers. Planned adapters
-	// occupy a part of it.
+	// MemoryBytes is the memory for adapters in all layers together, including the memory
+	// that planned adapters take.
 	MemoryBytes int64
 	// Planned lists the adapters in the replica's plan, the oldest first. Held lists the
 	// adapters that all engines of the replica report.
@@ -69,9 +69,10 @@
 )
 
 const (
-	// busyUtilization is the utilization from which a replica counts as busy. Above 0.75,
-	// streams begin to queue for a batch of 16. Below it, another holder of an adapter would
-	// cost a load without need.
+	// busyUtilization is the utilization from which a replica counts as busy. If more than
+	// three quarters of 16 slots are in use, new streams begin to wait in a queue, because
+	// from time to time all slots are taken. At a lower utilization, another holder of an
+	// adapter would cost a load without need.
 	busyUtilization = 0.75
 )
 
@@ -95,9 +96,10 @@
 	desiredByName  map[string]Desired
 	replicaChanged []bool
 	// plannedHolders is the number of replicas whose plan contains an adapter, including the
-	// changes decided so far. reportedHolders is the number of replicas that hold it.
+	// changes decided so far. reportedHolders is the number of replicas that report the
+	// adapter.
 	plannedHolders, reportedHolders map[Adapter]int
-	useRate                         map[Adapter]float64
+	useRate                         map[Adapter]float64 // sum over all replicas, in streams per second
 	result                          Result
 }
 
@@ -131,21 +133,21 @@
 
 // dropObsolete drops two kinds of adapters from a replica's plan: those that the document no
 // longer names, and old versions if the replica holds the new version.
-func (d *decision) dropObsolete(index int) {
-	r := &d.replicas[index]
+func (d *decision) dropObsolete(replicaIndex int) {
+	r := &d.replicas[replicaIndex]
 	var drops []Adapter
 	reason := ""
 	for _, a := range r.Planned {
-		want, known := d.desiredByName[a.Name]
+		want, inDocument := d.desiredByName[a.Name]
 		switch {
-		case !known:
+		case !inDocument:
 			drops, reason = append(drops, a), ReasonRemoved
 		case want.Adapter != a && slices.Contains(r.Held, want.Adapter):
 			drops, reason = append(drops, a), cmp.Or(reason, ReasonSuperseded)
 		}
 	}
 	if len(drops) > 0 {
-		d.addChange(index, nil, drops, Change{Reason: reason})
+		d.addChange(replicaIndex, nil, drops, Change{Reason: reason})
 	}
 }
 
@@ -153,22 +155,23 @@
 // holders, the lowest first. Adapters with equal ratios are sorted by use rate, the highest
 // first.
 func (d *decision) sortedByNeed() []Desired {
-	all := make([]Desired, 0, len(d.desired))
+	sortedDesired := make([]Desired, 0, len(d.desired))
 	for _, want := range d.desired {
-		all = append(all, want)
+		sortedDesired = append(sortedDesired, want)
 	}
-	slices.SortFunc(all, func(a, b Desired) int {
+	slices.SortFunc(sortedDesired, func(a, b Desired) int {
 		return cmp.Or(
 			cmp.Compare(d.plannedHolders[a.Adapter]*b.Replicas, d.plannedHolders[b.Adapter]*a.Replicas),
 			cmp.Compare(d.useRateOfAllVersions(b.Name), d.useRateOfAllVersions(a.Name)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
-	return all
+	return sortedDesired
 }
 
-// useRateOfAllVersions returns the sum of the use rates of all versions of an adapter: the
-// new version of a busy adapter is not used yet and has a rate of zero.
+// useRateOfAllVersions returns the sum of the use rates of all versions of an adapter. The
+// rate of a new version alone is zero until a replica holds that version, even if many
+// streams use the adapter.
 func (d *decision) useRateOfAllVersions(name string) float64 {
 	rateSum := 0.0
 	for a, rate := range d.useRate {
@@ -214,8 +217,8 @@
 	return true
 }
 
-// addHolder adds an adapter to the plan of the best eligible replica, and reports whether
-// there is such a replica.
+// addHolder adds an adapter to the plan of the best eligible replica (betterHolder), and
+// reports whether there is an eligible replica with enough memory.
 func (d *decision) addHolder(want Desired, target int, reason string) bool {
 	best, alternatives := -1, 0
 	var drops []Adapter
@@ -243,32 +246,32 @@
 
 // eligible reports whether a replica may become a holder of an adapter for the given
 // reason.
-func (d *decision) eligible(index int, want Desired, reason string) bool {
-	r := &d.replicas[index]
-	if !r.Serving || d.replicaChanged[index] || slices.Contains(r.Planned, want.Adapter) {
+func (d *decision) eligible(replicaIndex int, want Desired, reason string) bool {
+	r := &d.replicas[replicaIndex]
+	if !r.Serving || d.replicaChanged[replicaIndex] || slices.Contains(r.Planned, want.Adapter) {
 		return false
 	}
 	return reason != ReasonAllBusy || r.Utilization < busyUtilization
 }
 
 // betterHolder reports whether replica a is a better new holder of an adapter than replica b.
-// The better replica is the one that must drop fewer adapters. If both must drop equally
-// many, it is the one that plans another version of the adapter, so that callers stay on
-// their replicas. After that, lower utilization and then fewer planned adapters decide.
+// The replica that must drop fewer adapters is better. If both must drop equally many, a
+// replica whose plan contains another version of the adapter is better, so that callers stay
+// on their replicas. After that, lower utilization and then fewer planned adapters decide.
 func (d *decision) betterHolder(want Desired, a, dropsA, b, dropsB int) bool {
 	replicaA, replicaB := &d.replicas[a], &d.replicas[b]
 	return cmp.Or(
 		cmp.Compare(dropsA, dropsB),
-		cmp.Compare(plansOtherVersion(replicaB, want.Name), plansOtherVersion(replicaA, want.Name)),
+		cmp.Compare(otherVersionScore(replicaB, want.Name), otherVersionScore(replicaA, want.Name)),
 		cmp.Compare(replicaA.Utilization, replicaB.Utilization),
 		cmp.Compare(len(replicaA.Planned), len(replicaB.Planned)),
 		cmp.Compare(replicaA.Name, replicaB.Name),
 	) < 0
 }
 
-// plansOtherVersion returns 1 if the replica's plan contains some version of the adapter, and
-// otherwise 0.
-func plansOtherVersion(r *Replica, name string) int {
+// otherVersionScore returns 1 if the replica's plan contains some version of the adapter, and
+// otherwise 0. betterHolder sorts replicas by this score.
+func otherVersionScore(r *Replica, name string) int {
 	if slices.ContainsFunc(r.Planned, func(a Adapter) bool { return a.Name == name }) {
 		return 1
 	}
@@ -276,10 +279,10 @@
 }
 
 // evictions returns the adapters that a replica must drop to have memory for another adapter:
-// the least used of its evictable adapters. It returns false if memory would be too small
-// even after all of them are dropped.
-func (d *decision) evictions(index int, want Desired) ([]Adapter, bool) {
-	r := &d.replicas[index]
+// the least used of its evictable adapters. It returns false if the memory would be too small
+// even after the replica has dropped all its evictable adapters.
+func (d *decision) evictions(replicaIndex int, want Desired) ([]Adapter, bool) {
+	r := &d.replicas[replicaIndex]
 	freeBytes := r.MemoryBytes - want.Bytes
 	for _, a := range r.Planned {
 		freeBytes -= d.sizeBytes(a)
@@ -315,10 +318,10 @@
 // much as the version in the document.
 func (d *decision) sizeBytes(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
 
-// addChange adds a replica's change to the result and updates plannedHolders for the adapters
-// that it loads and drops.
-func (d *decision) addChange(index int, loads, drops []Adapter, c Change) {
-	r := &d.replicas[index]
+// addChange adds a replica's change to the result. It updates plannedHolders for the adapters
+// that the change loads and drops.
+func (d *decision) addChange(replicaIndex int, loads, drops []Adapter, c Change) {
+	r := &d.replicas[replicaIndex]
 	for _, a := range r.Planned {
 		if !slices.Contains(drops, a) {
 			c.Adapters = append(c.Adapters, a)
@@ -326,7 +329,7 @@
 	}
 	c.Adapters = append(c.Adapters, loads...)
 	c.Replica, c.Loads, c.Drops = r.Name, loads, drops
-	d.replicaChanged[index] = true
+	d.replicaChanged[replicaIndex] = true
 	for _, a := range loads {
 		d.plannedHolders[a]++
 	}
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -12,7 +12,7 @@
 
 func desired(a Adapter, replicas int) Desired { return Desired{a, 10, replicas} }
 
-func serving(name string, memoryBytes int64, planned ...Adapter) Replica {
+func servingReplica(name string, memoryBytes int64, planned ...Adapter) Replica {
 	return Replica{Name: name, MemoryBytes: memoryBytes, Planned: planned, Held: planned, Serving: true}
 }
 
@@ -21,13 +21,13 @@
 	return r
 }
 
-// Without any one of these rules, requests for an adapter are refused, wait in a queue, or
-// wait for repeated loads of the adapter.
+// If Decide breaks one of the rules that the cases name, requests for an adapter are refused,
+// wait in a queue, or wait for repeated loads of the adapter.
 func TestDecide(t *testing.T) {
-	loading := serving("a", 100, notes1)
-	loading.Held = nil
-	stopped := serving("a", 100)
-	stopped.Serving = false
+	loadingReplica := servingReplica("a", 100, notes1)
+	loadingReplica.Held = nil
+	stoppedReplica := servingReplica("a", 100)
+	stoppedReplica.Serving = false
 	cases := []struct {
 		name     string
 		wanted   []Desired
@@ -35,33 +35,33 @@
 		want     string // replica and adapters of each change
 	}{
 		{"the desired number of holders, idle replicas first", []Desired{desired(notes1, 2)},
-			[]Replica{serving("a", 100).withLoad(notes1, 0, 0.5), serving("b", 100), serving("c", 100)}, "b[notes@1] c[notes@1]"},
-		{"no load without memory", []Desired{desired(notes1, 1)}, []Replica{serving("a", 9)}, ""},
-		{"a replica that does not serve takes no adapter", []Desired{desired(notes1, 1)}, []Replica{stopped}, ""},
+			[]Replica{servingReplica("a", 100).withLoad(notes1, 0, 0.5), servingReplica("b", 100), servingReplica("c", 100)}, "b[notes@1] c[notes@1]"},
+		{"no load without memory", []Desired{desired(notes1, 1)}, []Replica{servingReplica("a", 9)}, ""},
+		{"a replica that does not serve takes no adapter", []Desired{desired(notes1, 1)}, []Replica{stoppedReplica}, ""},
 		{"one more holder while all holders are busy", []Desired{desired(notes1, 1)},
-			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100)}, "b[notes@1]"},
+			[]Replica{servingReplica("a", 100, notes1).withLoad(notes1, 3, 0.9), servingReplica("b", 100)}, "b[notes@1]"},
 		{"no further holder while one holder is not busy", []Desired{desired(notes1, 2)},
-			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100, notes1), serving("c", 100)}, ""},
+			[]Replica{servingReplica("a", 100, notes1).withLoad(notes1, 3, 0.9), servingReplica("b", 100, notes1), servingReplica("c", 100)}, ""},
 		{"no further holder while a load is underway", []Desired{desired(notes1, 1)},
-			[]Replica{serving("c", 100, notes1).withLoad(notes1, 3, 0.9), loading, serving("b", 100)}, ""},
+			[]Replica{servingReplica("c", 100, notes1).withLoad(notes1, 3, 0.9), loadingReplica, servingReplica("b", 100)}, ""},
 		{"no further holder on a busy replica", []Desired{desired(notes1, 1)},
-			[]Replica{serving("a", 100, notes1).withLoad(notes1, 3, 0.9), serving("b", 100).withLoad(notes1, 0, 0.9)}, ""},
+			[]Replica{servingReplica("a", 100, notes1).withLoad(notes1, 3, 0.9), servingReplica("b", 100).withLoad(notes1, 0, 0.9)}, ""},
 		{"an idle adapter is kept", []Desired{desired(notes1, 1)},
-			[]Replica{serving("a", 100, notes1), serving("b", 100, notes1)}, ""},
+			[]Replica{servingReplica("a", 100, notes1), servingReplica("b", 100, notes1)}, ""},
 		{"an idle adapter is dropped where another needs the memory", []Desired{desired(notes1, 1), desired(plans1, 1)},
-			[]Replica{serving("a", 10, notes1).withLoad(notes1, 1, 0), serving("b", 10, notes1)}, "a[plans@1]"},
+			[]Replica{servingReplica("a", 10, notes1).withLoad(notes1, 1, 0), servingReplica("b", 10, notes1)}, "a[plans@1]"},
 		{"the last desired holder keeps its adapter", []Desired{desired(notes1, 1), desired(plans1, 1)},
-			[]Replica{serving("a", 10, notes1)}, ""},
-		{"an adapter that the document no longer names is dropped", nil, []Replica{serving("a", 100, notes1)}, "a[]"},
+			[]Replica{servingReplica("a", 10, notes1)}, ""},
+		{"an adapter that the document no longer names is dropped", nil, []Replica{servingReplica("a", 100, notes1)}, "a[]"},
 		{"a new version is loaded beside the old one", []Desired{desired(notes2, 1)},
-			[]Replica{serving("b", 100), serving("c", 100, notes1)}, "c[notes@1 notes@2]"},
+			[]Replica{servingReplica("b", 100), servingReplica("c", 100, notes1)}, "c[notes@1 notes@2]"},
 		{"the old version stays until the new one is held", []Desired{desired(notes2, 1)},
 			[]Replica{{Name: "a", MemoryBytes: 100, Planned: []Adapter{notes1, notes2}, Held: []Adapter{notes1}, Serving: true}}, ""},
-		{"the old version is dropped once the new one is held", []Desired{desired(notes2, 1)}, []Replica{serving("a", 100, notes1, notes2)}, "a[notes@2]"},
+		{"the old version is dropped once the new one is held", []Desired{desired(notes2, 1)}, []Replica{servingReplica("a", 100, notes1, notes2)}, "a[notes@2]"},
 		{"without memory for both the last holder keeps the old version", []Desired{desired(notes2, 1)},
-			[]Replica{serving("a", 10, notes1)}, ""},
+			[]Replica{servingReplica("a", 10, notes1)}, ""},
 		{"without memory for both the old version is replaced if another replica holds it", []Desired{desired(notes2, 1)},
-			[]Replica{serving("a", 10, notes1), serving("b", 10, notes1)}, "a[notes@2]"},
+			[]Replica{servingReplica("a", 10, notes1), servingReplica("b", 10, notes1)}, "a[notes@2]"},
 	}
 	for _, c := range cases {
 		if got := summary(Decide(c.wanted, c.replicas)); got != c.want {
@@ -95,7 +95,7 @@
 		}
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 6).Draw(t, "replicas") {
-			r := serving(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "memory"))
+			r := servingReplica(fmt.Sprint("r", i), rapid.Int64Range(0, 60).Draw(t, "memory"))
 			r.Utilization = rapid.Float64Range(0, 1).Draw(t, "utilization")
 			r.UseRate = map[Adapter]float64{}
 			freeBytes := r.MemoryBytes
@@ -110,7 +110,7 @@
 			r.Held = r.Planned
 			replicas = append(replicas, r)
 		}
-		initiallyHeld := heldNames(replicas)
+		initiallyHeldNames := heldNames(replicas)
 		for round := 0; ; round++ {
 			result := Decide(wanted, replicas)
 			if len(result.Changes) == 0 {
@@ -120,7 +120,7 @@
 				t.Fatal("changes do not end", result.Changes)
 			}
 			applyChanges(t, wanted, replicas, result)
-			for name := range initiallyHeld {
+			for name := range initiallyHeldNames {
 				if !heldNames(replicas)[name] {
 					t.Fatalf("no replica holds %q any more: %+v", name, result.Changes)
 				}
@@ -179,7 +179,7 @@
 		for name, planned := range map[string]bool{"settled": true, "none placed": false} {
 			replicas := make([]Replica, n)
 			for i := range replicas {
-				replicas[i] = serving(fmt.Sprint("replica-", i), 1000)
+				replicas[i] = servingReplica(fmt.Sprint("replica-", i), 1000)
 				if planned {
 					replicas[i].Planned = []Adapter{wanted[i%adapterCount].Adapter}
 					replicas[i].Held = replicas[i].Planned
--- a/decide/adapters/doc.go
+++ b/decide/adapters/doc.go
@@ -13,8 +13,8 @@
 //     planned holder is a replica whose plan contains the adapter.
 //   - The document is the configuration that operators write. It says which adapters a
 //     model has, in which version, and on how many replicas each of them should be.
-//   - A slot is a place for one stream on a replica. A replica is busy if at least
-//     three quarters of its slots are in use (busyUtilization).
+//   - A slot is a place for one stream in the batch of a replica. A replica is busy if at
+//     least three quarters of its slots are in use (busyUtilization).
 //
 // # Load patterns, and the failures without this package
 //
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -35,22 +35,22 @@
 // confirmation is not fresh. A Lease is not safe for concurrent use; the caller locks.
 type Lease struct {
 	// MaxAge is the age at which a confirmation expires.
-	MaxAge      time.Duration
-	confirmedAt time.Duration // start of the read of the newest confirmation
-	confirmed   bool          // whether there has been a confirmation
+	MaxAge          time.Duration
+	newestReadStart time.Duration // start of the read of the newest confirmation
+	hasConfirmation bool          // whether there has been any confirmation
 }
 
-// Renew records a confirmation whose read was started at readStart. Confirmations may be
-// recorded in another order than that of their reads.
+// Renew records a confirmation whose read was started at readStart. A confirmation whose read
+// was started earlier than that of a recorded confirmation changes nothing.
 func (l *Lease) Renew(readStart time.Duration) {
-	if !l.confirmed || readStart > l.confirmedAt {
-		l.confirmedAt, l.confirmed = readStart, true
+	if !l.hasConfirmation || readStart > l.newestReadStart {
+		l.newestReadStart, l.hasConfirmation = readStart, true
 	}
 }
 
 // Age returns the age of the newest confirmation; ok is false if there has been none.
 func (l *Lease) Age(now time.Duration) (age time.Duration, ok bool) {
-	return now - l.confirmedAt, l.confirmed
+	return now - l.newestReadStart, l.hasConfirmation
 }
 
 // Fresh reports whether the node may serve requests by its configuration at the time now.
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -10,89 +10,90 @@
 	"pgregory.net/rapid"
 )
 
-// minCapacity returns the token capacity of the layer that has the least. This is the number
-// of tokens that the domain can hold at once. minCapacity returns zero if a layer has no
-// holder.
+// minCapacity returns the lowest token capacity of all layers: the domain can't hold more
+// tokens than this at the same time. minCapacity returns zero if a layer has no holder.
 func minCapacity(m Model, replicas []Replica) float64 {
 	c := newCoverage(m, replicas)
-	lowest := math.Inf(1)
+	lowestCapacity := math.Inf(1)
 	for l := range m.Layers {
 		if c.holders[l] == 0 {
 			return 0
 		}
-		lowest = min(lowest, c.capacity[l])
+		lowestCapacity = min(lowestCapacity, c.capacity[l])
 	}
-	return lowest
+	return lowestCapacity
 }
 
-// bestCapacity returns the highest minCapacity of all plans that give a span which fits in
-// memory, or none, to each replica from index on. The replicas before index keep their
-// spans.
+// bestCapacity tries all possible plans and returns the highest minCapacity of them. A plan
+// gives each replica from index on a span that fits in its memory, or no layers. The replicas
+// before index keep their spans.
 func bestCapacity(m Model, replicas []Replica, index int) float64 {
 	if index == len(replicas) {
 		return minCapacity(m, replicas)
 	}
-	highest := bestCapacity(m, replicas, index+1) // this replica holds no layers
+	highestCapacity := bestCapacity(m, replicas, index+1) // this replica holds no layers
 	for n := 1; n <= m.MaxLayers(replicas[index].MemoryMB, 1); n++ {
 		for from := 0; from+n <= m.Layers; from++ {
 			replicas[index].Held = Span{from, from + n}
-			highest = max(highest, bestCapacity(m, replicas, index+1))
+			highestCapacity = max(highestCapacity, bestCapacity(m, replicas, index+1))
 		}
 	}
 	replicas[index].Held = Span{}
-	return highest
+	return highestCapacity
 }
 
-// On small domains the capacity of the plan (minCapacity) is compared with the best of all
-// possible plans. Plan prefers second holders of layers to capacity, so its capacity may be
-// lower than the best. On average over the cases it must be at least half of the best.
+// On small domains the lowest token capacity of the layers (minCapacity) is compared between
+// the plan and the best of all possible plans. Plan prefers second holders of layers to
+// capacity, so the plan may have less capacity than the best. On average over the cases it
+// must have at least half of the best capacity.
 func TestPlanAgainstAllPlans(t *testing.T) {
-	small := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
-	sumOfRatios, caseCount := 0.0, 0
+	smallModel := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
+	capacityRatioSum, caseCount := 0.0, 0
 	compare := func(t *rapid.T) {
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 4).Draw(t, "cards") {
 			replicas = append(replicas, Replica{ID: fmt.Sprint("r", i), MemoryMB: float64(rapid.IntRange(2, 7).Draw(t, "memory")) * 50 * 2})
 		}
-		planned := applyOrders(replicas, Plan(small, replicas))
+		plannedReplicas := applyOrders(replicas, Plan(smallModel, replicas))
 		for range 3 { // neighbours take the remaining layers
-			planned = applyOrders(planned, Plan(small, planned))
+			plannedReplicas = applyOrders(plannedReplicas, Plan(smallModel, plannedReplicas))
 		}
-		highest := bestCapacity(small, slices.Clone(replicas), 0)
-		planCapacity := minCapacity(small, planned)
-		if highest == 0 {
+		highestCapacity := bestCapacity(smallModel, slices.Clone(replicas), 0)
+		planCapacity := minCapacity(smallModel, plannedReplicas)
+		if highestCapacity == 0 {
 			return
 		}
-		sumOfRatios, caseCount = sumOfRatios+planCapacity/highest, caseCount+1
+		capacityRatioSum, caseCount = capacityRatioSum+planCapacity/highestCapacity, caseCount+1
 	}
-	// With only 70 cases, the mean ratio of capacities differs by a tenth between runs.
-	const casesPerDraw = 3
+	// With only 70 cases in a run, the mean ratio of the plan's capacity to the best capacity
+	// differs by a tenth between runs.
+	const casesPerCheck = 3
 	rapid.Check(t, func(t *rapid.T) {
-		for range casesPerDraw {
+		for range casesPerCheck {
 			compare(t)
 		}
 	})
-	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", caseCount, sumOfRatios/float64(caseCount))
-	if sumOfRatios < float64(caseCount)/2 {
-		t.Errorf("the plan has %.2f of the highest capacity on average", sumOfRatios/float64(caseCount))
+	t.Logf("%d cases that can be covered with free capacity: the plan has %.2f of the highest capacity on average", caseCount, capacityRatioSum/float64(caseCount))
+	if capacityRatioSum < float64(caseCount)/2 {
+		t.Errorf("the plan has %.2f of the highest capacity on average", capacityRatioSum/float64(caseCount))
 	}
 }
 
 // consecutiveSpans gives each replica the span that follows the span of the replica before.
-// The length of a span is what MaxLayers returns for the memory fraction. No span
-// extends past the last layer, and the span after the last layer begins at the first layer.
-func consecutiveSpans(m Model, replicas []Replica, memoryFraction float64) []Replica {
-	next := 0
+// A span has the length that MaxLayers returns for the fraction, but ends at the last layer
+// at the latest. The span after the last layer begins at the first layer again.
+func consecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
+	nextLayer := 0
 	for i := range replicas {
-		n := min(m.MaxLayers(replicas[i].MemoryMB, memoryFraction), m.Layers-next)
-		replicas[i].Held = Span{next, next + n}
-		next = (next + n) % m.Layers
+		n := min(m.MaxLayers(replicas[i].MemoryMB, fraction), m.Layers-nextLayer)
+		replicas[i].Held = Span{nextLayer, nextLayer + n}
+		nextLayer = (nextLayer + n) % m.Layers
 	}
 	return replicas
 }
 
-// The plan for a typical domain is compared with simpler plans by the token capacity of the
-// layer that has the least. The test also logs how many replicas are expendable: the loss
+// The plan for a typical domain is compared with simpler plans by the lowest token capacity
+// of the layers (minCapacity). The test also logs how many replicas are expendable: the loss
 // of one such replica leaves all layers covered.
 func TestPlanAgainstNaivePlans(t *testing.T) {
 	sortedByMemory := func(replicas []Replica) []Replica {
@@ -100,11 +101,11 @@
 		return replicas
 	}
 	spansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
-		next := 0
+		nextLayer := 0
 		for i := range replicas {
-			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-next)
-			replicas[i].Held = Span{next, next + n}
-			next = (next + n) % model.Layers
+			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-nextLayer)
+			replicas[i].Held = Span{nextLayer, nextLayer + n}
+			nextLayer = (nextLayer + n) % model.Layers
 		}
 		return replicas
 	}
@@ -137,7 +138,8 @@
 }
 
 // layersOnGrid returns the number of layers that a card holds if the length of a span must be
-// a multiple of gridLayers. If fewer than gridLayers fit, it returns the number that fits.
+// a multiple of gridLayers. If fewer than gridLayers fit, layersOnGrid returns the
+// number of layers that fit.
 func layersOnGrid(memoryMB float64, gridLayers int) int {
 	return max(1, model.MaxLayers(memoryMB, 1)/gridLayers) * min(gridLayers, model.MaxLayers(memoryMB, 1))
 }
--- a/decide/layers/coverage.go
+++ b/decide/layers/coverage.go
@@ -5,8 +5,9 @@
 	"slices"
 )
 
-// coverage is the state of a failure domain while Plan computes orders. Spans change in it
-// as if the orders were carried out at once.
+// coverage is the state of a failure domain while Plan computes orders. Each order changes
+// the span of its replica in the coverage immediately, as if the replica held the new span
+// already.
 type coverage struct {
 	model    Model
 	replicas []Replica
@@ -21,8 +22,8 @@
 		capacity: make([]float64, model.Layers),
 		holders:  make([]int, model.Layers),
 	}
-	// Replicas with much memory come first, so that the small replicas fill the remaining
-	// gaps.
+	// Replicas with much memory come first, so that replicas with little memory fill the
+	// remaining gaps.
 	slices.SortStableFunc(c.replicas, func(a, b Replica) int {
 		return cmp.Or(cmp.Compare(b.MemoryMB, a.MemoryMB), cmp.Compare(a.ID, b.ID))
 	})
@@ -73,7 +74,7 @@
 	return gaps
 }
 
-// assign changes the span of a replica and returns the order for that.
+// assign changes the span of a replica and returns the order to hold the new span.
 func (c *coverage) assign(r *Replica, span Span, reason string) Order {
 	c.addContribution(r, -1)
 	r.Held = span
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -1,7 +1,7 @@
 package layers
 
-// fillEmpty gives each replica without layers the window of layers with the highest gain
-// from one more holder.
+// fillEmpty gives each replica without layers the span with the highest sum of gains
+// (bestSpan).
 func (c *coverage) fillEmpty() []Order {
 	var orders []Order
 	for i := range c.replicas {
@@ -10,47 +10,47 @@
 			continue
 		}
 		n := c.model.MaxLayers(r.MemoryMB, TargetFill)
-		orders = append(orders, c.assign(r, c.bestWindow(n, r.MemoryMB), ReasonFill))
+		orders = append(orders, c.assign(r, c.bestSpan(n, r.MemoryMB), ReasonFill))
 	}
 	return orders
 }
 
-// bestWindow returns the window of n layers with the highest sum of gains (layerGain) from
-// one more holder with the given memory. Of windows with equal sums that contain a layer
-// without a holder, it returns the first: so spans adjoin, and no gap is left that is too
-// small for a replica. Of other windows with equal sums it returns the last.
-func (c *coverage) bestWindow(n int, memoryMB float64) Span {
-	addedCapacity := c.model.TokenCapacity(memoryMB, n)
-	best, bestGain := Span{0, n}, -1.0
-	for from := 0; from+n <= c.model.Layers; from++ {
+// bestSpan returns the span of layerCount layers with the highest sum of gains (layerGain)
+// from one more holder with the given memory. Several spans may have the highest sum. If
+// these contain a layer without a holder, bestSpan returns the first of them: so spans adjoin,
+// without small gaps between them. Otherwise bestSpan returns the last of them.
+func (c *coverage) bestSpan(layerCount int, memoryMB float64) Span {
+	addedCapacity := c.model.TokenCapacity(memoryMB, layerCount)
+	best, bestGain := Span{0, layerCount}, -1.0
+	for from := 0; from+layerCount <= c.model.Layers; from++ {
 		gainSum := 0.0
-		for l := from; l < from+n; l++ {
+		for l := from; l < from+layerCount; l++ {
 			gainSum += c.layerGain(l, addedCapacity)
 		}
 		if gainSum > bestGain+gainTolerance || gainSum > bestGain-gainTolerance && gainSum < uncoveredGain {
-			best, bestGain = Span{from, from + n}, gainSum
+			best, bestGain = Span{from, from + layerCount}, gainSum
 		}
 	}
 	return best
 }
 
-// gainTolerance is the difference between two sums of gains up to which they count as
+// gainTolerance is the difference between two sums of gains up to which the sums count as
 // equal.
 const gainTolerance = 1e-9
 
 const (
 	// uncoveredGain is the gain of a layer from its first holder. It outweighs the gain of
-	// layers that have a holder.
+	// any layer that already has a holder.
 	uncoveredGain = 100
-	// secondHolderGain is the gain of a layer from a second holder, in addition to the gain
-	// from the capacity: the loss of one replica no longer stops the domain.
+	// secondHolderGain is added to the gain of a layer that has only one holder. With a second
+	// holder, the loss of one replica no longer stops the domain.
 	secondHolderGain = 0.5
 )
 
-// layerGain returns the gain of a layer from one more holder: how much the plan prefers to
-// place a holder there. The gain is addedCapacity divided by the layer's capacity with it.
-// For a layer with one holder secondHolderGain is added. For a layer without a holder the
-// gain is uncoveredGain.
+// layerGain returns the gain of a layer from one more holder, whose token capacity is
+// addedCapacity. The gain is addedCapacity divided by the token capacity that the layer has
+// with the new holder. For a layer with one holder secondHolderGain is added. For a layer
+// without a holder the gain is uncoveredGain.
 func (c *coverage) layerGain(layer int, addedCapacity float64) float64 {
 	if c.holders[layer] == 0 {
 		return uncoveredGain
@@ -62,21 +62,21 @@
 	return gain
 }
 
-// shrinkOverfilled takes layers that have other holders from replicas that hold more layers
-// than TargetFill allows.
+// shrinkOverfilled shortens the spans of replicas that hold more layers than TargetFill
+// allows. A replica gives up only layers that have another holder.
 func (c *coverage) shrinkOverfilled() []Order {
 	var orders []Order
 	for i := range c.replicas {
 		r := &c.replicas[i]
-		target := c.model.MaxLayers(r.MemoryMB, TargetFill)
-		if r.Excluded || r.Fixed || r.Held.Len() < target+minShrinkLayers {
+		targetLayers := c.model.MaxLayers(r.MemoryMB, TargetFill)
+		if r.Excluded || r.Fixed || r.Held.Len() < targetLayers+minShrinkLayers {
 			continue
 		}
 		span := r.Held
-		for span.Len() > target && c.holders[span.To-1] > 1 {
+		for span.Len() > targetLayers && c.holders[span.To-1] > 1 {
 			span.To--
 		}
-		for span.Len() > target && c.holders[span.From] > 1 {
+		for span.Len() > targetLayers && c.holders[span.From] > 1 {
 			span.From++
 		}
 		if r.Held.Len()-span.Len() >= minShrinkLayers {
@@ -86,5 +86,6 @@
 	return orders
 }
 
-// minShrinkLayers is the minimum number of layers for which shrinkOverfilled gives an order.
+// minShrinkLayers is the minimum number of layers that a replica gives up in an order of
+// shrinkOverfilled.
 const minShrinkLayers = 2
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -1,13 +1,15 @@
 // Package layers decides which layers of a model each replica of a failure domain
 // holds, where no replica holds them all.
 //
-// Use: call Plan with the present replicas; it returns the orders to give. Plan keeps no
-// state, so any node can continue from what replicas report. Called again before the
-// orders have been carried out, it returns no further orders as long as the caller
+// Use: call Plan with the present replicas; Plan returns the orders to give. It keeps no
+// state, so any node can continue from what replicas report. If Plan is called again before
+// the orders have been carried out, it returns no further orders, provided that the caller
 // passes the ordered spans in Replica.Held.
 //
 // # Terms
 //
+//   - A replica runs on one card, whose memory holds the weights of its layers and the KV
+//     cache of requests.
 //   - A span is a range of consecutive layers. A replica holds one span, or none.
 //   - A replica is a holder of each layer of its span, unless it is excluded.
 //   - An excluded replica takes no part in the plan: it is draining, lost, or of a kind of
@@ -16,41 +18,44 @@
 //     whose spans end where the gap begins, or begin where the gap ends.
 //   - A redundant replica is one whose layers all have another holder.
 //   - The token capacity of a replica is the number of tokens whose KV cache fits beside
-//     the weights of its layers. The capacity of a layer is the sum of those of its
-//     holders.
+//     the weights of its layers. The token capacity of a layer is the sum of the token
+//     capacities of its holders.
+//   - The gain of a layer from one more holder says how much Plan prefers to add a holder
+//     to this layer (layerGain).
 //
 // # Load pattern
 //
 // A fleet has different kinds of cards, each too small for the model. At any time some
-// cards are lost, drained or added. Requests run through all layers inside one failure
+// replicas are lost, drained or added. Requests run through all layers inside one failure
 // domain, because the links between domains can carry only a fraction of the data that
 // passes between layers.
 //
 // # Failure without this package
 //
-// If all cards hold equal numbers of layers, some domains don't cover all layers, or fast
+// If all replicas hold equal numbers of layers, some domains don't cover all layers, or fast
 // cards are idle. Requests use the memory that the weights leave, so a card that is filled
-// with weights has none for requests. The loss of one card stops its whole domain.
+// with weights has no memory for requests. The loss of one replica stops its whole domain.
 //
 // # Rules
 //
-//   - Every card holds the same fraction of the layers that fit on it (TargetFill), so
-//     the token capacity is about the same on all cards. No card is the bottleneck, which
-//     limits the number of tokens of its whole domain. Cards beyond one full copy of the
-//     model become second holders of layers.
-//   - An empty card takes the window of layers with the highest gain from one more
-//     holder: first layers without a holder, then layers with the least capacity.
-//   - If there is a gap and no empty card, a redundant card moves to the gap. The
+//   - Plan gives each replica the same fraction of the layers that fit on its card
+//     (TargetFill), so the token capacity is about the same on all replicas. Thus no
+//     replica is the bottleneck, which limits the number of tokens in its whole domain.
+//     Once all layers have a holder, the remaining replicas become second holders.
+//   - An empty replica takes the span with the highest sum of gains: layers without a
+//     holder have the highest gain, then layers with the least token capacity.
+//   - If there is a gap and no empty replica, a redundant replica moves to the gap. The
 //     neighbours take the rest of the gap: they load only the missing layers and go on
 //     serving the layers that they hold. A neighbour that takes over many layers becomes
 //     the bottleneck of its domain. So neighbours take layers of a large gap
-//     (smallGapLayers) only after cards have moved there. The neighbours give the layers
-//     back once another card holds them.
-//   - Second holders are placed at the last layers. Requests can't be rerouted away from
-//     their first replica, so a card that holds the first layers takes long to move.
+//     (largeGapLayers) only after redundant replicas have moved there. The neighbours give
+//     the layers back once another replica holds them.
+//   - If several spans are equally good for a second holder, Plan gives it the last of them.
+//     Requests can't be rerouted away from their first replica, so a replica that holds
+//     the first layers takes long to move.
 //
 // Plan moves no layers for balance alone, because a load occupies the weight store for
-// seconds and interrupts the prompts that run through the card.
+// seconds and interrupts the prompts that run through the replica.
 package layers
 
 import "math"
@@ -106,14 +111,15 @@
 )
 
 const (
-	// TargetFill is the fraction of the layers that fit on a card which Plan gives to its
-	// replica. The rest of the memory holds some hundred requests of usual size on any
-	// card, so that two of three domains can carry the load of all three. The replicas of a
-	// domain then hold more than one copy of the model. Half of them may be lost, one at a
-	// time, without a gap.
+	// TargetFill is the fraction of a card that Plan fills with layers: the replica on the
+	// card gets this fraction of the number of layers that would fit. The rest of the memory holds
+	// some hundred requests of usual size on any card, so that two of three domains can carry
+	// the load of all three. At this fraction the replicas of a domain together hold more
+	// than one copy of the model. Half of the replicas may be lost, one at a time, without a
+	// gap that remains.
 	TargetFill = 0.74
-	// MaxFill is the fraction of the layers that fit on a card which a neighbour may hold
-	// after it has taken over layers of a gap. It leaves memory for 26,000 tokens, about 30
+	// MaxFill is the highest fraction of a card that Plan fills with layers when the replica
+	// on the card takes over layers of a gap. The rest of the memory holds 26,000 tokens, about 30
 	// requests of usual size.
 	MaxFill = 0.9
 )
@@ -133,12 +139,13 @@
 
 // finalOrders keeps the last order of each replica and drops orders for spans that the
 // replica already holds. A replica that moves to a gap may also take the rest of the gap
-// in the same plan, and then has two orders. Two orders sent at once would carry the same
-// order count, and the replica would accept the one that arrives first.
+// in the same plan, and then has two orders. Each order that is sent carries the number of
+// orders that the replica has accepted so far. Two orders sent at the same time would carry
+// the same number, and the replica would accept only the order that arrives first.
 func finalOrders(orders []Order, replicas []Replica) []Order {
-	held := make(map[string]Span, len(replicas))
+	heldSpans := make(map[string]Span, len(replicas))
 	for _, r := range replicas {
-		held[r.ID] = r.Held
+		heldSpans[r.ID] = r.Held
 	}
 	lastIndexes := make(map[string]int, len(orders))
 	for i, o := range orders {
@@ -146,7 +153,7 @@
 	}
 	var final []Order
 	for i, o := range orders {
-		if lastIndexes[o.ID] == i && held[o.ID] != o.Hold {
+		if lastIndexes[o.ID] == i && heldSpans[o.ID] != o.Hold {
 			final = append(final, o)
 		}
 	}
@@ -160,10 +167,11 @@
 }
 
 // MaxLayers returns the given fraction of the number of layers whose weights fit in
-// memoryMB: rounded, at least 1 and at most all layers of the model.
-func (m Model) MaxLayers(memoryMB, memoryFraction float64) int {
+// memoryMB. The result is rounded, and is at least 1 and at most the number of layers of the
+// model.
+func (m Model) MaxLayers(memoryMB, fraction float64) int {
 	fittingLayers := int(memoryMB / m.LayerMB)
-	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*memoryFraction))))
+	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*fraction))))
 }
 
 // TokenCapacity returns the number of tokens whose KV cache for n layers fits in memoryMB
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// model has the number of layers and the memory per layer and token of a typical site.
+// model has a typical number of layers, and typical memory per layer and per token.
 var model = Model{Layers: 80, LayerMB: 1750, TokenLayerMB: 0.007375}
 
 // Memory of a card for weights and requests, in megabytes, by kind of card.
@@ -33,25 +33,25 @@
 
 // applyOrders returns the replicas after they have carried out the orders.
 func applyOrders(replicas []Replica, orders []Order) []Replica {
-	out := append([]Replica(nil), replicas...)
+	changedReplicas := append([]Replica(nil), replicas...)
 	for _, o := range orders {
-		for i := range out {
-			if out[i].ID == o.ID {
-				out[i].Held = o.Hold
+		for i := range changedReplicas {
+			if changedReplicas[i].ID == o.ID {
+				changedReplicas[i].Held = o.Hold
 			}
 		}
 	}
-	return out
+	return changedReplicas
 }
 
 func without(replicas []Replica, id string) []Replica {
-	var out []Replica
+	var otherReplicas []Replica
 	for _, r := range replicas {
 		if r.ID != id {
-			out = append(out, r)
+			otherReplicas = append(otherReplicas, r)
 		}
 	}
-	return out
+	return otherReplicas
 }
 
 // The first plan of a domain whose replicas hold no layers covers all layers. It leaves
@@ -74,28 +74,29 @@
 	}
 }
 
-// Another node takes over, or the replicas have not reported their new spans yet, and the
-// plan is computed again from the ordered spans. The second plan must contain no order.
+// The plan is computed again from the ordered spans if another node takes over the planning,
+// or if the replicas have not reported their new spans yet. The second plan must contain no
+// order.
 func TestPlanIsStable(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
-	if again := Plan(model, replicas); len(again) > 0 {
-		t.Errorf("ordered again: %v", again)
+	if secondOrders := Plan(model, replicas); len(secondOrders) > 0 {
+		t.Errorf("ordered again: %v", secondOrders)
 	}
 }
 
-// While layers have no holder, the requests of the domain must run in another domain or
-// cross to it. After the loss of any one replica, the orders of one plan must close the
-// gap.
+// While some layers have no holder in a domain, the requests of the domain must run in another
+// domain, wholly or for these layers. After the loss of any one replica, the orders of one
+// plan must close the gap.
 func TestAnyLossIsRepaired(t *testing.T) {
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
-	for _, lost := range replicas {
-		remaining := without(replicas, lost.ID)
-		orders := Plan(model, remaining)
-		repaired := applyOrders(remaining, orders)
-		if !FullyCovered(model, repaired) {
-			t.Errorf("%s (%v) lost: layers without a holder after %v", lost.ID, lost.Held, orders)
+	for _, lostReplica := range replicas {
+		remainingReplicas := without(replicas, lostReplica.ID)
+		orders := Plan(model, remainingReplicas)
+		repairedReplicas := applyOrders(remainingReplicas, orders)
+		if !FullyCovered(model, repairedReplicas) {
+			t.Errorf("%s (%v) lost: layers without a holder after %v", lostReplica.ID, lostReplica.Held, orders)
 		}
 	}
 }
@@ -124,14 +125,14 @@
 	replicas := typicalDomain()
 	replicas = applyOrders(replicas, Plan(model, replicas))
 	for i := range replicas {
-		excluded := append([]Replica(nil), replicas...)
-		excluded[i].Excluded = true
-		after := applyOrders(excluded, Plan(model, excluded))
-		if !FullyCovered(model, after) {
-			t.Errorf("%s excluded: layers without a holder", excluded[i].ID)
+		withExcluded := append([]Replica(nil), replicas...)
+		withExcluded[i].Excluded = true
+		afterOrders := applyOrders(withExcluded, Plan(model, withExcluded))
+		if !FullyCovered(model, afterOrders) {
+			t.Errorf("%s excluded: layers without a holder", withExcluded[i].ID)
 		}
-		if after[i].Held != replicas[i].Held {
-			t.Errorf("%s got an order although it is excluded", excluded[i].ID)
+		if afterOrders[i].Held != replicas[i].Held {
+			t.Errorf("%s got an order although it is excluded", withExcluded[i].ID)
 		}
 	}
 }
@@ -174,27 +175,27 @@
 	})
 }
 
-// The plan is compared with spans of equal length by the token capacity of the layer that
-// has the least. Equal spans fill the small replicas and leave most memory of the large
+// The plan is compared with spans of equal length by the lowest token capacity of the layers
+// (minCapacity). Equal spans fill the small replicas and leave most memory of the large
 // replicas unused.
 func TestCapacityAgainstEqualSpans(t *testing.T) {
 	replicas := typicalDomain()
-	planned := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
+	plannedCapacity := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
 	equalSpans := append([]Replica(nil), replicas...)
 	layersPerReplica := (model.Layers + len(equalSpans) - 1) / len(equalSpans)
 	for i := range equalSpans {
 		equalSpans[i].Held = Span{i * layersPerReplica, min(model.Layers, (i+1)*layersPerReplica)}
 	}
-	if planned < 1.5*minCapacity(model, equalSpans) {
-		t.Errorf("capacity of the weakest layer: %.0f tokens, with equal spans %.0f", planned, minCapacity(model, equalSpans))
+	if plannedCapacity < 1.5*minCapacity(model, equalSpans) {
+		t.Errorf("lowest capacity of a layer: %.0f tokens, with equal spans %.0f", plannedCapacity, minCapacity(model, equalSpans))
 	}
 }
 
-// A replica may get two orders in one plan: to move to a gap and, as a neighbour of the rest
-// of the gap, to take that rest too. Both orders would be sent at once with the same order
-// count, and the replica would accept the one that arrives first. If that order has the
-// shorter span, the rest of the gap has no holder until the next plan. So a plan must
-// contain at most one order for each replica.
+// A plan could contain two orders for one replica: to move to a gap and, as a neighbour of the
+// rest of the gap, to take that rest too. Both orders would be sent at the same time, and the
+// replica would accept only the order that arrives first. If that order has the shorter span,
+// the rest of the gap has no holder until the next plan. So a plan must contain at most one
+// order for each replica.
 func TestNoReplicaIsOrderedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var replicas []Replica
@@ -207,16 +208,16 @@
 			}
 			replicas = append(replicas, r)
 		}
-		held := map[string]Span{}
+		heldSpans := map[string]Span{}
 		for _, r := range replicas {
-			held[r.ID] = r.Held
+			heldSpans[r.ID] = r.Held
 		}
 		seen := map[string]bool{}
 		for _, o := range Plan(model, replicas) {
 			if seen[o.ID] {
 				t.Fatalf("%s gets two orders", o.ID)
 			}
-			if o.Hold == held[o.ID] {
+			if o.Hold == heldSpans[o.ID] {
 				t.Fatalf("%s gets an order for %v, which it already holds", o.ID, o.Hold)
 			}
 			seen[o.ID] = true
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -2,40 +2,40 @@
 
 import "math"
 
-// repair closes gaps: redundant replicas move to gaps of at least smallGapLayers, and
-// neighbours take the rest. If the neighbours can't take all of a rest, a redundant replica
-// moves there too.
+// repair closes gaps. Redundant replicas move to a gap while it has at least largeGapLayers
+// layers, and the neighbours take the rest of the gap. If the neighbours can't take all of
+// the rest, another redundant replica moves to the layers that remain.
 func (c *coverage) repair(gaps []Span) []Order {
 	var orders []Order
 	for _, gap := range gaps {
-		for gap.Len() >= smallGapLayers {
-			moved, ok := c.moveRedundant(gap)
+		for gap.Len() >= largeGapLayers {
+			moveOrder, ok := c.moveRedundant(gap)
 			if !ok {
 				break
 			}
-			orders = append(orders, moved)
-			gap.From = min(gap.To, moved.Hold.To)
+			orders = append(orders, moveOrder)
+			gap.From = min(gap.To, moveOrder.Hold.To)
 		}
 		extendOrders, remainingGap := c.extendNeighbours(gap)
 		orders = append(orders, extendOrders...)
 		if !remainingGap.Empty() {
-			if moved, ok := c.moveRedundant(remainingGap); ok {
-				orders = append(orders, moved)
+			if moveOrder, ok := c.moveRedundant(remainingGap); ok {
+				orders = append(orders, moveOrder)
 			}
 		}
 	}
 	return orders
 }
 
-// smallGapLayers is the number of layers from which a redundant replica moves to a gap. A
-// smaller gap costs its two neighbours about two layers each, which doesn't make them the
-// bottleneck.
-const smallGapLayers = 4
+// largeGapLayers is the minimum number of layers of a gap to which redundant replicas move
+// before the neighbours take layers of it. From a smaller gap each of the two neighbours
+// takes about two layers, which doesn't make the neighbours the bottleneck.
+const largeGapLayers = 4
 
-// extendNeighbours gives the layers of a gap to its neighbours, one layer at a time, each to
-// the neighbour with more token capacity left. If all neighbours are full, one of them takes
-// the layer and gives up the layer at the other end of its span. extendNeighbours returns
-// the orders and the remaining gap.
+// extendNeighbours gives the layers of a gap to its neighbours, one layer at a time. Each
+// layer goes to the neighbour that has the most token capacity left with this layer. If all
+// neighbours are full (MaxFill), one of them takes the layer and gives up the layer at the
+// opposite end of its span. extendNeighbours returns the orders and the remaining gap.
 func (c *coverage) extendNeighbours(gap Span) ([]Order, Span) {
 	originalSpans := map[*Replica]Span{}
 	for !gap.Empty() {
@@ -53,9 +53,9 @@
 	}
 	var orders []Order
 	for i := range c.replicas {
-		changed := &c.replicas[i]
-		if original, ok := originalSpans[changed]; ok && original != changed.Held {
-			orders = append(orders, Order{ID: changed.ID, Hold: changed.Held, Reason: ReasonExtend})
+		replica := &c.replicas[i]
+		if originalSpan, ok := originalSpans[replica]; ok && originalSpan != replica.Held {
+			orders = append(orders, Order{ID: replica.ID, Hold: replica.Held, Reason: ReasonExtend})
 		}
 	}
 	return orders, gap
@@ -72,8 +72,9 @@
 	c.addContribution(r, 1)
 }
 
-// bestNeighbour returns the neighbour that has the most token capacity left after it takes a
-// layer of the gap, with its new span. It returns nil if no neighbour may take a layer.
+// bestNeighbour returns the neighbour that would have the most token capacity left if it took
+// one layer of the gap, and the span that it would then hold. It returns nil if no neighbour
+// may take a layer.
 func (c *coverage) bestNeighbour(gap Span) (*Replica, Span) {
 	var best *Replica
 	var bestSpan Span
@@ -95,9 +96,9 @@
 // neighbour can take one layer of a gap.
 const maxShiftedReplicas = 6
 
-// shiftNeighbour gives a layer of the gap to a full neighbour, which gives up the layer at
-// the other end of its span. It returns the neighbour and its new span, or nil if there is
-// no neighbour that can do this.
+// shiftNeighbour gives a layer of the gap to a full neighbour, which gives up the layer at the
+// opposite end of its span. shiftNeighbour returns the neighbour and its new span, or nil if
+// no neighbour can shift its span in this way.
 func (c *coverage) shiftNeighbour(gap Span, originalSpans map[*Replica]Span) (*Replica, Span) {
 	for i := range c.replicas {
 		r := &c.replicas[i]
@@ -109,33 +110,34 @@
 	return nil, Span{}
 }
 
-// shift gives a replica a span that is one layer longer than the span it holds. If the
-// replica may not hold that many layers (MaxFill), it gives up the layer at the other end.
-// That layer must have another holder, or an adjacent replica must take it, for which spans
-// of at most replicasLeft replicas may shift in turn. shift reports whether it succeeded.
-func (c *coverage) shift(r *Replica, span Span, originalSpans map[*Replica]Span, replicasLeft int) bool {
+// shift adds one layer at one end of a replica's span; span is the result. If span is longer
+// than the replica may hold (MaxFill), the replica gives up the layer at the opposite end.
+// This is allowed only if that layer has another holder, or if a replica adjacent to that layer
+// takes it by a shift of its own span. At most maxFurtherReplicas replicas may shift in
+// addition to the given one. shift reports whether it succeeded.
+func (c *coverage) shift(r *Replica, span Span, originalSpans map[*Replica]Span, maxFurtherReplicas int) bool {
 	if span.Len() <= c.model.MaxLayers(r.MemoryMB, MaxFill) {
 		c.reassign(r, span, originalSpans)
 		return true
 	}
-	if replicasLeft == 0 {
+	if maxFurtherReplicas == 0 {
 		return false
 	}
-	farLayer, shiftedSpan := span.From, Span{span.From + 1, span.To}
+	oppositeLayer, shiftedSpan := span.From, Span{span.From + 1, span.To}
 	if span.From < r.Held.From {
-		farLayer, shiftedSpan = span.To-1, Span{span.From, span.To - 1}
+		oppositeLayer, shiftedSpan = span.To-1, Span{span.From, span.To - 1}
 	}
-	if c.holders[farLayer] > 1 {
+	if c.holders[oppositeLayer] > 1 {
 		c.reassign(r, shiftedSpan, originalSpans)
 		return true
 	}
 	for i := range c.replicas {
-		next := &c.replicas[i]
-		if next == r {
+		neighbour := &c.replicas[i]
+		if neighbour == r {
 			continue
 		}
-		longer, adjacent := c.extendedSpan(next, Span{farLayer, farLayer + 1})
-		if adjacent && c.shift(next, longer, originalSpans, replicasLeft-1) {
+		neighbourSpan, adjacent := c.extendedSpan(neighbour, Span{oppositeLayer, oppositeLayer + 1})
+		if adjacent && c.shift(neighbour, neighbourSpan, originalSpans, maxFurtherReplicas-1) {
 			c.reassign(r, shiftedSpan, originalSpans)
 			return true
 		}
@@ -144,7 +146,8 @@
 }
 
 // extendedSpan returns the span of a replica extended by one layer of a gap. It returns false
-// if the gap is not adjacent to the span or the replica gets no order now.
+// if the gap is not adjacent to the span, or if the replica holds no layers or gets no order
+// now.
 func (c *coverage) extendedSpan(r *Replica, gap Span) (Span, bool) {
 	if r.Excluded || r.Fixed || r.Held.Empty() {
 		return Span{}, false
@@ -165,22 +168,22 @@
 }
 
 // moveRedundant gives the beginning of a gap to a redundant replica. It prefers the replica
-// with the least memory, which has the least traffic to finish before it moves. It moves a
-// replica that holds the first layer only if there is no other redundant replica.
+// with the least memory, which has the fewest requests to finish before it moves. A replica
+// that holds the first layer moves only if there is no other redundant replica.
 func (c *coverage) moveRedundant(gap Span) (Order, bool) {
 	var best *Replica
-	bestCost := math.Inf(1)
+	lowestMoveCost := math.Inf(1)
 	for i := range c.replicas {
 		r := &c.replicas[i]
 		if r.Excluded || r.Fixed || r.Held.Empty() || !c.redundant(r) {
 			continue
 		}
-		cost := float64(c.model.MaxLayers(r.MemoryMB, TargetFill))
+		moveCost := float64(c.model.MaxLayers(r.MemoryMB, TargetFill))
 		if r.Held.From == 0 {
-			cost += float64(c.model.Layers)
+			moveCost += float64(c.model.Layers)
 		}
-		if cost < bestCost {
-			best, bestCost = r, cost
+		if moveCost < lowestMoveCost {
+			best, lowestMoveCost = r, moveCost
 		}
 	}
 	if best == nil {
--- a/decide/paths/backoff.go
+++ b/decide/paths/backoff.go
@@ -9,27 +9,29 @@
 	backoffMax = 2400 * time.Millisecond
 )
 
-// backoff is the state of a replica that refuses requests although it has capacity: it
-// is about to leave, gives up its layers, or waits for a lost replica, and the list
-// doesn't show the reason yet. A refusal soon after a backoff period starts a new period
-// that is twice as long.
+// backoff holds the last backoff period of a replica. A backoff period starts when the
+// replica refuses a request although it has capacity. Such a replica is about to leave,
+// gives up its layers, or waits for another replica that was lost, and the list of replicas
+// doesn't show this yet.
 type backoff struct {
-	delay time.Duration // length of the last period
-	until time.Time     // end of the last period
+	lastLength time.Duration // length of the last backoff period
+	lastEnd    time.Time     // end of the last backoff period
 }
 
-// extend records a refusal. Refusals during a backoff period don't lengthen the period. A
-// refusal that comes later than one period after its end starts again at backoffBase.
+// extend records a refusal. A refusal during a backoff period doesn't lengthen the period.
+// A later refusal starts a new period, which is twice as long as the last one. If more time
+// than the length of the last period has passed since its end, the new period has the
+// length backoffBase again.
 func (b *backoff) extend(now time.Time) {
 	switch {
-	case now.Before(b.until):
+	case now.Before(b.lastEnd):
 		return
-	case b.delay == 0 || now.Sub(b.until) > b.delay:
-		b.delay = backoffBase
+	case b.lastLength == 0 || now.Sub(b.lastEnd) > b.lastLength:
+		b.lastLength = backoffBase
 	default:
-		b.delay = min(2*b.delay, backoffMax)
+		b.lastLength = min(2*b.lastLength, backoffMax)
 	}
-	b.until = now.Add(b.delay)
+	b.lastEnd = now.Add(b.lastLength)
 }
 
-func (b *backoff) active(now time.Time) bool { return now.Before(b.until) }
+func (b *backoff) active(now time.Time) bool { return now.Before(b.lastEnd) }
--- a/decide/paths/doc.go
+++ b/decide/paths/doc.go
@@ -15,8 +15,9 @@
 //   - The capacity of a replica is its KV cache memory for requests, in tokens times
 //     layers: a request of 100 tokens that runs 20 layers there takes 2,000.
 //   - Utilization is the reserved fraction of a capacity.
-//   - A node's share is the fraction of a failure domain's capacity that falls to it if
-//     all nodes that send requests there get the same (SetShare).
+//   - A node's share is the fraction of a failure domain's capacity that the node gets if
+//     the capacity is divided equally among all nodes that send requests to the domain
+//     (SetShare).
 //   - Peers are the other nodes that reserve capacity on the same replicas.
 //   - Listed replicas are those that the last call of Update passed.
 //   - A try is one attempt to send a request to the first replica of a path. A refusal is
@@ -24,9 +25,9 @@
 //
 // # Load pattern
 //
-// Some hundred concurrent streams, each of which takes KV cache memory in every layer
-// for as long as it lasts, on cards that differ tenfold in speed and threefold in
-// memory. Cards fail, fill up or give up layers at any time.
+// Some hundred streams run at the same time. Each stream takes KV cache memory in every
+// layer until the stream ends. The cards differ tenfold in speed and threefold in memory.
+// Cards fail, fill up or give up layers at any time.
 //
 // # Failure without this package
 //
@@ -43,24 +44,26 @@
 // reserved before the request is sent, because the replicas' reports of free capacity
 // lag by some hundred requests.
 //
-// A replica that refuses a request although it has capacity does so for a reason that
-// the list doesn't show yet: it is about to leave, gives up its layers, or waits for a
-// lost replica. Choose skips it for a backoff period. Each further refusal doubles the
-// period. A request whose layers have no other holder waits until the period ends: each
-// refusal costs a try, and the number of tries of all nodes together is limited.
+// A replica may refuse a request although it has capacity. Such a replica is about to
+// leave, gives up its layers, or waits for another replica that was lost, and the list of
+// replicas doesn't show this yet. Choose skips the replica for a backoff period. Each
+// further refusal doubles the period. If no other replica holds the layers of a request,
+// the request waits until the period ends: each refusal costs a try, and the number of
+// tries of all nodes together is limited.
 //
 // # Grounds for the figures
 //
 //   - The price of capacity at utilization u is u/(1-u) times the step time of a slow
-//     card. At a utilization of one half the price doubles the cost of a slow card. So
-//     fast and slow cards fill at about the same rate, and speed decides only while
-//     there is capacity. Latency objectives are met at the step time of the slowest
-//     card, so a faster path gains nothing.
-//   - A hop between failure domains in the middle of a path costs as much as ten paths
-//     (crossDomainMillis). All requests share the links between domains, and a prompt
-//     occupies a link for 16 ms. The prompts of one domain, each of which crosses twice,
-//     fill the link. If the first stage is in another domain (remoteEntryMillis), only
-//     the answer crosses.
-//   - The slowdown of a replica enters its cost squared: a replica at twelve times its
-//     usual step time can't keep up with the requests that run through it.
+//     card. At a utilization of one half the price equals this step time, so it doubles
+//     the cost of a slow card. Therefore fast and slow cards fill at about the same rate,
+//     and the speed of a card decides only while its utilization is low. Latency
+//     objectives are met at the step time of the slowest card, so a faster path gains
+//     nothing.
+//   - A hop between failure domains in the middle of a path costs as much as ten usual
+//     paths (crossDomainMillis). All requests share the links between domains, and a
+//     prompt occupies a link for 16 ms. If the prompts of one domain cross to another
+//     domain and back, they fill the link. If the first stage is in another domain
+//     (remoteEntryMillis), only the answer crosses.
+//   - The cost of a replica rises with the square of its slowdown: a replica at twelve
+//     times its usual step time can't keep up with the requests that run through it.
 package paths
--- a/decide/paths/path.go
+++ b/decide/paths/path.go
@@ -15,7 +15,7 @@
 	Layers  layers.Span
 }
 
-// Path lists the stages of a request, in the order in which it runs through them.
+// Path lists the stages of a request, in the order in which the request runs through them.
 type Path []Stage
 
 // Covers reports whether the path runs each layer of the span exactly once and in
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -21,13 +21,14 @@
 	Holds  layers.Span
 	// Capacity is the KV cache memory for requests, in tokens times layers.
 	Capacity float64
-	// LayerMillis is the time of one decode step through one layer.
+	// LayerMillis is the time of one decode step through one layer, in milliseconds.
 	LayerMillis float64
-	// PrefillMillis is the time to prefill one token of a prompt through one layer.
+	// PrefillMillis is the time to prefill one token of a prompt through one layer, in
+	// milliseconds.
 	PrefillMillis float64
 	// Draining replicas accept no new requests.
 	Draining bool
-	// Revision rises with each report that the replica makes of its layers.
+	// Revision rises each time that the replica reports its layers.
 	Revision int64
 }
 
@@ -71,21 +72,23 @@
 	// hopMillis is the time of a hop between two replicas of one failure domain: two
 	// transfers and the wait for the next step of the receiving replica.
 	hopMillis = 0.5
-	// crossDomainMillis is the cost of a hop from a stage to a stage in another failure
-	// domain.
+	// crossDomainMillis is the cost of a hop from one stage to the next if the two are in
+	// different failure domains.
 	crossDomainMillis = 150
 	// remoteEntryMillis is the cost of a first stage outside this node's failure domain.
 	remoteEntryMillis = 12
 	// slowLayerMillis is the time of one decode step through one layer on a slow card. The
 	// price of capacity is a multiple of this time.
 	slowLayerMillis = 0.17
-	// maxUtilization bounds the reservations on a replica, as a fraction of the capacity
-	// that this node and its reporting peers may reserve. The bound is over 1 because nodes
-	// seldom use all of their shares at the same time. If they do, the replica refuses
-	// requests and the usable fraction of the capacity (usableFraction) shrinks.
+	// maxUtilization is the highest utilization of a replica that a reservation of this node
+	// may lead to, relative to the capacity that this node and its reporting peers may
+	// reserve. The limit is over 1 because nodes seldom use all of their shares at the same
+	// time. If they do, the replica refuses requests, and this node lowers the fraction of
+	// the capacity that it counts as available (usableFraction).
 	maxUtilization = 1.1
 	// costJitter is the largest random increase of a replica's cost, as a fraction of the
-	// cost. Without it, nodes that see the same replicas would all choose the same replica.
+	// cost. Without this random part, nodes that see the same replicas would all choose the
+	// same one.
 	costJitter = 0.1
 )
 
@@ -99,7 +102,7 @@
 	suspected, hostUnreachable bool
 	suspectedSince             time.Time
 	// layersMissing is set if the replica doesn't hold the layers that it is listed with. The
-	// next report of the replica clears it.
+	// next report of the replica clears this flag.
 	layersMissing bool
 	// avoidUntil is the time until which avoidFactor raises the cost of the replica.
 	avoidUntil time.Time
@@ -117,22 +120,22 @@
 // Selector tracks the reservations on each replica and chooses paths. It is not safe for
 // concurrent use.
 type Selector struct {
-	replicas map[string]*replicaState
-	sorted   []*replicaState    // by ID, so that iteration is deterministic
-	shares   map[string]float64 // this node's share of the capacity, by failure domain
-	// reportingPeers is the number of peers whose reservations are known, by failure domain.
-	reportingPeers map[string]int
-	random         *rand.Rand
+	replicas   map[string]*replicaState
+	sortedByID []*replicaState    // by ID, so that iteration is deterministic
+	shares     map[string]float64 // this node's share of the capacity, by failure domain
+	// reportingPeerCount is the number of peers whose reservations are known, by failure domain.
+	reportingPeerCount map[string]int
+	random             *rand.Rand
 }
 
 // New returns a Selector without replicas. Each node must pass a different seed, because
 // the seed determines the random part of the costs.
 func New(seed uint64) *Selector {
 	return &Selector{
-		replicas:       map[string]*replicaState{},
-		shares:         map[string]float64{},
-		reportingPeers: map[string]int{},
-		random:         rand.New(rand.NewPCG(seed, seed)),
+		replicas:           map[string]*replicaState{},
+		shares:             map[string]float64{},
+		reportingPeerCount: map[string]int{},
+		random:             rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
@@ -141,21 +144,21 @@
 // starts with a new state.
 func (s *Selector) Update(replicas []Replica) {
 	states := make(map[string]*replicaState, len(replicas))
-	s.sorted = s.sorted[:0]
-	for _, listed := range replicas {
-		r, ok := s.replicas[listed.ID]
-		if !ok || r.Incarnation != listed.Incarnation {
+	s.sortedByID = s.sortedByID[:0]
+	for _, listedReplica := range replicas {
+		r, ok := s.replicas[listedReplica.ID]
+		if !ok || r.Incarnation != listedReplica.Incarnation {
 			r = &replicaState{usableFraction: usableFraction{value: 1}, slowdown: 1}
 		}
-		if listed.Revision != r.Revision {
+		if listedReplica.Revision != r.Revision {
 			r.layersMissing = false
 		}
-		r.Replica = listed
-		states[listed.ID] = r
-		s.sorted = append(s.sorted, r)
+		r.Replica = listedReplica
+		states[listedReplica.ID] = r
+		s.sortedByID = append(s.sortedByID, r)
 	}
 	s.replicas = states
-	slices.SortFunc(s.sorted, func(a, c *replicaState) int { return cmp.Compare(a.ID, c.ID) })
+	slices.SortFunc(s.sortedByID, func(a, c *replicaState) int { return cmp.Compare(a.ID, c.ID) })
 }
 
 // SetShare sets this node's share of the capacity of a failure domain: one divided by the
@@ -165,19 +168,19 @@
 }
 
 // SetPeerReservations records what peers have reserved on the replicas of a failure domain,
-// by replica ID and in tokens times layers. peers is the number of nodes that reported. The
-// nodes that didn't report are assumed to use all of their shares.
-func (s *Selector) SetPeerReservations(domain string, peers int, reserved map[string]float64) {
-	s.reportingPeers[domain] = peers
-	for _, r := range s.sorted {
+// by replica ID and in tokens times layers. peerCount is the number of nodes that reported.
+// The nodes that didn't report are assumed to use all of their shares.
+func (s *Selector) SetPeerReservations(domain string, peerCount int, reserved map[string]float64) {
+	s.reportingPeerCount[domain] = peerCount
+	for _, r := range s.sortedByID {
 		if r.Domain == domain {
 			r.peerReserved, r.reservedAtReport = reserved[r.ID], r.reserved
 		}
 	}
 }
 
-// share returns the fraction of a failure domain's capacity that falls to one node, 1 if
-// no share has been set.
+// share returns this node's share of the capacity of a failure domain, or 1 if no share has
+// been set.
 func (s *Selector) share(domain string) float64 {
 	share, ok := s.shares[domain]
 	if !ok || share <= 0 {
@@ -187,48 +190,50 @@
 }
 
 // capacity returns how much of a replica's capacity this node and its reporting peers may
-// reserve together, in tokens times layers: the sum of their shares, times the usable
-// fraction.
+// reserve together, in tokens times layers: the sum of their shares of the capacity, times
+// the fraction that this node counts as available (usableFraction).
 func (s *Selector) capacity(now time.Time, r *replicaState) float64 {
-	fraction := min(1, s.share(r.Domain)*float64(1+s.reportingPeers[r.Domain]))
+	fraction := min(1, s.share(r.Domain)*float64(1+s.reportingPeerCount[r.Domain]))
 	return r.Capacity * fraction * r.usableFraction.at(now)
 }
 
-// utilization returns the utilization of the capacity that this node and its reporting
-// peers may reserve on a replica, if this node reserved extra tokens times layers more.
-func (s *Selector) utilization(now time.Time, r *replicaState, extra float64) float64 {
+// utilization returns the reserved fraction of the capacity that this node and its
+// reporting peers may reserve on a replica. extraTokenLayers counts as reserved too; it is
+// a number of tokens times layers.
+func (s *Selector) utilization(now time.Time, r *replicaState, extraTokenLayers float64) float64 {
 	capacity := s.capacity(now, r)
 	if capacity <= 0 {
 		return math.Inf(1)
 	}
-	return (r.peerReserved + r.reserved + extra) / capacity
+	return (r.peerReserved + r.reserved + extraTokenLayers) / capacity
 }
 
 const (
-	// maxSharesPerReport bounds what a node reserves between two reports of its peers. The
-	// unit is the node's share of the capacity that was free at the last report. With a
-	// bound of one share, capacity stays unused when some nodes have more load than others.
-	// Without a bound, all nodes reserve the same free capacity.
+	// maxSharesPerReport limits how much of a replica's capacity a node reserves between two
+	// reports of its peers. At the last report some capacity was free, and the node may
+	// reserve this many times its share of that free capacity. With a limit of one share,
+	// capacity stays unused when some nodes have more load than others. Without a limit, all
+	// nodes reserve the same free capacity.
 	maxSharesPerReport = 2
-	// singleRequestFraction is the fraction of the capacity free at the last report that a
-	// single request may reserve, if this node has reserved nothing more since. Without this
-	// exception, a request larger than the share of a node would be refused while most of the
-	// capacity is free.
+	// singleRequestFraction applies if this node's reservations have not grown since the last
+	// report of its peers. A single request may then reserve this fraction of the capacity
+	// that was free at that report. Without this exception, a request larger than the share
+	// of a node would be refused while most of the capacity is free.
 	singleRequestFraction = 0.5
 )
 
-// mayReserve reports whether this node may reserve extra tokens times layers on a replica
-// before the next report of its peers.
-func (s *Selector) mayReserve(now time.Time, r *replicaState, extra, utilizationLimit float64) bool {
-	if s.reportingPeers[r.Domain] == 0 {
+// mayReserve reports whether this node may reserve extraTokenLayers more on a replica before
+// the next report of its peers (maxSharesPerReport, singleRequestFraction).
+func (s *Selector) mayReserve(now time.Time, r *replicaState, extraTokenLayers, utilizationLimit float64) bool {
+	if s.reportingPeerCount[r.Domain] == 0 {
 		return true
 	}
-	free := max(0, utilizationLimit*s.capacity(now, r)-r.peerReserved-r.reservedAtReport)
-	reservedSinceReport := r.reserved + extra - r.reservedAtReport
-	if reservedSinceReport <= free*min(1, maxSharesPerReport*s.share(r.Domain)) {
+	freeAtReport := max(0, utilizationLimit*s.capacity(now, r)-r.peerReserved-r.reservedAtReport)
+	reservedSinceReport := r.reserved + extraTokenLayers - r.reservedAtReport
+	if reservedSinceReport <= freeAtReport*min(1, maxSharesPerReport*s.share(r.Domain)) {
 		return true
 	}
-	return r.reserved <= r.reservedAtReport && extra <= free*singleRequestFraction
+	return r.reserved <= r.reservedAtReport && extraTokenLayers <= freeAtReport*singleRequestFraction
 }
 
 // Choose returns the cheapest path for a query, or no path and why there is none.
@@ -244,11 +249,11 @@
 	return nil, LayersUnavailable
 }
 
-// usableReplicas returns the replicas that a path may contain, also those without free
-// capacity or in a backoff period.
+// usableReplicas returns the replicas that a path may contain, including replicas without
+// free capacity or in a backoff period.
 func (s *Selector) usableReplicas(q Query) []*replicaState {
 	var usable []*replicaState
-	for _, r := range s.sorted {
+	for _, r := range s.sortedByID {
 		if r.Draining || r.Holds.Empty() || r.suspected || r.layersMissing || slices.Contains(q.Exclude, r.ID) {
 			continue
 		}
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -34,7 +34,7 @@
 	return s
 }
 
-func choose(t *testing.T, s *Selector, q Query) Path {
+func choosePath(t *testing.T, s *Selector, q Query) Path {
 	t.Helper()
 	q.Layers = allLayers
 	path, outcome := s.Choose(start, q)
@@ -59,7 +59,7 @@
 // The data that passes between layers is many times the size of the answer, and all
 // requests share the links between domains.
 func TestPathStaysInDomain(t *testing.T) {
-	path := choose(t, twoDomains(), Query{Domain: "near", Tokens: 1000})
+	path := choosePath(t, twoDomains(), Query{Domain: "near", Tokens: 1000})
 	if domains := domainsIn(path); len(domains) != 1 || !domains["near"] {
 		t.Errorf("path %v leaves the domain of the node", path)
 	}
@@ -70,7 +70,7 @@
 func TestLostLayersMoveWholePathToOtherDomain(t *testing.T) {
 	s := twoDomains()
 	s.Suspect(start, "n3", false)
-	path := choose(t, s, Query{Domain: "near", Tokens: 1000})
+	path := choosePath(t, s, Query{Domain: "near", Tokens: 1000})
 	if domains := domainsIn(path); len(domains) != 1 || !domains["far"] {
 		t.Errorf("path %v, want a path in the far domain", path)
 	}
@@ -82,7 +82,7 @@
 	s := twoDomains()
 	s.Suspect(start, "n3", false)
 	s.Suspect(start, "f1", false)
-	path := choose(t, s, Query{Domain: "near", Tokens: 1000})
+	path := choosePath(t, s, Query{Domain: "near", Tokens: 1000})
 	if len(domainsIn(path)) != 2 {
 		t.Errorf("path %v, want a path through both domains", path)
 	}
@@ -92,7 +92,7 @@
 func TestSlowReplicaIsAvoided(t *testing.T) {
 	s := twoDomains()
 	s.SetSlowdown("n2", 12)
-	for _, stage := range choose(t, s, Query{Domain: "near", Tokens: 1000}) {
+	for _, stage := range choosePath(t, s, Query{Domain: "near", Tokens: 1000}) {
 		if stage.Replica == "n2" {
 			t.Errorf("path goes through the slow replica")
 		}
@@ -109,7 +109,7 @@
 	s.Update([]Replica{fast, slow})
 	requestsByReplica := map[string]int{}
 	for range 120 {
-		path := choose(t, s, Query{Domain: "d", Tokens: 1000})
+		path := choosePath(t, s, Query{Domain: "d", Tokens: 1000})
 		s.Reserve(path, 1000)
 		requestsByReplica[path[0].Replica]++
 	}
@@ -123,22 +123,22 @@
 func TestFullReplicasAreNotChosen(t *testing.T) {
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
-	var reserved []Path
+	var reservedPaths []Path
 	for range 200 {
 		path, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000})
 		if outcome == NoCapacity {
 			break
 		}
 		s.Reserve(path, 1000)
-		reserved = append(reserved, path)
+		reservedPaths = append(reservedPaths, path)
 	}
-	if len(reserved) < 100 || len(reserved) > 115 {
-		t.Fatalf("%d requests of 1,000 tokens fit into a capacity of 100,000", len(reserved))
+	if len(reservedPaths) < 100 || len(reservedPaths) > 115 {
+		t.Fatalf("%d requests of 1,000 tokens fit into a capacity of 100,000", len(reservedPaths))
 	}
-	for _, path := range reserved {
+	for _, path := range reservedPaths {
 		s.Release(path, 1000)
 	}
-	choose(t, s, Query{Domain: "d", Tokens: 1000})
+	choosePath(t, s, Query{Domain: "d", Tokens: 1000})
 }
 
 // Two nodes fill one replica, and neither sees the reservations of the other. Refusals lower
@@ -152,7 +152,7 @@
 		_, outcome := s.Choose(now, Query{Domain: "d", Layers: allLayers, Tokens: 30000})
 		return outcome == Found
 	}
-	s.Reserve(choose(t, s, Query{Domain: "d", Tokens: 70000}), 70000)
+	s.Reserve(choosePath(t, s, Query{Domain: "d", Tokens: 70000}), 70000)
 	if !fits(now) {
 		t.Fatal("the request does not fit before the refusals")
 	}
@@ -168,8 +168,8 @@
 	}
 }
 
-// A rerouted request keeps its first replica. The path for its remaining layers
-// must not use the excluded replicas.
+// A rerouted request keeps its first replica, so Choose is asked only for a path through the
+// remaining layers. That path must not use the excluded replicas.
 func TestChooseRemainingLayers(t *testing.T) {
 	s := twoDomains()
 	path, outcome := s.Choose(start, Query{Domain: "near", Layers: layers.Span{From: 30, To: 80}, Tokens: 10, Exclude: []string{"n1", "n2"}})
@@ -182,7 +182,7 @@
 // replica is cheaper.
 func TestFirstReplicasRestrictsFirstStage(t *testing.T) {
 	s := twoDomains()
-	if path := choose(t, s, Query{Domain: "near", Tokens: 10, FirstReplicas: []string{"f1"}}); path[0].Replica != "f1" {
+	if path := choosePath(t, s, Query{Domain: "near", Tokens: 10, FirstReplicas: []string{"f1"}}); path[0].Replica != "f1" {
 		t.Errorf("path %v does not begin at f1", path)
 	}
 }
@@ -203,16 +203,16 @@
 		t.Errorf("outcome %v", outcome)
 	}
 	s.MarkAlive("r")
-	choose(t, s, Query{Domain: "d", Tokens: 1})
+	choosePath(t, s, Query{Domain: "d", Tokens: 1})
 	s.Suspect(start, "r", false)
 	r.Incarnation++
 	s.Update([]Replica{r})
-	choose(t, s, Query{Domain: "d", Tokens: 1})
+	choosePath(t, s, Query{Domain: "d", Tokens: 1})
 }
 
 // A replica has restarted under its address and holds no layers, while the list still shows
 // its former layers. The replica refuses requests but answers probes. A successful probe
-// must not make the replica usable again; its next report must.
+// must not make the replica usable again. Only its next report makes it usable.
 func TestReplicaMissingListedLayersIsSkipped(t *testing.T) {
 	s := New(1)
 	r := replica("r", "d", 0, 80)
@@ -225,7 +225,7 @@
 	}
 	r.Revision++
 	s.Update([]Replica{r})
-	choose(t, s, Query{Domain: "d", Tokens: 1})
+	choosePath(t, s, Query{Domain: "d", Tokens: 1})
 }
 
 // A path that skips or repeats a layer, or gives a replica layers that it doesn't hold,
@@ -235,7 +235,7 @@
 func TestEveryPathIsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(7)
-		holds := map[string]layers.Span{}
+		heldSpans := map[string]layers.Span{}
 		var replicas []Replica
 		for i := range rapid.IntRange(1, 25).Draw(t, "replicas") {
 			from := rapid.IntRange(0, 75).Draw(t, "from")
@@ -243,7 +243,7 @@
 			r := replica(fmt.Sprint("r", i), []string{"a", "b", "c"}[rapid.IntRange(0, 2).Draw(t, "domain")], from, to)
 			r.LayerMillis = rapid.SampledFrom([]float64{0.015, 0.03, 0.17}).Draw(t, "layer time")
 			r.Draining = rapid.IntRange(0, 9).Draw(t, "draining") == 0
-			holds[r.ID] = r.Holds
+			heldSpans[r.ID] = r.Holds
 			replicas = append(replicas, r)
 		}
 		s.Update(replicas)
@@ -256,8 +256,8 @@
 				t.Fatalf("invalid path %v", path)
 			}
 			for _, stage := range path {
-				if !holds[stage.Replica].Covers(stage.Layers) {
-					t.Fatalf("stage %v runs layers outside of the held %v", stage, holds[stage.Replica])
+				if !heldSpans[stage.Replica].Covers(stage.Layers) {
+					t.Fatalf("stage %v runs layers outside of the held %v", stage, heldSpans[stage.Replica])
 				}
 			}
 			s.Reserve(path, 3000)
@@ -266,11 +266,11 @@
 }
 
 // simulateNodes runs n nodes of one failure domain that share one replica with capacity
-// for 100 requests of 1,000 tokens. The first node reserves for one request in every round,
-// the other nodes together for one more. With shareReservations all nodes report their
-// reservations to each other after each round. simulateNodes returns the number of requests
-// with a reservation, of all nodes and of the first node.
-func simulateNodes(n int, shareReservations bool) (reservedRequests float64, firstNodeRequests float64) {
+// for 100 requests of 1,000 tokens. In every round the first node tries to reserve capacity
+// for one request, and so does one of the other nodes in turn. With reportReservations all
+// nodes report their reservations to each other after each round. simulateNodes returns the
+// number of requests with a reservation, of all nodes and of the first node.
+func simulateNodes(n int, reportReservations bool) (reservedRequests float64, firstNodeRequests float64) {
 	selectors := make([]*Selector, n)
 	for i := range selectors {
 		selectors[i] = New(uint64(i + 1))
@@ -287,17 +287,17 @@
 				s.Reserve(path, 1000)
 			}
 		}
-		if !shareReservations {
+		if !reportReservations {
 			continue
 		}
 		for i, s := range selectors {
-			others := 0.0
+			peerReserved := 0.0
 			for j, other := range selectors {
 				if j != i {
-					others += other.Reserved()["r"]
+					peerReserved += other.Reserved()["r"]
 				}
 			}
-			s.SetPeerReservations("d", n-1, map[string]float64{"r": others})
+			s.SetPeerReservations("d", n-1, map[string]float64{"r": peerReserved})
 		}
 	}
 	for _, s := range selectors {
@@ -311,14 +311,14 @@
 // are half empty. If the nodes report their reservations, the busy node uses the free
 // capacity, and the total of all reservations stays near the capacity.
 func TestSharedReservationsGiveBusyNodeMoreCapacity(t *testing.T) {
-	evenTotal, evenBusyNode := simulateNodes(9, false)
-	sharedTotal, sharedBusyNode := simulateNodes(9, true)
-	t.Logf("even shares: %.0f requests, %.0f of the busy node; shared reservations: %.0f and %.0f", evenTotal, evenBusyNode, sharedTotal, sharedBusyNode)
-	if sharedBusyNode < 3*evenBusyNode {
-		t.Errorf("the busy node has %.0f requests, %.0f with even shares", sharedBusyNode, evenBusyNode)
+	totalWithFixedShares, busyNodeWithFixedShares := simulateNodes(9, false)
+	totalWithReports, busyNodeWithReports := simulateNodes(9, true)
+	t.Logf("even shares: %.0f requests, %.0f of the busy node; shared reservations: %.0f and %.0f", totalWithFixedShares, busyNodeWithFixedShares, totalWithReports, busyNodeWithReports)
+	if busyNodeWithReports < 3*busyNodeWithFixedShares {
+		t.Errorf("the busy node has %.0f requests, %.0f with even shares", busyNodeWithReports, busyNodeWithFixedShares)
 	}
-	if sharedTotal < 95 || sharedTotal > 112 {
-		t.Errorf("%.0f requests reserved, want 100 to 110", sharedTotal)
+	if totalWithReports < 95 || totalWithReports > 112 {
+		t.Errorf("%.0f requests reserved, want 100 to 110", totalWithReports)
 	}
 }
 
@@ -358,10 +358,11 @@
 	}
 }
 
-// requestsToRefusing simulates a replica that refuses all requests for three seconds. A
-// request arrives every 20 ms. The function returns the number of requests that were sent to
-// the refusing replica. Without useBackoff, each refusal is recorded with Avoid only.
-func requestsToRefusing(useBackoff bool) (sent int) {
+// requestsToRefusingReplica simulates a replica that refuses all requests for three seconds,
+// while a request arrives every 20 ms. The function returns the number of requests that were
+// sent to the refusing replica. With useBackoff each refusal is recorded with RecordRefusal,
+// otherwise with Avoid.
+func requestsToRefusingReplica(useBackoff bool) (sentRequests int) {
 	s := twoDomains()
 	for ms := 0; ms < 3000; ms += 20 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
@@ -373,7 +374,7 @@
 			if stage.Replica != "n3" {
 				continue
 			}
-			sent++
+			sentRequests++
 			if useBackoff {
 				s.RecordRefusal(now, "n3")
 			} else {
@@ -381,14 +382,15 @@
 			}
 		}
 	}
-	return sent
+	return sentRequests
 }
 
-// A replica is about to leave, and the store that would show this is unreachable. The
-// replica refuses all requests but answers probes. Without the backoff, every node sends it
-// a request each 150 ms during the outage of the store, and each such request costs a try.
+// A replica is about to leave, but nodes don't see this because the store is unreachable.
+// The replica refuses all requests but answers probes. Without the backoff, every node sends
+// the replica a request each 150 ms during the outage of the store, and each such request
+// costs a try.
 func TestRefusingReplicaIsBackedOff(t *testing.T) {
-	sentWithBackoff, sentWithoutBackoff := requestsToRefusing(true), requestsToRefusing(false)
+	sentWithBackoff, sentWithoutBackoff := requestsToRefusingReplica(true), requestsToRefusingReplica(false)
 	t.Logf("%d requests sent, %d without the backoff", sentWithBackoff, sentWithoutBackoff)
 	if sentWithBackoff > 6 || sentWithoutBackoff < 3*sentWithBackoff {
 		t.Errorf("%d requests sent, %d without the backoff", sentWithBackoff, sentWithoutBackoff)
@@ -404,13 +406,13 @@
 		t.Error("a replica that refuses although it is empty is not backed off")
 	}
 	later := start.Add(time.Second)
-	s.Reserve(chooseLarge(t, s, later), 80000)
+	s.Reserve(choosePathForLargeRequest(t, s, later), 80000)
 	if s.RecordRefusal(later, "r") {
 		t.Error("a full replica is backed off")
 	}
 }
 
-func chooseLarge(t *testing.T, s *Selector, now time.Time) Path {
+func choosePathForLargeRequest(t *testing.T, s *Selector, now time.Time) Path {
 	t.Helper()
 	path, outcome := s.Choose(now, Query{Domain: "d", Layers: allLayers, Tokens: 80000})
 	if outcome != Found {
@@ -428,5 +430,5 @@
 	if _, outcome := s.Choose(start, Query{Domain: "d", Layers: allLayers, Tokens: 1000}); outcome != NoCapacity {
 		t.Errorf("outcome %v, want %v", outcome, NoCapacity)
 	}
-	chooseLarge(t, s, start.Add(backoffBase))
+	choosePathForLargeRequest(t, s, start.Add(backoffBase))
 }
--- a/decide/paths/prefill_test.go
+++ b/decide/paths/prefill_test.go
@@ -23,9 +23,9 @@
 }
 
 // A replica with forty streams dies, and two other replicas hold its layers. If paths were
-// selected by capacity alone, one of these replicas might get more prefill than it can do
-// in time. Each of them must get about half of the streams. PrefillWait must return the
-// wait of a stream before the stream is rerouted.
+// selected by capacity alone, one of these two might get more prefill than it can do in
+// time. Each of them must get about half of the streams. PrefillWait must return how long a
+// stream will wait for prefill if it is rerouted now.
 func TestPrefillIsSharedEvenly(t *testing.T) {
 	s := threeMiddleReplicas()
 	previous := Path{{Replica: "first", Layers: allLayers}, {Replica: "lost", Layers: allLayers}}
@@ -34,7 +34,7 @@
 	requestsByReplica := map[string]int{}
 	var waits []time.Duration
 	for range 40 {
-		path := choose(t, s, Query{Domain: "d", Tokens: 1000})
+		path := choosePath(t, s, Query{Domain: "d", Tokens: 1000})
 		waits = append(waits, s.PrefillWait(start, path, previous, 1000, 1))
 		s.AddPrefill(start, path, previous, 1000, 1)
 		for _, stage := range path {
@@ -49,7 +49,7 @@
 	if waits[0] != 30*time.Millisecond || waits[39] != 40*30*time.Millisecond {
 		t.Errorf("the first request waits %v, the last %v", waits[0], waits[39])
 	}
-	path := choose(t, s, Query{Domain: "d", Tokens: 1000})
+	path := choosePath(t, s, Query{Domain: "d", Tokens: 1000})
 	if wait := s.PrefillWait(start.Add(2*time.Second), path, previous, 1000, 1); wait != waits[0] {
 		t.Errorf("wait %v after the backlog is done", wait)
 	}
@@ -62,7 +62,7 @@
 	s.Suspect(start, "lost", false)
 	s.AddPrefill(start, Path{{Replica: "m1", Layers: layers.Span{From: 30, To: 50}}}, nil, 50000, 1)
 	for range 10 {
-		for _, stage := range choose(t, s, Query{Domain: "d", Tokens: 1000}) {
+		for _, stage := range choosePath(t, s, Query{Domain: "d", Tokens: 1000}) {
 			if stage.Replica == "m1" {
 				t.Fatal("path goes to the replica with a second of prefill backlog")
 			}
@@ -74,7 +74,7 @@
 // time per token is unknown, PrefillWait returns zero.
 func TestUnchangedStagesNeedNoPrefill(t *testing.T) {
 	s := threeMiddleReplicas()
-	path := choose(t, s, Query{Domain: "d", Tokens: 1000})
+	path := choosePath(t, s, Query{Domain: "d", Tokens: 1000})
 	if wait := s.PrefillWait(start, path, path, 1000, 9); wait != 0 {
 		t.Errorf("wait %v for an unchanged path, want 0", wait)
 	}
@@ -94,7 +94,7 @@
 	near.Capacity, far.Capacity = 1e9, 1e9
 	s.Update([]Replica{near, far})
 	backlogs := map[string]*prefillBacklog{"near": {}, "far": {}}
-	var longest time.Duration
+	var longestBacklog time.Duration
 	for ms := range 250 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		path, _ := s.Choose(now, Query{Domain: "near", Layers: allLayers, Tokens: 1000})
@@ -103,19 +103,19 @@
 		}
 		backlog := backlogs[path[0].Replica]
 		backlog.add(now, 1000*80*near.PrefillMillis)
-		longest = max(longest, time.Duration(backlog.remaining(now)*float64(time.Millisecond)))
+		longestBacklog = max(longestBacklog, time.Duration(backlog.remaining(now)*float64(time.Millisecond)))
 	}
-	return longest
+	return longestBacklog
 }
 
-// All nodes of a failure domain lost power, and after the outage all its callers return at
-// once. If paths were selected by free capacity alone, all prompts would queue for prefill
-// in their own domain, and the first events of the answers would be late. Because the
-// prefill backlog is part of the cost, some of the prompts go to another domain.
+// All nodes of a failure domain lost power, and after the outage all callers of the domain
+// return at the same time. If paths were selected by free capacity alone, all prompts would
+// queue for prefill in their own domain, and the first events of the answers would be late.
+// Because the prefill backlog is part of the cost, some prompts go to another domain.
 func TestReturningCallersSpreadByPrefillBacklog(t *testing.T) {
-	longestWithCost, longestWithoutCost := simulateReturningCallers(true), simulateReturningCallers(false)
-	t.Logf("longest backlog %v, %v without the cost of the backlog", longestWithCost, longestWithoutCost)
-	if longestWithCost > longestWithoutCost*7/10 {
-		t.Errorf("longest backlog %v, %v without the cost of the backlog", longestWithCost, longestWithoutCost)
+	longestWithBacklogCost, longestWithoutBacklogCost := simulateReturningCallers(true), simulateReturningCallers(false)
+	t.Logf("longest backlog %v, %v without the cost of the backlog", longestWithBacklogCost, longestWithoutBacklogCost)
+	if longestWithBacklogCost > longestWithoutBacklogCost*7/10 {
+		t.Errorf("longest backlog %v, %v without the cost of the backlog", longestWithBacklogCost, longestWithoutBacklogCost)
 	}
 }
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -12,14 +12,14 @@
 	// end within this time.
 	avoidDuration = 150 * time.Millisecond
 	// Each refusal for lack of capacity multiplies the usable fraction of the capacity by
-	// refusalFactor. recoveryPerSecond is added to the fraction each second, because the
-	// reservations of peers end within the seconds that streams last.
+	// refusalFactor. The fraction then rises by recoveryPerSecond each second: streams last
+	// seconds, and when streams of peers end, their reservations end too.
 	refusalFactor     = 0.85
 	recoveryPerSecond = 0.1
 	// minUsableFraction is the lower bound of the usable fraction of the capacity.
 	minUsableFraction = 0.1
-	// lowUtilization is the utilization of a replica up to which a refusal is assumed to have
-	// another reason than lack of capacity.
+	// lowUtilization is the highest utilization of a replica at which its refusal of a request
+	// is assumed to have another reason than lack of capacity.
 	lowUtilization = 0.6
 )
 
@@ -28,25 +28,26 @@
 // reservations. When they together reserve more than the capacity, the replica refuses
 // requests, and each node lowers its own fraction until the refusals stop.
 type usableFraction struct {
-	value   float64 // fraction at the time updated
-	updated time.Time
+	value     float64 // usable fraction at updatedAt
+	updatedAt time.Time
 }
 
-// at returns the fraction with the recovery since the last refusal.
+// at returns the usable fraction at the time now: the last stored value and its recovery
+// since then.
 func (f *usableFraction) at(now time.Time) float64 {
 	if f.value >= 1 {
 		return 1
 	}
-	return min(1, f.value+recoveryPerSecond*now.Sub(f.updated).Seconds())
+	return min(1, f.value+recoveryPerSecond*now.Sub(f.updatedAt).Seconds())
 }
 
-// reduce lowers the fraction for a refusal. All refusals within avoidDuration lower it only
-// once.
+// reduce lowers the usable fraction after a refusal. Further refusals within avoidDuration
+// don't lower the fraction again.
 func (f *usableFraction) reduce(now time.Time) {
-	if now.Sub(f.updated) < avoidDuration {
+	if now.Sub(f.updatedAt) < avoidDuration {
 		return
 	}
-	f.value, f.updated = max(minUsableFraction, f.at(now)*refusalFactor), now
+	f.value, f.updatedAt = max(minUsableFraction, f.at(now)*refusalFactor), now
 }
 
 // Reserve reserves the capacity that a request of the given number of tokens takes on each
@@ -71,7 +72,7 @@
 // Reserved returns what this node has reserved on each replica, in tokens times layers.
 func (s *Selector) Reserved() map[string]float64 {
 	reserved := map[string]float64{}
-	for _, r := range s.sorted {
+	for _, r := range s.sortedByID {
 		if r.reserved > 0 {
 			reserved[r.ID] = r.reserved
 		}
@@ -143,7 +144,7 @@
 // Suspects returns the replicas that are suspected to be dead.
 func (s *Selector) Suspects() []Replica {
 	var list []Replica
-	for _, r := range s.sorted {
+	for _, r := range s.sortedByID {
 		if r.suspected {
 			list = append(list, r.Replica)
 		}
@@ -159,9 +160,9 @@
 	if !ok {
 		return false
 	}
-	previous := r.slowdown
+	previousSlowdown := r.slowdown
 	r.slowdown = max(1, slowdown)
-	return (previous >= SlowThreshold) != (r.slowdown >= SlowThreshold)
+	return (previousSlowdown >= SlowThreshold) != (r.slowdown >= SlowThreshold)
 }
 
 // Slowdown returns the last reported slowdown of a replica, at least 1.
@@ -173,13 +174,13 @@
 }
 
 // SlowThreshold is the slowdown from which a replica counts as slow. The node asks a slow
-// replica for its slowdown again until it has recovered.
+// replica for its slowdown again until the replica has recovered.
 const SlowThreshold = 1.5
 
 // Slow returns the slow replicas that are not suspected.
 func (s *Selector) Slow() []Replica {
 	var list []Replica
-	for _, r := range s.sorted {
+	for _, r := range s.sortedByID {
 		if r.slowdown >= SlowThreshold && !r.suspected {
 			list = append(list, r.Replica)
 		}
@@ -211,8 +212,8 @@
 	return false
 }
 
-// BackOff starts a backoff period for a replica after another node has reported that it
-// refuses requests although it has capacity.
+// BackOff starts a backoff period for a replica after another node has reported that the
+// replica refuses requests although it has capacity.
 func (s *Selector) BackOff(now time.Time, id string) {
 	if r, ok := s.replicas[id]; ok {
 		r.backoff.extend(now)
@@ -222,7 +223,7 @@
 // BackedOff returns the IDs of the replicas in a backoff period.
 func (s *Selector) BackedOff(now time.Time) []string {
 	var list []string
-	for _, r := range s.sorted {
+	for _, r := range s.sortedByID {
 		if r.backoff.active(now) {
 			list = append(list, r.ID)
 		}
@@ -248,7 +249,7 @@
 // ByAddress returns the ID of the replica that is listed with an address, or "" if none
 // is.
 func (s *Selector) ByAddress(address string) string {
-	for _, r := range s.sorted {
+	for _, r := range s.sortedByID {
 		if r.Address == address {
 			return r.ID
 		}
@@ -258,13 +259,13 @@
 
 // PeakUtilization returns the highest utilization of a replica in each failure domain.
 func (s *Selector) PeakUtilization(now time.Time) map[string]float64 {
-	peak := map[string]float64{}
-	for _, r := range s.sorted {
+	peakUtilization := map[string]float64{}
+	for _, r := range s.sortedByID {
 		if !r.Holds.Empty() && r.Capacity > 0 {
-			peak[r.Domain] = max(peak[r.Domain], s.utilization(now, r, 0))
+			peakUtilization[r.Domain] = max(peakUtilization[r.Domain], s.utilization(now, r, 0))
 		}
 	}
-	return peak
+	return peakUtilization
 }
 
 // Known reports whether a replica is listed.
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -9,54 +9,53 @@
 )
 
 // partialPath is the cheapest known path from the first layer of the query to a boundary
-// between layers, among the paths whose last stage is in a given failure domain. cost is
-// that of the whole partial path, in milliseconds; the other fields describe its last
-// stage.
+// between layers, among the paths whose last stage is in a given failure domain.
 type partialPath struct {
-	cost         float64
-	prevBoundary int // index of the boundary at which the last stage begins
-	prevDomain   int // index of the domain of the stage before the last
-	replica      *replicaState
+	cost         float64       // of the whole partial path, in milliseconds
+	prevBoundary int           // index of the boundary at which the last stage begins
+	prevDomain   int           // index of the domain of the stage before the last
+	replica      *replicaState // of the last stage
 }
 
-// search computes the cheapest path over the boundaries between layers. It keeps one
-// partial path for each boundary and domain of the last stage: the cost of the next hop
-// depends only on these two. utilizationLimit bounds the utilization of each replica.
+// search computes the cheapest path over the boundaries between layers. For each boundary
+// and each domain of the last stage it keeps one partial path, because the cost of the next
+// hop depends only on these two. A replica whose utilization would exceed utilizationLimit
+// is not used.
 func (s *Selector) search(now time.Time, q Query, usable []*replicaState, utilizationLimit float64) Path {
-	bounds := boundaries(q.Layers, usable)
+	layerBounds := boundaries(q.Layers, usable)
 	domains, domainIndexes := domainsOf(q.Domain, usable)
-	cheapest := make([]partialPath, len(bounds)*len(domains))
-	for i := range cheapest {
-		cheapest[i].cost = math.Inf(1)
+	cheapestPaths := make([]partialPath, len(layerBounds)*len(domains))
+	for i := range cheapestPaths {
+		cheapestPaths[i].cost = math.Inf(1)
 	}
-	partialPathTo := func(boundary, domain int) *partialPath { return &cheapest[boundary*len(domains)+domain] }
+	partialPathTo := func(boundary, domain int) *partialPath { return &cheapestPaths[boundary*len(domains)+domain] }
 	partialPathTo(0, 0).cost = 0
-	factors := s.costFactors(now, usable)
-	for to := 1; to < len(bounds); to++ {
+	factorsByReplica := s.costFactors(now, usable)
+	for endBoundary := 1; endBoundary < len(layerBounds); endBoundary++ {
 		for k, r := range usable {
-			if r.Holds.To < bounds[to] {
+			if r.Holds.To < layerBounds[endBoundary] {
 				continue
 			}
 			domain := domainIndexes[k]
-			for from := to - 1; from >= 0 && bounds[from] >= r.Holds.From; from-- {
-				if from == 0 && len(q.FirstReplicas) > 0 && !slices.Contains(q.FirstReplicas, r.ID) {
+			for startBoundary := endBoundary - 1; startBoundary >= 0 && layerBounds[startBoundary] >= r.Holds.From; startBoundary-- {
+				if startBoundary == 0 && len(q.FirstReplicas) > 0 && !slices.Contains(q.FirstReplicas, r.ID) {
 					continue
 				}
-				stageMillis, ok := s.stageCost(now, r, bounds[to]-bounds[from], q.Tokens, utilizationLimit, factors[k])
+				stageMillis, ok := s.stageCost(now, r, layerBounds[endBoundary]-layerBounds[startBoundary], q.Tokens, utilizationLimit, factorsByReplica[k])
 				if !ok {
 					continue
 				}
 				stageMillis += prefillCostFactor * r.prefill.remaining(now)
 				for previousDomain := range domains {
-					total := partialPathTo(from, previousDomain).cost + stageMillis + crossingCost(from == 0 && q.Layers.From == 0, previousDomain, domain)
-					if total < partialPathTo(to, domain).cost {
-						*partialPathTo(to, domain) = partialPath{cost: total, prevBoundary: from, prevDomain: previousDomain, replica: r}
+					pathMillis := partialPathTo(startBoundary, previousDomain).cost + stageMillis + crossingCost(startBoundary == 0 && q.Layers.From == 0, previousDomain, domain)
+					if pathMillis < partialPathTo(endBoundary, domain).cost {
+						*partialPathTo(endBoundary, domain) = partialPath{cost: pathMillis, prevBoundary: startBoundary, prevDomain: previousDomain, replica: r}
 					}
 				}
 			}
 		}
 	}
-	return reconstructPath(bounds, len(domains), cheapest)
+	return reconstructPath(layerBounds, len(domains), cheapestPaths)
 }
 
 // crossingCost returns the cost of a change of domain on a hop, in milliseconds. The hop to
@@ -72,25 +71,25 @@
 	}
 }
 
-// boundaries returns the sorted layer numbers at which a stage may begin or end: the ends
-// of the span and of the spans that replicas hold.
+// boundaries returns the sorted layer numbers at which a stage may begin or end: both ends
+// of the given span, and those ends of the spans held by replicas that lie inside it.
 func boundaries(span layers.Span, usable []*replicaState) []int {
-	bounds := []int{span.From, span.To}
+	layerBounds := []int{span.From, span.To}
 	for _, r := range usable {
 		for _, bound := range []int{r.Holds.From, r.Holds.To} {
 			if bound > span.From && bound < span.To {
-				bounds = append(bounds, bound)
+				layerBounds = append(layerBounds, bound)
 			}
 		}
 	}
-	slices.Sort(bounds)
-	return slices.Compact(bounds)
+	slices.Sort(layerBounds)
+	return slices.Compact(layerBounds)
 }
 
 // domainsOf returns the failure domains, this node's own first, and for each replica the
 // index of its domain in that list.
-func domainsOf(own string, usable []*replicaState) (domains []string, domainIndexes []int) {
-	domains = []string{own}
+func domainsOf(ownDomain string, usable []*replicaState) (domains []string, domainIndexes []int) {
+	domains = []string{ownDomain}
 	domainIndexes = make([]int, len(usable))
 	for k, r := range usable {
 		i := slices.Index(domains, r.Domain)
@@ -103,8 +102,8 @@
 	return domains, domainIndexes
 }
 
-// costFactors returns the random cost factor of each replica, multiplied by avoidFactor for
-// a replica that is to be avoided now (avoidUntil).
+// costFactors returns the factor on the cost of each replica: a random factor (costJitter),
+// multiplied by avoidFactor for a replica that is to be avoided now (avoidUntil).
 func (s *Selector) costFactors(now time.Time, usable []*replicaState) []float64 {
 	factors := make([]float64, len(usable))
 	for k, r := range usable {
@@ -121,12 +120,12 @@
 const avoidFactor = 8
 
 // stageCost returns the cost of a stage that runs layerCount layers on a replica, in
-// milliseconds per decode step. It returns false if the replica has too little capacity for
-// the tokens.
+// milliseconds per decode step. It returns false if the replica has too little free capacity
+// for the request's tokens.
 func (s *Selector) stageCost(now time.Time, r *replicaState, layerCount int, tokens, utilizationLimit, costFactor float64) (float64, bool) {
-	extra := tokens * float64(layerCount)
-	utilization := s.utilization(now, r, extra)
-	if utilization > utilizationLimit || !math.IsInf(utilizationLimit, 1) && !s.mayReserve(now, r, extra, utilizationLimit) {
+	extraTokenLayers := tokens * float64(layerCount)
+	utilization := s.utilization(now, r, extraTokenLayers)
+	if utilization > utilizationLimit || !math.IsInf(utilizationLimit, 1) && !s.mayReserve(now, r, extraTokenLayers, utilizationLimit) {
 		return 0, false
 	}
 	utilization = min(utilization, 0.99)
@@ -136,11 +135,11 @@
 // reconstructPath follows the cheapest partial paths back from the last boundary and merges
 // stages that run on the same replica. It returns nil if no path reaches the last boundary
 // or the path has more than MaxStages stages.
-func reconstructPath(bounds []int, domainCount int, cheapest []partialPath) Path {
-	lastBoundary := len(bounds) - 1
+func reconstructPath(layerBounds []int, domainCount int, cheapestPaths []partialPath) Path {
+	lastBoundary := len(layerBounds) - 1
 	bestDomain := -1
 	for d := range domainCount {
-		if p := cheapest[lastBoundary*domainCount+d]; p.replica != nil && (bestDomain < 0 || p.cost < cheapest[lastBoundary*domainCount+bestDomain].cost) {
+		if p := cheapestPaths[lastBoundary*domainCount+d]; p.replica != nil && (bestDomain < 0 || p.cost < cheapestPaths[lastBoundary*domainCount+bestDomain].cost) {
 			bestDomain = d
 		}
 	}
@@ -149,25 +148,25 @@
 	}
 	var path Path
 	for boundary, domain := lastBoundary, bestDomain; boundary > 0; {
-		p := cheapest[boundary*domainCount+domain]
+		p := cheapestPaths[boundary*domainCount+domain]
 		path = append(path, Stage{
 			Replica: p.replica.ID, Address: p.replica.Address, Domain: p.replica.Domain,
-			Layers: layers.Span{From: bounds[p.prevBoundary], To: bounds[boundary]},
+			Layers: layers.Span{From: layerBounds[p.prevBoundary], To: layerBounds[boundary]},
 		})
 		boundary, domain = p.prevBoundary, p.prevDomain
 	}
 	slices.Reverse(path)
-	path = mergeRepeated(path)
+	path = mergeRepeatedReplicas(path)
 	if len(path) > MaxStages {
 		return nil
 	}
 	return path
 }
 
-// mergeRepeated joins two stages on the same replica into one that also runs the layers
-// between them. The replica holds these layers too, because it holds a single span. An
+// mergeRepeatedReplicas joins two stages on the same replica into one stage that also runs the
+// layers between the two. The replica holds these layers too, because it holds a single span. An
 // engine refuses a path that contains its replica twice.
-func mergeRepeated(path Path) Path {
+func mergeRepeatedReplicas(path Path) Path {
 	for i := 0; i < len(path); i++ {
 		for j := len(path) - 1; j > i; j-- {
 			if path[j].Replica == path[i].Replica {
--- a/decide/placement/doc.go
+++ b/decide/placement/doc.go
@@ -11,12 +11,13 @@
 //
 //   - A chain is a list of engines in the order in which a token may pass through them.
 //   - A stage is one engine of a chain with the layers that it holds. A partition divides
-//     all layers of a model into stages. A replica is a chain of engines that holds all
-//     layers by such a partition.
+//     all layers of a model into stages. A replica is a chain of engines that together
+//     hold all layers, divided among the engines by a partition.
 //   - A hop is the work of one stage for one token: the computation of its layers and the
 //     transfer to the next stage. The longest hop of a partition is its bottleneck.
 //   - A plan is a partition with a version. The version is the fencing number of the
 //     orders that carry the plan out. A move is the change of a replica to another plan.
+//   - The gain of a move is the fraction by which the move shortens the bottleneck.
 //   - A load is the fetch of layers from the weight store. The rate of this store is
 //     limited, and all loads share it.
 //   - A roll-out brings a new version of the weights to the replicas of a failure domain,
@@ -27,9 +28,9 @@
 // Accelerators and links differ a hundredfold in speed. If all engines hold equal numbers
 // of layers, every token waits for the slowest hop, and a link that degrades makes a good
 // partition slow. BestPartition finds the partition with the shortest bottleneck that
-// fits in memory. Planner follows measured times and moves layers only for a gain that
-// is large and lasts, because a move costs loads and interrupts streams, which must resume
-// on another replica.
+// fits in memory. Planner follows measured times and moves layers only for a large and
+// lasting gain, because a move costs loads and interrupts streams, which must resume on
+// another replica.
 //
 // No function reads a clock or sends an order: the time is an argument and the plan is a
 // return value.
--- a/decide/placement/load_schedule.go
+++ b/decide/placement/load_schedule.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// maxBusyAhead is how far in the future LoadSchedule.BusyUntil may lie before it is ignored.
-// A node whose clock is hours fast reserves hours ahead. Without the bound, the loads of
-// all other nodes would wait for hours.
+// maxBusyAhead limits how far in the future LoadSchedule.BusyUntil may lie. A later BusyUntil
+// is ignored. A node whose clock is hours fast sets BusyUntil hours ahead. Without the limit,
+// the loads of all other nodes would wait for hours.
 const maxBusyAhead = time.Hour
 
-// LoadSchedule is the time for which loads have reserved the weight store. All plans and all
-// nodes share one schedule.
+// LoadSchedule says until when loads have reserved the weight store. All plans and all nodes
+// share one schedule.
 //
-// Load pattern: a rack comes back, or a document changes, and the engines of many
+// Load pattern: a rack comes back, or the configuration changes, and the engines of many
 // replicas fetch their layers. If each plan had its own schedule, all loads would start at
 // once, share the rate of the store, and end at about the same late time. With a common
 // schedule each load gets the full rate in turn, and the first replica serves as soon as
@@ -30,27 +30,27 @@
 
 // Reserve schedules loads of the given durations one after the other behind the last
 // reserved load, and returns their start times and the new schedule. A load of zero
-// duration, an order for layers that the engine already holds, starts at once.
+// duration starts at once: the engine already holds the layers that it is ordered to hold.
 func (s LoadSchedule) Reserve(now time.Time, durations []time.Duration) ([]time.Time, LoadSchedule) {
 	if s.Free(now) {
 		s.BusyUntil = now
 	}
-	starts := make([]time.Time, len(durations))
+	startTimes := make([]time.Time, len(durations))
 	for i, d := range durations {
-		starts[i] = now
+		startTimes[i] = now
 		if d > 0 {
-			starts[i] = s.BusyUntil
+			startTimes[i] = s.BusyUntil
 			s.BusyUntil = s.BusyUntil.Add(d)
 		}
 	}
-	return starts, s
+	return startTimes, s
 }
 
 // ReplicaState tells whether the engines of a replica hold the layers of its plan.
 type ReplicaState uint8
 
 const (
-	// Unknown means that not all engines of the replica have answered.
+	// Unknown means that some engine of the replica has not answered.
 	Unknown ReplicaState = iota
 	// Loading means that some engine of the replica doesn't hold the layers of the plan yet,
 	// so the replica doesn't serve.
@@ -67,14 +67,14 @@
 // replicas change in the same second. Without the limit, all of them stop serving for the
 // seconds of their loads, and callers find no replica.
 func MayReload(others []ReplicaState) bool {
-	ready := 0
+	readyCount := 0
 	for _, s := range others {
 		switch s {
 		case Loading:
 			return false
 		case Ready:
-			ready++
+			readyCount++
 		}
 	}
-	return 2*ready >= len(others)
+	return 2*readyCount >= len(others)
 }
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -53,27 +53,27 @@
 }
 
 // BestPartition returns the partition with the shortest bottleneck. If several partitions
-// have it, BestPartition returns the one with the least total. The running time of
+// have this bottleneck, it returns the one with the least total. The running time of
 // BestPartition grows with the square of the number of engines times the square of the
 // number of layers.
 func BestPartition(model Model, chain Chain) (Partition, error) {
-	minBottleneck := runSearch(model, chain, math.Inf(1), math.Max)
-	if math.IsInf(minBottleneck.bestCost, 1) {
+	bottleneckSearch := runSearch(model, chain, math.Inf(1), math.Max)
+	if math.IsInf(bottleneckSearch.bestCost, 1) {
 		return Partition{}, ErrNoFit
 	}
 	// The stages with the shortest bottleneck need not have the least total. So a second
 	// search minimises the total over partitions whose hops are no longer than that
 	// bottleneck.
-	minTotal := runSearch(model, chain, minBottleneck.bestCost, func(a, b float64) float64 { return a + b })
-	return Partition{Stages: minTotal.stages(), Bottleneck: minBottleneck.bestCost, Total: minTotal.bestCost}, nil
+	totalSearch := runSearch(model, chain, bottleneckSearch.bestCost, func(a, b float64) float64 { return a + b })
+	return Partition{Stages: totalSearch.stages(), Bottleneck: bottleneckSearch.bestCost, Total: totalSearch.bestCost}, nil
 }
 
-// searchState is a state of the search: the next stage runs on an accelerator and begins at
-// a layer. Both are indexes.
+// searchState is a state of the search, as two indexes. All layers before layer are divided
+// into stages; the next stage begins at layer and runs on accelerator.
 type searchState struct{ accelerator, layer int }
 
-// transition is the cheapest transition into a state: the state before it and the combined
-// cost of all hops up to the state.
+// transition is the cheapest transition into a state: the previous state, and the combined
+// cost of all hops of the stages before the state's layer.
 type transition struct {
 	cost     float64
 	previous searchState
@@ -87,9 +87,9 @@
 	chain           Chain
 	maxHopMicros    float64
 	combine         func(a, b float64) float64
-	bestTransitions [][]transition
-	lastState       searchState // of the last stage
-	bestCost        float64
+	bestTransitions [][]transition // by accelerator and layer of the target state
+	lastState       searchState    // state in which the last stage of the best partition begins
+	bestCost        float64        // cost of the best partition found so far
 }
 
 func runSearch(model Model, chain Chain, maxHopMicros float64, combine func(a, b float64) float64) *search {
@@ -106,15 +106,16 @@
 	}
 	for accelerator := range s.bestTransitions {
 		for layer := range s.bestTransitions[accelerator] {
-			s.extend(searchState{accelerator, layer})
+			s.tryStages(searchState{accelerator, layer})
 		}
 	}
 	return s
 }
 
-// extend tries every number of layers for the stage of a state, and every later accelerator
-// for the stage after it.
-func (s *search) extend(state searchState) {
+// tryStages tries all stages that can begin in a state: one for each number of layers that fit
+// on the state's accelerator. After each of these stages it tries every later accelerator of
+// the chain for the next stage.
+func (s *search) tryStages(state searchState) {
 	costSoFar := s.bestTransitions[state.accelerator][state.layer].cost
 	if math.IsInf(costSoFar, 1) {
 		return
@@ -134,15 +135,15 @@
 	}
 }
 
-// maxLayers returns the maximum number of layers of a stage that begins at a state: the
-// remaining layers, as far as they fit on its accelerator.
-func (s *search) maxLayers(from searchState) int {
-	remaining := s.model.Layers - from.layer
+// maxLayers returns the maximum number of layers of a stage that begins in a state: all
+// remaining layers, or as many of them as fit on the state's accelerator.
+func (s *search) maxLayers(state searchState) int {
+	remaining := s.model.Layers - state.layer
 	if s.model.LayerBytes <= 0 {
 		return remaining
 	}
-	fits := s.chain.Accelerators[from.accelerator].MemoryBytes / s.model.LayerBytes
-	return int(min(int64(remaining), max(fits, 0)))
+	fittingLayers := s.chain.Accelerators[state.accelerator].MemoryBytes / s.model.LayerBytes
+	return int(min(int64(remaining), max(fittingLayers, 0)))
 }
 
 // relax records a transition between two states if it lowers the cost of its target state.
@@ -155,15 +156,15 @@
 	}
 }
 
-// recordLastStage records the last stage of a partition if the partition costs less than
-// the best one so far.
-func (s *search) recordLastStage(from searchState, costSoFar, hopMicros float64) {
+// recordLastStage records the state in which the last stage of a partition begins, if the
+// partition costs less than the best partition so far.
+func (s *search) recordLastStage(state searchState, costSoFar, hopMicros float64) {
 	if hopMicros > s.maxHopMicros {
 		return
 	}
 	if cost := s.combine(costSoFar, hopMicros); cost < s.bestCost {
 		s.bestCost = cost
-		s.lastState = from
+		s.lastState = state
 	}
 }
 
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -27,7 +27,7 @@
 // bestByExhaustion returns the best of all partitions that fit in memory.
 func bestByExhaustion(model Model, chain Chain) Partition {
 	best := Partition{Bottleneck: math.Inf(1), Total: math.Inf(1)}
-	var try func(at, from int, stages []Stage)
+	var try func(accelerator, firstLayer int, stages []Stage)
 	try = func(accelerator, firstLayer int, stages []Stage) {
 		if firstLayer == model.Layers {
 			partition, _ := Evaluate(Partition{Stages: stages}, chain)
@@ -51,8 +51,8 @@
 }
 
 // BestPartition must find a partition as good as that of an exhaustive search. The times of
-// layers and links differ a hundredfold. They are whole numbers, so that sums are exact and
-// equal costs compare equal.
+// layers and links differ a hundredfold. These times are whole numbers, so that sums are
+// exact and equal costs compare equal.
 func TestBestAgainstExhaustive(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "engines")
@@ -114,9 +114,9 @@
 	return changes
 }
 
-// A link or stage that stays slow delays all tokens until the plan avoids it. If it is slow
-// for longer than the stabilization window, the planner avoids it with a single move. A link
-// that is slow for less than the window causes no move, because each move costs a load.
+// A slow link or stage delays all tokens until the plan avoids it. If the link or stage is
+// slow for longer than the stabilization window, the planner avoids it with a single move. A
+// link that is slow for less than the window causes no move, because each move costs a load.
 func TestPlannerAvoidsSlowHopsWithoutFlapping(t *testing.T) {
 	model := Model{Layers: 12, LayerBytes: 10}
 	healthyChain := evenChain(4, 100, 10)
@@ -162,13 +162,13 @@
 		p := newTestPlanner(healthyChain, model)
 		changes := observeSeconds(p, &now, int(DefaultMinInterval/time.Second), func(int) Chain {
 			chain := evenChain(4, 100, 10)
-			most := p.Plan().Partition.Stages[0]
+			largestStage := p.Plan().Partition.Stages[0]
 			for _, s := range p.Plan().Partition.Stages {
-				if s.Last-s.First > most.Last-most.First {
-					most = s
+				if s.Last-s.First > largestStage.Last-largestStage.First {
+					largestStage = s
 				}
 			}
-			chain.Accelerators[chain.acceleratorIndex(most.Endpoint)].LayerMicros = 10_000
+			chain.Accelerators[chain.acceleratorIndex(largestStage.Endpoint)].LayerMicros = 10_000
 			return chain
 		})
 		So(changes, ShouldEqual, 1)
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Plan is a partition with its version. Versions only grow; the version is the fencing
-// number of the orders that carry the plan out.
+// Plan is a partition with its version. Each new plan has a higher version than the plan
+// before it. The version is the fencing number of the orders that carry the plan out.
 type Plan struct {
 	Version   int64
 	Partition Partition
@@ -14,7 +14,8 @@
 
 // Policy says when a better partition is worth a move. A field of zero means the default.
 type Policy struct {
-	// MinGain is the fraction by which a move must shorten the bottleneck.
+	// MinGain is the minimum gain of a move: the fraction by which the move must shorten the
+	// bottleneck.
 	MinGain float64
 	// StabilizationWindow is how long a gain of at least MinGain must last before the
 	// move.
@@ -24,15 +25,16 @@
 	// MeasurementTTL is how long a measurement replaces the declared time if no newer
 	// measurement follows. A link that the plan avoids is not measured. Without a TTL
 	// the plan would avoid such a link for ever. With the TTL, the plan returns to a
-	// slow link at most once in this time.
+	// slow link at most once per MeasurementTTL.
 	MeasurementTTL time.Duration
 }
 
 // Defaults of Policy.
 const (
-	// DefaultMinGain makes a gain outweigh the cost of its move within minutes: a move
-	// stops a chain for the seconds of a load, and other chains carry its streams
-	// meanwhile.
+	// DefaultMinGain is the default of Policy.MinGain: a move must shorten the bottleneck by
+	// 20%. A move stops a chain until its engines have loaded their new layers, which takes
+	// seconds, and other chains carry the streams of this chain meanwhile. A gain of 20%
+	// outweighs this cost within minutes.
 	DefaultMinGain = 0.2
 	// DefaultStabilizationWindow is longer than a traffic burst or a garbage collection
 	// pause.
@@ -58,8 +60,8 @@
 	return d
 }
 
-// Measurement holds the times of one stage's hop per token, as means over several tokens of
-// a stream.
+// Measurement holds the times that the hop of one stage takes for one token. Each time is the
+// mean over several tokens of a stream.
 type Measurement struct {
 	// Endpoint names the engine of the stage, and Next the engine of the next stage. Next
 	// is empty for the last stage.
@@ -73,71 +75,71 @@
 	StepMicros float64
 }
 
-// medianWindow is the number of most recent measurements of which an estimate is the median.
-// Three measurements after a short burst, the median no longer shows it. A moving average
-// would show the burst for longer than Policy.StabilizationWindow, and layers would move
-// because of a short disturbance.
+// medianWindow is the number of most recent measurements whose median a timeEstimate uses.
+// The median no longer shows a short burst of slow hops after three further measurements. A
+// moving average would show the burst for longer than Policy.StabilizationWindow, and layers
+// would move because of a short disturbance.
 const medianWindow = 5
 
 // Planner follows the measured times of a chain and decides when layers move to other
 // engines. It is not safe for concurrent use.
 type Planner struct {
-	model       Model
-	declared    Chain
-	policy      Policy
-	plan        Plan
-	layerMicros map[string]estimate // time of one layer, by engine
-	linkMicros  map[link]estimate   // transfer time of one token
-	lastMove    time.Time
-	gainSince   time.Time // when a partition worth a move was first found, zero if none is known
+	model         Model
+	declaredChain Chain
+	policy        Policy
+	plan          Plan
+	layerMicros   map[string]timeEstimate // time of one layer, by engine
+	linkMicros    map[link]timeEstimate   // transfer time of one token
+	lastMoveAt    time.Time
+	gainSince     time.Time // since when a move with a gain of at least MinGain has been known; zero if none is known
 }
 
 // link names the engines at both ends of a link.
 type link struct{ from, to string }
 
-// estimate holds the most recent measurements of a layer's or a link's time, in
+// timeEstimate holds the most recent measurements of the time of a layer or a link, in
 // microseconds.
-type estimate struct {
-	recent           [medianWindow]float64
+type timeEstimate struct {
+	recentMicros     [medianWindow]float64
 	measurementCount int
-	updated          time.Time
+	updatedAt        time.Time
 }
 
-// NewPlanner returns a Planner for a chain. declared holds the declared times, which count
-// until there are measurements, and plan is the plan in force.
-func NewPlanner(model Model, declared Chain, plan Plan, policy Policy) *Planner {
+// NewPlanner returns a Planner for a chain. declaredChain holds the declared times of layers
+// and links, which the Planner uses until it has measurements. plan is the plan in force.
+func NewPlanner(model Model, declaredChain Chain, plan Plan, policy Policy) *Planner {
 	return &Planner{
-		model:       model,
-		declared:    declared,
-		policy:      policy.withDefaults(),
-		plan:        plan,
-		layerMicros: map[string]estimate{},
-		linkMicros:  map[link]estimate{},
+		model:         model,
+		declaredChain: declaredChain,
+		policy:        policy.withDefaults(),
+		plan:          plan,
+		layerMicros:   map[string]timeEstimate{},
+		linkMicros:    map[link]timeEstimate{},
 	}
 }
 
 // Plan returns the plan in force.
 func (p *Planner) Plan() Plan { return p.plan }
 
-// Adopt puts a plan in force that the nodes have agreed on, if its version is newer than that
-// of the present plan. Any node may have proposed the plan.
+// Adopt puts a plan that the nodes have agreed on in force, if this plan has a higher version
+// than the plan in force. Any node may have proposed the new plan.
 func (p *Planner) Adopt(now time.Time, plan Plan) {
 	if plan.Version <= p.plan.Version {
 		return
 	}
 	p.plan = plan
-	p.lastMove = now
+	p.lastMoveAt = now
 	p.gainSince = time.Time{}
 }
 
-// SetChain replaces the chain with its declared times. Measurements are kept.
-func (p *Planner) SetChain(declared Chain) { p.declared = declared }
+// SetChain replaces the chain and its declared times. The measurements so far are kept.
+func (p *Planner) SetChain(declaredChain Chain) { p.declaredChain = declaredChain }
 
 // Observe records a measurement. It ignores measurements without a hop time and those of
 // engines that have no stage in the plan in force.
 func (p *Planner) Observe(now time.Time, m Measurement) {
 	i := slices.IndexFunc(p.plan.Partition.Stages, func(s Stage) bool { return s.Endpoint == m.Endpoint })
-	accelerator := p.declared.acceleratorIndex(m.Endpoint)
+	accelerator := p.declaredChain.acceleratorIndex(m.Endpoint)
 	if i < 0 || accelerator < 0 || m.HopMicros <= 0 {
 		return
 	}
@@ -157,72 +159,71 @@
 // computeFraction returns the fraction of a hop's time that its computation takes according
 // to the declared times.
 func (p *Planner) computeFraction(accelerator int, layers float64, next string) float64 {
-	computeMicros := layers * p.declared.Accelerators[accelerator].LayerMicros
-	nextAccelerator := p.declared.acceleratorIndex(next)
+	computeMicros := layers * p.declaredChain.Accelerators[accelerator].LayerMicros
+	nextAccelerator := p.declaredChain.acceleratorIndex(next)
 	if nextAccelerator <= accelerator || computeMicros <= 0 {
 		return 1
 	}
-	return computeMicros / (computeMicros + p.declared.LinkMicros[accelerator][nextAccelerator])
+	return computeMicros / (computeMicros + p.declaredChain.LinkMicros[accelerator][nextAccelerator])
 }
 
-// withMeasurement returns the estimate withMeasurement one more measurement added.
-func (e estimate) withMeasurement(now time.Time, micros float64) estimate {
-	e.recent[e.measurementCount%medianWindow] = micros
+// withMeasurement returns the estimate with one more measurement.
+func (e timeEstimate) withMeasurement(now time.Time, micros float64) timeEstimate {
+	e.recentMicros[e.measurementCount%medianWindow] = micros
 	e.measurementCount++
-	e.updated = now
+	e.updatedAt = now
 	return e
 }
 
-func (e estimate) median() float64 {
-	sorted := e.recent
-	known := sorted[:min(e.measurementCount, medianWindow)]
-	slices.Sort(known)
-	return known[len(known)/2]
+func (e timeEstimate) median() float64 {
+	sortedMicros := e.recentMicros
+	measuredMicros := sortedMicros[:min(e.measurementCount, medianWindow)]
+	slices.Sort(measuredMicros)
+	return measuredMicros[len(measuredMicros)/2]
 }
 
-// Decide returns the plan that should be in force and whether it differs from the present
-// plan. The planner keeps the present plan until Adopt, because a new plan counts only
-// after the nodes have agreed on it.
+// Decide returns the plan that should be in force, and whether it differs from the plan in
+// force. Only Adopt puts a new plan in force, after the nodes have agreed on that plan.
 func (p *Planner) Decide(now time.Time) (Plan, bool) {
 	chain := p.measuredChain(now)
 	best, err := BestPartition(p.model, chain)
 	if err != nil {
 		return p.plan, false
 	}
-	current, valid := Evaluate(p.plan.Partition, chain)
-	next := Plan{Version: p.plan.Version + 1, Partition: best}
+	currentPartition, valid := Evaluate(p.plan.Partition, chain)
+	nextPlan := Plan{Version: p.plan.Version + 1, Partition: best}
 	if !valid {
-		return next, true // the chain lacks an engine of the plan, so there is no gain to compare
+		return nextPlan, true // the chain lacks an engine of the plan, so there is no gain to compare
 	}
-	if best.Bottleneck > current.Bottleneck*(1-p.policy.MinGain) {
+	if best.Bottleneck > currentPartition.Bottleneck*(1-p.policy.MinGain) {
 		p.gainSince = time.Time{}
 		return p.plan, false
 	}
 	if p.gainSince.IsZero() {
 		p.gainSince = now
 	}
-	stable := now.Sub(p.gainSince) >= p.policy.StabilizationWindow
-	intervalOver := p.lastMove.IsZero() || now.Sub(p.lastMove) >= p.policy.MinInterval
-	if !stable || !intervalOver {
+	gainLasts := now.Sub(p.gainSince) >= p.policy.StabilizationWindow
+	intervalOver := p.lastMoveAt.IsZero() || now.Sub(p.lastMoveAt) >= p.policy.MinInterval
+	if !gainLasts || !intervalOver {
 		return p.plan, false
 	}
-	return next, true
+	return nextPlan, true
 }
 
-// measuredChain returns the chain with the medians of recent measurements in place of the
-// declared times.
+// measuredChain returns the chain with the declared times replaced by the medians of
+// measurements, where there are recent ones (Policy.MeasurementTTL).
 func (p *Planner) measuredChain(now time.Time) Chain {
-	chain := Chain{Accelerators: slices.Clone(p.declared.Accelerators)}
+	chain := Chain{Accelerators: slices.Clone(p.declaredChain.Accelerators)}
 	for i := range chain.Accelerators {
 		a := &chain.Accelerators[i]
-		if e, ok := p.layerMicros[a.Endpoint]; ok && now.Sub(e.updated) < p.policy.MeasurementTTL {
+		if e, ok := p.layerMicros[a.Endpoint]; ok && now.Sub(e.updatedAt) < p.policy.MeasurementTTL {
 			a.LayerMicros = e.median()
 		}
-		chain.LinkMicros = append(chain.LinkMicros, slices.Clone(p.declared.LinkMicros[i]))
+		chain.LinkMicros = append(chain.LinkMicros, slices.Clone(p.declaredChain.LinkMicros[i]))
 	}
 	for key, e := range p.linkMicros {
 		from, to := chain.acceleratorIndex(key.from), chain.acceleratorIndex(key.to)
-		if from >= 0 && to > from && now.Sub(e.updated) < p.policy.MeasurementTTL {
+		if from >= 0 && to > from && now.Sub(e.updatedAt) < p.policy.MeasurementTTL {
 			chain.LinkMicros[from][to] = e.median()
 		}
 	}
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -16,10 +16,10 @@
 	RunningStreams int
 }
 
-// Rollout holds what a roll-out does next in a failure domain.
+// Rollout is the next step of a roll-out in a failure domain.
 type Rollout struct {
-	// Start names the replicas that change to the new version now. Serving replicas finish
-	// their streams first.
+	// Start names the replicas that are to change to the new version now. A replica that
+	// serves finishes its streams before it changes.
 	Start []string
 	// Unavailable is the number of replicas that don't serve now, and MaxUnavailable
 	// is the number of replicas that may be out of service during the roll-out.
@@ -41,67 +41,68 @@
 // roll-out.
 //
 // Load pattern: a new version is released while load is high. If all replicas changed to
-// it at once, all would drain, share the rate of the weight store and return to service
-// together minutes later. Callers would find no replica meanwhile. A version that can't be
-// loaded would stop the whole model. NextRollout stops the roll-out of such a version,
-// because a replica that fails to load it stays unavailable and counts against the bound.
+// the version at the same time, all would drain, share the rate of the weight store and
+// return to service together minutes later. Callers would find no replica meanwhile. A
+// version that can't be loaded would stop the whole model. NextRollout stops the roll-out of
+// such a version: a replica that fails to load it stays unavailable and counts against
+// MaxUnavailable.
 //
 // A replica in the state Unknown counts as unavailable, but NextRollout doesn't choose it
 // for Start. A node that has just become responsible for the plans has no answer from any
-// replica yet. Without this rule it would choose all of them. A replica in the state
-// Loading serves no requests, so it changes to the version at once.
+// replica yet. Without this rule such a node would choose all replicas. A replica in the
+// state Loading serves no requests, so NextRollout chooses it for Start in any case.
 func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) Rollout {
 	r := Rollout{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
 	loadingCount := 0
-	for _, c := range replicas {
-		if c.State != Ready {
+	for _, replica := range replicas {
+		if replica.State != Ready {
 			r.Unavailable++
 		}
-		if c.State == Loading {
+		if replica.State == Loading {
 			loadingCount++
 		}
-		if c.Version == version {
+		if replica.Version == version {
 			continue
 		}
 		r.Outdated++
-		if c.State == Loading {
-			r.Start = append(r.Start, c.Name)
+		if replica.State == Loading {
+			r.Start = append(r.Start, replica.Name)
 		}
 	}
 	startsAllowed := min(r.MaxUnavailable-r.Unavailable, maxConcurrentUpdates-loadingCount)
-	var chosen []int
-	for len(chosen) < startsAllowed {
-		next := fewestStreams(version, replicas, chosen)
-		if next < 0 {
+	var chosenIndexes []int
+	for len(chosenIndexes) < startsAllowed {
+		nextIndex := indexOfFewestStreams(version, replicas, chosenIndexes)
+		if nextIndex < 0 {
 			break
 		}
-		chosen = append(chosen, next)
-		r.Start = append(r.Start, replicas[next].Name)
+		chosenIndexes = append(chosenIndexes, nextIndex)
+		r.Start = append(r.Start, replicas[nextIndex].Name)
 	}
 	return r
 }
 
-// fewestStreams returns the index of the serving replica with the fewest streams among those
-// that have another version and are not chosen yet, or -1 if there is none. That replica
-// finishes its streams first.
-func fewestStreams(version string, replicas []RolloutReplica, chosen []int) int {
+// indexOfFewestStreams returns the index of the serving replica with the fewest streams among
+// those that have another version and are not chosen yet, or -1 if there is none. The replica
+// with the fewest streams is likely to finish them soonest.
+func indexOfFewestStreams(version string, replicas []RolloutReplica, chosenIndexes []int) int {
 	best := -1
 	for i := range replicas {
-		c := &replicas[i]
-		if c.State != Ready || c.Version == version || slices.Contains(chosen, i) {
+		replica := &replicas[i]
+		if replica.State != Ready || replica.Version == version || slices.Contains(chosenIndexes, i) {
 			continue
 		}
-		if best < 0 || cmp.Or(cmp.Compare(c.RunningStreams, replicas[best].RunningStreams), cmp.Compare(c.Name, replicas[best].Name)) < 0 {
+		if best < 0 || cmp.Or(cmp.Compare(replica.RunningStreams, replicas[best].RunningStreams), cmp.Compare(replica.Name, replicas[best].Name)) < 0 {
 			best = i
 		}
 	}
 	return best
 }
 
-// roundingTolerance is added before a product is rounded down. Without it, 0.29 of 100
-// replicas would be 28, because the product is 28.999999999999996.
+// roundingTolerance is added to a product before the product is rounded down. Without the
+// tolerance, 0.29 of 100 replicas would be 28, because the product is 28.999999999999996.
 const roundingTolerance = 1e-9
 
-func maxUnavailable(fraction float64, replicas int) int {
-	return int(math.Floor(fraction*float64(replicas) + roundingTolerance))
+func maxUnavailable(fraction float64, replicaCount int) int {
+	return int(math.Floor(fraction*float64(replicaCount) + roundingTolerance))
 }
--- a/decide/placement/rollout_test.go
+++ b/decide/placement/rollout_test.go
@@ -54,26 +54,26 @@
 		var replicas []RolloutReplica
 		servingCount := 0
 		for i := range rapid.IntRange(1, 30).Draw(t, "replicas") {
-			c := RolloutReplica{
+			replica := RolloutReplica{
 				Name:    fmt.Sprint("r", i),
 				Version: rapid.SampledFrom([]string{"v1", "v2"}).Draw(t, "version"),
 				State:   rapid.SampledFrom([]ReplicaState{Unknown, Loading, Ready}).Draw(t, "state"),
 			}
-			if c.State == Ready {
+			if replica.State == Ready {
 				servingCount++
 			}
-			replicas = append(replicas, c)
+			replicas = append(replicas, replica)
 		}
 		got := NextRollout("v2", maxFraction, replicas)
 		stoppedCount := 0
-		for _, c := range replicas {
-			if c.State == Ready && slices.Contains(got.Start, c.Name) {
+		for _, replica := range replicas {
+			if replica.State == Ready && slices.Contains(got.Start, replica.Name) {
 				stoppedCount++
 			}
 		}
-		unavailable := len(replicas) - servingCount
-		if stoppedCount > 0 && float64(unavailable+stoppedCount) > maxFraction*float64(len(replicas))+roundingTolerance {
-			t.Fatalf("%d of %d unavailable and %d more stopped at a bound of %v", unavailable, len(replicas), stoppedCount, maxFraction)
+		unavailableCount := len(replicas) - servingCount
+		if stoppedCount > 0 && float64(unavailableCount+stoppedCount) > maxFraction*float64(len(replicas))+roundingTolerance {
+			t.Fatalf("%d of %d unavailable and %d more stopped at a bound of %v", unavailableCount, len(replicas), stoppedCount, maxFraction)
 		}
 	})
 }
--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -5,8 +5,8 @@
 //
 //   - The request bypasses the lost replica if it keeps its first replica and runs the
 //     lost layers on other replicas.
-//   - The request migrates if another first replica continues it after the last event
-//     that the caller has received.
+//   - The request migrates if another first replica continues the request after the last
+//     event that the caller has received.
 //   - The request crosses if its path leads from one failure domain to another. A
 //     transfer is the data of one request that crosses the links between failure
 //     domains.
@@ -20,7 +20,7 @@
 // # Failure without this package
 //
 // All streams bypass the lost replica through another failure domain. The data that passes
-// between two layers is many times the size of the text. It crosses twice, over links that
+// between two layers is many times the size of the text. The data crosses twice, over links that
 // all domains share, one transfer after another: 25 MB each way for a usual request, at 1.4
 // GB a second. Every stream of the domain pauses for up to a second and more.
 //
@@ -35,8 +35,8 @@
 //     that domain share the prefill of such requests.
 //   - If the request can't migrate, it crosses and waits for its transfer.
 //   - A replica that is only draining continues to serve for seconds. Requests that must
-//     cross to leave it do so one at a time (Idle). The other requests stay on their paths
-//     until then.
+//     cross to leave this replica do so one at a time (Idle). Each of them stays on its
+//     path until its turn.
 //
 // A node knows only its own transfers. A lost replica affects the streams of all nodes
 // of the domain alike, so a node multiplies its own transfers by the number of nodes.
@@ -48,7 +48,8 @@
 type Action uint8
 
 const (
-	// Stay leaves the request on its path, because it can neither bypass nor migrate now.
+	// Stay leaves the request on its path, because the request can neither bypass the lost
+	// replica nor migrate now.
 	Stay Action = iota
 	// Bypass keeps the first replica of the request and runs the lost layers on other
 	// replicas.
@@ -65,8 +66,8 @@
 // LinkBacklog tracks the transfers that rerouted requests of this node have begun on the links
 // between failure domains. It is not safe for concurrent use.
 type LinkBacklog struct {
-	pendingBytes float64 // not yet transferred at the time updated
-	updated      time.Time
+	pendingBytes float64 // not yet transferred at updatedAt
+	updatedAt    time.Time
 }
 
 // Estimate holds the costs of rerouting a request.
@@ -75,15 +76,15 @@
 	// crosses between failure domains no more often than the present path.
 	Bytes float64
 	// BytesPerSecond is the bandwidth that all nodes share on the links between failure
-	// domains. Zero means that it has no limit.
+	// domains. Zero means that the bandwidth has no limit.
 	BytesPerSecond float64
 	// Nodes is the number of nodes whose streams are affected in the same way.
 	Nodes int
 	// BypassPrefill is the time until the slowest new stage of the bypass has prefilled the
 	// request. MigratePrefill is the same time for the path from another first replica.
 	BypassPrefill, MigratePrefill time.Duration
-	// MaxWait is how long the request may wait for its next event on a bypass: the rest of
-	// the allowed pause after the loss has been detected.
+	// MaxWait is how long the request may wait for its next event on a bypass: the part of
+	// the allowed pause that is left when the loss has been detected.
 	MaxWait time.Duration
 }
 
@@ -105,22 +106,23 @@
 	return l.TransferTime(now, e) + e.BypassPrefill
 }
 
-// Idle reports whether a request that need not be rerouted at once may cross now: this node
-// has no unfinished transfer on the links, so the request waits only for its own transfer.
+// Idle reports whether a request that need not be rerouted at once may be rerouted now: either
+// the request needs no transfer, or this node has no unfinished transfer on the links, so
+// that the request waits only for its own transfer.
 func (l *LinkBacklog) Idle(now time.Time, e Estimate) bool {
 	return e.Bytes == 0 || l.remaining(now, e) == 0
 }
 
 // AddTransfer records that the transfer of a request begins.
 func (l *LinkBacklog) AddTransfer(now time.Time, e Estimate) {
-	l.pendingBytes, l.updated = l.remaining(now, e)+e.Bytes, now
+	l.pendingBytes, l.updatedAt = l.remaining(now, e)+e.Bytes, now
 }
 
-// remaining returns how many bytes of this node's transfers are not transferred yet. They
-// are assumed to drain at the bandwidth divided by the number of nodes.
+// remaining returns how many bytes of this node's transfers are not transferred yet. It
+// assumes that each node gets an equal share of the bandwidth.
 func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
 	bytesPerSecond := e.BytesPerSecond / float64(max(1, e.Nodes))
-	return max(0, l.pendingBytes-bytesPerSecond*now.Sub(l.updated).Seconds())
+	return max(0, l.pendingBytes-bytesPerSecond*now.Sub(l.updatedAt).Seconds())
 }
 
 // Decide returns the action for a request by the rules of the package. canBypass says that
--- a/decide/reroute/reroute_test.go
+++ b/decide/reroute/reroute_test.go
@@ -13,7 +13,8 @@
 	return Estimate{Bytes: 53e6, BytesPerSecond: 1.4e9, Nodes: nodes, MaxWait: maxWait}
 }
 
-// maxWait is the rest of an allowed pause of 0.3 s after the loss has been detected.
+// maxWait is the part of an allowed pause of 0.3 s that is left when the loss has been
+// detected.
 const maxWait = 120 * time.Millisecond
 
 // Forty streams of a failure domain lose a stage at once, twenty at each of two nodes. If
@@ -76,7 +77,7 @@
 	}
 }
 
-// The backlog of transfers drains at the bandwidth of the links.
+// The backlog of transfers shrinks at the bandwidth of the links.
 func TestBacklogDrains(t *testing.T) {
 	var links LinkBacklog
 	for range 10 {
@@ -94,7 +95,7 @@
 // domain holds its layers. If all streams cross at once, each pauses for a second. If they
 // cross one at a time, each waits only for its own transfer. All streams must have left the
 // replica before it stops.
-func TestDrainingStreamsCrossOneAtATime(t *testing.T) {
+func TestStreamsLeaveDrainingReplicaOneAtATime(t *testing.T) {
 	var links LinkBacklog
 	crossedStreams := 0
 	for elapsed := time.Duration(0); elapsed < 2*time.Second; elapsed += 10 * time.Millisecond {
