--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -169,7 +169,7 @@
 		b := newBalancer(2, 1)
 		for range 3 {
 			b.Sent(epoch, "replica-0", 1)
-			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.Broken})
+			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.BrokenResponse})
 		}
 		So(b.detector.OutOfRotation(), ShouldEqual, 1)
 		So(b.Capacity(epoch), ShouldEqual, 64)
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -254,7 +254,7 @@
 		if freezes {
 			s.failAfter(attemptTimeout, c, e, health.Timeout)
 		} else {
-			s.failAfter(time.Millisecond, c, e, health.Broken)
+			s.failAfter(time.Millisecond, c, e, health.BrokenResponse)
 		}
 	}
 	e.runningCalls, e.waitingCalls = nil, nil
--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -80,7 +80,7 @@
 type replicaState struct {
 	instance     string
 	lastSequence uint64        // last published sequence number
-	lastPage     time.Time     // time of the last page
+	lastPageAt   time.Time     // time of the last page
 	pollInterval time.Duration // between the last two pages
 	lru          *list.List    // of uint64 prefixes, the most recently stored or requested first
 	cached       map[uint64]*list.Element
@@ -138,9 +138,9 @@
 		s.lastSequence = sequenceBefore(page)
 		change = Restarted
 	default:
-		s.pollInterval = now.Sub(s.lastPage)
+		s.pollInterval = now.Sub(s.lastPageAt)
 	}
-	s.lastPage = now
+	s.lastPageAt = now
 	lost := x.applyEvents(s, page)
 	if lost == 0 || change == Restarted {
 		return change
@@ -225,7 +225,7 @@
 // cachedBlocks counts the leading prefixes that a replica has cached. An engine can use a
 // longer prefix only if it also has the shorter ones.
 func (x *Index) cachedBlocks(now time.Time, s *replicaState, prefixes []uint64) int {
-	if now.Sub(s.lastPage) > max(x.staleAfter, staleAfterPolls*s.pollInterval) {
+	if now.Sub(s.lastPageAt) > max(x.staleAfter, staleAfterPolls*s.pollInterval) {
 		return 0
 	}
 	for i, prefix := range prefixes {
--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -169,8 +169,8 @@
 // enough, because the caller tries the next address when one does not respond. The other
 // members stay ranked, so that callers stay local and few homes move when a node joins or
 // leaves.
-func topAcrossDomains(members []Member, k int, rank func(Member) float64) []Member {
-	best := top(members, k, rank)
+func topAcrossDomains(members []Member, k int, score func(Member) float64) []Member {
+	best := top(members, k, score)
 	if len(best) < 2 || !sameDomain(best) {
 		return best
 	}
@@ -178,7 +178,7 @@
 		if m.FailureDomain == best[0].FailureDomain {
 			return 0
 		}
-		return rank(m)
+		return score(m)
 	})
 	if len(otherDomain) > 0 {
 		best[len(best)-1] = otherDomain[0]
@@ -195,23 +195,23 @@
 	return true
 }
 
-// ranked is the index of a member and its rank.
-type ranked struct {
+// scored is the index of a member and its rank.
+type scored struct {
 	index int
-	rank  float64
+	score float64
 }
 
 // top returns the k members of the highest positive rank, best first.
-func top(members []Member, k int, rank func(Member) float64) []Member {
-	all := make([]ranked, 0, len(members))
+func top(members []Member, k int, score func(Member) float64) []Member {
+	all := make([]scored, 0, len(members))
 	for i, m := range members {
-		if r := rank(m); r > 0 {
-			all = append(all, ranked{i, r})
+		if r := score(m); r > 0 {
+			all = append(all, scored{i, r})
 		}
 	}
-	slices.SortFunc(all, func(a, b ranked) int {
-		if a.rank != b.rank {
-			return cmp.Compare(b.rank, a.rank)
+	slices.SortFunc(all, func(a, b scored) int {
+		if a.score != b.score {
+			return cmp.Compare(b.score, a.score)
 		}
 		return cmp.Compare(members[a.index].ID, members[b.index].ID)
 	})
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -124,7 +124,7 @@
 }
 
 func (d *Detector) checkConsecutive(now time.Time, e *Endpoint) {
-	if e.consecutive >= d.cfg.MaxConsecutive && !d.commonFailure {
+	if e.consecutiveFailures >= d.cfg.MaxConsecutive && !d.commonFailure {
 		d.eject(now, e, Consecutive)
 	}
 }
@@ -141,8 +141,8 @@
 		d.eject(now, e, ProbeFailed)
 		return
 	}
-	e.probesSucceeded++
-	if e.probesSucceeded >= d.cfg.Probes {
+	e.successfulProbes++
+	if e.successfulProbes >= d.cfg.Probes {
 		d.restore(e, o)
 	}
 }
@@ -150,7 +150,7 @@
 func (d *Detector) restore(e *Endpoint, o Outcome) {
 	e.state = Healthy
 	e.delay = o.Delay.Seconds()
-	e.samples, e.consecutive, e.failures, e.slowness = 0, 0, 0, 1
+	e.samples, e.consecutiveFailures, e.failureRate, e.slowness = 0, 0, 0, 1
 	d.outOfRotation--
 	d.version++
 }
@@ -169,7 +169,7 @@
 	e.state, e.cause = Ejected, cause
 	e.ejectedAt = now
 	e.ejectedUntil = now.Add(d.ejectionTime(e.ejections))
-	e.probesSucceeded, e.probeInFlight = 0, false
+	e.successfulProbes, e.probeInFlight = 0, false
 	d.outOfRotation++
 	d.version++
 }
@@ -193,9 +193,9 @@
 	}
 }
 
-func (d *Detector) ejectionTime(times int) time.Duration {
+func (d *Detector) ejectionTime(ejections int) time.Duration {
 	t := d.cfg.BaseEjection
-	for i := 1; i < times && t < d.cfg.MaxEjection; i++ {
+	for i := 1; i < ejections && t < d.cfg.MaxEjection; i++ {
 		t *= 2
 	}
 	t = min(t, d.cfg.MaxEjection)
@@ -234,7 +234,7 @@
 	median := d.medianFor(e)
 	e.slowness = relativeDelay(e.delay, median)
 	switch {
-	case e.failures > d.cfg.ErrorShare && !d.commonFailure:
+	case e.failureRate > d.cfg.ErrorShare && !d.commonFailure:
 		d.eject(now, e, ErrorShare)
 	case d.isSlow(e.delay, median):
 		d.eject(now, e, Slow)
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -52,22 +52,22 @@
 
 // Endpoint is the state that a Detector keeps of one endpoint.
 type Endpoint struct {
-	group           string
-	state           State
-	cause           Cause
-	ejectedUntil    time.Time
-	ejectedAt       time.Time
-	probingSince    time.Time // start of the probing
-	probeInFlight   bool
-	probesSucceeded int
-	ejections       int // consecutive ejections
-
-	delay        float64 // moving average, seconds
-	failures     float64 // moving average, 0 to 1
-	responseTime float64 // moving average of the time to a first response, seconds
-	slowness     float64
-	samples      int
-	consecutive  int
+	group            string
+	state            State
+	cause            Cause
+	ejectedUntil     time.Time
+	ejectedAt        time.Time
+	probingSince     time.Time // start of the probing
+	probeInFlight    bool
+	successfulProbes int
+	ejections        int // consecutive ejections
+
+	delay               float64 // moving average, seconds
+	failureRate         float64 // moving average, 0 to 1
+	responseTime        float64 // moving average of the time to a first response, seconds
+	slowness            float64
+	samples             int
+	consecutiveFailures int
 
 	unanswered int // requests without a first response
 	lastHeard  time.Time
@@ -100,13 +100,13 @@
 		e.recordDelay(o.Delay)
 	}
 	if !o.Failure.Faulty() {
-		e.consecutive = 0
-		e.failures *= 1 - failureGain
+		e.consecutiveFailures = 0
+		e.failureRate *= 1 - failureGain
 		return
 	}
 	e.samples++
-	e.consecutive++
-	e.failures += (1 - e.failures) * failureGain
+	e.consecutiveFailures++
+	e.failureRate += (1 - e.failureRate) * failureGain
 }
 
 func (e *Endpoint) recordDelay(delay time.Duration) {
@@ -124,6 +124,6 @@
 	return old + (value-old)*gain
 }
 
-func (e *Endpoint) failureShare() (float64, bool)        { return e.failures, true }
+func (e *Endpoint) failureShare() (float64, bool)        { return e.failureRate, true }
 func (e *Endpoint) typicalDelay() (float64, bool)        { return e.delay, e.delay > 0 }
 func (e *Endpoint) typicalResponseTime() (float64, bool) { return e.responseTime, e.responseTime > 0 }
--- a/decide/health/failure.go
+++ b/decide/health/failure.go
@@ -10,8 +10,8 @@
 	Unreachable
 	// Timeout means that the endpoint did not respond in the time allowed.
 	Timeout
-	// Broken means that the response stopped partway or was malformed.
-	Broken
+	// BrokenResponse means that the response stopped partway or was malformed.
+	BrokenResponse
 	// Internal means that the endpoint responded with an error of its own.
 	Internal
 	// Overloaded means that the endpoint refused the request before doing work, for lack
@@ -40,7 +40,7 @@
 // would become full in turn.
 func (f Failure) Faulty() bool {
 	switch f {
-	case Unreachable, Timeout, Broken, Internal:
+	case Unreachable, Timeout, BrokenResponse, Internal:
 		return true
 	}
 	return false
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -77,7 +77,7 @@
 		maxRequests int // requests that reach it in 4 s
 	}{
 		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, Consecutive, 3},
-		{"breaks every stream", outcomes{0: fails(Broken)}, nil, Consecutive, 3},
+		{"breaks every stream", outcomes{0: fails(BrokenResponse)}, nil, Consecutive, 3},
 		{"is ten times slower", outcomes{0: {Delay: 10 * step, Age: 10 * step}}, nil, Slow, 12},
 		{"has frozen", nil, []int{0}, Silent, 22},
 		{"is full", outcomes{0: fails(Overloaded)}, nil, NoCause, 40},
@@ -105,7 +105,7 @@
 		name      string
 		endpoints int
 		bad       Outcome
-		out       int
+		wantOut   int
 	}{
 		{"all refuse connections", 8, Outcome{Failure: Unreachable}, 6},
 		{"both of two refuse connections", 2, Outcome{Failure: Unreachable}, 1},
@@ -118,7 +118,7 @@
 				bad[i] = c.bad
 			}
 			r.run(4*time.Second, bad)
-			So(r.OutOfRotation(), ShouldEqual, c.out)
+			So(r.OutOfRotation(), ShouldEqual, c.wantOut)
 		})
 	}
 	Convey("Given requests that fail at every endpoint, sometimes four in a row, none is ejected", t, func() {
@@ -190,7 +190,7 @@
 		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
 		r.run(10*time.Second, outcomes{0: {Failure: Canceled}})
-		r.Observe(r.now, r.endpoints[0], Outcome{Age: time.Hour, Failure: Broken})
+		r.Observe(r.now, r.endpoints[0], Outcome{Age: time.Hour, Failure: BrokenResponse})
 		So(r.endpoints[0].State(), ShouldEqual, Probing)
 	})
 }
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -83,15 +83,15 @@
 }
 
 func (d *demand) add(now time.Time, cost float64, window time.Duration) {
-	d.decayedSum = d.decayed(now, window) + cost
+	d.decayedSum = d.decayedSumAt(now, window) + cost
 	d.updatedAt = now
 }
 
-func (d *demand) perSecond(now time.Time, window time.Duration) float64 {
-	return d.decayed(now, window) / window.Seconds()
+func (d *demand) tokensPerSecond(now time.Time, window time.Duration) float64 {
+	return d.decayedSumAt(now, window) / window.Seconds()
 }
 
-func (d *demand) decayed(now time.Time, window time.Duration) float64 {
+func (d *demand) decayedSumAt(now time.Time, window time.Duration) float64 {
 	age := now.Sub(d.updatedAt)
 	if d.decayedSum == 0 || age <= 0 {
 		return d.decayedSum
--- a/decide/limits/exchangepeers.go
+++ b/decide/limits/exchangepeers.go
@@ -16,8 +16,8 @@
 type candidate struct {
 	node string
 	// renew is set if a loan has to be renewed or released.
-	renew       bool
-	lastRequest time.Time
+	renew         bool
+	lastRequestAt time.Time
 }
 
 // ExchangePeers returns the peers that this node should exchange with for its teams'
@@ -51,7 +51,7 @@
 	if len(t.peers) == 0 && t.offered.decayedSum == 0 {
 		return nil
 	}
-	short := cfg.Headroom*t.offered.perSecond(now, cfg.DemandWindow) > t.rate(now)
+	needsMore := cfg.Headroom*t.offered.tokensPerSecond(now, cfg.DemandWindow) > t.rate(now)
 	var all []candidate
 	for _, node := range t.homes {
 		if node == cfg.Self {
@@ -60,11 +60,11 @@
 		c := candidate{node: node}
 		borrowing := false
 		if p := t.findPeer(node); p != nil {
-			c.lastRequest = p.lastRequest
+			c.lastRequestAt = p.lastRequestAt
 			borrowing = p.borrowedLoan.rateAt(now) > 0
 		}
-		c.renew = borrowing && now.Sub(c.lastRequest) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
-		if c.renew || short && !borrowing {
+		c.renew = borrowing && now.Sub(c.lastRequestAt) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
+		if c.renew || needsMore && !borrowing {
 			all = append(all, c)
 		}
 	}
@@ -74,8 +74,8 @@
 // merge combines the candidates of two teams for the same peer.
 func (c candidate) merge(other candidate) candidate {
 	c.renew = c.renew || other.renew
-	if other.lastRequest.After(c.lastRequest) {
-		c.lastRequest = other.lastRequest
+	if other.lastRequestAt.After(c.lastRequestAt) {
+		c.lastRequestAt = other.lastRequestAt
 	}
 	return c
 }
@@ -87,5 +87,5 @@
 		}
 		return 1
 	}
-	return cmp.Or(a.lastRequest.Compare(b.lastRequest), cmp.Compare(a.node, b.node))
+	return cmp.Or(a.lastRequestAt.Compare(b.lastRequestAt), cmp.Compare(a.node, b.node))
 }
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -112,16 +112,16 @@
 		// zero means never.
 		movePeriod, minThrough float64
 	}{{3, 1, 0, 0.95}, {9, 1, 0, 0.84}, {9, 2, 0, 0.93}, {37, 1, 0, 0.78}, {37, 9, 0, 0.85}, {37, 18, 0, 0.83}, {9, 2, 60, 0}, {37, 9, 60, 0}} {
-		byTurns := largeFleet{homes: newLeasedHomes(c.homes, limit, fixedLease)}
-		byTurns.nextPeer = roundRobin(c.homes)
-		asNeeded := largeFleet{homes: newLeasedHomes(c.homes, limit, leasePerHome)}
-		asNeeded.nextPeer = onDemand(asNeeded.homes)
-		byTurnsThrough, _, byTurnsRequests := byTurns.run(hotDemand(c.homes, c.hot, c.movePeriod))
-		asNeededThrough, highestSum, asNeededRequests := asNeeded.run(hotDemand(c.homes, c.hot, c.movePeriod))
+		roundRobinFleet := largeFleet{homes: newLeasedHomes(c.homes, limit, fixedLease)}
+		roundRobinFleet.nextPeer = roundRobin(c.homes)
+		onDemandFleet := largeFleet{homes: newLeasedHomes(c.homes, limit, leasePerHome)}
+		onDemandFleet.nextPeer = onDemand(onDemandFleet.homes)
+		roundRobinThrough, _, roundRobinRequests := roundRobinFleet.run(hotDemand(c.homes, c.hot, c.movePeriod))
+		onDemandThrough, highestSum, onDemandRequests := onDemandFleet.run(hotDemand(c.homes, c.hot, c.movePeriod))
 		t.Logf("%2d homes, %2d with 90%% of the demand, changing every %v s: round robin lets %.3f through with %.3f requests/s per node; on demand %.3f with %.3f",
-			c.homes, c.hot, c.movePeriod, byTurnsThrough, byTurnsRequests, asNeededThrough, asNeededRequests)
-		if asNeededThrough < c.minThrough || asNeededThrough < byTurnsThrough {
-			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, asNeededThrough, c.minThrough)
+			c.homes, c.hot, c.movePeriod, roundRobinThrough, roundRobinRequests, onDemandThrough, onDemandRequests)
+		if onDemandThrough < c.minThrough || onDemandThrough < roundRobinThrough {
+			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, onDemandThrough, c.minThrough)
 		}
 		if highestSum > 1+1e-9 {
 			t.Errorf("rates add up to %v of the limit", highestSum)
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -19,12 +19,12 @@
 
 // peer is the state of the team on another node, as known here.
 type peer struct {
-	node         string
-	demand       float64
-	lastHeard    time.Time
-	lentLoans    []loan // loans to the peer that may be in force
-	borrowedLoan loan   // loan from the peer
-	lastRequest  time.Time
+	node          string
+	demand        float64
+	lastHeard     time.Time
+	lentLoans     []loan // loans to the peer that may be in force
+	borrowedLoan  loan   // loan from the peer
+	lastRequestAt time.Time
 }
 
 // loan is a rate in tokens per second until a time.
@@ -177,7 +177,7 @@
 			lentToOthers += p.lentRate(now)
 		}
 	}
-	surplus := t.evenShare - cfg.Headroom*t.offered.perSecond(now, cfg.DemandWindow)
+	surplus := t.evenShare - cfg.Headroom*t.offered.tokensPerSecond(now, cfg.DemandWindow)
 	fairPart := surplus * shortfall / totalShortfall
 	unlent := t.evenShare - lentToOthers
 	return max(min(fairPart, unlent, shortfall), 0)
@@ -200,9 +200,9 @@
 }
 
 func (t *team) requestLoan(now time.Time, name, node string, cfg Config) LoanRequest {
-	demand := t.offered.perSecond(now, cfg.DemandWindow)
+	demand := t.offered.tokensPerSecond(now, cfg.DemandWindow)
 	p := t.peer(node)
-	p.lastRequest = now
+	p.lastRequestAt = now
 	p.borrowedLoan.rate = min(p.borrowedLoan.rate, max(cfg.Headroom*demand-t.evenShare, 0))
 	return LoanRequest{Team: name, Demand: demand, InUse: p.borrowedLoan.rateAt(now), SentAt: now.UnixNano()}
 }
@@ -216,13 +216,13 @@
 		if !ok {
 			continue
 		}
-		s.Demand(now, request.Team, borrower, request.Demand)
+		s.RecordDemand(now, request.Team, borrower, request.Demand)
 		t.refill(now, s.cfg.Burst)
 		p := t.peer(borrower)
 		p.releaseUnused(request)
 		rate := t.lendableRate(now, p, s.cfg)
 		p.addLoan(now, loan{rate: rate, until: now.Add(t.lenderLease(s.cfg)), requestSentAt: request.SentAt})
-		demand := t.offered.perSecond(now, s.cfg.DemandWindow)
+		demand := t.offered.tokensPerSecond(now, s.cfg.DemandWindow)
 		loans = append(loans, Loan{Team: request.Team, Demand: demand, Rate: rate})
 	}
 	return loans
@@ -238,10 +238,10 @@
 		if !ok {
 			continue
 		}
-		s.Demand(now, l.Team, node, l.Demand)
+		s.RecordDemand(now, l.Team, node, l.Demand)
 		t.refill(now, s.cfg.Burst)
 		p := t.peer(node)
-		if sentAt.Equal(p.lastRequest) {
+		if sentAt.Equal(p.lastRequestAt) {
 			p.borrowedLoan = loan{rate: cleanRate(l.Rate, t.limit), until: sentAt.Add(t.borrowerLease(s.cfg))}
 		}
 	}
--- a/decide/limits/splitter.go
+++ b/decide/limits/splitter.go
@@ -130,8 +130,8 @@
 // RemoveTeam removes a team's limit.
 func (s *Splitter) RemoveTeam(name string) { delete(s.teams, name) }
 
-// Demand records a peer's demand as received in an exchange. Lend and Borrow call it.
-func (s *Splitter) Demand(now time.Time, name, node string, tokensPerSecond float64) {
+// RecordDemand records a peer's demand as received in an exchange. Lend and Borrow call it.
+func (s *Splitter) RecordDemand(now time.Time, name, node string, tokensPerSecond float64) {
 	t, ok := s.teams[name]
 	if !ok || node == s.cfg.Self {
 		return
@@ -193,7 +193,7 @@
 		Even:     t.evenShare,
 		Lent:     t.lent(now),
 		Borrowed: t.borrowed(now),
-		Demand:   t.offered.perSecond(now, s.cfg.DemandWindow),
+		Demand:   t.offered.tokensPerSecond(now, s.cfg.DemandWindow),
 		Home:     slices.Contains(t.homes, s.cfg.Self),
 	}
 }
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -63,35 +63,37 @@
 // demands that it received. A node that receives none takes the whole limit.
 type lastKnownDemand struct {
 	homes
-	known [][]float64 // by receiving node, then by sending node
+	knownDemands [][]float64 // by receiving node, then by sending node
 }
 
 func newLastKnownDemand(n int) *lastKnownDemand {
 	b := &lastKnownDemand{homes: newHomes(n, limit)}
 	for range n {
-		b.known = append(b.known, make([]float64, n))
+		b.knownDemands = append(b.knownDemands, make([]float64, n))
 	}
 	return b
 }
 
-func (b *lastKnownDemand) demand(_ time.Time, node int, rate float64) { b.known[node][node] = rate }
+func (b *lastKnownDemand) demand(_ time.Time, node int, rate float64) {
+	b.knownDemands[node][node] = rate
+}
 
 func (b *lastKnownDemand) exchange(_ time.Time, from, to int) {
-	b.known[from][to] = b.known[to][to]
+	b.knownDemands[from][to] = b.knownDemands[to][to]
 }
 
 func (b *lastKnownDemand) allow(now time.Time, node int) bool {
 	sum := 0.0
-	for _, d := range b.known[node] {
+	for _, d := range b.knownDemands[node] {
 		sum += d
 	}
-	b.homes[node].SetTeam(team, limit*b.known[node][node]/sum, []string{name(node)})
+	b.homes[node].SetTeam(team, limit*b.knownDemands[node][node]/sum, []string{name(node)})
 	return b.homes.allow(now, node)
 }
 
 // simulate offers the nodes' demands for a minute. Nodes that are connected exchange once
 // a second. It returns the tokens per second let through between from and to.
-func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, from, to float64) float64 {
+func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, fromSecond, toSecond float64) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
 	const step = 0.01
@@ -104,19 +106,19 @@
 				s.exchange(now, node, peer)
 			}
 			for calls := demand(at, node) * step / cost; rng.Float64() < calls; calls-- {
-				if s.allow(now, node) && at >= from && at < to {
+				if s.allow(now, node) && at >= fromSecond && at < toSecond {
 					sum += cost
 				}
 			}
 		}
 	}
-	return sum / (to - from)
+	return sum / (toSecond - fromSecond)
 }
 
 func always(float64, int, int) bool           { return true }
 func overloaded(at float64, node int) float64 { return 2 * limit }
 func skewed(at float64, node int) float64     { return limit * []float64{0.9, 0.05, 0.05}[node] }
-func skewMoves(at float64, node int) float64  { return skewed(at, (node+int(at/20))%3) }
+func movingSkew(at float64, node int) float64 { return skewed(at, (node+int(at/20))%3) }
 func connectedUntil(t float64) func(float64, int, int) bool {
 	return func(at float64, _, _ int) bool { return at < t }
 }
@@ -132,14 +134,14 @@
 			name                       string
 			demand                     func(float64, int) float64
 			connected                  func(float64, int, int) bool
-			from, to                   float64
-			minPart                    float64 // part of the limit that is let through
+			fromSecond, toSecond       float64
+			minThrough                 float64 // part of the limit that is let through
 			minWholeEach, minLastKnown float64 // minimum that the baselines let through
 			maxEven                    float64 // maximum that the even split lets through
 		}{
 			{"demand above the limit everywhere", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
 			{"most callers at one home", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
-			{"most callers at another home every 20 s", skewMoves, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
+			{"most callers at another home every 20 s", movingSkew, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
 			{"no contact after 20 s, skewed demand before and even demand after", func(at float64, n int) float64 {
 				if at < 20 {
 					return skewed(at, n)
@@ -148,16 +150,16 @@
 			}, connectedUntil(20), 30, 60, 0.98, 2.9, 1.5, 1.01},
 			{"the first home receives nothing", overloaded, func(_ float64, from, _ int) bool { return from != 0 }, 10, 60, 0.98, 2.9, 1.3, 1.01},
 		} {
-			part := func(s policy) float64 { return simulate(s, c.demand, c.connected, 3, c.from, c.to) / limit }
+			partThrough := func(s policy) float64 { return simulate(s, c.demand, c.connected, 3, c.fromSecond, c.toSecond) / limit }
 			wholeEach := homes{}
 			for i := range 3 {
 				h := limits.New(limits.Config{Self: name(i)})
 				h.SetTeam(team, limit, []string{name(i)})
 				wholeEach = append(wholeEach, h)
 			}
-			got, wholeEachPart, lastKnownPart, evenPart := part(newHomes(3, limit)), part(wholeEach), part(newLastKnownDemand(3)), part(disconnectedHomes{newHomes(3, limit)})
+			got, wholeEachPart, lastKnownPart, evenPart := partThrough(newHomes(3, limit)), partThrough(wholeEach), partThrough(newLastKnownDemand(3)), partThrough(disconnectedHomes{newHomes(3, limit)})
 			t.Logf("%s: part of the limit let through %.3f; whole limit each %.2f, last known demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
-			So(got, ShouldBeBetweenOrEqual, c.minPart, 1+1/(c.to-c.from)+0.001) // Burst is one second
+			So(got, ShouldBeBetweenOrEqual, c.minThrough, 1+1/(c.toSecond-c.fromSecond)+0.001) // Burst is one second
 			So(wholeEachPart, ShouldBeGreaterThan, c.minWholeEach)
 			So(lastKnownPart, ShouldBeGreaterThan, c.minLastKnown)
 			So(evenPart, ShouldBeLessThan, c.maxEven)
@@ -182,8 +184,8 @@
 
 func checkBound(t *rapid.T) {
 	n := rapid.IntRange(2, 7).Draw(t, "homes")
-	perHome := time.Duration(rapid.IntRange(0, 3).Draw(t, "lease")) * time.Second
-	h := newLeasedHomes(n, limit, limits.Config{LeasePerHome: perHome})
+	leasePerHome := time.Duration(rapid.IntRange(0, 3).Draw(t, "lease")) * time.Second
+	h := newLeasedHomes(n, limit, limits.Config{LeasePerHome: leasePerHome})
 	now := sim.Start
 	clock := func(node int) time.Time { return now.Add(time.Duration(node) * time.Hour) }
 	type message struct {
@@ -198,7 +200,7 @@
 	}
 	var requests, answers []message
 	var admissions []admitted
-	largest := 0.0
+	largestCost := 0.0
 	node := rapid.IntRange(0, n-1)
 	// pickRecent returns one of the last five messages, so messages arrive late,
 	// repeatedly or never.
@@ -216,7 +218,7 @@
 				cost := rapid.Float64Range(1, 3000).Draw(t, "cost")
 				if ok, _, _ := h[i].Allow(clock(i), team, cost); ok {
 					admissions = append(admissions, admitted{now, cost})
-					largest = max(largest, cost)
+					largestCost = max(largestCost, cost)
 				}
 			}
 		},
@@ -252,7 +254,7 @@
 			through := 0.0
 			for i := len(admissions) - 1; i >= 0; i-- {
 				through += admissions[i].cost
-				bound := limit*(now.Sub(admissions[i].at).Seconds()+1) + float64(n)*largest
+				bound := limit*(now.Sub(admissions[i].at).Seconds()+1) + float64(n)*largestCost
 				if through > bound*(1+1e-9) {
 					t.Fatalf("%v let through in %v, bound %v", through, now.Sub(admissions[i].at), bound)
 				}
--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -49,9 +49,9 @@
 	MaxExcludedShare = 0.25
 	// MaxPerMessage is the maximum number of observations in a message.
 	MaxPerMessage = 128
-	// maxNodes and maxSlowdown bound the values of a valid observation.
-	maxNodes    = 1 << 16
-	maxSlowdown = 1e4
+	// maxObservers and maxSlowdown bound the values of a valid observation.
+	maxObservers = 1 << 16
+	maxSlowdown  = 1e4
 )
 
 // Observation is what one or more nodes have observed about a replica.
@@ -67,20 +67,20 @@
 	Slowdown float64
 	// Age is the time since the observation.
 	Age time.Duration
-	// Nodes is the number of nodes that made the observation.
-	Nodes int
+	// Observers is the number of nodes that made the observation.
+	Observers int
 }
 
 // valid reports whether a node could have made the observation and it has not expired.
 func (o Observation) valid() bool {
-	known := o.Replica != "" && o.Nodes > 0 && o.Nodes <= maxNodes && o.Age >= 0 && o.Age < ValidFor
+	known := o.Replica != "" && o.Observers > 0 && o.Observers <= maxObservers && o.Age >= 0 && o.Age < ValidFor
 	return known && (o.Unreachable || o.Refusing || o.Slowdown >= 1 && o.Slowdown <= maxSlowdown)
 }
 
 // message is the last message received from a node.
 type message struct {
 	received     time.Time
-	hub          bool
+	fromHub      bool
 	observations []Observation
 }
 
@@ -109,7 +109,7 @@
 		}
 		kept = append(kept, o)
 	}
-	a.latest[node] = message{received: now, hub: hub, observations: kept}
+	a.latest[node] = message{received: now, fromHub: hub, observations: kept}
 	return dropped
 }
 
@@ -134,7 +134,7 @@
 func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
 	return a.merge(now, own, func(node string, m message) bool {
 		if hub {
-			return !m.hub
+			return !m.fromHub
 		}
 		return node != asker
 	})
@@ -159,7 +159,7 @@
 			merged[key] = o
 			return
 		}
-		known.Nodes = min(known.Nodes+o.Nodes, maxNodes)
+		known.Observers = min(known.Observers+o.Observers, maxObservers)
 		if o.Age < known.Age {
 			known.Age, known.Slowdown = o.Age, o.Slowdown
 		}
@@ -200,9 +200,9 @@
 	// Known reports whether a replica belongs to the service, Suspected whether this node
 	// already treats it as lost.
 	Known, Suspected func(replica string) bool
-	// Replicas is the number of replicas, SuspectedCount how many of them this node
+	// ReplicaCount is the number of replicas, SuspectedCount how many of them this node
 	// already treats as lost.
-	Replicas, SuspectedCount int
+	ReplicaCount, SuspectedCount int
 }
 
 // Decision is how a node handles observations.
@@ -215,16 +215,16 @@
 // Evaluate decides how a node handles the observations of other nodes.
 func Evaluate(observations []Observation, v View) Decision {
 	var decision Decision
-	allowance := int(math.Floor(float64(v.Replicas)*MaxExcludedShare)) - v.SuspectedCount
+	remainingExclusions := int(math.Floor(float64(v.ReplicaCount)*MaxExcludedShare)) - v.SuspectedCount
 	for _, o := range observations {
 		if !v.Known(o.Replica) || o.Unreachable && v.Suspected(o.Replica) {
 			continue
 		}
 		switch {
-		case o.Nodes >= Quorum && !o.Unreachable && !o.Refusing:
+		case o.Observers >= Quorum && !o.Unreachable && !o.Refusing:
 			decision.Accept = append(decision.Accept, o)
-		case o.Nodes >= Quorum && allowance > 0:
-			allowance--
+		case o.Observers >= Quorum && remainingExclusions > 0:
+			remainingExclusions--
 			decision.Accept = append(decision.Accept, o)
 		case o.Refusing: // not verifiable: the replica answers everything except requests
 		case v.Verifies(o.Replica):
--- a/decide/peerreports/peerreports_test.go
+++ b/decide/peerreports/peerreports_test.go
@@ -19,7 +19,7 @@
 
 func view(node string, domainNodes []string, replicas int, suspected map[string]bool) View {
 	return View{
-		Node: node, DomainNodes: domainNodes, Replicas: replicas, SuspectedCount: len(suspected),
+		Node: node, DomainNodes: domainNodes, ReplicaCount: replicas, SuspectedCount: len(suspected),
 		Known: func(r string) bool { return r != "unknown" }, Suspected: func(r string) bool { return suspected[r] },
 	}
 }
@@ -31,10 +31,10 @@
 	nodes := names(40)
 	var hub Aggregator
 	for _, node := range nodes[:Quorum] {
-		hub.Record(start, node, false, []Observation{{Replica: "r", Unreachable: true, Nodes: 1}})
+		hub.Record(start, node, false, []Observation{{Replica: "r", Unreachable: true, Observers: 1}})
 	}
 	answer := hub.ReplyTo(start, nil, nodes[30], false)
-	if len(answer) != 1 || answer[0].Nodes != Quorum {
+	if len(answer) != 1 || answer[0].Observers != Quorum {
 		t.Fatalf("%+v", answer)
 	}
 	v := Evaluate(answer, view(nodes[30], nodes, 20, nil))
@@ -52,7 +52,7 @@
 	nodes := names(40)
 	verifying := 0
 	for _, node := range nodes {
-		v := Evaluate([]Observation{{Replica: "r", Unreachable: true, Nodes: 1}, {Replica: "s", Slowdown: 9, Nodes: 1}}, view(node, nodes, 20, nil))
+		v := Evaluate([]Observation{{Replica: "r", Unreachable: true, Observers: 1}, {Replica: "s", Slowdown: 9, Observers: 1}}, view(node, nodes, 20, nil))
 		if len(v.Accept) > 0 {
 			t.Fatalf("%s accepts %+v", node, v.Accept)
 		}
@@ -72,7 +72,7 @@
 func TestExclusionIsBounded(t *testing.T) {
 	var observations []Observation
 	for i := range 20 {
-		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Unreachable: true, Nodes: 30})
+		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Unreachable: true, Observers: 30})
 	}
 	nodes := names(40)
 	for suspectedCount, want := range map[int]int{0: 5, 3: 2, 9: 0} {
@@ -90,13 +90,13 @@
 // another hub only what it received from nodes that are not hubs.
 func TestObservationsAreNotEchoed(t *testing.T) {
 	var a, b Aggregator
-	observation := []Observation{{Replica: "r", Unreachable: true, Nodes: 1}}
+	observation := []Observation{{Replica: "r", Unreachable: true, Observers: 1}}
 	a.Record(start, "leaf", false, observation)
 	for range 10 {
 		b.Record(start, "a", true, a.ReplyTo(start, nil, "b", true))
 		a.Record(start, "b", true, b.ReplyTo(start, nil, "a", true))
 	}
-	if got := b.FromOthers(start); len(got) != 1 || got[0].Nodes != 1 {
+	if got := b.FromOthers(start); len(got) != 1 || got[0].Observers != 1 {
 		t.Errorf("%+v", got)
 	}
 	if got := a.ReplyTo(start, nil, "leaf", false); len(got) != 0 {
@@ -111,13 +111,13 @@
 func TestRefusingIsNotVerified(t *testing.T) {
 	nodes := names(40)
 	for _, node := range nodes {
-		if v := Evaluate([]Observation{{Replica: "r", Refusing: true, Nodes: Quorum - 1}}, view(node, nodes, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
+		if v := Evaluate([]Observation{{Replica: "r", Refusing: true, Observers: Quorum - 1}}, view(node, nodes, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
 			t.Fatalf("%s: %+v", node, v)
 		}
 	}
 	var observations []Observation
 	for i := range 20 {
-		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Refusing: true, Nodes: Quorum})
+		observations = append(observations, Observation{Replica: fmt.Sprint("r", i), Refusing: true, Observers: Quorum})
 	}
 	if v := Evaluate(observations, view(nodes[0], nodes, 20, nil)); len(v.Accept) != 20*MaxExcludedShare {
 		t.Errorf("%d of 20 reports of refusing replicas are accepted", len(v.Accept))
@@ -127,7 +127,7 @@
 // Guards against old observations that stay valid because nodes pass them on.
 func TestObservationsExpire(t *testing.T) {
 	var b Aggregator
-	b.Record(start, "leaf", false, []Observation{{Replica: "r", Unreachable: true, Nodes: 1, Age: ValidFor / 2}})
+	b.Record(start, "leaf", false, []Observation{{Replica: "r", Unreachable: true, Observers: 1, Age: ValidFor / 2}})
 	if got := b.FromOthers(start.Add(ValidFor / 4)); len(got) != 1 || got[0].Age != ValidFor*3/4 {
 		t.Errorf("%+v", got)
 	}
@@ -141,11 +141,11 @@
 func TestInvalidObservationsAreDropped(t *testing.T) {
 	var b Aggregator
 	invalid := []Observation{
-		{Unreachable: true, Nodes: 1}, {Replica: "r", Unreachable: true}, {Replica: "r", Unreachable: true, Nodes: -1}, {Replica: "r", Unreachable: true, Nodes: math.MaxInt},
-		{Replica: "r", Unreachable: true, Nodes: 1, Age: -time.Second}, {Replica: "r", Unreachable: true, Nodes: 1, Age: time.Hour},
-		{Replica: "r", Nodes: 1}, {Replica: "r", Nodes: 1, Slowdown: math.NaN()}, {Replica: "r", Nodes: 1, Slowdown: math.Inf(1)}, {Replica: "r", Nodes: 1, Slowdown: 0.5},
+		{Unreachable: true, Observers: 1}, {Replica: "r", Unreachable: true}, {Replica: "r", Unreachable: true, Observers: -1}, {Replica: "r", Unreachable: true, Observers: math.MaxInt},
+		{Replica: "r", Unreachable: true, Observers: 1, Age: -time.Second}, {Replica: "r", Unreachable: true, Observers: 1, Age: time.Hour},
+		{Replica: "r", Observers: 1}, {Replica: "r", Observers: 1, Slowdown: math.NaN()}, {Replica: "r", Observers: 1, Slowdown: math.Inf(1)}, {Replica: "r", Observers: 1, Slowdown: 0.5},
 	}
-	if dropped := b.Record(start, "leaf", false, append(invalid, Observation{Replica: "good", Slowdown: 2, Nodes: 1})); dropped != len(invalid) {
+	if dropped := b.Record(start, "leaf", false, append(invalid, Observation{Replica: "good", Slowdown: 2, Observers: 1})); dropped != len(invalid) {
 		t.Errorf("%d of %d dropped", dropped, len(invalid))
 	}
 	if got := b.FromOthers(start); len(got) != 1 || got[0].Replica != "good" {
@@ -153,13 +153,13 @@
 	}
 	var many []Observation
 	for i := range 3 * MaxPerMessage {
-		many = append(many, Observation{Replica: fmt.Sprint(i), Unreachable: true, Nodes: 1})
+		many = append(many, Observation{Replica: fmt.Sprint(i), Unreachable: true, Observers: 1})
 	}
 	b.Record(start, "leaf", false, many)
 	if got := b.FromOthers(start); len(got) != MaxPerMessage {
 		t.Errorf("%d observations are kept", len(got))
 	}
-	if v := Evaluate([]Observation{{Replica: "unknown", Unreachable: true, Nodes: 9}}, view("n", nil, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
+	if v := Evaluate([]Observation{{Replica: "unknown", Unreachable: true, Observers: 9}}, view("n", nil, 20, nil)); len(v.Accept)+len(v.Verify) > 0 {
 		t.Errorf("%+v", v)
 	}
 }
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -36,18 +36,18 @@
 type Totals struct {
 	// Nodes is the number of nodes.
 	Nodes int
-	// Amounts are the reserved capacities by replica, in tokens times layers.
-	Amounts map[string]float64
+	// ReservedByReplica are the reserved capacities by replica, in tokens times layers.
+	ReservedByReplica map[string]float64
 }
 
 // Plus returns the sum of t and other.
 func (t Totals) Plus(other Totals) Totals {
-	sum := Totals{Nodes: t.Nodes + other.Nodes, Amounts: maps.Clone(t.Amounts)}
-	if sum.Amounts == nil {
-		sum.Amounts = map[string]float64{}
+	sum := Totals{Nodes: t.Nodes + other.Nodes, ReservedByReplica: maps.Clone(t.ReservedByReplica)}
+	if sum.ReservedByReplica == nil {
+		sum.ReservedByReplica = map[string]float64{}
 	}
-	for replica, amount := range other.Amounts {
-		sum.Amounts[replica] += amount
+	for replica, amount := range other.ReservedByReplica {
+		sum.ReservedByReplica[replica] += amount
 	}
 	return sum
 }
@@ -55,7 +55,7 @@
 // report is the last report of a node.
 type report struct {
 	received time.Time
-	hub      bool
+	fromHub  bool
 	totals   Totals
 }
 
@@ -75,7 +75,7 @@
 			delete(a.latest, name)
 		}
 	}
-	a.latest[node] = report{received: now, hub: hub, totals: totals}
+	a.latest[node] = report{received: now, fromHub: hub, totals: totals}
 }
 
 // KeepOnly drops the reports of all nodes except one hub, whose sum includes the reports
@@ -92,7 +92,7 @@
 // HubTotals returns what a hub reports to other hubs: its own reservations and those that
 // nodes reported to it directly.
 func (a *Aggregator) HubTotals(now time.Time, own Totals) Totals {
-	return own.Plus(a.sum(now, func(_ string, r report) bool { return !r.hub }))
+	return own.Plus(a.sum(now, func(_ string, r report) bool { return !r.fromHub }))
 }
 
 // ReplyTo returns the reply to a node's report. Another hub gets HubTotals; any other
@@ -105,14 +105,14 @@
 }
 
 func (a *Aggregator) sum(now time.Time, include func(node string, r report) bool) Totals {
-	sum := Totals{Amounts: map[string]float64{}}
+	sum := Totals{ReservedByReplica: map[string]float64{}}
 	for node, r := range a.latest {
 		if now.Sub(r.received) >= ValidFor || !include(node, r) {
 			continue
 		}
 		sum.Nodes += r.totals.Nodes
-		for replica, amount := range r.totals.Amounts {
-			sum.Amounts[replica] += amount
+		for replica, amount := range r.totals.ReservedByReplica {
+			sum.ReservedByReplica[replica] += amount
 		}
 	}
 	return sum
--- a/decide/reservations/reservations_test.go
+++ b/decide/reservations/reservations_test.go
@@ -9,14 +9,14 @@
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
 func oneNode(amount float64) Totals {
-	return Totals{Nodes: 1, Amounts: map[string]float64{"r": amount}}
+	return Totals{Nodes: 1, ReservedByReplica: map[string]float64{"r": amount}}
 }
 
 // domain simulates the exchanges of a failure domain. The first nodes are the hubs, and
 // each other node reports to one hub.
 type domain struct {
 	aggregators []Aggregator
-	own         []float64
+	ownReserved []float64
 	hubs        int
 }
 
@@ -25,12 +25,12 @@
 func (d *domain) exchange(now time.Time, i int) {
 	for _, hub := range d.hubsOf(i) {
 		asHub := i < d.hubs
-		sent := oneNode(d.own[i])
+		sent := oneNode(d.ownReserved[i])
 		if asHub {
 			sent = d.aggregators[i].HubTotals(now, sent)
 		}
 		d.aggregators[hub].Record(now, d.name(i), asHub, sent)
-		answer := d.aggregators[hub].ReplyTo(now, oneNode(d.own[hub]), d.name(i), asHub)
+		answer := d.aggregators[hub].ReplyTo(now, oneNode(d.ownReserved[hub]), d.name(i), asHub)
 		if !asHub {
 			d.aggregators[i].KeepOnly(d.name(hub))
 		}
@@ -58,7 +58,7 @@
 		d := &domain{aggregators: make([]Aggregator, c.nodes), hubs: c.hubs}
 		total := 0.0
 		for i := range c.nodes {
-			d.own = append(d.own, float64(i+1))
+			d.ownReserved = append(d.ownReserved, float64(i+1))
 			total += float64(i + 1)
 		}
 		now := start
@@ -70,8 +70,8 @@
 		}
 		for i := range c.nodes {
 			others := d.aggregators[i].FromOthers(now)
-			if others.Nodes != c.nodes-1 || others.Amounts["r"] != total-d.own[i] {
-				t.Errorf("%d nodes, %d hubs: node %d counts %d others with %v, want %v", c.nodes, c.hubs, i, others.Nodes, others.Amounts["r"], total-d.own[i])
+			if others.Nodes != c.nodes-1 || others.ReservedByReplica["r"] != total-d.ownReserved[i] {
+				t.Errorf("%d nodes, %d hubs: node %d counts %d others with %v, want %v", c.nodes, c.hubs, i, others.Nodes, others.ReservedByReplica["r"], total-d.ownReserved[i])
 			}
 		}
 	}
@@ -83,15 +83,15 @@
 	var b Aggregator
 	b.Record(start, "a", false, oneNode(5))
 	b.Record(start.Add(ValidFor/2), "b", false, oneNode(7))
-	if got := b.FromOthers(start.Add(ValidFor - 1)); got.Nodes != 2 || got.Amounts["r"] != 12 {
+	if got := b.FromOthers(start.Add(ValidFor - 1)); got.Nodes != 2 || got.ReservedByReplica["r"] != 12 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 1 || got.Amounts["r"] != 7 {
+	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 1 || got.ReservedByReplica["r"] != 7 {
 		t.Errorf("%+v", got)
 	}
 	b.KeepOnly("c")
-	b.Record(start.Add(ValidFor), "c", true, Totals{Nodes: 9, Amounts: map[string]float64{"r": 20}})
-	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 9 || got.Amounts["r"] != 20 {
+	b.Record(start.Add(ValidFor), "c", true, Totals{Nodes: 9, ReservedByReplica: map[string]float64{"r": 20}})
+	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 9 || got.ReservedByReplica["r"] != 20 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/decide/retry/limiter_test.go
+++ b/decide/retry/limiter_test.go
@@ -11,7 +11,7 @@
 
 const testWindow = 10 * time.Second
 
-var brokenAttempt = Attempt{AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Alternatives: 1}
+var brokenAttempt = Attempt{AttemptsMade: 1, Failure: health.BrokenResponse, Idempotent: true, Alternatives: 1}
 
 func retryUntilRefused(b *Budget, now time.Time) int {
 	n := 0
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -63,7 +63,7 @@
 // a request is retried after an overload, the overload gets worse. Allow must
 // forbid such retries and return the reason.
 func TestAllowReasons(t *testing.T) {
-	ok := Attempt{AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
+	ok := Attempt{AttemptsMade: 1, Failure: health.BrokenResponse, Idempotent: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
 	for _, c := range []struct {
 		name   string
 		change func(a *Attempt)
@@ -114,7 +114,7 @@
 				continue
 			}
 			made := rapid.IntRange(1, 2).Draw(t, "made")
-			d := b.Allow(now, Attempt{AttemptsMade: made, Failure: health.Broken, Idempotent: true, Alternatives: 1})
+			d := b.Allow(now, Attempt{AttemptsMade: made, Failure: health.BrokenResponse, Idempotent: true, Alternatives: 1})
 			if !d.Retry {
 				continue
 			}
--- a/decide/shardowner/shardowner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -33,7 +33,7 @@
 			shard := fmt.Sprint(i)
 			before := nine.Pick(start, shard)
 			owned[before]++
-			if now := eight.Pick(start, shard); now != before && before != "vm-8" {
+			if after := eight.Pick(start, shard); after != before && before != "vm-8" {
 				moved++
 			}
 		}
--- a/decide/stall/stall.go
+++ b/decide/stall/stall.go
@@ -58,9 +58,9 @@
 // Detector estimates the distribution of a stream's gaps between events. The zero value
 // is ready to use. It is not safe for concurrent use.
 type Detector struct {
-	gapCount   int
-	mean, dev  float64 // nanoseconds; dev is the standard deviation
-	longestGap time.Duration
+	gapCount     int
+	mean, stdDev float64 // nanoseconds; dev is the standard deviation
+	longestGap   time.Duration
 }
 
 // ObserveGap records the gap before an event.
@@ -69,19 +69,19 @@
 	d.longestGap = max(d.longestGap, gap)
 	value := float64(gap)
 	if d.gapCount == 1 {
-		d.mean, d.dev = value, value/2
+		d.mean, d.stdDev = value, value/2
 		return
 	}
-	deviation := value - d.mean
-	variance := d.dev * d.dev
-	d.dev = math.Sqrt(variance + varianceWeight*(deviation*deviation-variance))
-	d.mean += meanWeight * deviation
+	difference := value - d.mean
+	variance := d.stdDev * d.stdDev
+	d.stdDev = math.Sqrt(variance + varianceWeight*(difference*difference-variance))
+	d.mean += meanWeight * difference
 }
 
 // FalseAlarm records that a path was checked after a silence and no loss was found. It
 // raises the timeout until the stream's gaps are usual again.
 func (d *Detector) FalseAlarm(silent time.Duration) {
-	d.dev = max(d.dev, (float64(silent)*falseAlarmFactor-d.mean)/timeoutDeviations)
+	d.stdDev = max(d.stdDev, (float64(silent)*falseAlarmFactor-d.mean)/timeoutDeviations)
 }
 
 // falseAlarmFactor times the silence of a false alarm is the next timeout.
@@ -97,7 +97,7 @@
 	if d.gapCount < minGaps {
 		return maxTimeout
 	}
-	return min(maxTimeout, max(minTimeout, time.Duration(d.mean+timeoutDeviations*d.dev)))
+	return min(maxTimeout, max(minTimeout, time.Duration(d.mean+timeoutDeviations*d.stdDev)))
 }
 
 // RecheckAfter returns the time from a check without a finding to the next check during
--- a/decide/stall/stall_test.go
+++ b/decide/stall/stall_test.go
@@ -8,7 +8,7 @@
 
 const maxPause = 200 * time.Millisecond
 
-func steady(gap, jitter time.Duration, n int) *Detector {
+func steadyDetector(gap, jitter time.Duration, n int) *Detector {
 	d := &Detector{}
 	random := rand.New(rand.NewPCG(1, 1))
 	for range n {
@@ -21,7 +21,7 @@
 // every 40 ms is checked well before half of the longest pause that is on time has
 // passed.
 func TestSteadyStreamIsCheckedEarly(t *testing.T) {
-	d := steady(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
+	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
 	if d > 70*time.Millisecond {
 		t.Errorf("timeout %v, want at most 70 ms", d)
 	}
@@ -76,9 +76,9 @@
 		want     time.Duration
 	}{
 		{"no gaps", &Detector{}, 100 * time.Millisecond},
-		{"too few gaps", steady(10*time.Millisecond, 0, minGaps-1), 100 * time.Millisecond},
-		{"fast and steady", steady(5*time.Millisecond, 0, 100), minTimeout},
-		{"slow", steady(150*time.Millisecond, 0, 100), 100 * time.Millisecond},
+		{"too few gaps", steadyDetector(10*time.Millisecond, 0, minGaps-1), 100 * time.Millisecond},
+		{"fast and steady", steadyDetector(5*time.Millisecond, 0, 100), minTimeout},
+		{"slow", steadyDetector(150*time.Millisecond, 0, 100), 100 * time.Millisecond},
 	} {
 		if got := c.detector.Timeout(maxPause); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -106,7 +106,7 @@
 // a finding raises the timeout. Once the stream is fast again, the timeout soon returns
 // to its previous value.
 func TestFalseAlarmsRaiseTimeout(t *testing.T) {
-	d := steady(40*time.Millisecond, 4*time.Millisecond, 50)
+	d := steadyDetector(40*time.Millisecond, 4*time.Millisecond, 50)
 	before := d.Timeout(time.Second)
 	for range 3 {
 		d.FalseAlarm(d.Timeout(time.Second))
@@ -127,18 +127,18 @@
 // late, and once more as soon as it is late, because only then the replicas are asked for
 // their speed.
 func TestChecksWithinOneSilence(t *testing.T) {
-	const late = 300 * time.Millisecond
+	const onTimeLimit = 300 * time.Millisecond
 	checks := 0
 	silent := minTimeout
-	for silent < late {
+	for silent < onTimeLimit {
 		checks++
-		silent += RecheckAfter(silent, late)
+		silent += RecheckAfter(silent, onTimeLimit)
 	}
 	if checks > 4 {
 		t.Errorf("%d checks before the pause is late", checks)
 	}
-	if silent > late+minTimeout/2 {
-		t.Errorf("the next check is %v after the pause is late", silent-late)
+	if silent > onTimeLimit+minTimeout/2 {
+		t.Errorf("the next check is %v after the pause is late", silent-onTimeLimit)
 	}
 }
 
@@ -147,11 +147,11 @@
 // must not be checked in each gap, only in the first few. The timeout stays bounded, so
 // that a later loss is still detected.
 func TestSlowStreamIsRarelyChecked(t *testing.T) {
-	const late, gap = 300 * time.Millisecond, 400 * time.Millisecond
-	d := steady(40*time.Millisecond, 8*time.Millisecond, 20)
+	const onTimeLimit, gap = 300 * time.Millisecond, 400 * time.Millisecond
+	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 20)
 	checks := 0
 	for range 20 {
-		if silent := d.Timeout(late); silent < gap {
+		if silent := d.Timeout(onTimeLimit); silent < gap {
 			checks++
 			d.FalseAlarm(gap - gap/10)
 		}
@@ -160,13 +160,13 @@
 	if checks > 3 {
 		t.Errorf("checked in %d of 20 gaps", checks)
 	}
-	if timeout := d.Timeout(late); timeout > slowStreamFactor*late {
+	if timeout := d.Timeout(onTimeLimit); timeout > slowStreamFactor*onTimeLimit {
 		t.Errorf("timeout %v of a slow stream is too long", timeout)
 	}
 	for range 40 {
 		d.ObserveGap(40 * time.Millisecond)
 	}
-	if timeout := d.Timeout(late); timeout > late/maxPauseDivisor {
+	if timeout := d.Timeout(onTimeLimit); timeout > onTimeLimit/maxPauseDivisor {
 		t.Errorf("timeout %v is too long for a stream that is fast again", timeout)
 	}
 }
--- a/decide/storereaders/storereaders_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -113,9 +113,9 @@
 		if count != c.want {
 			t.Errorf("%s: %d of %d nodes have entries, want %d", c.name, count, c.perDomain, c.want)
 		}
-		first := len(members) == 0 || c.withEntry == 0
-		if NeedsEntry("a-new-one", "d0", members) != first {
-			t.Errorf("%s: a new node needs an entry: %v", c.name, !first)
+		wantEntry := len(members) == 0 || c.withEntry == 0
+		if NeedsEntry("a-new-one", "d0", members) != wantEntry {
+			t.Errorf("%s: a new node needs an entry: %v", c.name, !wantEntry)
 		}
 	}
 }
@@ -155,11 +155,11 @@
 // with three, and the first reader detects the end of the outage within a third of a
 // second.
 func TestRetryRateDuringStoreOutage(t *testing.T) {
-	const outage, baseInterval = 8 * time.Second, 300 * time.Millisecond
+	const outage, retryBaseInterval = 8 * time.Second, 300 * time.Millisecond
 	countTries := func(domainSize int) int {
 		members, tries := fleet(1, domainSize, 3), 0
 		for _, m := range members {
-			state := RetryState{BaseInterval: baseInterval, DomainSize: domainSize, IsReader: IsReader(m.Name, m.Domain, members), ReaderReached: len(ReadersToAsk(m.Name, m.Domain, members)) > 0}
+			state := RetryState{BaseInterval: retryBaseInterval, DomainSize: domainSize, IsReader: IsReader(m.Name, m.Domain, members), ReaderReached: len(ReadersToAsk(m.Name, m.Domain, members)) > 0}
 			for at := time.Duration(0); at < outage; at += RetryInterval(state) {
 				tries++
 				state.Failures++
@@ -168,16 +168,16 @@
 		return tries
 	}
 	small, large := countTries(3), countTries(42)
-	if single := countTries(1); single < int(outage/baseInterval) {
+	if single := countTries(1); single < int(outage/retryBaseInterval) {
 		t.Errorf("the first reader makes only %d attempts", single)
 	}
 	if large > 2*small {
 		t.Errorf("%d calls with 3 nodes, %d with 42", small, large)
 	}
-	unknown := RetryState{BaseInterval: baseInterval, IsReader: true}
-	for at, tries := time.Duration(0), 0; at < outage; at += RetryInterval(unknown) {
+	noReaderKnown := RetryState{BaseInterval: retryBaseInterval, IsReader: true}
+	for at, tries := time.Duration(0), 0; at < outage; at += RetryInterval(noReaderKnown) {
 		tries++
-		unknown.Failures++
+		noReaderKnown.Failures++
 		if tries > 10 {
 			t.Fatal("a node that knows no other node retries as often as the first reader of a domain")
 		}
@@ -188,15 +188,15 @@
 // nodes of a failure domain start at once. The first read of one of them fails while its
 // readers have no data yet. It must not share its retries with the other nodes.
 func TestStartingNodeRetriesOnItsOwn(t *testing.T) {
-	const baseInterval = 300 * time.Millisecond
-	state := RetryState{BaseInterval: baseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
+	const retryBaseInterval = 300 * time.Millisecond
+	state := RetryState{BaseInterval: retryBaseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
 	if shared := RetryInterval(state); shared < 10*time.Second {
 		t.Errorf("a serving node retries after %v", shared)
 	}
 	state.Starting = true
 	for state.Failures = 1; state.Failures < 10; state.Failures++ {
-		if pause := RetryInterval(state); pause > baseInterval<<maxDoublings {
-			t.Errorf("a starting node retries after %v, after %d failures", pause, state.Failures)
+		if interval := RetryInterval(state); interval > retryBaseInterval<<maxDoublings {
+			t.Errorf("a starting node retries after %v, after %d failures", interval, state.Failures)
 		}
 	}
 }
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -108,7 +108,9 @@
 	return last
 }
 
-func (e *Exchange) held() reservations.Totals { return reservations.Totals{Nodes: 1, Amounts: e.own()} }
+func (e *Exchange) held() reservations.Totals {
+	return reservations.Totals{Nodes: 1, ReservedByReplica: e.own()}
+}
 
 func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Totals, claims []peerreports.Observation) (*bookingspb.ExchangeResponse, error) {
 	peer := bookingspb.NewBookingsProtobufClient("http://"+to.Address, e.client)
@@ -149,7 +151,7 @@
 	for _, c := range claims {
 		wire = append(wire, &bookingspb.Claim{
 			Replica: c.Replica, Lost: c.Unreachable, TurnsAway: c.Refusing, Pace: float32(c.Slowdown),
-			AgeMillis: int32(c.Age.Milliseconds()), Nodes: int32(c.Nodes),
+			AgeMillis: int32(c.Age.Milliseconds()), Nodes: int32(c.Observers),
 		})
 	}
 	return wire
@@ -160,7 +162,7 @@
 	for _, c := range wire {
 		claims = append(claims, peerreports.Observation{
 			Replica: c.GetReplica(), Unreachable: c.GetLost(), Refusing: c.GetTurnsAway(), Slowdown: float64(c.GetPace()),
-			Age: time.Duration(c.GetAgeMillis()) * time.Millisecond, Nodes: int(c.GetNodes()),
+			Age: time.Duration(c.GetAgeMillis()) * time.Millisecond, Observers: int(c.GetNodes()),
 		})
 	}
 	return claims
@@ -168,7 +170,7 @@
 
 func toWire(held reservations.Totals) *bookingspb.Held {
 	wire := &bookingspb.Held{Nodes: int32(held.Nodes)}
-	for replica, amount := range held.Amounts {
+	for replica, amount := range held.ReservedByReplica {
 		wire.Replicas = append(wire.Replicas, replica)
 		wire.Amounts = append(wire.Amounts, float32(amount))
 	}
@@ -178,11 +180,11 @@
 // fromWire reads what another node told. Of lists of different lengths, which no node
 // writes, the part that both have counts.
 func fromWire(wire *bookingspb.Held) reservations.Totals {
-	held := reservations.Totals{Nodes: int(max(0, wire.GetNodes())), Amounts: map[string]float64{}}
+	held := reservations.Totals{Nodes: int(max(0, wire.GetNodes())), ReservedByReplica: map[string]float64{}}
 	amounts := wire.GetAmounts()
 	for i, replica := range wire.GetReplicas() {
 		if i < len(amounts) && amounts[i] > 0 {
-			held.Amounts[replica] += float64(amounts[i])
+			held.ReservedByReplica[replica] += float64(amounts[i])
 		}
 	}
 	return held
--- a/fleet/bookings/bookings_test.go
+++ b/fleet/bookings/bookings_test.go
@@ -46,13 +46,13 @@
 		node
 		want float64
 	}{{a, 110}, {b, 101}, {c, 11}} {
-		if got := n.Others(); got.Nodes != 2 || got.Amounts["r"] != n.want {
+		if got := n.Others(); got.Nodes != 2 || got.ReservedByReplica["r"] != n.want {
 			t.Errorf("%s: %+v, want %v of two", n.name, got, n.want)
 		}
 	}
 	b.server.Close()
 	round()
-	if got := c.Others(); got.Amounts["r"] < 1 {
+	if got := c.Others(); got.ReservedByReplica["r"] < 1 {
 		t.Errorf("after its hub died c knows of %+v", got)
 	}
 	if err := c.AsLeaf(ctx, []Peer{b.peer}); !Error.Has(err) {
@@ -70,7 +70,7 @@
 		"the same replica": {Nodes: 1, Replicas: []string{"r", "r"}, Amounts: []float32{2, 3}},
 	} {
 		held := fromWire(wire)
-		if held.Nodes < 0 || held.Amounts["r"] < 0 || held.Amounts["r"] > 5 || held.Amounts["s"] != 0 {
+		if held.Nodes < 0 || held.ReservedByReplica["r"] < 0 || held.ReservedByReplica["r"] > 5 || held.ReservedByReplica["s"] != 0 {
 			t.Errorf("%s: %+v", name, held)
 		}
 	}
@@ -80,9 +80,9 @@
 // node hears of both, with how many have seen them, and none hears its own word.
 func TestClaimsAreTold(t *testing.T) {
 	ctx := context.Background()
-	lost := peerreports.Observation{Replica: "r", Unreachable: true, Nodes: 1}
-	away := peerreports.Observation{Replica: "u", Refusing: true, Nodes: 1}
-	hub := start(t, "hub", 1, peerreports.Observation{Replica: "s", Slowdown: 4, Nodes: 1})
+	lost := peerreports.Observation{Replica: "r", Unreachable: true, Observers: 1}
+	away := peerreports.Observation{Replica: "u", Refusing: true, Observers: 1}
+	hub := start(t, "hub", 1, peerreports.Observation{Replica: "s", Slowdown: 4, Observers: 1})
 	a, b, c := start(t, "a", 1, lost), start(t, "b", 1, lost, away), start(t, "c", 1)
 	for _, leaf := range []node{a, b, c} {
 		if err := leaf.AsLeaf(ctx, []Peer{hub.peer}); err != nil {
@@ -96,7 +96,7 @@
 		claims, dropped := n.Claims()
 		got := map[string]int{}
 		for _, claim := range claims {
-			got[claim.Replica] = claim.Nodes
+			got[claim.Replica] = claim.Observers
 			if claim.Refusing != (claim.Replica == "u") {
 				t.Errorf("%s: %+v", n.name, claim)
 			}
--- a/node/site/peers.go
+++ b/node/site/peers.go
@@ -69,7 +69,7 @@
 	verdict := model.Evaluate(n.settings.Node, near, claims)
 	for _, c := range verdict.Accept {
 		if c.Unreachable {
-			n.log.Info("replica out of reach of other nodes", "service", service, "replica", c.Replica, "nodes", c.Nodes, "age_ms", c.Age.Milliseconds())
+			n.log.Info("replica out of reach of other nodes", "service", service, "replica", c.Replica, "nodes", c.Observers, "age_ms", c.Age.Milliseconds())
 		}
 	}
 	for _, c := range verdict.Verify {
@@ -103,7 +103,7 @@
 	if c.Unreachable {
 		for _, loss := range n.prober.Lost(ctx, connprobe.Told, []string{r.Address}) {
 			if model.SuspectOnReport(r.ID, loss.Silent) {
-				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.Silent, "told_by", c.Nodes)
+				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.Silent, "told_by", c.Observers)
 			}
 		}
 		return
@@ -113,7 +113,7 @@
 		return // the next claim, or a request that meets it, tells
 	}
 	if model.SetSlowdown(r.ID, account.Pace) {
-		n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace, "told_by", c.Nodes)
+		n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace, "told_by", c.Observers)
 	}
 }
 
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -125,7 +125,7 @@
 	case stream.EndMismatch:
 		return health.Internal
 	default:
-		return health.Broken
+		return health.BrokenResponse
 	}
 }
 
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -109,7 +109,7 @@
 		return attemptResult{kind: kind, detail: err.Error(), feedback: targets.Result{Failure: a.endpointFailure(kind)}}
 	}
 	var f *upstream.Failure
-	res := attemptResult{kind: resultUnknown, detail: err.Error(), feedback: targets.Result{Failure: health.Broken}}
+	res := attemptResult{kind: resultUnknown, detail: err.Error(), feedback: targets.Result{Failure: health.BrokenResponse}}
 	if !errors.As(err, &f) {
 		return res
 	}
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -15,7 +15,7 @@
 // request is retried only if it provably did not run. An idempotent request is retried in both
 // cases, at no more replicas than its route allows.
 func TestOnlySafeRetriesAreMade(t *testing.T) {
-	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.Broken}}
+	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.BrokenResponse}}
 	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
 	unsent := attemptResult{kind: resultNotSent, feedback: targets.Result{Failure: health.Unreachable}}
 	failed := attemptResult{kind: resultFailed, feedback: targets.Result{Failure: health.Internal}}
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -158,7 +158,7 @@
 // next target. It returns false if the budget allows no retry.
 func (m *pathMonitor) migrate(next targets.Target, reason string) bool {
 	decision := m.attempt.req.Budget.Allow(retry.Attempt{
-		AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Deadline: m.attempt.req.Deadline, Alternatives: 1,
+		AttemptsMade: 1, Failure: health.BrokenResponse, Idempotent: true, Deadline: m.attempt.req.Deadline, Alternatives: 1,
 	})
 	if !decision.Retry {
 		return false
@@ -273,5 +273,5 @@
 	}
 	next := m.migrateTo
 	m.migrateTo = nil
-	return attemptResult{kind: resultUnknown, detail: m.migrateReason, feedback: targets.Result{Failure: health.Broken}, migrateTo: next}
+	return attemptResult{kind: resultUnknown, detail: m.migrateReason, feedback: targets.Result{Failure: health.BrokenResponse}, migrateTo: next}
 }
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -144,7 +144,7 @@
 // finish checks that a stream that has ended is complete.
 func (a *attempt) finish(e *upstream.Exchange, split *eventSplitter) attemptResult {
 	if split.incompleteBytes() > 0 {
-		return attemptResult{kind: resultUnknown, detail: "the stream ended in the middle of an event", feedback: targets.Result{Failure: health.Broken}}
+		return attemptResult{kind: resultUnknown, detail: "the stream ended in the middle of an event", feedback: targets.Result{Failure: health.BrokenResponse}}
 	}
 	req := a.req
 	req.beginStream(e)
--- a/route/targets/observations.go
+++ b/route/targets/observations.go
@@ -61,7 +61,7 @@
 		if !seen.unreachable && !seen.refusing && seen.slowdown == 0 {
 			continue
 		}
-		list = append(list, peerreports.Observation{Replica: id, Unreachable: seen.unreachable, Refusing: seen.refusing, Slowdown: seen.slowdown, Age: now.Sub(seen.at), Nodes: 1})
+		list = append(list, peerreports.Observation{Replica: id, Unreachable: seen.unreachable, Refusing: seen.refusing, Slowdown: seen.slowdown, Age: now.Sub(seen.at), Observers: 1})
 	}
 	return list
 }
@@ -82,7 +82,7 @@
 	m.observed.forget(now)
 	decision := peerreports.Evaluate(reports, peerreports.View{
 		Node: node, DomainNodes: domainNodes, Known: m.selector.Known, Suspected: m.selector.Suspected,
-		Replicas: m.selector.Len(), SuspectedCount: len(m.selector.Suspects()),
+		ReplicaCount: m.selector.Len(), SuspectedCount: len(m.selector.Suspects()),
 	})
 	for _, c := range decision.Accept {
 		m.accept(now, c)
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -323,7 +323,7 @@
 // the replica itself. If nodes forwarded reports, the reports would never expire.
 func TestPeerReportsAreNotForwarded(t *testing.T) {
 	m := twoStageModel()
-	reports := []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: peerreports.Quorum}, {Replica: "b1", Slowdown: 5, Nodes: peerreports.Quorum}}
+	reports := []peerreports.Observation{{Replica: "a1", Unreachable: true, Observers: peerreports.Quorum}, {Replica: "b1", Slowdown: 5, Observers: peerreports.Quorum}}
 	domainNodes := []string{"n1", "n2", "n3", "n4", "n5"}
 	decision := m.Evaluate("n4", domainNodes, reports)
 	if len(decision.Accept) != 2 || len(m.Suspects()) != 1 || !m.HasRecentPeerReport("b1") || len(m.Slow()) != 1 {
@@ -336,7 +336,7 @@
 		t.Errorf("sent to %s", target.Replica)
 	}
 	m.RecordUnreachable("a1")
-	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Nodes != 1 {
+	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Observers != 1 {
 		t.Errorf("after a failed try: %+v", seen)
 	}
 	m.MarkAlive("a1")
@@ -357,7 +357,7 @@
 	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("b1", 4, 8)}, soleNode(10))
 	verifications := 0
 	for range 20 {
-		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: 1}}).Verify)
+		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Observation{{Replica: "a1", Unreachable: true, Observers: 1}}).Verify)
 		now = now.Add(verifyInterval / 10)
 	}
 	if verifications != 2 {
@@ -425,7 +425,7 @@
 func TestReportedRefusalsBackOff(t *testing.T) {
 	m := twoStageModel()
 	domainNodes := []string{"n1", "n2", "n3", "n4"}
-	reports := []peerreports.Observation{{Replica: "a1", Refusing: true, Nodes: peerreports.Quorum}, {Replica: "b1", Refusing: true, Nodes: 1}}
+	reports := []peerreports.Observation{{Replica: "a1", Refusing: true, Observers: peerreports.Quorum}, {Replica: "b1", Refusing: true, Observers: 1}}
 	decision := m.Evaluate("n4", domainNodes, reports)
 	if len(decision.Accept) != 1 || len(decision.Verify) != 0 || len(m.Suspects()) != 0 {
 		t.Fatalf("%+v", decision)
