--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -13,27 +13,29 @@
 	DefaultStaleAfter = 10 * time.Second
 )
 
-// staleAfterPolls is the number of poll intervals without a page after which a replica's
-// entries are not used.
+// staleAfterPolls is a number of poll intervals. A replica's entries become stale, and
+// are no longer used, if no page arrives for this many intervals and for
+// Config.StaleAfter.
 const staleAfterPolls = 3
 
 // Config configures an Index. Zero values take the defaults.
 type Config struct {
-	// Entries is the maximum number of prefixes kept per replica.
+	// Entries is the maximum number of prefixes that the index keeps per replica.
 	Entries int
-	// StaleAfter is the shortest time without a page after which a replica's entries are
-	// not used.
+	// StaleAfter is the shortest time without a page after which a replica's entries
+	// become stale.
 	StaleAfter time.Duration
 }
 
-// Event reports that a prefix was added to or removed from a replica's cache.
+// Event reports that an engine stored a prefix in its cache (Stored) or evicted the
+// prefix.
 type Event struct {
 	Sequence uint64
 	Prefix   uint64
 	Stored   bool
 }
 
-// Page is a replica's answer to a request for its events.
+// Page is a replica's answer to one request for its events.
 type Page struct {
 	// Instance identifies the run of the engine's process. A new instance starts with an
 	// empty cache.
@@ -45,15 +47,17 @@
 	Events []Event
 }
 
-// Change is the continuity of a page with the previous one.
+// Change tells whether a page directly follows the previous page from the same replica.
 type Change uint8
 
 const (
-	// Continued means that the page follows the previous one without a gap.
+	// Continued means that no event was lost. It also applies to the first page of a
+	// replica.
 	Continued Change = iota
 	// Gapped means that events were lost.
 	Gapped
-	// Restarted means that the page comes from a new instance.
+	// Restarted means that the engine restarted: the page comes from a new instance, or
+	// its last sequence number is lower than that of the previous page.
 	Restarted
 )
 
@@ -61,8 +65,8 @@
 
 func (c Change) String() string { return changeNames[c] }
 
-// Holder is a replica that probably has the first Blocks of the requested prefixes
-// cached.
+// Holder is a replica that probably has the beginning of a prompt cached. Blocks is the
+// number of the prompt's prefixes that are cached, counted from the shortest.
 type Holder struct {
 	Replica string
 	Blocks  int
@@ -79,9 +83,9 @@
 // replicaState is the estimate for one replica.
 type replicaState struct {
 	instance     string
-	lastSequence uint64        // last published sequence number
-	lastPageAt   time.Time     // time of the last page
-	pollInterval time.Duration // between the last two pages
+	lastSequence uint64        // of the last event known to be published
+	lastPageAt   time.Time     // when the last page was received
+	pollInterval time.Duration // time between the last two pages
 	lru          *list.List    // of uint64 prefixes, the most recently stored or requested first
 	cached       map[uint64]*list.Element
 }
@@ -105,7 +109,7 @@
 }
 
 // Clear drops the entries of a replica and keeps its sequence number. It is for a replica
-// of which one stage lost its cache while the stage that publishes the events did not.
+// in which one stage has lost its cache, but not the stage that publishes the events.
 func (x *Index) Clear(replica string) {
 	if s := x.states[replica]; s != nil {
 		s.lru.Init()
@@ -122,7 +126,7 @@
 	return s.lastSequence
 }
 
-// Apply records a replica's answer to a request for the events after LastSequence.
+// Apply records a replica's answer to the request for the events after LastSequence.
 func (x *Index) Apply(now time.Time, replica string, page Page) Change {
 	s := x.states[replica]
 	change := Continued
@@ -130,8 +134,9 @@
 	case s == nil:
 		s = newReplicaState(page.Instance)
 		x.states[replica] = s
-		// Events from before this node's first request are no longer available. They
-		// do not count as lost, because unknown prefixes produce no hints.
+		// The engine no longer has the events from before this node's first request.
+		// These events do not count as lost, because a prefix that is not in the index
+		// gives no wrong hint.
 		s.lastSequence = sequenceBefore(page)
 	case s.instance != page.Instance || page.Last < s.lastSequence:
 		*s = *newReplicaState(page.Instance)
@@ -161,13 +166,13 @@
 	return max(page.Events[0].Sequence, 1) - 1
 }
 
-// applyEvents applies a page's events and returns how many events were lost before,
-// between and after them.
+// applyEvents applies a page's events. It returns how many events were lost: before the
+// first event of the page, between two events, and after the last event.
 func (x *Index) applyEvents(s *replicaState, page Page) uint64 {
 	lost := uint64(0)
 	for _, e := range page.Events {
 		if e.Sequence <= s.lastSequence {
-			continue // already applied
+			continue // the event is already applied
 		}
 		lost += e.Sequence - s.lastSequence - 1
 		s.lastSequence = e.Sequence
@@ -199,16 +204,16 @@
 	delete(s.cached, s.lru.Remove(element).(uint64))
 }
 
-// evictOldest drops the oldest entries, one for each lost event.
+// evictOldest drops as many of the oldest entries as events were lost.
 func (s *replicaState) evictOldest(lost uint64) {
 	for range min(lost, uint64(s.lru.Len())) {
 		s.evict(s.lru.Back())
 	}
 }
 
-// Holders returns the replicas that probably have prefixes cached, the one with the most
-// blocks first. The prefixes belong to one prompt, each longer than the one before.
-// Replicas without any of them are omitted.
+// Holders returns the replicas that probably have prefixes of a prompt cached, the one
+// with the most blocks first. The given prefixes all belong to this prompt, each longer
+// than the one before. Replicas that have none of the prefixes are omitted.
 func (x *Index) Holders(now time.Time, prefixes []uint64) []Holder {
 	var holders []Holder
 	for replica, s := range x.states {
@@ -222,8 +227,9 @@
 	return holders
 }
 
-// cachedBlocks counts the leading prefixes that a replica has cached. An engine can use a
-// longer prefix only if it also has the shorter ones.
+// cachedBlocks counts the prefixes that a replica has cached, from the shortest up to the
+// first that is missing. An engine can use a longer prefix only if it also has all
+// shorter ones.
 func (x *Index) cachedBlocks(now time.Time, s *replicaState, prefixes []uint64) int {
 	if now.Sub(s.lastPageAt) > max(x.staleAfter, staleAfterPolls*s.pollInterval) {
 		return 0
--- a/decide/cacheindex/cacheindex_test.go
+++ b/decide/cacheindex/cacheindex_test.go
@@ -16,9 +16,9 @@
 	return Page{Instance: instance, Last: events[len(events)-1].Sequence, Events: events}
 }
 
-// Guards against prompts that are computed again on an engine that supposedly had them
-// cached; callers wait for the computation. Each case is a way in which the index becomes
-// stale, and how much of it must be dropped.
+// Guards against callers that wait because a request is sent to a replica for a cached
+// prompt that the engine no longer has. Each case is one way in which entries of the
+// index become wrong, and checks which entries are dropped.
 func TestStaleEntriesAreDropped(t *testing.T) {
 	prompt := []uint64{11, 12, 13}
 	indexed := func(cfg Config) *Index {
@@ -77,7 +77,7 @@
 		So(blocks(x, late), ShouldEqual, 0)
 		x.Apply(late, "a", Page{Instance: "one", Last: 3})
 		So(blocks(x, late), ShouldEqual, 3)
-		So(blocks(x, late.Add(2*DefaultStaleAfter)), ShouldEqual, 3) // polls are this far apart
+		So(blocks(x, late.Add(2*DefaultStaleAfter)), ShouldEqual, 3) // the poll interval is now longer than DefaultStaleAfter
 		So(blocks(x, late.Add(4*DefaultStaleAfter)), ShouldEqual, 0)
 	})
 	Convey("Requested entries stay, others are evicted", t, func() {
@@ -95,8 +95,9 @@
 	})
 }
 
-// Guards against an index that grows without bound, or that requests events it has
-// already applied from the same instance, whatever pages an engine sends.
+// Guards against an index that grows without bound, whatever pages an engine sends. Also
+// guards against requests for events that the index has already applied from the same
+// instance.
 func TestArbitraryPages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := New(Config{Entries: 5})
--- a/decide/cacheindex/doc.go
+++ b/decide/cacheindex/doc.go
@@ -10,26 +10,38 @@
 //
 // # Load pattern
 //
-// A popular prefix needs more capacity than the replica that its hash selects, and
-// the surplus goes to other replicas by load.
+// A popular prefix needs more capacity than the one replica has that its hash
+// selects. The balancer sends the requests beyond that capacity to less loaded
+// replicas.
 //
-// # Failure without it
+// # Failure without this package
 //
-// After a while several of these replicas have the prefix cached, but a node does
-// not know which ones. Callers wait while a replica computes a prompt that another
-// replica has cached. The same happens after a configuration document has changed
-// the replica that each prefix hashes to.
+// After a while several replicas have the popular prefix cached, but a node
+// does not know which ones. Callers wait while a replica computes a prompt that
+// another replica has cached. The same happens after a change of a
+// configuration document by which prefixes hash to other replicas.
 //
-// # Stale entries
+// # Terms
 //
-// The index is only a hint. The balancer uses a holder only within its bound on
-// load. A wrong hint costs one prompt computation, after which it is correct. To
-// keep wrong hints rare, entries that the engine may have evicted are dropped:
+// An engine publishes an event for each prefix that it stores in or evicts from
+// its cache, and numbers these events. A page is a replica's answer to one
+// request for its events. An instance is one run of an engine's process. A
+// prompt is divided into blocks. Its prefixes are the first block, the first
+// two blocks and so on. A holder is a replica that probably has at least the
+// first block of a prompt cached.
+//
+// # Wrong and stale entries
+//
+// The index is only a hint. The balancer prefers a holder only if the holder's
+// load is within the balancer's bound. A wrong hint costs one computation of a
+// prompt, after which the replica does have the prompt cached. To keep wrong
+// hints rare, entries that the engine may have evicted are dropped:
 //   - A new instance, or a sequence number lower than before, clears the replica's
 //     entries: the engine has restarted.
 //   - A gap of n events drops the n oldest entries, or all if there are fewer. Each
 //     lost event may have been an eviction, and engines evict the oldest entries.
-//   - A replica that does not answer has no holders until it answers again.
+//   - A replica that does not answer requests for events for some time has
+//     stale entries: it is no holder until it answers again.
 //
 // The index is approximate and bounded: it keeps the Config.Entries most recently
 // used prefixes of each replica.
@@ -39,7 +51,9 @@
 // DefaultEntries 256: a list element and a map entry take about 150 bytes, so the 32
 // replicas of a subset take about 1.2 MB. Prompts share prefixes, and shared
 // prefixes are requested again and stay in the index.
-// DefaultStaleAfter 10 s is well above the lag of an engine's events, and less than
-// the time in which an engine restarts and loads its layers. Where polls are further
-// apart, staleAfterPolls 3 poll intervals allow for one failed poll.
+//
+// DefaultStaleAfter 10 s is well above the delay with which an engine publishes
+// its events, and less than the time in which an engine restarts and loads its
+// layers. For longer poll intervals, the entries of a replica become stale after
+// staleAfterPolls 3 poll intervals instead, which allows for one failed poll.
 package cacheindex
--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -19,8 +19,9 @@
 	MaxAddresses    = 3
 )
 
-// minCapacity is the weight of a node that reports being full. If it were zero, a team
-// whose homes are all full would get no address.
+// minCapacity is the lowest free capacity that preference uses for a node, also if the
+// node reports being full. If it were zero, a team whose homes are all full would get no
+// address.
 const minCapacity = 0.02
 
 // Member is an entry VM as known to this node.
@@ -61,15 +62,15 @@
 	Weight float64
 }
 
-// Result is the answer to a caller. Without addresses, no node can be named at present;
-// the caller asks again after ValidFor.
+// Result is the answer to a caller. If Addresses is empty, no node is usable at present,
+// and the caller asks again after ValidFor.
 type Result struct {
 	Addresses []Address
 	ValidFor  time.Duration
 }
 
-// HomeCount returns how many homes a team with the given share of the load needs among
-// the given number of nodes.
+// HomeCount returns how many homes a team needs if it has the given share of the total
+// load and the fleet has the given number of nodes.
 func HomeCount(share float64, nodes int) int {
 	need := math.Ceil(share * float64(nodes) * HomeHeadroom)
 	return min(nodes, max(MinHomes, int(need)))
@@ -81,9 +82,9 @@
 	return propagation + ValidFor
 }
 
-// Homes returns the IDs of the k nodes that share the team's limit, highest rank first.
-// It skips draining and suspected nodes. The results for two member lists differ only by
-// the members in which the lists differ.
+// Homes returns the IDs of the k nodes that share the team's limit, highest score first.
+// Draining and suspected nodes are skipped. When members join or leave, the remaining
+// homes stay, except for those that a new member displaces.
 func Homes(team string, members []Member, k int) []string {
 	homes := homesOf(team, members, k)
 	ids := make([]string, len(homes))
@@ -124,9 +125,10 @@
 	})
 }
 
-// selectHomes selects up to MaxAddresses homes for one caller, in proportion to their
-// preference. The caller's name is part of the key, so a caller keeps its nodes when it
-// asks again, and the callers of a team spread over its homes.
+// selectHomes selects up to MaxAddresses homes for one caller. The probability that a
+// home is selected is in proportion to the caller's preference for it. Query.Caller is
+// part of the hash key. So a caller gets the same nodes when it asks again, and the
+// callers of a team spread over its homes.
 func selectHomes(q Query, homes []Member) []Member {
 	key := rendezvous.Hash(q.Team + "\x00" + q.Caller)
 	return topAcrossDomains(homes, MaxAddresses, func(m Member) float64 {
@@ -159,16 +161,16 @@
 	return capacity
 }
 
-// topAcrossDomains returns the k members of the highest rank. If all of them are in one
-// failure domain and other domains have members with a positive rank, the best of those
-// replaces the last one.
+// topAcrossDomains returns the k members with the highest scores. If all of them are in
+// one failure domain, the last one is replaced by the best member of the other domains
+// that has a positive score.
 //
-// It covers the loss of a failure domain. A caller whose addresses are all in that domain
-// has no node to connect to until its answer expires; with two homes among six nodes in
-// three domains this affects a fifth of the teams. One address in another domain is
-// enough, because the caller tries the next address when one does not respond. The other
-// members stay ranked, so that callers stay local and few homes move when a node joins or
-// leaves.
+// Without this replacement, the loss of a failure domain cuts off a caller whose
+// addresses are all in that domain, until the caller's answer expires. With two homes
+// among six nodes in three domains, this affects a fifth of the teams. One address in
+// another domain is enough, because the caller tries the next address when one does not
+// respond. All other members are chosen by score alone, so that callers stay in their own
+// domain and few homes move when a node joins or leaves.
 func topAcrossDomains(members []Member, k int, score func(Member) float64) []Member {
 	best := top(members, k, score)
 	if len(best) < 2 || !sameDomain(best) {
@@ -195,13 +197,14 @@
 	return true
 }
 
-// scored is the index of a member and its rank.
+// scored is the index of a member and its score.
 type scored struct {
 	index int
 	score float64
 }
 
-// top returns the k members of the highest positive rank, best first.
+// top returns the k members with the highest scores, best first. Members without a
+// positive score are skipped.
 func top(members []Member, k int, score func(Member) float64) []Member {
 	all := make([]scored, 0, len(members))
 	for i, m := range members {
--- a/decide/entrypoints/entrypoints_test.go
+++ b/decide/entrypoints/entrypoints_test.go
@@ -29,11 +29,11 @@
 	return n
 }
 
-// Guards against limits that move between nodes: a team's limit is split over its homes,
-// so a change of the member list must change few of them. A team must also need few
-// homes, however many nodes there are.
+// Guards against team limits that move from node to node. A team's limit is split over
+// its homes, so a change of the member list must change few of them. A team must also
+// need few homes, however many nodes there are.
 func TestHomes(t *testing.T) {
-	Convey("Given 2,200 nodes and a team of a two-hundredth of the load", t, func() {
+	Convey("Given 2,200 nodes and a team with 1/200 of the load", t, func() {
 		all := members(2200, 23)
 		k := HomeCount(1.0/200, len(all))
 		homes := Homes("dispatch", all, k)
@@ -55,8 +55,9 @@
 	})
 }
 
-// Guards against answers that name a draining or dead node: the caller loses its requests
-// there until the answer expires. A full node is still better than no address.
+// Guards against answers that name a draining or dead node: a caller that connects to
+// this node loses its requests until the answer expires. A full node is still better than
+// no address.
 func TestAnswer(t *testing.T) {
 	Convey("Given nine nodes of which some are draining or suspected", t, func() {
 		all := members(9, 3)
@@ -91,7 +92,7 @@
 		So(a.ValidFor, ShouldEqual, RetryAfter)
 		So(DrainDuration(3*time.Second), ShouldEqual, 23*time.Second)
 	})
-	Convey("Given homes in three domains, most requests stay in the caller's", t, func() {
+	Convey("Given homes in three domains, most requests stay in the caller's domain", t, func() {
 		localShare := 0.0
 		for caller := range 300 {
 			q := Query{Team: "bakers", Caller: fmt.Sprint(caller), Share: 1, FailureDomain: "fd-2"}
@@ -106,11 +107,11 @@
 	})
 }
 
-// Guards against callers that are cut off by the loss of a failure domain. Its nodes are
-// gone at once, and callers keep their answers for up to ValidFor. A caller with an
-// address in another domain connects to it; a caller without one has no node left. Every
-// answer must therefore name two domains, and so must the homes, which alone have a part
-// of the team's limit.
+// Guards against callers that are cut off by the loss of a failure domain. All nodes of
+// the domain fail at once, and callers keep their answers for up to ValidFor. A caller
+// whose answer names a node in another domain connects to that node; any other caller has
+// no node left. Every answer must therefore name nodes of two domains. The homes must
+// also be in two domains, because only homes have a part of the team's limit.
 func TestLossOfAFailureDomain(t *testing.T) {
 	for _, c := range []struct {
 		nodes, domains int
@@ -134,9 +135,10 @@
 	}
 }
 
-// peakLoadRatio returns the load of the busiest node divided by the mean. A tenth of the
-// callers of 240 teams, a few of them large, ask again in each step. With ignoreLoad,
-// answers do not consider the nodes' loads.
+// peakLoadRatio simulates the callers of 240 teams, of which a few teams are large. In
+// each step a tenth of the callers ask again. It returns the load of the busiest node
+// divided by the mean load of all nodes. With ignoreLoad, the answers do not depend on
+// the nodes' loads.
 func peakLoadRatio(nodes, callers int, headroom float64, ignoreLoad bool) float64 {
 	const teams, domains, steps, meanLoad = 240, 23, 40, 0.5
 	random := rand.New(rand.NewPCG(1, 2))
@@ -147,7 +149,7 @@
 	for i := range teams {
 		sum += 1 / float64(i+5)
 	}
-	var homes [][]Member // by caller; the callers of a team share one slice
+	var homes [][]Member // homes by the caller's index; the callers of a team share one slice
 	var queries []Query
 	for i := range teams {
 		share := 1 / float64(i+5) / sum
@@ -184,8 +186,8 @@
 }
 
 // Guards against callers that wait because the homes of their team are full while other
-// nodes are idle, which happens when the hashes of teams collide. Answers that consider
-// the loads move callers to other homes.
+// nodes are idle. This happens when the hashes of several teams select the same homes. If
+// answers take the loads into account, callers move to other homes of their team.
 func TestLoadSpread(t *testing.T) {
 	Convey("Given 240 teams over 230 nodes", t, func() {
 		busiest, ignoringLoad := peakLoadRatio(230, 2000, HomeHeadroom, false), peakLoadRatio(230, 2000, HomeHeadroom, true)
--- a/decide/health/config.go
+++ b/decide/health/config.go
@@ -26,35 +26,37 @@
 type Config struct {
 	// Interval is the time between evaluations.
 	Interval time.Duration
-	// MinSamples is the number of responses after which the averages of an endpoint are
+	// MinSamples is the number of outcomes after which the averages of an endpoint are
 	// evaluated.
 	MinSamples int
 	// MaxConsecutive is the number of consecutive failures that ejects an endpoint at
 	// once.
 	MaxConsecutive int
-	// ErrorShare is the share of failures above which an endpoint is ejected.
+	// ErrorShare is the share of failed requests (a moving average) above which an
+	// endpoint is ejected.
 	ErrorShare float64
-	// An endpoint is ejected as slow if its delay exceeds LatencyFactor times the median
-	// and is at least LatencyFloor above the median.
+	// An endpoint is ejected as slow if its delay exceeds the median delay by both the
+	// factor LatencyFactor and the difference LatencyFloor.
 	LatencyFactor float64
 	LatencyFloor  time.Duration
 	// An endpoint with outstanding requests is ejected as silent if it sends nothing for
-	// SilenceFactor times the median time to a first response plus SilenceFloor.
+	// a certain time. This time is SilenceFactor times the median time to a first
+	// response, plus SilenceFloor.
 	SilenceFactor float64
 	SilenceFloor  time.Duration
-	// BaseEjection is the duration of a first ejection. It doubles with each further
-	// ejection up to MaxEjection.
+	// BaseEjection is the duration of a first ejection. The duration doubles with each
+	// further ejection, up to MaxEjection.
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
 	// MaxEjectedShare is the largest share of the endpoints that may be out of rotation
-	// after an ejection for slowness or for the share of errors. MaxUnresponsiveShare
-	// applies to the other causes.
+	// after an endpoint is ejected for slowness or for its share of failed requests. For
+	// all other causes the largest share is MaxUnresponsiveShare.
 	MaxEjectedShare      float64
 	MaxUnresponsiveShare float64
 	// Probes is the number of consecutive successful probes after which an endpoint
-	// returns.
+	// returns to rotation.
 	Probes int
-	// Seed of the ejection jitter. Each node takes a different one.
+	// Seed is the seed of the ejection jitter. Each node uses a different seed.
 	Seed uint64
 }
 
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -7,16 +7,18 @@
 )
 
 const (
-	delayGain   = 0.2 // weight of a new delay in the moving average
+	delayGain   = 0.2 // weight of a new delay in the moving average of delays
 	failureGain = 0.1 // weight of a new outcome in the moving average of failures
-	// commonFailureShare is the failure share of the median endpoint above which the
-	// requests or a shared dependency are taken as the cause, not single endpoints.
+	// commonFailureShare is compared with the failure rate of the median endpoint. Above
+	// this rate, failures are attributed to the requests or to a shared dependency, and
+	// no endpoint is ejected for them.
 	commonFailureShare = 0.25
 	// minGroupSize is the smallest group that is compared with its own median.
 	minGroupSize = 3
 	maxSlowness  = 4.0
-	// ejectionJitter is the part by which the duration of an ejection varies, so that
-	// nodes that ejected an endpoint at the same time do not probe it at the same time.
+	// ejectionJitter is the fraction by which the duration of an ejection varies at
+	// random. Without jitter, nodes that ejected an endpoint at the same time would probe
+	// it at the same time.
 	ejectionJitter = 0.2
 )
 
@@ -27,9 +29,9 @@
 	outOfRotation  int // endpoints that are ejected or probing
 	version        uint64
 	nextEvaluation time.Time
-	commonFailure  bool               // failures are common to all endpoints
-	medianDelay    float64            // over all endpoints, seconds
-	groupMedians   map[string]float64 // median delay by group, seconds; cleared by each evaluation
+	commonFailure  bool               // failures have a common cause, see commonFailureShare
+	medianDelay    float64            // median delay of all endpoints, seconds
+	groupMedians   map[string]float64 // median delay by group name, seconds; cleared by Evaluate
 	random         *rand.Rand
 	scratch        []float64
 }
@@ -44,8 +46,8 @@
 	}
 }
 
-// Track adds an endpoint. It is compared with the endpoints of its group, such as its
-// failure domain.
+// Track adds an endpoint. The Detector compares it with the other endpoints of its group,
+// for example a failure domain.
 func (d *Detector) Track(group string) *Endpoint {
 	e := &Endpoint{group: group, slowness: 1}
 	d.endpoints = append(d.endpoints, e)
@@ -82,17 +84,18 @@
 	e.probeInFlight = e.state == Probing
 }
 
-// FirstResponse records the first part of a response, or the end of a request that got
-// none, after the given time.
+// FirstResponse records that the first part of a response arrived, or that a request
+// ended without a response. The parameter after is the time since the request was sent.
 func (d *Detector) FirstResponse(now time.Time, e *Endpoint, after time.Duration) {
 	e.unanswered = max(0, e.unanswered-1)
 	e.lastHeard = now
 	e.responseTime = movingAverage(e.responseTime, after.Seconds(), delayGain)
 }
 
-// ObserveDelay records the delay of a response that is still in progress; its end is then
-// passed to Observe without a delay. The start of a response does not prove health: an
-// endpoint that breaks every stream also starts every stream in time.
+// ObserveDelay records the delay of a response that is still in progress. When the
+// response ends, the caller calls Observe with an Outcome without Delay. A response that
+// has started does not prove that the endpoint is healthy: an endpoint that breaks every
+// stream also starts every stream in time.
 func (d *Detector) ObserveDelay(now time.Time, e *Endpoint, delay time.Duration) {
 	e.recordDelay(delay)
 	if e.state == Probing && d.isSlow(delay.Seconds(), d.medianDelay) {
@@ -115,8 +118,9 @@
 	}
 }
 
-// probeCanceled allows another probe if the caller of the last one gave up. Otherwise an
-// endpoint whose probe was canceled would stay out of rotation forever.
+// probeCanceled allows another probe if the caller of the probe in flight has canceled
+// it. Otherwise the endpoint would wait for the outcome of that probe and stay out of
+// rotation forever.
 func (d *Detector) probeCanceled(now time.Time, e *Endpoint, o Outcome) {
 	if e.state == Probing && !now.Add(-o.Age).Before(e.probingSince) {
 		e.probeInFlight = false
@@ -129,8 +133,9 @@
 	}
 }
 
-// recordProbe evaluates the outcome of a request sent since the probing began. Older
-// requests were sent before the ejection and reflect the old fault.
+// recordProbe evaluates the outcome of a request that was sent after the probing began.
+// It ignores requests sent earlier, because these were sent before the ejection and
+// reflect the old fault.
 func (d *Detector) recordProbe(now time.Time, e *Endpoint, o Outcome) {
 	if now.Add(-o.Age).Before(e.probingSince) {
 		return
@@ -155,8 +160,9 @@
 	d.version++
 }
 
-// eject takes the endpoint out of rotation, unless too many are out already. In that case
-// the cause is probably common, and the remaining endpoints would be overloaded.
+// eject takes the endpoint out of rotation, unless too many endpoints are out already. In
+// that case the endpoints probably have a common fault, and the remaining ones would be
+// overloaded.
 func (d *Detector) eject(now time.Time, e *Endpoint, cause Cause) {
 	if d.outOfRotation+1 > d.maxOut(cause) {
 		d.keepInRotation(e)
@@ -175,8 +181,8 @@
 }
 
 // maxOut returns how many endpoints may be out of rotation after one more is ejected for
-// the cause. Slow endpoints and endpoints that fail some requests still do work; the
-// others do none.
+// the given cause. The limit is lower for slow endpoints and for endpoints that fail a
+// part of their requests, because these still do useful work.
 func (d *Detector) maxOut(cause Cause) int {
 	share := d.cfg.MaxUnresponsiveShare
 	if cause == Slow || cause == ErrorShare {
@@ -185,7 +191,8 @@
 	return int(share * float64(len(d.endpoints)))
 }
 
-// keepInRotation keeps in use an endpoint that may not be ejected.
+// keepInRotation makes an endpoint Healthy that should be ejected but cannot be, because
+// too many others are out of rotation.
 func (d *Detector) keepInRotation(e *Endpoint) {
 	if e.state != Healthy {
 		e.state = Healthy
@@ -209,16 +216,16 @@
 	clear(d.groupMedians)
 	d.commonFailure = d.medianOf("", (*Endpoint).failureShare) > commonFailureShare
 	d.medianDelay = d.medianOf("", (*Endpoint).typicalDelay)
-	typicalResponse := d.medianOf("", (*Endpoint).typicalResponseTime)
+	typicalResponseTime := d.medianOf("", (*Endpoint).typicalResponseTime)
 	for _, e := range d.endpoints {
 		switch e.state {
 		case Healthy:
-			d.evaluateHealthy(now, e, typicalResponse)
+			d.evaluateHealthy(now, e, typicalResponseTime)
 		case Ejected:
 			d.endEjection(now, e)
 		case Probing:
-			if e.probeInFlight { // otherwise all outstanding requests are from before the ejection
-				d.checkSilence(now, e, typicalResponse, ProbeFailed)
+			if e.probeInFlight { // without a probe in flight, all outstanding requests were sent before the ejection
+				d.checkSilence(now, e, typicalResponseTime, ProbeFailed)
 			}
 		}
 	}
@@ -276,7 +283,7 @@
 }
 
 // medianFor returns the median delay of the endpoint's group, or of all endpoints if the
-// group is too small.
+// group is smaller than minGroupSize.
 func (d *Detector) medianFor(e *Endpoint) float64 {
 	m, known := d.groupMedians[e.group]
 	if !known {
@@ -289,9 +296,9 @@
 	return d.medianDelay
 }
 
-// medianOf returns the lower median over the endpoints of the group that have enough
-// samples, or 0 if the group is too small. An empty group name stands for all endpoints,
-// for which there is no minimum size.
+// medianOf returns the lower median of a value over the endpoints of the group that have
+// enough samples. It returns 0 if the group is too small. An empty group name stands for
+// all endpoints, for which there is no minimum size.
 func (d *Detector) medianOf(group string, value func(*Endpoint) (float64, bool)) float64 {
 	d.scratch = d.scratch[:0]
 	for _, e := range d.endpoints {
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -31,9 +31,9 @@
 	NoCause Cause = iota
 	// Consecutive means that consecutive requests failed.
 	Consecutive
-	// ErrorShare means that too large a share of the requests failed.
+	// ErrorShare means that the share of failed requests exceeded Config.ErrorShare.
 	ErrorShare
-	// Slow means that the endpoint was slow compared with the median.
+	// Slow means that the endpoint's delay was too long compared with the median delay.
 	Slow
 	// Silent means that the endpoint sent nothing while requests were outstanding.
 	Silent
@@ -57,19 +57,19 @@
 	cause            Cause
 	ejectedUntil     time.Time
 	ejectedAt        time.Time
-	probingSince     time.Time // start of the probing
+	probingSince     time.Time // when the endpoint became Probing
 	probeInFlight    bool
 	successfulProbes int
-	ejections        int // consecutive ejections
+	ejections        int // number of consecutive ejections
 
-	delay               float64 // moving average, seconds
-	failureRate         float64 // moving average, 0 to 1
+	delay               float64 // moving average of Outcome.Delay, seconds
+	failureRate         float64 // moving average, 0 if no request fails, 1 if all fail
 	responseTime        float64 // moving average of the time to a first response, seconds
 	slowness            float64
 	samples             int
 	consecutiveFailures int
 
-	unanswered int // requests without a first response
+	unanswered int // number of outstanding requests without a first response
 	lastHeard  time.Time
 }
 
@@ -79,7 +79,8 @@
 // Cause returns the reason for the last ejection.
 func (e *Endpoint) Cause() Cause { return e.cause }
 
-// Slowness returns the endpoint's delay relative to the median, from 1 to 4.
+// Slowness returns the endpoint's delay divided by the median delay, limited to the range
+// from 1 to 4.
 func (e *Endpoint) Slowness() float64 { return e.slowness }
 
 // NeedsProbe reports whether the next request may be sent to the endpoint as a probe.
@@ -87,8 +88,8 @@
 
 // Outcome is the result of one request.
 type Outcome struct {
-	// Delay is compared between endpoints, such as the time to the first token; zero if
-	// unknown.
+	// Delay is the delay by which endpoints are compared, such as the time to the first
+	// token; zero if unknown.
 	Delay time.Duration
 	// Age is the time since the request was sent.
 	Age     time.Duration
@@ -116,7 +117,8 @@
 	}
 }
 
-// movingAverage moves old towards value; zero for old means that there is no average yet.
+// movingAverage returns the average after a new value. If old is zero, there is no
+// average yet and the result is the value itself.
 func movingAverage(old, value, gain float64) float64 {
 	if old == 0 {
 		return value
--- a/decide/health/failure.go
+++ b/decide/health/failure.go
@@ -4,11 +4,11 @@
 type Failure uint8
 
 const (
-	// None is a complete response.
+	// None means that the response was complete.
 	None Failure = iota
 	// Unreachable means that no connection was established, so nothing ran.
 	Unreachable
-	// Timeout means that the endpoint did not respond in the time allowed.
+	// Timeout means that the endpoint did not respond within the time allowed.
 	Timeout
 	// BrokenResponse means that the response stopped partway or was malformed.
 	BrokenResponse
@@ -20,7 +20,8 @@
 	// Leaving means that the endpoint refused the request before doing work, because it
 	// is shutting down.
 	Leaving
-	// Canceled means that the caller gave up. It says nothing about the endpoint.
+	// Canceled means that the caller gave up. This says nothing about the endpoint's
+	// health.
 	Canceled
 )
 
@@ -35,9 +36,9 @@
 	return "invalid"
 }
 
-// Faulty reports whether the failure counts against the endpoint's health. Overload and
-// leaving do not: ejecting a full endpoint would shift its load to the next one, which
-// would become full in turn.
+// Faulty reports whether the failure counts against the endpoint's health. Overloaded and
+// Leaving do not count: ejecting a full endpoint would shift its load to the next one,
+// which would then become full as well.
 func (f Failure) Faulty() bool {
 	switch f {
 	case Unreachable, Timeout, BrokenResponse, Internal:
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -12,9 +12,9 @@
 
 const step = 100 * time.Millisecond
 
-// harness simulates n endpoints. In each step every endpoint that takes requests gets
-// one. The outcome of the request is looked up in an outcomes map; an endpoint without an
-// entry succeeds.
+// harness simulates a number of endpoints. In each step every endpoint that takes
+// requests gets one request. The outcomes map gives the outcome of this request by the
+// endpoint's index; an endpoint without an entry succeeds.
 type harness struct {
 	*Detector
 	now       time.Time
@@ -34,7 +34,8 @@
 
 var goodOutcome = Outcome{Delay: step, Age: step}
 
-// run advances the time. Endpoints in silent get requests and never respond.
+// run simulates the time d. Endpoints whose index is in silent get requests and never
+// respond.
 func (r *harness) run(d time.Duration, bad outcomes, silent ...int) {
 	for end := r.now.Add(d); r.now.Before(end); r.now = r.now.Add(step) {
 		if r.Due(r.now) {
@@ -64,9 +65,9 @@
 	r.Observe(r.now.Add(o.Age), e, o)
 }
 
-// Guards against requests that are sent to a bad endpoint, fail there or wait. Each fault
-// must be detected within a bound on the requests that reach the endpoint; without the
-// Detector it would get ten a second.
+// Guards against a bad endpoint that keeps getting requests, which then fail or wait
+// there. Without the Detector the endpoint would get ten requests a second. For each kind
+// of fault, it may get at most maxRequests before it is ejected.
 func TestEjection(t *testing.T) {
 	fails := func(f Failure) Outcome { return Outcome{Age: step, Failure: f} }
 	for _, c := range []struct {
@@ -74,7 +75,7 @@
 		bad         outcomes
 		silent      []int
 		cause       Cause
-		maxRequests int // requests that reach it in 4 s
+		maxRequests int // maximum number of requests to the endpoint in 4 s
 	}{
 		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, Consecutive, 3},
 		{"breaks every stream", outcomes{0: fails(BrokenResponse)}, nil, Consecutive, 3},
@@ -99,7 +100,8 @@
 }
 
 // Guards against a common fault that takes all endpoints out of rotation, or so many that
-// the rest are overloaded. Beyond the configured share, endpoints stay in use.
+// the rest are overloaded. Once the configured share of the endpoints is out, the others
+// stay in use.
 func TestEjectionLimit(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -145,9 +147,9 @@
 	})
 }
 
-// Guards against probes that cost too many requests, because a caller's request is the
-// probe: one after 5 s, the next after 10 s, 20 s and so on. A good endpoint must still
-// return to rotation.
+// Guards against probes that fail too many requests, because each probe is a request of a
+// caller. A dead endpoint is probed after 5 s, then after 10 s, 20 s and so on. A good
+// endpoint must still return to rotation.
 func TestRecovery(t *testing.T) {
 	dead := outcomes{0: {Age: time.Millisecond, Failure: Unreachable}}
 	Convey("Given an endpoint dead for five minutes", t, func() {
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// bucket is a token bucket that one request may overdraw, so that a request larger than
-// the burst is delayed but not impossible.
+// bucket is a token bucket that one request may overdraw. Otherwise a request that costs
+// more than the burst would never be admitted.
 type bucket struct {
-	tokens    float64 // negative while in debt
+	tokens    float64 // negative while the bucket is in debt
 	updatedAt time.Time
 }
 
-// refill adds the tokens accrued since the last refill. It advances from one loan end to
-// the next, because the rate changes there: a single rate for the whole interval would
-// also apply to time in which another node used that rate.
+// refill adds the tokens accrued since the last refill. The node's rate changes when a
+// loan ends, so refill advances from one loan end to the next. With a single rate for the
+// whole interval, lender and borrower could both count tokens of a loan for the same
+// time.
 func (t *team) refill(now time.Time, burst time.Duration) {
 	b := &t.bucket
 	if b.updatedAt.IsZero() {
@@ -29,8 +30,8 @@
 	}
 }
 
-// nextLoanEnd returns the earliest end of a loan between after and now, or now if no loan
-// ends in between.
+// nextLoanEnd returns the end of the first loan, lent or borrowed, that ends between
+// after and now, or now if no loan ends in between.
 func (t *team) nextLoanEnd(after, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
@@ -42,7 +43,7 @@
 	return next
 }
 
-// take deducts the cost unless the bucket is in debt.
+// take deducts the cost and returns true, unless the bucket is in debt.
 func (b *bucket) take(cost float64) bool {
 	if b.tokens <= 0 {
 		return false
@@ -51,10 +52,11 @@
 	return true
 }
 
-// retryAfter returns when a refused caller will be admitted: once the debt is paid off
-// and the callers refused earlier have been served, at retryRateShare of the rate. The
-// debt alone is paid off within milliseconds. If callers were told only that time, all
-// callers beyond the limit would retry at once, again and again.
+// retryAfter returns the time after which a refused caller should retry. By then the debt
+// is paid off, and the callers refused earlier have been admitted, with retryRateShare of
+// the rate reserved for them. The debt alone is paid off within milliseconds. If refused
+// callers were told only the time until then, all of them would retry at once, again and
+// again.
 func (t *team) retryAfter(now time.Time, cost float64) time.Duration {
 	rate := t.rate(now)
 	if rate <= 0 {
@@ -76,7 +78,8 @@
 	return time.Duration(min(seconds, maxRetryAfter.Seconds()) * float64(time.Second))
 }
 
-// demand is an exponentially decaying average of the offered tokens per second.
+// demand is an exponentially decaying average of the tokens per second that callers
+// request on this node, admitted or not.
 type demand struct {
 	decayedSum float64
 	updatedAt  time.Time
--- a/decide/limits/doc.go
+++ b/decide/limits/doc.go
@@ -3,23 +3,30 @@
 //
 // # Load pattern
 //
-// A team's callers connect to a few home nodes, unevenly: one of three homes may
-// get most of a team's traffic. Meanwhile nodes stop, pause and lose contact with
-// each other.
+// A team's callers connect to a few nodes, the homes of the team
+// (decide/entrypoints), and unevenly: one of three homes may get most of the
+// team's traffic. Meanwhile nodes stop, pause and lose contact with each other.
 //
-// # Failure without it
+// # Failure without this package
 //
 // If each node allows the whole limit, a team with n homes gets n times its
 // limit. With fixed even shares, a team whose callers all connect to one home
 // gets 1/n of its limit. If each node computes its share from the last demands
-// that it received, nodes that lose contact again add up to n times the limit.
+// that it received from the others, these shares add up to as much as n times
+// the limit when nodes lose contact.
 //
 // # Use
 //
-// Each home owns an even share of the limit. A home lends the part that it does
-// not need to homes that need more. Each loan is a lease, which is longer the more
-// homes the team has. Nodes request loans in their regular exchange, one request
-// at a time per peer, and a loan is granted only in the response:
+// Each home owns an even share of the limit: the limit divided by the number of
+// homes. A home lends the part of its share that it does not need to nodes that
+// need more. The rate of a node is what the node allows at present: its even
+// share, minus what it lends, plus what it borrows. A node that is not a home
+// has no even share, so it allows only what it borrows.
+//
+// Each loan is limited to a period, the lease, which is longer the more homes
+// the team has. An exchange is one request of a node to a peer and the
+// response. Nodes make about one exchange a second. A node requests loans in
+// its exchanges, and a loan is granted only in the response:
 //
 //	peers := s.ExchangePeers(now)              // peers to exchange with
 //	requests := s.RequestLoans(now, peer)      // sent by the borrower
@@ -31,32 +38,38 @@
 //
 // # Bound
 //
-// While the homes agree on the team's limit and on its list of homes, the sum of
-// their rates never exceeds the limit, even if messages are lost, delayed or
-// delivered in one direction only. The lender subtracts a loan from its own rate
-// until one lease after it sent the response. The borrower uses the loan until one
-// lease after it sent the request, which is earlier. Clocks of different nodes are
-// never compared. A loan ends early only when the borrower states in a later
-// request that it has stopped using it. In any time T a team gets at most
+// While the homes agree on the team's limit and on its list of homes, the sum
+// of all nodes' rates never exceeds the limit, even if messages are lost,
+// delayed or delivered in one direction only. The lender subtracts a loan from
+// its own rate until one lease after it sent the response. The borrower uses
+// the loan until one lease after it sent the request, which is earlier. Clocks
+// of different nodes are never compared. A loan ends early only when the
+// borrower states in a later request that it no longer uses the loan. In any
+// time T a team gets at most
 //
 //	limit * (T + Burst) + one request per home (+ what Correct adds)
 //
-// Two cases exceed the bound. A home that restarts has lost its record of what it
-// lent, which adds at most its even share for one lease. While nodes disagree on
-// the limit or the homes, each node allows what its own view gives, and a loan
-// granted under the old view lasts for its lease. If two lists of homes differ in
-// length by at most two, the lender's lease is still the longer one.
+// Each node has a token bucket. One request may overdraw the bucket of its
+// node, and a bucket below zero is said to be in debt.
+//
+// Two cases exceed the bound. A home that restarts has lost its record of the
+// loans that it granted, which adds at most its even share for one lease. While
+// nodes disagree on the limit or the homes, each node allows what its own view
+// gives, and a loan granted under the old view lasts for its lease. If two
+// lists of homes differ in length by at most two, the lender's lease is still
+// the longer one.
 //
-// The loans of a peer that stops answering expire, so both sides are back at the
-// even split after one lease.
+// When a peer stops answering, the loans to and from this peer expire, so after
+// one lease both nodes have these parts of their even shares back.
 //
 // # Reasons for the values
 //
-// Lease spans several exchanges, which are about a second apart, so that one lost
-// message does not change the split. LeasePerHome is the time per additional
-// request of a node that sends one in three of four seconds. With 37 homes and a
-// lease of 20 s, loans expire while the node still looks for more: one hot home
-// gets 0.39 of the limit, and 0.81 with a lease of 61 s. Headroom reserves
-// capacity for the growth of demand until the next exchange. Burst admits the
-// requests of one second at once.
+// Lease spans several exchanges, so that one lost message does not change the
+// split. LeasePerHome is needed because a node makes loan requests in at most
+// three of four exchanges, so each additional home takes the node more than a
+// second. Assume 37 homes of which one gets most of the demand. With a fixed
+// lease of 20 s, loans expire while this home still looks for other lenders,
+// and it gets 0.39 of the limit. With a lease of 61 s it gets 0.81. Headroom
+// reserves capacity for the growth of a node's demand until the next exchange.
+// Burst admits the requests of one second at once.
 package limits
--- a/decide/limits/exchangepeers.go
+++ b/decide/limits/exchangepeers.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// renewAfterShare is the part of a lease after which a loan in use is requested again,
-// before any new lender is asked. Otherwise existing loans would expire while the node
-// looks for more, and it would never reach its demand.
+// renewAfterShare is the part of its lease after which a loan in use is requested again.
+// Renewal has priority over requests to new lenders. Otherwise existing loans would
+// expire while the node looks for more, and the node would never borrow as much as it
+// needs.
 const renewAfterShare = 0.7
 
-// candidate is a peer with which this node should exchange for a team's limit.
+// candidate is a peer with which this node should exchange because of a team's limit.
 type candidate struct {
 	node string
-	// renew is set if a loan has to be renewed or released.
+	// renew is set if a loan from the peer has to be renewed or released.
 	renew         bool
 	lastRequestAt time.Time
 }
 
 // ExchangePeers returns the peers that this node should exchange with for its teams'
 // limits, the most urgent first. Peers whose loans are due for renewal or release come
-// first. While a team's demand here exceeds its rate, the team's other homes follow, the
-// least recently asked first.
+// first. If a team's demand on this node exceeds the team's rate here, the team's other
+// homes follow, the least recently asked first.
 //
-// Without it, a node contacts all homes of its teams in turn, whether or not it needs
-// them. With 2,200 nodes these are 144 homes, each contacted every 576 s, while loans
-// last 20 s: the loans expire and only the even split is left. A node that requests only
-// what it lacks needs few lenders, because it can serve only a few times its even share
-// itself.
+// Without ExchangePeers, a node would contact all homes of its teams in turn, whether or
+// not it needs loans. With 2,200 nodes the teams of a node have 144 homes together, and
+// the node contacts each of them every 576 s. Loans last 20 s, so they expire long
+// before, and each home has only its even share. A node that requests only what it lacks
+// needs few lenders, because it can itself serve only a few times its even share.
 func (s *Splitter) ExchangePeers(now time.Time) []string {
 	byNode := map[string]candidate{}
 	for _, name := range slices.Sorted(maps.Keys(s.teams)) {
@@ -46,7 +47,7 @@
 }
 
 // candidates returns the peers to exchange with for this team. A node that is not a home
-// borrows like a home.
+// borrows in the same way as a home.
 func (t *team) candidates(now time.Time, cfg Config) []candidate {
 	if len(t.peers) == 0 && t.offered.decayedSum == 0 {
 		return nil
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -18,8 +18,9 @@
 	nextPeer func(now time.Time, second, node int) int
 }
 
-// roundRobin contacts the homes of a node's four teams in turn on every fourth exchange,
-// whatever they need. This team's homes get every fourth of these exchanges.
+// roundRobin is the baseline in which nodes exchange whether or not they need loans. A
+// node uses one exchange of four for limits. It has four teams and takes these exchanges
+// for one team after the other, so one exchange of 16 is with a home of this team.
 func roundRobin(n int) func(time.Time, int, int) int {
 	const teams, turns = 4, 4
 	return func(_ time.Time, second, node int) int {
@@ -31,8 +32,9 @@
 	}
 }
 
-// onDemand follows ExchangePeers. A node uses one exchange of four for it, two if more
-// than two peers are due, and three if more than nine are.
+// onDemand exchanges with the first peer that ExchangePeers returns. Of four exchanges a
+// node uses one for limits, two if ExchangePeers returns more than two peers, and three
+// if it returns more than nine.
 func onDemand(h homes) func(time.Time, int, int) int {
 	return func(now time.Time, second, node int) int {
 		names := h[node].ExchangePeers(now)
@@ -49,9 +51,10 @@
 	}
 }
 
-// run simulates the demands and returns the part of the limit let through from 120 s to
-// 300 s, the highest sum of rates as a part of the limit, and the requests per second and
-// node.
+// run simulates 300 s in which callers send the given demand to the nodes. It returns
+// three results: the part of the limit that was admitted from 120 s to 300 s, the highest
+// sum of all homes' rates as a part of the limit, and the number of exchanges per second
+// and node.
 func (f largeFleet) run(demand func(at float64, node int) float64) (through, highest, requests float64) {
 	const step, end, from = 50 * time.Millisecond, 300 * time.Second, 120 * time.Second
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -84,8 +87,9 @@
 	return through / (end - from).Seconds() / limit, highest, float64(sent) / end.Seconds() / float64(len(f.homes))
 }
 
-// hotDemand gives 90% of the limit to some of the homes and the rest to the others. Every
-// movePeriod seconds, unless it is zero, other homes become the hot ones.
+// hotDemand distributes 90% of the limit evenly over the hot homes and the other 10% over
+// the remaining homes. If movePeriod is not zero, other homes become the hot ones every
+// movePeriod seconds.
 func hotDemand(n, hotHomes int, movePeriod float64) func(float64, int) float64 {
 	return func(at float64, node int) float64 {
 		if movePeriod > 0 {
@@ -99,10 +103,10 @@
 }
 
 // Guards against a team that gets little of its limit when its callers connect to a
-// quarter of its homes. With exchanges in turn, a node contacts each home so rarely that
-// loans expire in between, and callers get little more than the even shares of these
-// homes. With ExchangePeers they get nearly all of their demand. The rates never add up
-// to more than the limit.
+// quarter of its homes. With round robin, a node contacts each home so rarely that loans
+// expire in between. Callers then get little more than the even shares of the hot homes.
+// With ExchangePeers they get nearly all of their demand. The rates of all homes never
+// add up to more than the limit.
 func TestOnDemandExchangeLetsMoreThrough(t *testing.T) {
 	fixedLease := limits.Config{Lease: 20 * time.Second}
 	leasePerHome := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
@@ -130,15 +134,15 @@
 }
 
 // Guards against exchanges that no home needs. A home that has borrowed enough contacts
-// only the lenders whose loans it has to renew. Once its callers are gone, it contacts
-// them once more to release the loans.
+// only the lenders whose loans it has to renew. When its callers have gone, the home
+// contacts these lenders once more to release the loans.
 func TestNoExchangeWithoutNeed(t *testing.T) {
 	h := newHomes(9, limit)
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
 	if got := h[0].ExchangePeers(at(0)); len(got) > 0 {
 		t.Fatalf("a home without callers exchanges with %v", got)
 	}
-	h[0].Allow(at(0), team, 0.6*limit) // over the window of 2 s this is 0.3 of the limit
+	h[0].Allow(at(0), team, 0.6*limit) // as an average over 2 s this demand is 0.3 of the limit
 	if got := h[0].ExchangePeers(at(0)); len(got) != 8 {
 		t.Fatalf("a home that lacks most of its demand exchanges with %v", got)
 	}
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -13,11 +13,11 @@
 	evenShare   float64
 	offered     demand
 	bucket      bucket
-	lastRetryAt time.Time // retry time given to the last refused caller
+	lastRetryAt time.Time // when the last refused caller was told to retry
 	peers       []*peer   // few, in order of first contact, so that sums are deterministic
 }
 
-// peer is the state of the team on another node, as known here.
+// peer is what this node knows about the same team on another node.
 type peer struct {
 	node          string
 	demand        float64
@@ -31,7 +31,7 @@
 type loan struct {
 	rate          float64
 	until         time.Time
-	requestSentAt int64 // LoanRequest.SentAt of the request
+	requestSentAt int64 // LoanRequest.SentAt of the request for the loan
 }
 
 func (l loan) rateAt(now time.Time) float64 {
@@ -41,7 +41,8 @@
 	return 0
 }
 
-// endBetween returns the end of the loan if it lies between the two times, otherwise to.
+// endBetween returns the end of the loan if the loan ends between from and to. Otherwise
+// it returns to.
 func (l loan) endBetween(from, to time.Time) time.Time {
 	if l.until.After(from) && l.until.Before(to) {
 		return l.until
@@ -67,10 +68,11 @@
 	return p
 }
 
-// lentRate returns the highest loan to the peer that is in force. For the borrower a
-// newer response replaces an older one, but the newer response may have been lost. The
-// lender therefore counts the older, larger loan until it has expired or the borrower has
-// reported how much of it is in use.
+// lentRate returns the rate of the highest loan to the peer that is in force. Two loans
+// to one peer may be in force at the lender: the borrower replaces the older loan when it
+// receives the newer response, but that response may be lost. The lender therefore counts
+// the larger of the two loans until the loan has expired or the borrower has reported how
+// much of it is in use.
 func (p *peer) lentRate(now time.Time) float64 {
 	highest := 0.0
 	for _, l := range p.lentLoans {
@@ -80,9 +82,9 @@
 }
 
 // releaseUnused reduces the loans granted for earlier requests to the rate that the
-// borrower still uses. That frees unused capacity at once and covers the case that a
-// response was lost. A request that arrives late or twice says nothing about loans
-// granted since it was sent.
+// borrower still uses. The unused rate can be lent again at once, also if the borrower
+// never received the response with the loan. A request that arrives late or twice does
+// not reduce loans granted for later requests.
 func (p *peer) releaseUnused(request LoanRequest) {
 	for i := range p.lentLoans {
 		if p.lentLoans[i].requestSentAt < request.SentAt {
@@ -91,10 +93,12 @@
 	}
 }
 
-// addLoan adds a loan and drops the loans that it covers. A response to a delayed request
-// covers no loan granted for a later request. Otherwise a repeat of the later request
-// would release the remaining loan, and the lender would no longer count the later loan
-// that it replaced.
+// addLoan adds the new loan and drops the loans that have expired. It also drops each
+// loan that is no larger and was granted for the same or an earlier request.
+//
+// A loan A that was granted for a later request is kept even if the new loan B is larger,
+// because the borrower may use A and ignore B. If B replaced A, a repeat of the request
+// for A would then release B as unused, and the lender would no longer count A.
 func (p *peer) addLoan(now time.Time, l loan) {
 	p.lentLoans = slices.DeleteFunc(p.lentLoans, func(old loan) bool {
 		return old.rateAt(now) == 0 || (old.rateAt(now) <= l.rate && old.requestSentAt <= l.requestSentAt)
@@ -125,11 +129,12 @@
 	return max(t.evenShare-t.lent(now), 0) + t.borrowed(now)
 }
 
-// borrowerLease is how long this node uses a loan, counted from its request.
+// borrowerLease is how long this node uses a borrowed loan, counted from the time of its
+// request.
 func (t *team) borrowerLease(cfg Config) time.Duration { return cfg.leaseFor(len(t.homes)) }
 
-// lenderLease is how long this node subtracts a loan to another node, counted from its
-// response.
+// lenderLease is how long this node subtracts a loan to another node from its own rate,
+// counted from the time of its response.
 func (t *team) lenderLease(cfg Config) time.Duration {
 	return cfg.leaseFor(len(t.homes) + homeCountSlack)
 }
@@ -138,8 +143,8 @@
 	return c.Lease + time.Duration(max(0, homes-baseLeaseHomes))*c.LeasePerHome
 }
 
-// expirePeers drops peers that have been silent for a lease and have no loan in force.
-// Without it, nodes that come and go would accumulate.
+// expirePeers drops the peers that have sent nothing for a lease and have no loan in
+// force. Without expirePeers, the records of nodes that have left would accumulate.
 func (t *team) expirePeers(now time.Time, cfg Config) {
 	lease := t.borrowerLease(cfg)
 	t.peers = slices.DeleteFunc(t.peers, func(p *peer) bool {
@@ -148,8 +153,8 @@
 	})
 }
 
-// shortfall returns the demand of the peer beyond its own even share, or 0 if the peer
-// has not been heard from within a lease.
+// shortfall returns the rate that the peer needs beyond its own even share, in tokens per
+// second. It is 0 if the peer has sent nothing for a lease.
 func (t *team) shortfall(now time.Time, p *peer, cfg Config) float64 {
 	if now.Sub(p.lastHeard) > t.borrowerLease(cfg) {
 		return 0
@@ -161,9 +166,9 @@
 	return max(cfg.Headroom*p.demand-evenShare, 0)
 }
 
-// lendableRate returns the rate to lend to the borrower. It is the borrower's part of
-// this node's surplus, in proportion to the shortfalls of all peers, and at most what is
-// not lent to others.
+// lendableRate returns the rate to lend to the borrower. The surplus of this node is
+// divided among all peers in proportion to their shortfalls. The borrower gets its part
+// of the surplus, but no more than the rate that is not lent to other peers.
 func (t *team) lendableRate(now time.Time, borrower *peer, cfg Config) float64 {
 	shortfall := t.shortfall(now, borrower, cfg)
 	if shortfall == 0 {
@@ -183,9 +188,9 @@
 	return max(min(fairPart, unlent, shortfall), 0)
 }
 
-// RequestLoans returns the entries of a request to the peer, one for each team that has a
-// home there. From now on this node uses no more of the peer's loans than the request
-// states, and ignores the response to any earlier request.
+// RequestLoans returns the entries of a request to the peer, one for each team of which
+// the peer is a home. From now on this node uses no more of the peer's loans than the
+// request states, and ignores the response to any earlier request.
 func (s *Splitter) RequestLoans(now time.Time, node string) []LoanRequest {
 	var requests []LoanRequest
 	for _, name := range slices.Sorted(maps.Keys(s.teams)) {
@@ -229,9 +234,9 @@
 }
 
 // Borrow applies the response to a request of this node. sentAt is the time at which the
-// request was sent, by this node's clock. The lease counts from sentAt, so it ends here
-// before it ends at the lender, however long the response or this process was delayed. A
-// response to any request but the last is ignored.
+// request was sent, by this node's clock. The borrower's lease counts from sentAt, so the
+// loan ends here before it ends at the lender, however long the response or this process
+// was delayed. A response is ignored unless it answers the last request to that peer.
 func (s *Splitter) Borrow(now, sentAt time.Time, node string, loans []Loan) {
 	for _, l := range loans {
 		t, ok := s.teams[l.Team]
--- a/decide/limits/splitter.go
+++ b/decide/limits/splitter.go
@@ -10,17 +10,20 @@
 type Config struct {
 	// Self is the name of this node as it appears in the lists of homes.
 	Self string
-	// Lease is the duration of a loan between nodes. Two homes have to exchange at least
-	// twice within it.
+	// Lease is the duration of a loan between nodes, for teams of up to baseLeaseHomes
+	// homes. Borrower and lender have to exchange at least twice in this time.
 	Lease time.Duration
-	// LeasePerHome is added to Lease for each home beyond baseLeaseHomes: a node sends
-	// requests to one peer after another, so it returns to each peer later.
+	// LeasePerHome is added to Lease for each home beyond baseLeaseHomes. A node sends
+	// requests to one peer after another, so the more homes a team has, the later the
+	// node returns to the same peer.
 	LeasePerHome time.Duration
-	// Burst is the unused allowance that a node accumulates, as time at its rate.
+	// Burst limits the unused tokens that a node accumulates: at most the tokens that its
+	// rate gives in this time.
 	Burst time.Duration
-	// DemandWindow is the time constant of the demand average.
+	// DemandWindow is the time constant with which the average of the demand decays.
 	DemandWindow time.Duration
-	// Headroom is the multiple of its own demand that a node does not lend.
+	// Headroom is a factor on demands: a node keeps Headroom times its own demand for
+	// itself and lends only the rest of its even share.
 	Headroom float64
 }
 
@@ -30,19 +33,20 @@
 	defaultDemandWindow = 2 * time.Second
 	defaultHeadroom     = 1.25
 
-	// baseLeaseHomes is the number of homes that can all be reached again within
-	// Config.Lease.
+	// baseLeaseHomes is the largest number of homes that a node can contact one after the
+	// other within Config.Lease.
 	baseLeaseHomes = 4
-	// homeCountSlack is the number of homes that the lender adds when it computes the
-	// lease. The lists of homes of lender and borrower may differ in length by this many,
-	// and the loan must not end at the lender first.
+	// homeCountSlack is added to the number of homes when the lender computes its lease.
+	// Lender and borrower may use lists of homes whose lengths differ by up to this
+	// number. Also in this case the loan must not end at the lender before it ends at the
+	// borrower.
 	homeCountSlack = 2
 
-	// maxRetryAfter is the longest retry time given to a refused caller, and the retry
-	// time while the node's rate is zero.
+	// maxRetryAfter is the longest time after which a refused caller is told to retry. It
+	// also applies while the node's rate is zero.
 	maxRetryAfter = time.Minute
-	// minRetryAfter keeps a refused caller from retrying within the time that a refusal
-	// and a new call take together.
+	// minRetryAfter is the shortest time after which a refused caller is told to retry.
+	// It is no shorter than the time that a refusal and the next call take together.
 	minRetryAfter = 100 * time.Millisecond
 	// retryRateShare is the part of the rate that is reserved for retries of refused
 	// callers. The rest is for new calls.
@@ -67,16 +71,16 @@
 
 // Share is this node's part of a team's limit. All rates are in tokens per second.
 type Share struct {
-	Limit    float64 // over the whole environment; zero if the team has no limit
-	Rate     float64 // currently allowed by this node
-	Even     float64 // even share that this node owns; zero if it is not a home
-	Lent     float64
-	Borrowed float64
-	Demand   float64 // measured on this node
-	Home     bool    // whether this node is one of the team's homes
+	Limit     float64 // over the whole environment; zero if the team has no limit
+	Rate      float64 // currently allowed by this node
+	EvenShare float64 // even share that this node owns; zero if it is not a home
+	Lent      float64
+	Borrowed  float64
+	Demand    float64 // measured on this node
+	IsHome    bool    // whether this node is one of the team's homes
 }
 
-// LoanRequest is the entry for one team in a request to a peer.
+// LoanRequest is the entry for one team in a request for loans from a peer.
 type LoanRequest struct {
 	Team   string
 	Demand float64 // of the borrower, tokens per second
@@ -87,7 +91,7 @@
 	SentAt int64
 }
 
-// Loan is the entry for one team in the response.
+// Loan is the entry for one team in the response to a request for loans.
 type Loan struct {
 	Team   string
 	Demand float64 // of the lender, tokens per second
@@ -107,8 +111,8 @@
 }
 
 // SetTeam sets a team's limit over the whole environment and the names of its home nodes.
-// A limit of zero or less removes the limit and the team's loans; otherwise loans in
-// force stay.
+// If the limit is zero or less, SetTeam removes the limit and the team's loans. Otherwise
+// the loans in force stay.
 func (s *Splitter) SetTeam(name string, tokensPerSecond float64, homes []string) {
 	if tokensPerSecond <= 0 {
 		s.RemoveTeam(name)
@@ -130,7 +134,8 @@
 // RemoveTeam removes a team's limit.
 func (s *Splitter) RemoveTeam(name string) { delete(s.teams, name) }
 
-// RecordDemand records a peer's demand as received in an exchange. Lend and Borrow call it.
+// RecordDemand records the demand that a peer reported for a team in an exchange. Lend
+// and Borrow call it.
 func (s *Splitter) RecordDemand(now time.Time, name, node string, tokensPerSecond float64) {
 	t, ok := s.teams[name]
 	if !ok || node == s.cfg.Self {
@@ -141,8 +146,8 @@
 	p.lastHeard = now
 }
 
-// cleanRate bounds a rate from a message. It caps a rate above the limit, and maps NaN,
-// which would corrupt every sum, to zero.
+// cleanRate returns a rate from a message, limited to the range from zero to the limit.
+// NaN, which would corrupt every sum, becomes zero.
 func cleanRate(rate, limit float64) float64 {
 	if !(rate > 0) {
 		return 0
@@ -151,8 +156,8 @@
 }
 
 // Allow reports whether a request of the given expected cost, in tokens, is within the
-// team's limit, and deducts the cost if it is. Otherwise retryAfter is the time after
-// which this node's allowance will have recovered.
+// team's limit, and deducts the cost if it is. Otherwise the caller should retry after
+// the time retryAfter.
 func (s *Splitter) Allow(now time.Time, name string, cost float64) (ok bool, retryAfter time.Duration, share Share) {
 	t, limited := s.teams[name]
 	if !limited {
@@ -167,7 +172,8 @@
 	return false, t.retryAfter(now, cost), share
 }
 
-// Correct deducts the difference between actual and expected cost, in tokens.
+// Correct deducts the actual minus the expected cost of a request, in tokens. A negative
+// difference adds tokens.
 func (s *Splitter) Correct(now time.Time, name string, diff float64) {
 	t, ok := s.teams[name]
 	if !ok {
@@ -177,7 +183,8 @@
 	t.bucket.tokens -= diff
 }
 
-// Share returns the current values; ok is false if the team has no limit.
+// Share returns the current rates of a team on this node; ok is false if the team has no
+// limit.
 func (s *Splitter) Share(now time.Time, name string) (share Share, ok bool) {
 	t, ok := s.teams[name]
 	if !ok {
@@ -188,12 +195,12 @@
 
 func (s *Splitter) share(now time.Time, t *team) Share {
 	return Share{
-		Limit:    t.limit,
-		Rate:     t.rate(now),
-		Even:     t.evenShare,
-		Lent:     t.lent(now),
-		Borrowed: t.borrowed(now),
-		Demand:   t.offered.tokensPerSecond(now, s.cfg.DemandWindow),
-		Home:     slices.Contains(t.homes, s.cfg.Self),
+		Limit:     t.limit,
+		Rate:      t.rate(now),
+		EvenShare: t.evenShare,
+		Lent:      t.lent(now),
+		Borrowed:  t.borrowed(now),
+		Demand:    t.offered.tokensPerSecond(now, s.cfg.DemandWindow),
+		IsHome:    slices.Contains(t.homes, s.cfg.Self),
 	}
 }
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -19,7 +19,8 @@
 	cost  = 100.0   // tokens per request
 )
 
-// policy decides on requests at each node: the splitter or a baseline.
+// policy decides which requests each node admits. It is either a set of splitters or a
+// baseline.
 type policy interface {
 	allow(now time.Time, node int) bool
 	exchange(now time.Time, from, to int)
@@ -60,10 +61,11 @@
 func (h homes) demand(time.Time, int, float64) {}
 
 // lastKnownDemand is the baseline in which each node computes its share from the last
-// demands that it received. A node that receives none takes the whole limit.
+// demands that it received from the others. A node that has received none takes the whole
+// limit.
 type lastKnownDemand struct {
 	homes
-	knownDemands [][]float64 // by receiving node, then by sending node
+	knownDemands [][]float64 // [a][b] is the demand of node b that node a knows
 }
 
 func newLastKnownDemand(n int) *lastKnownDemand {
@@ -91,8 +93,9 @@
 	return b.homes.allow(now, node)
 }
 
-// simulate offers the nodes' demands for a minute. Nodes that are connected exchange once
-// a second. It returns the tokens per second let through between from and to.
+// simulate sends the given demand to the nodes for a minute. Nodes that are connected
+// exchange once a second. It returns the mean number of tokens per second admitted
+// between fromSecond and toSecond.
 func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, fromSecond, toSecond float64) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
@@ -125,9 +128,10 @@
 
 // Guards against two failures: callers that get only a part of their limit when most of
 // them connect to one home, and a team that gets more than its limit when the homes lose
-// contact. The baselines show both. The whole limit at each node gives a multiple of the
-// limit. Even shares give a third of it when all callers connect to one home. Shares
-// computed from the last known demand give a multiple as soon as nodes lose contact.
+// contact. Three baselines show these failures. If each home allows the whole limit, the
+// team gets a multiple of it. With even shares, callers that all connect to one home get
+// a third of the limit. With shares computed from the last known demands, the team gets a
+// multiple of its limit as soon as nodes lose contact.
 func TestTeamLimitAcrossHomes(t *testing.T) {
 	Convey("Three homes", t, func() {
 		for _, c := range []struct {
@@ -135,9 +139,9 @@
 			demand                     func(float64, int) float64
 			connected                  func(float64, int, int) bool
 			fromSecond, toSecond       float64
-			minThrough                 float64 // part of the limit that is let through
-			minWholeEach, minLastKnown float64 // minimum that the baselines let through
-			maxEven                    float64 // maximum that the even split lets through
+			minThrough                 float64 // minimum part of the limit that the splitters admit
+			minWholeEach, minLastKnown float64 // minimum part that these baselines admit
+			maxEven                    float64 // maximum part that even shares admit
 		}{
 			{"demand above the limit everywhere", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
 			{"most callers at one home", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
@@ -159,7 +163,7 @@
 			}
 			got, wholeEachPart, lastKnownPart, evenPart := partThrough(newHomes(3, limit)), partThrough(wholeEach), partThrough(newLastKnownDemand(3)), partThrough(disconnectedHomes{newHomes(3, limit)})
 			t.Logf("%s: part of the limit let through %.3f; whole limit each %.2f, last known demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
-			So(got, ShouldBeBetweenOrEqual, c.minThrough, 1+1/(c.toSecond-c.fromSecond)+0.001) // Burst is one second
+			So(got, ShouldBeBetweenOrEqual, c.minThrough, 1+1/(c.toSecond-c.fromSecond)+0.001) // the upper bound includes the tokens of Burst, one second
 			So(wholeEachPart, ShouldBeGreaterThan, c.minWholeEach)
 			So(lastKnownPart, ShouldBeGreaterThan, c.minLastKnown)
 			So(evenPart, ShouldBeLessThan, c.maxEven)
@@ -167,7 +171,8 @@
 	})
 }
 
-// disconnectedHomes never exchange, so each keeps its even share.
+// disconnectedHomes is the baseline in which nodes never exchange, so each keeps its even
+// share.
 type disconnectedHomes struct{ homes }
 
 func (disconnectedHomes) exchange(time.Time, int, int) {}
@@ -202,7 +207,7 @@
 	var admissions []admitted
 	largestCost := 0.0
 	node := rapid.IntRange(0, n-1)
-	// pickRecent returns one of the last five messages, so messages arrive late,
+	// pickRecent returns one of the last five messages. So messages arrive late,
 	// repeatedly or never.
 	pickRecent := func(t *rapid.T, from []message) (m message, ok bool) {
 		if len(from) == 0 {
@@ -264,11 +269,12 @@
 }
 
 // Guards against a lender that no longer counts a loan which the borrower still uses, so
-// that the team gets more than its limit. A delayed request is answered after the
-// following one. The loan granted for it must not replace the later loan, because a
-// repeat of the later request states that the earlier loan is unused.
+// that the team gets more than its limit. Request 1 is delayed, so the lender answers
+// request 2 first, and then grants a loan for request 1. This loan must not replace the
+// loan for request 2. Otherwise a repeat of request 2, which states that no earlier loan
+// is in use, releases the only loan that the lender counts.
 func TestLateRequestKeepsLaterLoan(t *testing.T) {
-	Convey("A delayed request and a repeated one do not hide a loan", t, func() {
+	Convey("The lender still counts the loan after a delayed and a repeated request", t, func() {
 		h := newHomes(2, limit)
 		now := sim.Start
 		h[0].Allow(now, team, 5*limit)
@@ -288,8 +294,9 @@
 
 func TestLoansAreCountedOnce(t *testing.T) {
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
-	Convey("A rate lent to one home is not lent to another", t, func() {
-		// Otherwise the second borrower would get the rate that the first one uses.
+	Convey("A rate lent to one home is not lent to another home", t, func() {
+		// Otherwise the second borrower would get a rate that the first borrower uses
+		// already.
 		h := newHomes(3, limit)
 		sum := 0.0
 		for _, borrower := range []int{1, 2} {
@@ -303,8 +310,9 @@
 		So(sum, ShouldAlmostEqual, limit, 1e-6)
 	})
 	Convey("A loan counts until its end, not until the next request", t, func() {
-		// After the loan has ended, a home in debt pays it off at its own rate. At the
-		// rate with the loan, both homes would use the same capacity.
+		// The home has overdrawn its bucket. After the loan has ended, it pays off the
+		// debt at its own rate alone. If it still used the rate of the loan, borrower and
+		// lender would both use that rate.
 		h := newHomes(2, limit)
 		h[0].Allow(at(0), team, 5*limit)
 		h.exchange(at(0), 0, 1)
@@ -321,7 +329,7 @@
 		s := newHomes(1, limit)[0]
 		ok, _, share := s.Allow(sim.Start, team, 3*limit)
 		So(ok, ShouldBeTrue)
-		So(share, ShouldResemble, limits.Share{Limit: limit, Rate: limit, Even: limit, Demand: share.Demand, Home: true})
+		So(share, ShouldResemble, limits.Share{Limit: limit, Rate: limit, EvenShare: limit, Demand: share.Demand, IsHome: true})
 		for k := range 100 {
 			ok, wait, _ := s.Allow(sim.Start, team, cost)
 			So(ok, ShouldBeFalse)
@@ -343,7 +351,7 @@
 		ok, wait, share := s.Allow(sim.Start, team, 1)
 		So(ok, ShouldBeFalse)
 		So(wait, ShouldBeGreaterThan, 0)
-		So(share.Home, ShouldBeFalse)
+		So(share.IsHome, ShouldBeFalse)
 		s.SetTeam(team, 0, nil)
 		_, limited := s.Share(sim.Start, team)
 		So(limited, ShouldBeFalse)
--- a/decide/nodelist/nodelist.go
+++ b/decide/nodelist/nodelist.go
@@ -7,22 +7,23 @@
 // has died must soon be removed. All nodes of a fleet may start at once, be restarted one
 // by one, or lose power together.
 //
-// # Failure without it
+// # Failure without this package
 //
 // Each node holds a lease in the store and renews it more than once a second. The calls
 // grow with the fleet, while the store's rate limit does not.
 //
 // # Rules
 //
-//   - A request to another node for the data that it has read (fleet/reads) is also a
-//     heartbeat. A node is listed for TTL after its last heartbeat.
+//   - When a node asks a reader of the store (decide/storereaders) for its data
+//     (fleet/reads), this request is also a heartbeat. The reader lists the node for TTL
+//     after its last heartbeat.
 //   - A node that reports that it is leaving is removed at once.
 //   - A node that has just started restores the list of its previous process, as if all
-//     nodes in it had sent a heartbeat at that time. Without that, a fleet that has lost
-//     power would name only a handful of nodes to all callers until the other nodes have
-//     sent heartbeats.
-//   - The list holds at most MaxNodes, so a client of the API between nodes cannot make it
-//     grow without bound.
+//     nodes in that list had just sent a heartbeat. Otherwise, after a loss of power,
+//     callers of the whole fleet would be told only a handful of nodes until the other
+//     nodes have sent heartbeats.
+//   - The list holds at most MaxNodes, so that a client of the API between nodes cannot
+//     make the list grow without bound.
 package nodelist
 
 import (
@@ -56,8 +57,8 @@
 	return identified && n.LinkMbps >= 0 && !math.IsInf(n.LinkMbps, 0)
 }
 
-// List is the list of one node. The zero value is empty. It is not safe for concurrent
-// use.
+// List is the list that one node keeps of other nodes. The zero value is an empty list.
+// It is not safe for concurrent use.
 type List struct {
 	entries map[string]entry
 }
@@ -67,8 +68,8 @@
 	lastHeard time.Time
 }
 
-// Heartbeat records that a node is alive. It reports whether the node is listed: it is
-// not if it is invalid or the list is full.
+// Heartbeat records that a node is alive and returns whether the node is listed. An
+// invalid node is not listed, and neither is a new node if the list is full.
 func (l *List) Heartbeat(now time.Time, node Node) bool {
 	if !node.Valid() {
 		return false
@@ -88,8 +89,8 @@
 
 func (l *List) Remove(name string) { delete(l.entries, name) }
 
-// Restore adds the nodes of an earlier list as if they had sent a heartbeat now. It does
-// not change nodes that are listed already.
+// Restore adds the nodes of an earlier list as if they had sent a heartbeat now. Nodes
+// that are listed already do not change.
 func (l *List) Restore(now time.Time, list []Node) {
 	for _, node := range list {
 		if _, known := l.entries[node.Name]; !known {
--- a/decide/nodelist/nodelist_test.go
+++ b/decide/nodelist/nodelist_test.go
@@ -22,8 +22,8 @@
 	return strings.Join(words, " ")
 }
 
-// Guards against a dead node that callers are still told to use, and against a live node
-// that is removed because two of its calls were lost.
+// Guards against a dead node that callers are still told to connect to. Also guards
+// against removing a live node because two of its heartbeats in a row were lost.
 func TestNodeIsListedUntilTTL(t *testing.T) {
 	var l List
 	l.Heartbeat(start, node(1))
@@ -31,7 +31,7 @@
 	for ms := 0; ms <= 6000; ms += 100 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
 		if ms%2400 == 0 {
-			l.Heartbeat(now, node(1)) // two of three calls are lost
+			l.Heartbeat(now, node(1)) // two of three heartbeats are lost
 		}
 		want := "n-0001 n-0002"
 		if ms >= 3000 {
@@ -47,9 +47,9 @@
 	}
 }
 
-// Guards against a fleet that names only a few nodes to callers after it has lost power.
-// A restarted node continues with the list of its previous process and drops the nodes
-// that send no heartbeat.
+// Guards against a fleet that names only a few nodes to callers after a loss of power. A
+// restarted node continues with the list of its previous process and drops the nodes that
+// send no heartbeat.
 func TestRestoreAfterRestart(t *testing.T) {
 	var l List
 	l.Heartbeat(start, node(3))
--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -5,23 +5,28 @@
 // Some replicas die or become slow while all nodes of a failure domain send requests to
 // them.
 //
-// # Failure without it
+// # Failure without this package
 //
-// Each node detects the fault by itself, through a stalled stream per replica. With forty
-// nodes and nine lost replicas that is hundreds of stalled streams, and hundreds of
-// connections and status requests to the remaining replicas.
+// Each node detects the fault by itself, through one stalled stream for each lost replica.
+// With forty nodes and nine lost replicas, hundreds of streams stall, and the nodes make
+// hundreds of connections and status requests to the remaining replicas.
 //
 // # Rules
 //
+//   - A few nodes of the failure domain are hubs. In an exchange, a node sends its own
+//     observations to a hub and gets the observations of the other nodes. The hubs exchange
+//     their observations among each other.
 //   - An observation states what a node has seen itself: a replica that accepts no
-//     connection, a replica that refuses requests although it has capacity, or the
-//     slowdown that a replica reports of itself. It has an age and is valid for ValidFor.
-//   - A node accepts what Quorum nodes have observed independently. If fewer nodes have
-//     observed it, a few nodes, the Verifiers, check the replica. All nodes agree on which
-//     nodes these are. So a single wrong observation convinces no other node, and does not
-//     make all nodes contact the same replica.
+//     connection, a replica that refuses requests although it has capacity, or the slowdown
+//     that a replica reports about itself. An observation has an age and is valid for
+//     ValidFor.
+//   - A node accepts an observation that at least Quorum nodes have made independently. If
+//     fewer nodes have made it, a few nodes, the Verifiers, check the replica themselves.
+//     All nodes agree on which nodes are the Verifiers of a replica. So a single wrong
+//     observation convinces no other node, and not all nodes contact the same replica
+//     because of it.
 //   - At most the share MaxExcludedShare of a service's replicas is excluded because of
-//     reports from other nodes: a network fault looks like lost replicas.
+//     reports from other nodes, because a network fault can make many replicas look lost.
 //   - A message holds at most MaxPerMessage observations, the most recent first.
 //     Observations that no node would send are dropped and counted.
 package peerreports
@@ -36,20 +41,22 @@
 )
 
 const (
-	// ValidFor is how long an observation is valid. It covers several exchanges.
+	// ValidFor is how long an observation is valid. Several exchanges take place in this
+	// time.
 	ValidFor = 1500 * time.Millisecond
 	// Quorum is the number of nodes that must have made an observation for it to be
 	// accepted without verification.
 	Quorum = 3
-	// Verifiers is the number of nodes that check a replica which fewer nodes have
-	// reported.
+	// Verifiers is the number of nodes that check a replica if fewer than Quorum nodes
+	// have made an observation about it.
 	Verifiers = 3
 	// MaxExcludedShare is the largest share of a service's replicas that is excluded
 	// because of reports from other nodes.
 	MaxExcludedShare = 0.25
 	// MaxPerMessage is the maximum number of observations in a message.
 	MaxPerMessage = 128
-	// maxObservers and maxSlowdown bound the values of a valid observation.
+	// maxObservers is the largest number of observers in a valid observation, maxSlowdown
+	// the largest slowdown.
 	maxObservers = 1 << 16
 	maxSlowdown  = 1e4
 )
@@ -62,8 +69,8 @@
 	// Refusing is set if the replica is alive but refuses requests although it has
 	// capacity.
 	Refusing bool
-	// Slowdown is the factor by which a reachable replica reports to be slower than
-	// others of its kind.
+	// Slowdown is the factor by which a reachable replica is slower than others of its
+	// kind, as reported by the replica itself.
 	Slowdown float64
 	// Age is the time since the observation.
 	Age time.Duration
@@ -71,7 +78,8 @@
 	Observers int
 }
 
-// valid reports whether a node could have made the observation and it has not expired.
+// valid reports whether a node could have made the observation and the observation has
+// not expired.
 func (o Observation) valid() bool {
 	known := o.Replica != "" && o.Observers > 0 && o.Observers <= maxObservers && o.Age >= 0 && o.Age < ValidFor
 	return known && (o.Unreachable || o.Refusing || o.Slowdown >= 1 && o.Slowdown <= maxSlowdown)
@@ -113,8 +121,8 @@
 	return dropped
 }
 
-// KeepOnly drops the messages of all nodes except one hub, whose message includes the
-// observations of the others.
+// KeepOnly drops the messages of all nodes except the given hub. The message of this hub
+// includes the observations of the other nodes.
 func (a *Aggregator) KeepOnly(hub string) {
 	for node := range a.latest {
 		if node != hub {
@@ -129,8 +137,8 @@
 }
 
 // ReplyTo returns the observations to send to a node that asked. Another hub gets this
-// node's own observations and those of the nodes that report here. Any other node gets
-// all observations but its own.
+// node's own observations and those of the nodes that report to this node. Any node that
+// is not a hub gets all observations but its own.
 func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
 	return a.merge(now, own, func(node string, m message) bool {
 		if hub {
@@ -141,7 +149,7 @@
 }
 
 // subject identifies what an observation is about. Observations with the same subject are
-// merged.
+// merged into one.
 type subject struct {
 	replica               string
 	unreachable, refusing bool
@@ -197,22 +205,22 @@
 	// failure domain.
 	Node        string
 	DomainNodes []string
-	// Known reports whether a replica belongs to the service, Suspected whether this node
-	// already treats it as lost.
+	// Known reports whether a replica belongs to the service. Suspected reports whether
+	// this node already treats a replica as lost.
 	Known, Suspected func(replica string) bool
-	// ReplicaCount is the number of replicas, SuspectedCount how many of them this node
-	// already treats as lost.
+	// ReplicaCount is the number of replicas of the service, SuspectedCount the number of
+	// those that this node already treats as lost.
 	ReplicaCount, SuspectedCount int
 }
 
-// Decision is how a node handles observations.
+// Decision is how a node uses the observations of other nodes.
 type Decision struct {
-	// Accept holds the observations to act on, Verify those whose replica this node
-	// should check.
+	// Accept holds the observations to act on. Verify holds the observations about
+	// replicas that this node should check itself.
 	Accept, Verify []Observation
 }
 
-// Evaluate decides how a node handles the observations of other nodes.
+// Evaluate decides how a node uses the observations of other nodes.
 func Evaluate(observations []Observation, v View) Decision {
 	var decision Decision
 	remainingExclusions := int(math.Floor(float64(v.ReplicaCount)*MaxExcludedShare)) - v.SuspectedCount
@@ -226,7 +234,7 @@
 		case o.Observers >= Quorum && remainingExclusions > 0:
 			remainingExclusions--
 			decision.Accept = append(decision.Accept, o)
-		case o.Refusing: // not verifiable: the replica answers everything except requests
+		case o.Refusing: // not verifiable: the replica answers any check and refuses only requests
 		case v.Verifies(o.Replica):
 			decision.Verify = append(decision.Verify, o)
 		}
@@ -234,7 +242,7 @@
 	return decision
 }
 
-// Verifies reports whether this node is one of the Verifiers of a replica.
+// Verifies reports whether this node is one of the Verifiers of the given replica.
 func (v View) Verifies(replica string) bool {
 	key := rendezvous.Hash(replica)
 	own := rendezvous.Score(key, rendezvous.Hash(v.Node))
--- a/decide/peerreports/peerreports_test.go
+++ b/decide/peerreports/peerreports_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Guards against each node losing a stream of its own to a dead replica. Of forty nodes
-// that use the replica, three have a stream through it and report it; the others accept
-// their reports.
+// Guards against a dead replica that costs each node one stream. Of forty nodes that use
+// the replica, three have a stream through it and report it. The others accept these
+// reports and lose no stream.
 func TestQuorumIsAccepted(t *testing.T) {
 	nodes := names(40)
 	var hub Aggregator
@@ -46,8 +46,9 @@
 	}
 }
 
-// Guards against a wrong observation of a single node, such as one whose own link fails.
-// No node accepts it, and three of forty nodes check the replica.
+// Guards against a wrong observation of a single node, for example of a node whose own
+// link fails. No other node accepts the observation, and three of the forty nodes check
+// the replica.
 func TestSingleNodeOnlyTriggersVerification(t *testing.T) {
 	nodes := names(40)
 	verifying := 0
@@ -67,8 +68,8 @@
 	}
 }
 
-// Guards against excluding a whole service because the network between nodes and replicas
-// fails for many nodes at once.
+// Guards against excluding all replicas of a service when the network between nodes and
+// replicas fails for many nodes at once.
 func TestExclusionIsBounded(t *testing.T) {
 	var observations []Observation
 	for i := range 20 {
@@ -86,8 +87,9 @@
 	}
 }
 
-// Guards against observations that count more nodes with each exchange. A hub sends
-// another hub only what it received from nodes that are not hubs.
+// Guards against observations whose number of observers grows with each exchange between
+// hubs. A hub sends another hub only its own observations and what it received from nodes
+// that are not hubs.
 func TestObservationsAreNotEchoed(t *testing.T) {
 	var a, b Aggregator
 	observation := []Observation{{Replica: "r", Unreachable: true, Observers: 1}}
@@ -104,10 +106,10 @@
 	}
 }
 
-// Guards against checks of replicas that refuse requests: such a replica answers
-// everything that a check could send. Reports of fewer nodes than Quorum therefore
-// trigger no check. Reports of Quorum nodes are accepted for a bounded share of the
-// replicas.
+// Guards against useless checks of a replica that refuses requests: the replica answers
+// everything that a check could send. If fewer than Quorum nodes report it, no node
+// checks it. If Quorum nodes report such replicas, the reports are accepted for at most
+// the share MaxExcludedShare of all replicas.
 func TestRefusingIsNotVerified(t *testing.T) {
 	nodes := names(40)
 	for _, node := range nodes {
@@ -124,7 +126,7 @@
 	}
 }
 
-// Guards against old observations that stay valid because nodes pass them on.
+// Guards against observations that never expire because nodes pass them on.
 func TestObservationsExpire(t *testing.T) {
 	var b Aggregator
 	b.Record(start, "leaf", false, []Observation{{Replica: "r", Unreachable: true, Observers: 1, Age: ValidFor / 2}})
@@ -136,8 +138,9 @@
 	}
 }
 
-// Guards against observations that no node would send: with a negative age, without a
-// node, or too many. Valid ones in the same message are kept.
+// Guards against observations that no node would send, for example with a negative age or
+// with an impossible number of observers. Valid observations in the same message are
+// kept.
 func TestInvalidObservationsAreDropped(t *testing.T) {
 	var b Aggregator
 	invalid := []Observation{
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -6,22 +6,23 @@
 // Many nodes send to the same replicas, and no replica reports in time how full it is.
 // Callers are spread unevenly over the nodes, and nodes join and leave.
 //
-// # Failure without it
+// # Failure without this package
 //
-// Each node uses at most an even share of the capacity. With twenty nodes that is capacity
-// for a handful of requests: some nodes have callers waiting while others leave their share
-// unused. If a node exceeds its share, replicas refuse requests. Each node detects that
-// separately, and the attempts are used up.
+// Each node uses at most an even share of the capacity. With twenty nodes, such a share is
+// enough for only a handful of requests: callers wait at some nodes while other nodes leave
+// their shares unused. If nodes exceed their shares, replicas refuse requests. Each node
+// learns separately which replicas are full, and its requests run out of attempts.
 //
 // # Rules
 //
 //   - A few nodes of the domain are hubs. The other nodes report their reservations to a
-//     hub, and the hubs exchange the sums. A node that reports gets back the reservations
-//     of all other nodes, as far as the hub knows them.
+//     hub, and the hubs exchange the totals of what was reported to them. A node that
+//     reports to a hub gets back the reservations of all other nodes, as far as the hub
+//     knows them.
 //   - A report is valid for ValidFor. For nodes without a report, the node that uses the
 //     totals assumes an even share (decide/paths).
 //
-// The totals are a hint: a wrong sum costs a refusal or some unused capacity.
+// The totals are a hint: a wrong total costs a refused request or some unused capacity.
 package reservations
 
 import (
@@ -29,14 +30,14 @@
 	"time"
 )
 
-// ValidFor is how long a report is valid: three exchanges may be lost.
+// ValidFor is how long a report is valid. In this time three exchanges may be lost.
 const ValidFor = time.Second
 
-// Totals is the capacity that a number of nodes have reserved together.
+// Totals is the capacity that several nodes have reserved together.
 type Totals struct {
-	// Nodes is the number of nodes.
+	// Nodes is the number of nodes whose reservations are included.
 	Nodes int
-	// ReservedByReplica are the reserved capacities by replica, in tokens times layers.
+	// ReservedByReplica is the reserved capacity of each replica, in tokens times layers.
 	ReservedByReplica map[string]float64
 }
 
@@ -65,7 +66,8 @@
 	latest map[string]report
 }
 
-// Record stores a node's report: its own reservations or, from a hub, a sum.
+// Record stores a node's report: its own reservations or, from a hub, the totals of
+// several nodes.
 func (a *Aggregator) Record(now time.Time, node string, hub bool, totals Totals) {
 	if a.latest == nil {
 		a.latest = map[string]report{}
@@ -78,8 +80,8 @@
 	a.latest[node] = report{received: now, fromHub: hub, totals: totals}
 }
 
-// KeepOnly drops the reports of all nodes except one hub, whose sum includes the reports
-// of the others.
+// KeepOnly drops the reports of all nodes except the given hub. The totals of this hub
+// include the reservations of the other nodes.
 func (a *Aggregator) KeepOnly(hub string) {
 	maps.DeleteFunc(a.latest, func(node string, _ report) bool { return node != hub })
 }
@@ -89,14 +91,14 @@
 	return a.sum(now, func(string, report) bool { return true })
 }
 
-// HubTotals returns what a hub reports to other hubs: its own reservations and those that
-// nodes reported to it directly.
+// HubTotals returns what this node, as a hub, reports to other hubs: its own reservations
+// and those of the nodes that report to it directly.
 func (a *Aggregator) HubTotals(now time.Time, own Totals) Totals {
 	return own.Plus(a.sum(now, func(_ string, r report) bool { return !r.fromHub }))
 }
 
-// ReplyTo returns the reply to a node's report. Another hub gets HubTotals; any other
-// node gets all known reservations but its own.
+// ReplyTo returns the reply to a node's report. Another hub gets HubTotals. Any node that
+// is not a hub gets all known reservations but its own.
 func (a *Aggregator) ReplyTo(now time.Time, own Totals, asker string, hub bool) Totals {
 	if hub {
 		return a.HubTotals(now, own)
--- a/decide/reservations/reservations_test.go
+++ b/decide/reservations/reservations_test.go
@@ -12,8 +12,8 @@
 	return Totals{Nodes: 1, ReservedByReplica: map[string]float64{"r": amount}}
 }
 
-// domain simulates the exchanges of a failure domain. The first nodes are the hubs, and
-// each other node reports to one hub.
+// domain simulates the exchanges of a failure domain. The first nodes in the list are the
+// hubs, and each other node reports to one hub.
 type domain struct {
 	aggregators []Aggregator
 	ownReserved []float64
@@ -51,8 +51,9 @@
 	return others
 }
 
-// Guards against reservations that are missed or counted twice. After two rounds of
-// exchanges each node knows the reservations of all others, whatever the number of hubs.
+// Guards against reservations that are missed or counted twice. After each node has made
+// its exchanges twice, each node knows the reservations of all others, whatever the
+// number of hubs.
 func TestEachNodeCountsAllOthersOnce(t *testing.T) {
 	for _, c := range []struct{ nodes, hubs int }{{1, 1}, {2, 2}, {3, 3}, {9, 3}, {27, 3}, {5, 1}} {
 		d := &domain{aggregators: make([]Aggregator, c.nodes), hubs: c.hubs}
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against reservations of nodes that have died or are cut off, and against a node
-// that switches to another hub and counts reservations twice.
+// Guards against counting reservations of nodes that have died or are cut off. Also
+// guards against counting reservations twice after a node has switched to another hub.
 func TestReportsExpire(t *testing.T) {
 	var b Aggregator
 	b.Record(start, "a", false, oneNode(5))
--- a/decide/shardowner/doc.go
+++ b/decide/shardowner/doc.go
@@ -1,32 +1,42 @@
-// Package shardowner picks the node that writes a shard.
+// Package shardowner picks the node that writes a shard: the shard's owner.
 //
 // # Load pattern
 //
-// The orders of one team arrive at several nodes at once, and the team's claims are
-// stored in a few values of the store.
+// An order is a request that must run at most once, so a node claims it in the
+// platform's store before it sends it (state/ledger). The claims of a team are
+// stored in a few values of the store, the shards. The orders of one team
+// arrive at several nodes at once.
 //
-// # Failure without it
+// # Failure without this package
 //
-// Each node writes these values itself. Of the writes in flight at one time, all but
-// one fail their comparison and start over, so three nodes place fewer orders than
-// one.
+// Each node writes these values itself, by compare-and-swap. Of all writes to a
+// value that are in flight at one time, only one succeeds. The others find that
+// the value has changed and start over, so three nodes together place fewer
+// orders than one.
 //
 // # Rules
 //
-// The choice is only a hint. Nodes with different views pick different nodes.
-// Correctness depends on compare-and-swap alone; a wrong choice costs only speed.
+// For each shard the live nodes are ranked by a hash of shard and node
+// (rendezvous hashing). The first node in this order is the owner. The choice
+// is only a hint, because nodes with different lists of live nodes pick
+// different owners. Correctness depends on compare-and-swap alone; a wrong
+// choice costs only speed.
 //
-// A node that did not answer is excluded for a backoff period, and the next node in
-// rank takes its shards. After that period a single operation tries the node again,
-// so a frozen node delays one operation and not all of them.
+// A node that did not answer is excluded for a backoff period, and the next
+// node in the order takes its shards. After that period a single operation
+// tries the node again, so a frozen node delays one operation and not all of
+// them.
 //
 // # Reasons for the values
 //
-//   - One owner per shard, and 16 shards (platform/ledger): 16 owners at 40 writes a
-//     second each are what the store sustains (several hundred), however many nodes
-//     there are, and each write carries all pending orders of its shard.
-//   - MinBackoff 1 s: the most that a retry at a frozen node may cost one operation,
-//     and about the time in which members suspect a node.
-//   - MaxBackoff 16 s: a node that was unreachable only from this one is used again
-//     soon after its return; until then, one operation in 16 s is delayed.
+//   - One owner per shard, and 16 shards (state/ledger): 16 owners that make 40
+//     writes a second each use what the store sustains (several hundred writes
+//     a second), however many nodes there are. Each write carries all pending
+//     orders of its shard.
+//   - MinBackoff 1 s: one operation that tries a frozen node again may be
+//     delayed by up to this much. It is also about the time in which members suspect
+//     a node.
+//   - MaxBackoff 16 s: a node that only this node could not reach is used again
+//     soon after the connection is back. Until then, one operation in 16 s is
+//     delayed.
 package shardowner
--- a/decide/shardowner/shardowner.go
+++ b/decide/shardowner/shardowner.go
@@ -7,16 +7,17 @@
 	"github.com/cicadatack/cicadatack/decide/balance/rendezvous"
 )
 
-// ShardName returns the name of a shard, as Pick takes it.
+// ShardName returns the name by which Pick identifies a shard.
 func ShardName(shard int) string { return "shard-" + strconv.Itoa(shard) }
 
-// Bounds of the backoff, which doubles with each consecutive failure.
+// MinBackoff and MaxBackoff bound the backoff of a node, which doubles with each
+// consecutive failure.
 const (
 	MinBackoff = time.Second
 	MaxBackoff = 16 * time.Second
 )
 
-// Picker picks among the nodes that are live in the view of one node. It is not safe for
+// Picker picks owners among the nodes that one node considers live. It is not safe for
 // concurrent use.
 type Picker struct {
 	live     []node
@@ -28,7 +29,7 @@
 	hash uint64
 }
 
-// backoff excludes a node that did not answer until a time.
+// backoff is the period in which a node that did not answer is not picked.
 type backoff struct {
 	until    time.Time
 	duration time.Duration
@@ -39,7 +40,8 @@
 // New returns a Picker without nodes.
 func New() *Picker { return &Picker{backoffs: map[string]backoff{}} }
 
-// SetLive replaces the live nodes. Nodes that stay keep their backoff.
+// SetLive replaces the list of live nodes. Nodes that stay in the list keep their
+// backoff.
 func (p *Picker) SetLive(names []string) {
 	p.live = p.live[:0]
 	kept := map[string]backoff{}
@@ -52,9 +54,9 @@
 	p.backoffs = kept
 }
 
-// Pick returns the node for a shard, or an empty string if there is none. A node whose
-// backoff has ended is picked once and then excluded for another period, unless
-// RecordAnswer reports that it is back.
+// Pick returns the node that should write a shard, or an empty string if there is none. A
+// node whose backoff has ended is picked once and then excluded for another period,
+// unless RecordAnswer is called for it.
 func (p *Picker) Pick(now time.Time, shard string) string {
 	key := rendezvous.Hash(shard)
 	best, bestScore := "", uint64(0)
@@ -72,8 +74,9 @@
 	return best
 }
 
-// OwnedShards returns how many of the given number of shards a node ranks first for. It
-// ignores backoffs, so that a node's allowance does not change with each of them.
+// OwnedShards returns for how many of the shards the named node has the highest score. It
+// ignores backoffs. Otherwise the node's share of the store's calls, which depends on
+// this number, would change with each backoff.
 func (p *Picker) OwnedShards(name string, shards int) int {
 	owned := 0
 	for shard := range shards {
--- a/decide/shardowner/shardowner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -24,8 +24,9 @@
 	return p
 }
 
-// Guards against uneven shards, and against shards that move when other nodes join or
-// leave. After each move two nodes write the same shard for a while.
+// Guards against shards that are distributed unevenly, and against shards that move when
+// a node which does not own them joins or leaves. After a shard has moved, two nodes
+// write it for a while.
 func TestPick(t *testing.T) {
 	Convey("Given nine nodes and 256 shards", t, func() {
 		nine, eight, owned, moved := newPicker(names(9)), newPicker(names(8)), map[string]int{}, 0
@@ -48,10 +49,10 @@
 	})
 }
 
-// Guards against orders that wait for a frozen node more often than once per backoff. The
-// owner of a shard stops answering, and a hundred operations that waited for it fail
-// together. The next node takes the shard, and one operation per backoff detects whether
-// the owner is back.
+// Guards against a frozen node that delays more than one order per backoff period. The
+// owner of a shard stops answering, and a hundred operations that waited for the owner
+// fail together. The next node takes the shard, and one operation per backoff period
+// detects whether the owner is back.
 func TestUnresponsiveOwner(t *testing.T) {
 	Convey("Given a shard whose owner has not answered", t, func() {
 		p := newPicker(names(3))
--- a/decide/stall/stall_test.go
+++ b/decide/stall/stall_test.go
@@ -17,9 +17,8 @@
 	return d
 }
 
-// Guards against late detection of a dead replica. The path of a stream with an event
-// every 40 ms is checked well before half of the longest pause that is on time has
-// passed.
+// Guards against late detection of a dead replica. A stream has an event about every 40
+// ms. Its path is checked well before the silence has lasted for half of maxPause.
 func TestSteadyStreamIsCheckedEarly(t *testing.T) {
 	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
 	if d > 70*time.Millisecond {
@@ -28,8 +27,8 @@
 }
 
 // Guards against checks caused by busy replicas. Replicas prefill long prompts between
-// the steps of all streams, so gaps vary from 20 to 120 ms. With a fixed timeout of 60 ms
-// each stream would be checked every second.
+// the events of all streams, so gaps vary from 20 to 120 ms. With a fixed timeout of 60
+// ms, the path of each stream would be checked every second.
 func TestVaryingGapsAreNotStalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	d := &Detector{}
@@ -47,8 +46,8 @@
 }
 
 // Guards against checks caused by prefills. One gap in ten is four times as long as
-// usual, because replicas prefill a prompt. Most of these gaps must not trigger a check;
-// with a timeout of four mean deviations over the mean, two in three did.
+// usual, because replicas prefill a prompt. At most half of these long gaps may trigger a
+// check. With a timeout of the mean gap plus four mean deviations, two in three did.
 func TestPrefillGapsAreNotStalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	d := &Detector{}
@@ -86,8 +85,8 @@
 	}
 }
 
-// Guards against checks of streams whose events arrive in bursts. The zero gaps within a
-// burst must not make the usual gap look like a stall.
+// Guards against checks of streams whose events arrive in bursts. The gaps of zero within
+// a burst must not make the gap between bursts look like a stall.
 func TestBurstsOfEvents(t *testing.T) {
 	d := &Detector{}
 	for i := range 100 {
@@ -102,9 +101,9 @@
 	}
 }
 
-// Guards against repeated checks while replicas are slow for a second. Each check without
-// a finding raises the timeout. Once the stream is fast again, the timeout soon returns
-// to its previous value.
+// Guards against repeated checks while replicas are slow for a second. Each check that
+// finds no loss raises the timeout. When the stream is fast again, the timeout soon
+// returns to about its previous value.
 func TestFalseAlarmsRaiseTimeout(t *testing.T) {
 	d := steadyDetector(40*time.Millisecond, 4*time.Millisecond, 50)
 	before := d.Timeout(time.Second)
@@ -123,9 +122,9 @@
 }
 
 // Guards against too many checks during one silence. Replicas are slow, and a stream
-// pauses for half a second. Its path is checked only a few times before the pause is
-// late, and once more as soon as it is late, because only then the replicas are asked for
-// their speed.
+// pauses for half a second. Its path is checked only a few times while the pause is still
+// on time, and once more as soon as the pause is late. That last check is needed because
+// only checks of late streams ask the replicas for their speed.
 func TestChecksWithinOneSilence(t *testing.T) {
 	const onTimeLimit = 300 * time.Millisecond
 	checks := 0
@@ -142,10 +141,10 @@
 	}
 }
 
-// Guards against useless connections to all replicas of a slow stream's path. Replicas
-// have become slow, and a stream has an event every 400 ms where 300 ms are on time. It
-// must not be checked in each gap, only in the first few. The timeout stays bounded, so
-// that a later loss is still detected.
+// Guards against useless connections to all replicas on the path of a slow stream.
+// Replicas have become slow, and a stream has an event every 400 ms although maxPause is
+// 300 ms. The path must be checked only in the first few gaps. The timeout stays bounded,
+// so that a later loss is still detected.
 func TestSlowStreamIsRarelyChecked(t *testing.T) {
 	const onTimeLimit, gap = 300 * time.Millisecond, 400 * time.Millisecond
 	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 20)
--- a/decide/storereaders/storereaders.go
+++ b/decide/storereaders/storereaders.go
@@ -3,27 +3,28 @@
 //
 // # Load pattern
 //
-// Every node needs the configuration, the replicas and the other nodes within a second or
-// two of a change, with a proof of their age. Calls to the store are billed, and its rate
-// limit grows more slowly than the fleet.
+// Every node needs the configuration, the list of replicas and the list of nodes within a
+// second or two of a change, and must know how old this data is. Calls to the store are
+// billed. The store's rate limit grows more slowly than the fleet.
 //
-// # Failure without it
+// # Failure without this package
 //
 // Each node reads everything each second and renews a lease of its own. The calls grow with
 // the fleet, and two thousand nodes need more calls per second than the store allows.
 //
 // # Rules
 //
-//   - PerDomain nodes of each failure domain have an entry of their own, in which they list
-//     the other nodes (decide/nodelist). With that many, two can be lost or cut off at the
-//     same time. They are the readers of the domain.
-//   - The readers are ordered, and each asks the readers before it first. So only one of
-//     them reads the store in normal operation. The next one reads as soon as the data from
-//     the readers before it is too old.
-//   - A reader stays a reader unless a node with a much faster link replaces it. If a reader
-//     is missing, the best of the listed nodes becomes one.
-//   - A node that no reader has heard from writes an entry of its own. It is then named to
-//     callers, but it is not a reader.
+//   - PerDomain nodes of each failure domain are its readers. Each reader has an entry of
+//     its own in the store, in which it lists other nodes (decide/nodelist). With three
+//     readers, two can be lost or cut off at the same time.
+//   - The readers of a domain are ordered. Before a reader reads the store, it asks the
+//     readers that precede it. So in normal operation only the first reader reads the
+//     store. The next reader reads the store as soon as the data that it gets from the
+//     preceding readers is too old.
+//   - A reader stays a reader unless a node with much more bandwidth replaces it. If a
+//     reader is missing, the listed node with the most bandwidth becomes a reader.
+//   - A node that no reader has received a request from writes an entry of its own. Callers
+//     are then told to connect to it, but it is not a reader.
 //
 // All data from other nodes is a hint with an age. A node without recent data reads the
 // store itself, so a wrong choice costs only calls.
@@ -41,12 +42,13 @@
 // Member is a node as seen by other nodes.
 type Member struct {
 	Name, Domain string
-	// Address is where other nodes can ask it; empty if they cannot.
+	// Address is the address at which other nodes can call the member; empty if they
+	// cannot.
 	Address string
-	// HasEntry is set if the node has an entry of its own in the store. Other nodes are
-	// listed in the entry of a reader.
+	// HasEntry is set if the node has an entry of its own in the store. A node without
+	// one is listed in the entry of a reader.
 	HasEntry bool
-	// LinkMbps is the outbound bandwidth of its VM in Mbit/s; 0 if unknown.
+	// LinkMbps is the outbound bandwidth of the node's VM in Mbit/s; 0 if unknown.
 	LinkMbps float64
 }
 
@@ -60,7 +62,7 @@
 }
 
 // selectSorted returns the members that keep accepts, without duplicates. Members with
-// more bandwidth come first, then the order is by name.
+// more bandwidth come first; members with the same bandwidth are sorted by name.
 func selectSorted(members []Member, keep func(Member) bool) []Member {
 	var list []Member
 	for _, m := range members {
@@ -74,16 +76,17 @@
 	return slices.CompactFunc(list, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// IsReader reports whether a node is one of its domain's readers. In a domain without
-// readers every node is.
+// IsReader reports whether a node is one of its domain's readers. It is true for every
+// node of a domain without readers.
 func IsReader(name, domain string, members []Member) bool {
 	list := ForDomain(domain, members)
 	return len(list) == 0 || indexOf(name, list) >= 0
 }
 
-// NeedsEntry reports whether a node needs an entry of its own. This applies to readers,
-// to the first of the other nodes if readers are missing or have much less bandwidth, and
-// to every node in a domain without readers.
+// NeedsEntry reports whether a node needs an entry of its own. In a domain without
+// readers, every node does. In any other domain the readers do. If readers are missing,
+// or if the last reader has much less bandwidth than other nodes, the first of the other
+// nodes need an entry too.
 func NeedsEntry(name, domain string, members []Member) bool {
 	list := ForDomain(domain, members)
 	if len(list) == 0 || indexOf(name, list) >= 0 {
@@ -98,38 +101,43 @@
 	return position < PerDomain-len(list) || weakestLink > 0 && others[position].LinkMbps >= replaceLinkFactor*weakestLink
 }
 
-// replaceLinkFactor: a node with at least this many times the bandwidth of a reader
-// replaces it, because all nodes of the domain ask the first reader.
+// replaceLinkFactor: a node replaces the last reader in the order if it has at least this
+// many times the bandwidth of that reader. Bandwidth matters because all nodes of the
+// domain ask the first reader.
 const replaceLinkFactor = 2
 
 // RetryState is the state of a node that failed to read the store.
 type RetryState struct {
 	// BaseInterval is the retry interval of a domain's first reader.
 	BaseInterval time.Duration
-	// Failures is the number of failed attempts, DomainSize the number of nodes in the
-	// failure domain.
+	// Failures is the number of failed attempts to read the store. DomainSize is the
+	// number of nodes in the failure domain.
 	Failures, DomainSize int
 	// IsReader is set if the node is one of the domain's readers. ReaderReached is set if
-	// it reached a reader before it, which had no recent data.
+	// the node reached one of the readers that it has to ask (ReadersToAsk), but this
+	// reader had no recent data.
 	IsReader, ReaderReached bool
-	// Starting is set until the node has a configuration.
+	// Starting is set until the node has received its first configuration.
 	Starting bool
 }
 
 const (
-	// backupReaderFactor is the multiple of BaseInterval at which a reader retries while
-	// it reaches a reader before it.
+	// backupReaderFactor times BaseInterval is the retry interval of a reader that can
+	// reach a reader which precedes it in the order.
 	backupReaderFactor = 3
-	// maxDoublings bounds the exponential backoff of a node that knows no reader.
+	// maxDoublings limits how often the retry interval of a node that knows no reader is
+	// doubled.
 	maxDoublings = 2
 )
 
-// RetryInterval returns the mean interval until the store is tried again. The first
-// reader retries often, because it detects for all nodes that the store is back. The
-// nodes that depend on readers share the retries that detect whether they can reach the
-// store while their readers cannot. A node that knows no reader backs off exponentially,
-// because the whole fleet may be in this state at once. A starting node does the same:
-// until it has a configuration it serves no callers.
+// RetryInterval returns the mean time from a failed read of the store to the node's next
+// attempt. The first reader retries often, because it detects for all nodes that the
+// store is back. The nodes that reached a reader without recent data share their retries:
+// each retries once in DomainSize times BaseInterval. Together they still detect when
+// they can reach the store while their readers cannot. A node that knows no reader backs off
+// exponentially, because the whole fleet may be in this state at once. A starting node
+// that is not a reader also backs off exponentially instead of sharing retries, because
+// it serves no callers until it has a configuration.
 func RetryInterval(s RetryState) time.Duration {
 	switch {
 	case s.ReaderReached && s.IsReader:
@@ -146,10 +154,10 @@
 	return slices.IndexFunc(list, func(m Member) bool { return m.Name == name })
 }
 
-// ReadersToAsk returns the nodes that a node asks before it reads the store itself, in
-// order. A reader asks the readers before it; any other node asks all readers. The first
-// reader that reaches the store has the most recent data, so the requests cannot be
-// spread over the readers.
+// ReadersToAsk returns the readers that a node asks before it reads the store itself, in
+// order. A reader asks only the readers that precede it; any other node asks all readers.
+// Every node starts with the first reader: the first reader that reaches the store has
+// the most recent data, so the requests cannot be spread over the readers.
 func ReadersToAsk(name, domain string, members []Member) []Member {
 	list := ForDomain(domain, members)
 	if own := indexOf(name, list); own >= 0 {
--- a/decide/storereaders/storereaders_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// fleet returns a fleet in which the first withEntry nodes of each domain have entries of
-// their own.
+// fleet returns the members of a fleet. In each domain the first withEntry nodes have an
+// entry of their own.
 func fleet(domains, perDomain, withEntry int) []Member {
 	var list []Member
 	for d := range domains {
@@ -22,8 +22,8 @@
 	return list
 }
 
-// Guards against store calls that grow with the fleet: three nodes of each domain may
-// read, and in a small domain every node.
+// Guards against store calls that grow with the fleet. Three nodes of each domain may
+// read the store; in a domain with fewer nodes, all of them may.
 func TestReadersPerDomain(t *testing.T) {
 	for _, c := range []struct{ perDomain, want int }{{2, 2}, {3, 3}, {28, 3}, {700, 3}} {
 		members := fleet(3, c.perDomain, 3)
@@ -45,11 +45,12 @@
 	}
 }
 
-// Guards against a store call by each node that is not listed yet: it asks the readers,
-// which then list it. A node that cannot be asked is not a reader.
+// Guards against a store call by each node that is not listed yet. Such a node asks the
+// readers, which then list it. A node without an address cannot be asked and is therefore
+// not a reader.
 func TestReadersToAsk(t *testing.T) {
 	members := fleet(2, 50, 3)
-	members[0].Address = "" // has an entry because no reader heard from it
+	members[0].Address = "" // has an entry because no reader received a request from it
 	for _, name := range []string{"n0-40", "new"} {
 		got := ""
 		for _, m := range ReadersToAsk(name, "d0", members) {
@@ -64,9 +65,9 @@
 	}
 }
 
-// Guards against paying several times for the same data. In normal operation one node of
-// a domain reads the store. If it is lost or cannot reach the store, the next reader
-// does.
+// Guards against store calls that read the same data several times. In normal operation
+// one node of a domain reads the store. If this node is lost or cannot reach the store,
+// the next reader reads instead.
 func TestOneReaderPerDomainReads(t *testing.T) {
 	for _, perDomain := range []int{1, 2, 3, 28} {
 		members := fleet(3, perDomain, 3)
@@ -88,8 +89,9 @@
 	}
 }
 
-// Guards against a lease for each node. Three nodes of a domain have entries whatever its
-// size, lost ones are replaced, and a new node replaces none.
+// Guards against a lease in the store for each node. Three nodes of a domain have
+// entries, whatever the size of the domain. If such a node is lost, another one replaces
+// it. A new node replaces none.
 func TestEntriesPerDomain(t *testing.T) {
 	for _, c := range []struct {
 		name                       string
@@ -121,8 +123,8 @@
 }
 
 // Guards against readers whose link is saturated by requests of other nodes. A fleet of
-// few large VMs and many small ones starts, and the small ones get entries first. The
-// large ones replace them, and after that the readers no longer change.
+// few large VMs and many small ones starts, and nodes on small VMs get the first entries.
+// The nodes on large VMs replace them, and after that the readers no longer change.
 func TestLargeNodesBecomeReaders(t *testing.T) {
 	members := fleet(1, 40, 3)
 	for i := range members {
@@ -150,10 +152,10 @@
 	}
 }
 
-// Guards against a fleet that calls an unreachable store at a rate that grows with its
-// size. An outage of eight seconds costs about as many calls with 42 nodes per domain as
-// with three, and the first reader detects the end of the outage within a third of a
-// second.
+// Guards against a fleet that calls an unreachable store at a rate that grows with the
+// size of the fleet. An outage of eight seconds causes about as many calls with 42 nodes
+// per domain as with three. The first reader detects the end of the outage within a third
+// of a second.
 func TestRetryRateDuringStoreOutage(t *testing.T) {
 	const outage, retryBaseInterval = 8 * time.Second, 300 * time.Millisecond
 	countTries := func(domainSize int) int {
@@ -185,8 +187,9 @@
 }
 
 // Guards against a starting node that serves no callers for half a minute. A hundred
-// nodes of a failure domain start at once. The first read of one of them fails while its
-// readers have no data yet. It must not share its retries with the other nodes.
+// nodes of a failure domain start at once. One node fails to read the store for the first
+// time while its readers have no data yet. Its retry interval must not be multiplied by
+// the number of nodes.
 func TestStartingNodeRetriesOnItsOwn(t *testing.T) {
 	const retryBaseInterval = 300 * time.Millisecond
 	state := RetryState{BaseInterval: retryBaseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
