--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -113,7 +113,7 @@
 			}
 		}
 		So(b.detector.OutOfRotation(), ShouldEqual, 1)
-		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.Consecutive}})
+		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.ConsecutiveFailures}})
 		So(b.Changes(), ShouldBeEmpty)
 		status := b.Status(epoch)
 		So(fmt.Sprint(status[1].ID, " ", status[1].State, status[1].Cause, status[0].State), ShouldEqual, "replica-0 ejected consecutive healthy")
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -9,10 +9,10 @@
 const (
 	delayGain   = 0.2 // weight of a new delay in the moving average of delays
 	failureGain = 0.1 // weight of a new outcome in the moving average of failures
-	// commonFailureShare is compared with the failure rate of the median endpoint. Above
+	// commonFailureRate is compared with the failure rate of the median endpoint. Above
 	// this rate, failures are attributed to the requests or to a shared dependency, and
 	// no endpoint is ejected for them.
-	commonFailureShare = 0.25
+	commonFailureRate = 0.25
 	// minGroupSize is the smallest group that is compared with its own median.
 	minGroupSize = 3
 	maxSlowness  = 4.0
@@ -29,7 +29,7 @@
 	outOfRotation  int // endpoints that are ejected or probing
 	version        uint64
 	nextEvaluation time.Time
-	commonFailure  bool               // failures have a common cause, see commonFailureShare
+	commonFailure  bool               // failures have a common cause, see commonFailureRate
 	medianDelay    float64            // median delay of all endpoints, seconds
 	groupMedians   map[string]float64 // median delay by group name, seconds; cleared by Evaluate
 	random         *rand.Rand
@@ -129,7 +129,7 @@
 
 func (d *Detector) checkConsecutive(now time.Time, e *Endpoint) {
 	if e.consecutiveFailures >= d.cfg.MaxConsecutive && !d.commonFailure {
-		d.eject(now, e, Consecutive)
+		d.eject(now, e, ConsecutiveFailures)
 	}
 }
 
@@ -142,7 +142,7 @@
 	}
 	e.probeInFlight = false
 	if o.Failure.Faulty() || d.isSlow(o.Delay.Seconds(), d.medianDelay) {
-		d.outOfRotation-- // eject counts it again
+		d.outOfRotation-- // eject counts the endpoint again
 		d.eject(now, e, ProbeFailed)
 		return
 	}
@@ -191,8 +191,8 @@
 	return int(share * float64(len(d.endpoints)))
 }
 
-// keepInRotation makes an endpoint Healthy that should be ejected but cannot be, because
-// too many others are out of rotation.
+// keepInRotation handles an endpoint that should be ejected although too many others are
+// out of rotation already: the endpoint becomes or stays Healthy.
 func (d *Detector) keepInRotation(e *Endpoint) {
 	if e.state != Healthy {
 		e.state = Healthy
@@ -214,25 +214,25 @@
 func (d *Detector) Evaluate(now time.Time) {
 	d.nextEvaluation = now.Add(d.cfg.Interval)
 	clear(d.groupMedians)
-	d.commonFailure = d.medianOf("", (*Endpoint).failureShare) > commonFailureShare
+	d.commonFailure = d.medianOf("", (*Endpoint).typicalFailureRate) > commonFailureRate
 	d.medianDelay = d.medianOf("", (*Endpoint).typicalDelay)
-	typicalResponseTime := d.medianOf("", (*Endpoint).typicalResponseTime)
+	medianResponseTime := d.medianOf("", (*Endpoint).typicalResponseTime)
 	for _, e := range d.endpoints {
 		switch e.state {
 		case Healthy:
-			d.evaluateHealthy(now, e, typicalResponseTime)
+			d.evaluateHealthy(now, e, medianResponseTime)
 		case Ejected:
 			d.endEjection(now, e)
 		case Probing:
 			if e.probeInFlight { // without a probe in flight, all outstanding requests were sent before the ejection
-				d.checkSilence(now, e, typicalResponseTime, ProbeFailed)
+				d.checkSilence(now, e, medianResponseTime, ProbeFailed)
 			}
 		}
 	}
 }
 
-func (d *Detector) evaluateHealthy(now time.Time, e *Endpoint, typicalResponse float64) {
-	if d.checkSilence(now, e, typicalResponse, Silent) {
+func (d *Detector) evaluateHealthy(now time.Time, e *Endpoint, medianResponseTime float64) {
+	if d.checkSilence(now, e, medianResponseTime, Silent) {
 		return
 	}
 	if e.samples < d.cfg.MinSamples {
@@ -248,16 +248,16 @@
 	}
 }
 
-func (d *Detector) checkSilence(now time.Time, e *Endpoint, typicalResponse float64, cause Cause) bool {
-	if e.unanswered == 0 || typicalResponse == 0 {
+func (d *Detector) checkSilence(now time.Time, e *Endpoint, medianResponseTime float64, cause Cause) bool {
+	if e.unanswered == 0 || medianResponseTime == 0 {
 		return false
 	}
-	limit := typicalResponse*d.cfg.SilenceFactor + d.cfg.SilenceFloor.Seconds()
+	limit := medianResponseTime*d.cfg.SilenceFactor + d.cfg.SilenceFloor.Seconds()
 	if now.Sub(e.lastHeard).Seconds() < limit {
 		return false
 	}
 	if e.state == Probing {
-		d.outOfRotation-- // eject counts it again
+		d.outOfRotation-- // eject counts the endpoint again
 	}
 	d.eject(now, e, cause)
 	return true
--- a/decide/health/doc.go
+++ b/decide/health/doc.go
@@ -41,9 +41,9 @@
 //     the moving average of an endpoint's delays spans about nine responses. If
 //     delays are exponentially distributed, the standard deviation of this
 //     average is a third of the mean delay. Three times the mean delay is then
-//     six standard deviations above the mean. Differences below the floor are not noticeable. Delays are
-//     multiplied by the endpoint's weight, so a slower kind of accelerator is
-//     not an outlier.
+//     six standard deviations above the mean. Differences below the floor are
+//     not noticeable. Delays are multiplied by the endpoint's weight, so a
+//     slower kind of accelerator is not an outlier.
 //   - SilenceFactor 5 and SilenceFloor 1 s: an endpoint that sends nothing for
 //     this long while requests are outstanding has frozen. An endpoint that is
 //     still sending a long response is not silent for this long.
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -29,8 +29,8 @@
 const (
 	// NoCause means that the endpoint was never ejected.
 	NoCause Cause = iota
-	// Consecutive means that consecutive requests failed.
-	Consecutive
+	// ConsecutiveFailures means that Config.MaxConsecutive requests in a row failed.
+	ConsecutiveFailures
 	// ErrorShare means that the share of failed requests exceeded Config.ErrorShare.
 	ErrorShare
 	// Slow means that the endpoint's delay was too long compared with the median delay.
@@ -63,7 +63,7 @@
 	ejections        int // number of consecutive ejections
 
 	delay               float64 // moving average of Outcome.Delay, seconds
-	failureRate         float64 // moving average, 0 if no request fails, 1 if all fail
+	failureRate         float64 // moving average of the outcomes: 0 if no request fails, 1 if all fail
 	responseTime        float64 // moving average of the time to a first response, seconds
 	slowness            float64
 	samples             int
@@ -126,6 +126,6 @@
 	return old + (value-old)*gain
 }
 
-func (e *Endpoint) failureShare() (float64, bool)        { return e.failureRate, true }
+func (e *Endpoint) typicalFailureRate() (float64, bool)  { return e.failureRate, true }
 func (e *Endpoint) typicalDelay() (float64, bool)        { return e.delay, e.delay > 0 }
 func (e *Endpoint) typicalResponseTime() (float64, bool) { return e.responseTime, e.responseTime > 0 }
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -77,8 +77,8 @@
 		cause       Cause
 		maxRequests int // maximum number of requests to the endpoint in 4 s
 	}{
-		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, Consecutive, 3},
-		{"breaks every stream", outcomes{0: fails(BrokenResponse)}, nil, Consecutive, 3},
+		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, ConsecutiveFailures, 3},
+		{"breaks every stream", outcomes{0: fails(BrokenResponse)}, nil, ConsecutiveFailures, 3},
 		{"is ten times slower", outcomes{0: {Delay: 10 * step, Age: 10 * step}}, nil, Slow, 12},
 		{"has frozen", nil, []int{0}, Silent, 22},
 		{"is full", outcomes{0: fails(Overloaded)}, nil, NoCause, 40},
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -30,7 +30,8 @@
 	"time"
 )
 
-// ValidFor is how long a report is valid. In this time three exchanges may be lost.
+// ValidFor is how long a report is valid, so that the totals do not change when up to
+// three exchanges are lost.
 const ValidFor = time.Second
 
 // Totals is the capacity that several nodes have reserved together.
--- a/decide/shardowner/shardowner.go
+++ b/decide/shardowner/shardowner.go
@@ -95,7 +95,7 @@
 }
 
 // RecordFailure records that a node did not answer. It returns for how long the node is
-// excluded, or zero if it is excluded already: operations that waited for the node at the
+// excluded, or zero if the node is excluded already: operations that waited for the node at the
 // same time fail together and count as one failure.
 func (p *Picker) RecordFailure(now time.Time, name string) time.Duration {
 	b, known := p.backoffs[name]
