--- a/decide/balance/balancer_test.go
+++ b/decide/balance/balancer_test.go
@@ -113,7 +113,7 @@
 			}
 		}
 		So(b.detector.OutOfRotation(), ShouldEqual, 1)
-		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.Consecutive}})
+		So(b.Changes(), ShouldResemble, []Change{{epoch, "replica-0", health.Healthy, health.Ejected, health.ConsecutiveFailures}})
 		So(b.Changes(), ShouldBeEmpty)
 		status := b.Status(epoch)
 		So(fmt.Sprint(status[1].ID, " ", status[1].State, status[1].Cause, status[0].State), ShouldEqual, "replica-0 ejected consecutive healthy")
@@ -169,7 +169,7 @@
 		b := newBalancer(2, 1)
 		for range 3 {
 			b.Sent(epoch, "replica-0", 1)
-			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.Broken})
+			b.Finished(epoch, "replica-0", Result{Cost: 1, Failure: health.BrokenResponse})
 		}
 		So(b.detector.OutOfRotation(), ShouldEqual, 1)
 		So(b.Capacity(epoch), ShouldEqual, 64)
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -29,11 +29,11 @@
 const (
 	// NoCause means that the endpoint was never ejected.
 	NoCause Cause = iota
-	// Consecutive means that consecutive requests failed.
-	Consecutive
-	// ErrorShare means that too large a share of the requests failed.
+	// ConsecutiveFailures means that Config.MaxConsecutive requests in a row failed.
+	ConsecutiveFailures
+	// ErrorShare means that the share of failed requests exceeded Config.ErrorShare.
 	ErrorShare
-	// Slow means that the endpoint was slow compared with the median.
+	// Slow means that the endpoint's delay was too long compared with the median delay.
 	Slow
 	// Silent means that the endpoint sent nothing while requests were outstanding.
 	Silent
@@ -52,24 +52,24 @@
 
 // Endpoint is the state that a Detector keeps of one endpoint.
 type Endpoint struct {
-	group           string
-	state           State
-	cause           Cause
-	ejectedUntil    time.Time
-	ejectedAt       time.Time
-	probingSince    time.Time // start of the probing
-	probeInFlight   bool
-	probesSucceeded int
-	ejections       int // consecutive ejections
-
-	delay        float64 // moving average, seconds
-	failures     float64 // moving average, 0 to 1
-	responseTime float64 // moving average of the time to a first response, seconds
-	slowness     float64
-	samples      int
-	consecutive  int
-
-	unanswered int // requests without a first response
+	group            string
+	state            State
+	cause            Cause
+	ejectedUntil     time.Time
+	ejectedAt        time.Time
+	probingSince     time.Time // when the endpoint became Probing
+	probeInFlight    bool
+	successfulProbes int
+	ejections        int // number of consecutive ejections
+
+	delay               float64 // moving average of Outcome.Delay, seconds
+	failureRate         float64 // moving average of the outcomes: 0 if no request fails, 1 if all fail
+	responseTime        float64 // moving average of the time to a first response, seconds
+	slowness            float64
+	samples             int
+	consecutiveFailures int
+
+	unanswered int // number of outstanding requests without a first response
 	lastHeard  time.Time
 }
 
@@ -79,7 +79,8 @@
 // Cause returns the reason for the last ejection.
 func (e *Endpoint) Cause() Cause { return e.cause }
 
-// Slowness returns the endpoint's delay relative to the median, from 1 to 4.
+// Slowness returns the endpoint's delay divided by the median delay, limited to the range
+// from 1 to 4.
 func (e *Endpoint) Slowness() float64 { return e.slowness }
 
 // NeedsProbe reports whether the next request may be sent to the endpoint as a probe.
@@ -87,8 +88,8 @@
 
 // Outcome is the result of one request.
 type Outcome struct {
-	// Delay is compared between endpoints, such as the time to the first token; zero if
-	// unknown.
+	// Delay is the delay by which endpoints are compared, such as the time to the first
+	// token; zero if unknown.
 	Delay time.Duration
 	// Age is the time since the request was sent.
 	Age     time.Duration
@@ -100,13 +101,13 @@
 		e.recordDelay(o.Delay)
 	}
 	if !o.Failure.Faulty() {
-		e.consecutive = 0
-		e.failures *= 1 - failureGain
+		e.consecutiveFailures = 0
+		e.failureRate *= 1 - failureGain
 		return
 	}
 	e.samples++
-	e.consecutive++
-	e.failures += (1 - e.failures) * failureGain
+	e.consecutiveFailures++
+	e.failureRate += (1 - e.failureRate) * failureGain
 }
 
 func (e *Endpoint) recordDelay(delay time.Duration) {
@@ -116,7 +117,8 @@
 	}
 }
 
-// movingAverage moves old towards value; zero for old means that there is no average yet.
+// movingAverage returns the average after a new value. If old is zero, there is no
+// average yet and the result is the value itself.
 func movingAverage(old, value, gain float64) float64 {
 	if old == 0 {
 		return value
@@ -124,6 +126,6 @@
 	return old + (value-old)*gain
 }
 
-func (e *Endpoint) failureShare() (float64, bool)        { return e.failures, true }
+func (e *Endpoint) typicalFailureRate() (float64, bool)  { return e.failureRate, true }
 func (e *Endpoint) typicalDelay() (float64, bool)        { return e.delay, e.delay > 0 }
 func (e *Endpoint) typicalResponseTime() (float64, bool) { return e.responseTime, e.responseTime > 0 }
--- a/decide/stall/stall_test.go
+++ b/decide/stall/stall_test.go
@@ -8,7 +8,7 @@
 
 const maxPause = 200 * time.Millisecond
 
-func steady(gap, jitter time.Duration, n int) *Detector {
+func steadyDetector(gap, jitter time.Duration, n int) *Detector {
 	d := &Detector{}
 	random := rand.New(rand.NewPCG(1, 1))
 	for range n {
@@ -17,19 +17,18 @@
 	return d
 }
 
-// Guards against late detection of a dead replica. The path of a stream with an event
-// every 40 ms is checked well before half of the longest pause that is on time has
-// passed.
+// Guards against late detection of a dead replica. A stream has an event about every 40
+// ms. Its path is checked well before the silence has lasted for half of maxPause.
 func TestSteadyStreamIsCheckedEarly(t *testing.T) {
-	d := steady(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
+	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
 	if d > 70*time.Millisecond {
 		t.Errorf("timeout %v, want at most 70 ms", d)
 	}
 }
 
 // Guards against checks caused by busy replicas. Replicas prefill long prompts between
-// the steps of all streams, so gaps vary from 20 to 120 ms. With a fixed timeout of 60 ms
-// each stream would be checked every second.
+// the events of all streams, so gaps vary from 20 to 120 ms. With a fixed timeout of 60
+// ms, the path of each stream would be checked every second.
 func TestVaryingGapsAreNotStalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	d := &Detector{}
@@ -47,8 +46,8 @@
 }
 
 // Guards against checks caused by prefills. One gap in ten is four times as long as
-// usual, because replicas prefill a prompt. Most of these gaps must not trigger a check;
-// with a timeout of four mean deviations over the mean, two in three did.
+// usual, because replicas prefill a prompt. At most half of these long gaps may trigger a
+// check. With a timeout of the mean gap plus four mean deviations, two in three did.
 func TestPrefillGapsAreNotStalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	d := &Detector{}
@@ -76,9 +75,9 @@
 		want     time.Duration
 	}{
 		{"no gaps", &Detector{}, 100 * time.Millisecond},
-		{"too few gaps", steady(10*time.Millisecond, 0, minGaps-1), 100 * time.Millisecond},
-		{"fast and steady", steady(5*time.Millisecond, 0, 100), minTimeout},
-		{"slow", steady(150*time.Millisecond, 0, 100), 100 * time.Millisecond},
+		{"too few gaps", steadyDetector(10*time.Millisecond, 0, minGaps-1), 100 * time.Millisecond},
+		{"fast and steady", steadyDetector(5*time.Millisecond, 0, 100), minTimeout},
+		{"slow", steadyDetector(150*time.Millisecond, 0, 100), 100 * time.Millisecond},
 	} {
 		if got := c.detector.Timeout(maxPause); got != c.want {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
@@ -86,8 +85,8 @@
 	}
 }
 
-// Guards against checks of streams whose events arrive in bursts. The zero gaps within a
-// burst must not make the usual gap look like a stall.
+// Guards against checks of streams whose events arrive in bursts. The gaps of zero within
+// a burst must not make the gap between bursts look like a stall.
 func TestBurstsOfEvents(t *testing.T) {
 	d := &Detector{}
 	for i := range 100 {
@@ -102,11 +101,11 @@
 	}
 }
 
-// Guards against repeated checks while replicas are slow for a second. Each check without
-// a finding raises the timeout. Once the stream is fast again, the timeout soon returns
-// to its previous value.
+// Guards against repeated checks while replicas are slow for a second. Each check that
+// finds no loss raises the timeout. When the stream is fast again, the timeout soon
+// returns to about its previous value.
 func TestFalseAlarmsRaiseTimeout(t *testing.T) {
-	d := steady(40*time.Millisecond, 4*time.Millisecond, 50)
+	d := steadyDetector(40*time.Millisecond, 4*time.Millisecond, 50)
 	before := d.Timeout(time.Second)
 	for range 3 {
 		d.FalseAlarm(d.Timeout(time.Second))
@@ -123,35 +122,35 @@
 }
 
 // Guards against too many checks during one silence. Replicas are slow, and a stream
-// pauses for half a second. Its path is checked only a few times before the pause is
-// late, and once more as soon as it is late, because only then the replicas are asked for
-// their speed.
+// pauses for half a second. Its path is checked only a few times while the pause is still
+// on time, and once more as soon as the pause is late. That last check is needed because
+// only checks of late streams ask the replicas for their speed.
 func TestChecksWithinOneSilence(t *testing.T) {
-	const late = 300 * time.Millisecond
+	const onTimeLimit = 300 * time.Millisecond
 	checks := 0
 	silent := minTimeout
-	for silent < late {
+	for silent < onTimeLimit {
 		checks++
-		silent += RecheckAfter(silent, late)
+		silent += RecheckAfter(silent, onTimeLimit)
 	}
 	if checks > 4 {
 		t.Errorf("%d checks before the pause is late", checks)
 	}
-	if silent > late+minTimeout/2 {
-		t.Errorf("the next check is %v after the pause is late", silent-late)
+	if silent > onTimeLimit+minTimeout/2 {
+		t.Errorf("the next check is %v after the pause is late", silent-onTimeLimit)
 	}
 }
 
-// Guards against useless connections to all replicas of a slow stream's path. Replicas
-// have become slow, and a stream has an event every 400 ms where 300 ms are on time. It
-// must not be checked in each gap, only in the first few. The timeout stays bounded, so
-// that a later loss is still detected.
+// Guards against useless connections to all replicas on the path of a slow stream.
+// Replicas have become slow, and a stream has an event every 400 ms although maxPause is
+// 300 ms. The path must be checked only in the first few gaps. The timeout stays bounded,
+// so that a later loss is still detected.
 func TestSlowStreamIsRarelyChecked(t *testing.T) {
-	const late, gap = 300 * time.Millisecond, 400 * time.Millisecond
-	d := steady(40*time.Millisecond, 8*time.Millisecond, 20)
+	const onTimeLimit, gap = 300 * time.Millisecond, 400 * time.Millisecond
+	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 20)
 	checks := 0
 	for range 20 {
-		if silent := d.Timeout(late); silent < gap {
+		if silent := d.Timeout(onTimeLimit); silent < gap {
 			checks++
 			d.FalseAlarm(gap - gap/10)
 		}
@@ -160,13 +159,13 @@
 	if checks > 3 {
 		t.Errorf("checked in %d of 20 gaps", checks)
 	}
-	if timeout := d.Timeout(late); timeout > slowStreamFactor*late {
+	if timeout := d.Timeout(onTimeLimit); timeout > slowStreamFactor*onTimeLimit {
 		t.Errorf("timeout %v of a slow stream is too long", timeout)
 	}
 	for range 40 {
 		d.ObserveGap(40 * time.Millisecond)
 	}
-	if timeout := d.Timeout(late); timeout > late/maxPauseDivisor {
+	if timeout := d.Timeout(onTimeLimit); timeout > onTimeLimit/maxPauseDivisor {
 		t.Errorf("timeout %v is too long for a stream that is fast again", timeout)
 	}
 }
