--- a/decide/admission/dispatch.go
+++ b/decide/admission/dispatch.go
@@ -9,11 +9,11 @@
 const (
 	// maxCreditJobs is the credit of a team as a number of long jobs.
 	maxCreditJobs = 4
-	// maxOrderLead is how far, in tokens at weight 1, a team may be ahead of another
+	// maxOrderVirtualTimeDiff is how far, in tokens at weight 1, a team may be ahead of another
 	// team and still have its order started before that team's batch job. Orders are
 	// small. Without this bound, a team could send all its work as orders and block the
 	// batch jobs of all other teams.
-	maxOrderLead = 8192
+	maxOrderVirtualTimeDiff = 8192
 )
 
 // dispatch starts requests while slots are free.
@@ -36,7 +36,7 @@
 // share. If only the headroom is free, teams that are not below their share are passed
 // over.
 func (q *Queue) nextItem() *item {
-	longAllowed := q.longRunning < q.longSlots
+	longAllowed := q.runningLongJobs < q.longJobSlots
 	orderFlow := q.nextFlow(laneOrder)
 	flow := q.lessServed(orderFlow, q.nextFlow(laneShort))
 	if longAllowed {
@@ -46,7 +46,7 @@
 		return nil
 	}
 	it := flow.Value.firstItem(longAllowed)
-	if it.Class == Batch && orderFlow != nil && q.flows.Ahead(orderFlow, flow) <= maxOrderLead {
+	if it.Class == Batch && orderFlow != nil && q.flows.VirtualTimeDiff(orderFlow, flow) <= maxOrderVirtualTimeDiff {
 		return orderFlow.Value.firstItem(longAllowed)
 	}
 	return it
@@ -64,7 +64,7 @@
 // now can't be used by any waiting request, or dispatch would have started that request.
 func (q *Queue) canStartNow(it *item) bool {
 	freeSlots := q.slots - q.meter.runningCount
-	lengthAllowed := it.jobLength == short || q.longRunning < q.longSlots
+	lengthAllowed := it.jobLength == short || q.runningLongJobs < q.longJobSlots
 	return lengthAllowed && (freeSlots > q.forecast.headroom || (freeSlots > 0 && q.belowShare(it.team)))
 }
 
@@ -73,7 +73,7 @@
 	if a == nil {
 		return b
 	}
-	if b == nil || q.flows.Ahead(a, b) < 0 {
+	if b == nil || q.flows.VirtualTimeDiff(a, b) < 0 {
 		return a
 	}
 	return b
@@ -85,7 +85,7 @@
 	it.team.runningCount++
 	q.meter.addRunning(now, it.Cost)
 	if it.jobLength == long {
-		q.longRunning++
+		q.runningLongJobs++
 	}
 	it.team.queues[it.Class].charge(it, q.cfg.credit())
 	q.flows.Charge(it.team.flow, it.Cost)
@@ -98,7 +98,7 @@
 	t.runningCount--
 	q.meter.removeRunning(it.startedAt, it.Cost)
 	if it.jobLength == long {
-		q.longRunning--
+		q.runningLongJobs--
 	}
 	q.flows.Correct(t.flow, cost-it.Cost)
 	q.recycle(it)
--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -131,7 +131,7 @@
 	// and refuses the waiting requests, after up to three seconds. Nodes that served requests
 	// before also underestimate the demand of each team, which they average over ten seconds.
 	Convey("Given idle nodes at the start of a rush", t, func() {
-		for name, prelude := range map[string]sim.Preload{
+		for name, preload := range map[string]sim.Preload{
 			"after the start": {},
 			"after low load":  {OfferedLoad: 0.3, Duration: 8 * time.Second, Pause: 8 * time.Second},
 			"after full load": {OfferedLoad: 1, Duration: 8 * time.Second, Pause: 8 * time.Second},
@@ -139,8 +139,8 @@
 			for _, load := range []float64{2, 4} {
 				Convey(fmt.Sprintf("%s, at %gx load nearly all refusals come at once from the first second on", name, load), func() {
 					result := simulate(t, name, load, func(f *sim.Fleet) {
-						f.SharedPrompt, f.DomainCount, f.Preload = true, 3, prelude
-						f.Warmup = prelude.Duration + prelude.Pause
+						f.SharedPrompt, f.DomainCount, f.Preload = true, 3, preload
+						f.Warmup = preload.Duration + preload.Pause
 						f.Duration = f.Warmup + 12*time.Second
 					})
 					lateRefusals := len(result.refusalDelays) - countBelow(result.refusalDelays, immediateRefusal)
--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -6,23 +6,23 @@
 )
 
 const (
-	// maxShortFraction is the largest fraction of the slots that is kept free of long jobs.
-	maxShortFraction = 0.5
-	// maxHeadroomFraction is the largest fraction of the slots that lowDemandHeadroom keeps
+	// maxShortReserveFraction is the largest fraction of the slots that is kept free of long jobs.
+	maxShortReserveFraction = 0.5
+	// maxLowDemandHeadroomFraction is the largest fraction of the slots that lowDemandHeadroom keeps
 	// for teams below their share. It bounds the throughput that this headroom may cost.
-	maxHeadroomFraction = 1.0 / 20
-	// headroomFactor times the square root of the slots that those teams fill is the number
+	maxLowDemandHeadroomFraction = 1.0 / 20
+	// headroomPerSqrtSlots times the square root of the slots that those teams fill is the number
 	// of slots kept for them. TestHotCaller requires that the time to first token (95th
 	// percentile) of a team beside a hot team is at most 1.2 times its time without the hot
 	// team. In the heaviest case the ratio is 1.01 with this factor. With factor 1 and 1/24
 	// of the slots, two of ten seeds exceeded 1.2, with a ratio of up to 1.49. With factor
 	// 1.15 and 1/22 of the slots the ratio was 1.33. The higher factor costs 1% more of the
 	// throughput.
-	headroomFactor = 1.3
-	// hotFactor is the ratio of a team's demand to its share by weight above which the team
+	headroomPerSqrtSlots = 1.3
+	// hotDemandRatio is the ratio of a team's demand to its share by weight above which the team
 	// is hot. With a lower factor, random load changes make a team look hot, and headroom
 	// stays idle without need.
-	hotFactor = 1.5
+	hotDemandRatio = 1.5
 	// rushHeadroomFraction is the fraction of the slots that is kept for teams below their
 	// share at the start of a rush. The slots that these teams already use count as part of
 	// it. A team that offers ten times the capacity takes all slots within 1.5 s. If its
@@ -72,53 +72,53 @@
 
 // allocate divides the capacity between the teams; demand returns the demand of a team.
 func allocate(capacity float64, teams []*team, demand func(*team) float64) allocation {
-	weight := 0.0
+	totalWeight := 0.0
 	for _, t := range teams {
 		if demand(t) > 0 {
-			weight += t.flow.Weight()
+			totalWeight += t.flow.Weight()
 		}
 	}
-	if weight == 0 {
+	if totalWeight == 0 {
 		return allocation{spareRate: capacity, minRatePerWeight: capacity}
 	}
-	a := allocation{minRatePerWeight: capacity / weight, ratePerWeight: capacity / weight}
+	a := allocation{minRatePerWeight: capacity / totalWeight, ratePerWeight: capacity / totalWeight}
 	for {
-		remaining, unsatisfied := capacity, 0.0
+		remainingCapacity, unsatisfiedWeight := capacity, 0.0
 		for _, t := range teams {
 			teamDemand := demand(t)
 			if teamDemand > t.flow.Weight()*a.ratePerWeight {
-				unsatisfied += t.flow.Weight()
+				unsatisfiedWeight += t.flow.Weight()
 			} else {
-				remaining -= teamDemand
+				remainingCapacity -= teamDemand
 			}
 		}
-		if unsatisfied == 0 {
-			a.spareRate = max(remaining, 0)
+		if unsatisfiedWeight == 0 {
+			a.spareRate = max(remainingCapacity, 0)
 			return a
 		}
-		raised := remaining / unsatisfied
-		if raised <= a.ratePerWeight*(1+1e-9) {
+		higherRatePerWeight := remainingCapacity / unsatisfiedWeight
+		if higherRatePerWeight <= a.ratePerWeight*(1+1e-9) {
 			return a
 		}
-		a.ratePerWeight = raised
+		a.ratePerWeight = higherRatePerWeight
 	}
 }
 
-// recomputeIfStale recomputes the forecast if it is at least TickInterval old.
-func (q *Queue) recomputeIfStale(now time.Time) {
+// recomputeForecastIfStale recomputes the forecast if it is at least TickInterval old.
+func (q *Queue) recomputeForecastIfStale(now time.Time) {
 	if age := now.Sub(q.forecast.computedAt); age < TickInterval && !q.forecast.computedAt.IsZero() {
 		return
 	}
-	q.recompute(now)
+	q.recomputeForecast(now)
 }
 
-func (q *Queue) recompute(now time.Time) {
+func (q *Queue) recomputeForecast(now time.Time) {
 	slotRate := q.meter.slotRate(now)
 	f := &q.forecast
 	f.computedAt = now
-	f.drainRate = slotRate * q.slotShare.meanAt(now)
+	f.drainRate = slotRate * q.nodeSlots.meanAt(now)
 	f.stalled = q.meter.stalled(now)
-	q.longSlots = q.slots
+	q.longJobSlots = q.slots
 	q.measureDemand(now)
 	f.activeWeight = q.activeWeight()
 	f.headroom = q.rushHeadroom(now)
@@ -129,9 +129,9 @@
 	for _, t := range q.teamList {
 		t.rate = f.allJobs.rate(t.demand[short]+t.demand[long], t.flow.Weight())
 	}
-	q.longSlots = q.slots - q.shortReserve(slotRate)
+	q.longJobSlots = q.slots - q.shortReserve(slotRate)
 	f.headroom = max(f.headroom, q.lowDemandHeadroom(slotRate))
-	f.longJobs = allocate(slotRate*float64(q.longSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
+	f.longJobs = allocate(slotRate*float64(q.longJobSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
 	for _, t := range q.teamList {
 		t.longRate = f.longJobs.rate(t.demand[long], t.flow.Weight())
 	}
@@ -180,7 +180,7 @@
 		neededSlots += min(t.demand[short], t.rate) / slotRate
 	}
 	reserve := math.Ceil(neededSlots + math.Sqrt(neededSlots))
-	return int(min(reserve, math.Floor(float64(q.slots)*maxShortFraction)))
+	return int(min(reserve, math.Floor(float64(q.slots)*maxShortReserveFraction)))
 }
 
 // activeWeight returns the sum of the weights of the teams with demand.
@@ -241,13 +241,13 @@
 		if demand <= t.rate {
 			neededSlots += demand / slotRate
 		}
-		anyHot = anyHot || demand > hotFactor*q.forecast.allJobs.minRatePerWeight*t.flow.Weight()
+		anyHot = anyHot || demand > hotDemandRatio*q.forecast.allJobs.minRatePerWeight*t.flow.Weight()
 	}
 	if !anyHot {
 		return 0
 	}
-	reserve := math.Ceil(headroomFactor * math.Sqrt(neededSlots))
-	return int(min(reserve, math.Floor(float64(q.slots)*maxHeadroomFraction)))
+	reserve := math.Ceil(headroomPerSqrtSlots * math.Sqrt(neededSlots))
+	return int(min(reserve, math.Floor(float64(q.slots)*maxLowDemandHeadroomFraction)))
 }
 
 // belowShare reports whether the team uses fewer slots than its share by weight.
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -20,8 +20,8 @@
 	capacity = slots * slotRate // tokens per second
 	// startTimeout is the time from a call to its latest useful start.
 	startTimeout = 5 * time.Second
-	// prefill is the engine's time to the first token after the start of a request.
-	prefill = 400 * time.Millisecond
+	// prefillTime is the engine's time to the first token after the start of a request.
+	prefillTime = 400 * time.Millisecond
 )
 
 var seed = flag.Uint64("seed", 1, "seed of the simulated arrivals")
@@ -89,10 +89,10 @@
 			meanError += (c.Verdict.Predicted - c.Verdict.Waited).Abs()
 		}
 	}
-	return meanError / time.Duration(max(count(r, waited), 1))
+	return meanError / time.Duration(max(countCalls(r, waited), 1))
 }
 
-func count(r *sim.Result, matches func(*sim.Call) bool) (n int) {
+func countCalls(r *sim.Result, matches func(*sim.Call) bool) (n int) {
 	for _, c := range r.Calls {
 		if matches(c) {
 			n++
@@ -113,14 +113,14 @@
 		for _, multiple := range []float64{1, 1.2, 2, 4} {
 			for name, s := range map[string]sim.Scenario{"five equal teams": rushScenario(multiple), "one large team": skewedScenario(multiple)} {
 				queue, fifo := sim.Run(s, newQueue()), sim.Run(s, newFIFO())
-				dropping := sim.Run(s, &sim.FIFO{Slots: slots, DropExpired: true})
+				droppingFIFO := sim.Run(s, &sim.FIFO{Slots: slots, DropExpired: true})
 				refused, refusalDelay := refusals(queue)
-				_, droppingDelay := refusals(dropping)
+				_, droppingDelay := refusals(droppingFIFO)
 				queueGoodput, fifoGoodput := queue.Goodput(slotRate, from, to)/capacity, fifo.Goodput(slotRate, from, to)/capacity
 				t.Logf("%gx load, %s: goodput/capacity queue %.3f, FIFO %.3f, FIFO dropping expired requests %.3f; refused %d of %d after %v (FIFO dropping expired requests: after %v); mean prediction error %v",
-					multiple, name, queueGoodput, fifoGoodput, dropping.Goodput(slotRate, from, to)/capacity, refused, len(queue.Calls), refusalDelay, droppingDelay, predictionError(queue))
+					multiple, name, queueGoodput, fifoGoodput, droppingFIFO.Goodput(slotRate, from, to)/capacity, refused, len(queue.Calls), refusalDelay, droppingDelay, predictionError(queue))
 				So(queueGoodput, ShouldBeGreaterThanOrEqualTo, 0.95)
-				So(count(queue, func(c *sim.Call) bool { return c.StartedAt > c.Deadline }), ShouldEqual, 0)
+				So(countCalls(queue, func(c *sim.Call) bool { return c.StartedAt > c.Deadline }), ShouldEqual, 0)
 				if multiple > 1 {
 					So(fifoGoodput, ShouldBeLessThan, 0.5)
 					So(refusalDelay, ShouldBeLessThan, 500*time.Millisecond)
@@ -157,23 +157,23 @@
 		for _, c := range []hotCase{
 			{0.05, 1, 300}, {0.05, 10, 300}, {0.2, 3, 300}, {0.05, 1, 1500}, {0.2, 3, 1500}, {0.2, 10, 1500},
 		} {
-			worstRatio, minGoodput := 0.0, 1.0
-			for i := range uint64(hotRuns) {
-				ratio, goodput := c.simulate(*seed+i, func() sim.Policy { return newQueue() })
-				worstRatio, minGoodput = max(worstRatio, ratio), min(minGoodput, goodput)
+			worstSlowdown, minGoodput := 0.0, 1.0
+			for i := range uint64(hotCaseRuns) {
+				slowdown, goodput := c.simulate(*seed+i, func() sim.Policy { return newQueue() })
+				worstSlowdown, minGoodput = max(worstSlowdown, slowdown), min(minGoodput, goodput)
 			}
-			fifoRatio, _ := c.simulate(*seed, newFIFO)
+			fifoSlowdown, _ := c.simulate(*seed, newFIFO)
 			t.Logf("team with load %g beside hot team with load %g (%g tokens per response): time to first token up to %.2fx, FIFO %.1fx; minimum goodput/capacity %.3f",
-				c.lowLoad, c.hotLoad, c.hotCost, worstRatio, fifoRatio, minGoodput)
-			So(worstRatio, ShouldBeLessThanOrEqualTo, 1.2)
-			So(fifoRatio, ShouldBeGreaterThan, 5)
+				c.lowLoad, c.hotLoad, c.hotCost, worstSlowdown, fifoSlowdown, minGoodput)
+			So(worstSlowdown, ShouldBeLessThanOrEqualTo, 1.2)
+			So(fifoSlowdown, ShouldBeGreaterThan, 5)
 			So(minGoodput, ShouldBeGreaterThanOrEqualTo, 0.95)
 		}
 	})
 }
 
-// hotRuns is the number of runs; each run uses the next seed.
-const hotRuns = 10
+// hotCaseRuns is the number of runs; each run uses the next seed.
+const hotCaseRuns = 10
 
 // hotCase is a team with low load beside a hot team. The loads are multiples of the
 // capacity; hotCost is the cost of the hot team's requests in tokens.
@@ -181,20 +181,20 @@
 
 // simulate returns the time to first token (p95) of the low-load team, divided by its time
 // without the hot team, and the goodput as a fraction of the capacity.
-func (c hotCase) simulate(seed uint64, policy func() sim.Policy) (ratio, goodput float64) {
+func (c hotCase) simulate(seed uint64, policy func() sim.Policy) (slowdown, goodput float64) {
 	from, to := fromSeconds(20), fromSeconds(110)
 	run := func(p sim.Policy, l ...sim.Load) *sim.Result {
 		s := newScenario(l...)
 		s.Seed = seed
 		return sim.Run(s, p)
 	}
-	firstToken := func(r *sim.Result) float64 { return (prefill + sim.P95(r.StartDelays(0, from, to))).Seconds() }
+	p95FirstTokenSeconds := func(r *sim.Result) float64 { return (prefillTime + sim.P95(r.StartDelays(0, from, to))).Seconds() }
 	low, hot := newLoad("good", c.lowLoad, 300), newLoad("hot", c.hotLoad, c.hotCost)
 	alone, withHotTeam := run(newQueue(), low), run(policy(), low, hot)
 	if _, isQueue := policy().(*admission.Queue); isQueue {
 		So(withHotTeam.StartedShare(0, from, to), ShouldEqual, 1)
 	}
-	return firstToken(withHotTeam) / firstToken(alone), withHotTeam.Goodput(slotRate, from, to) / capacity
+	return p95FirstTokenSeconds(withHotTeam) / p95FirstTokenSeconds(alone), withHotTeam.Goodput(slotRate, from, to) / capacity
 }
 
 func TestHotCallerAtStart(t *testing.T) {
@@ -206,7 +206,7 @@
 		for _, c := range []hotCase{{0.05, 10, 1500}, {0.2, 10, 1500}} {
 			for _, assumedRate := range []float64{0, slotRate} {
 				delaySum, minShare, minGoodput := time.Duration(0), 1.0, 1.0
-				for i := range uint64(hotRuns) {
+				for i := range uint64(hotCaseRuns) {
 					s := newScenario(newLoad("good", c.lowLoad, 300), newLoad("hot", c.hotLoad, c.hotCost))
 					s.Seed, s.Duration = *seed+i, fromSeconds(30)
 					r := sim.Run(s, admission.New(admission.Config{Slots: slots, SlotRate: assumedRate}))
@@ -215,8 +215,8 @@
 					minGoodput = min(minGoodput, r.Goodput(slotRate, fromSeconds(2), fromSeconds(12))/capacity)
 				}
 				t.Logf("team with load %g beside hot team with load %g, assumed rate %g: mean of p95 waits %v, minimum share of served requests %.3f; minimum goodput/capacity %.3f",
-					c.lowLoad, c.hotLoad, assumedRate, delaySum/hotRuns, minShare, minGoodput)
-				So(delaySum/hotRuns, ShouldBeLessThan, time.Second)
+					c.lowLoad, c.hotLoad, assumedRate, delaySum/hotCaseRuns, minShare, minGoodput)
+				So(delaySum/hotCaseRuns, ShouldBeLessThan, time.Second)
 				So(minShare, ShouldEqual, 1)
 				So(minGoodput, ShouldBeGreaterThan, 0.85)
 			}
@@ -284,7 +284,7 @@
 		So(queueGoodput, ShouldBeGreaterThanOrEqualTo, 0.95)
 		So(fifoGoodput, ShouldBeLessThan, 0.5)
 		So(refusalDelay, ShouldBeLessThan, 500*time.Millisecond)
-		So(count(queue, expiredInQueue), ShouldEqual, 0)
+		So(countCalls(queue, expiredInQueue), ShouldEqual, 0)
 	})
 }
 
@@ -298,9 +298,9 @@
 		queue, fifo := sim.Run(s, newQueue()), sim.Run(s, newFIFO())
 		refused, refusalDelay := refusals(queue)
 		fifoRefused, _ := refusals(fifo)
-		refusedLate := count(queue, func(c *sim.Call) bool { return c.OfferedAt > fromSeconds(50) && c.RefusedAt > c.OfferedAt })
+		refusedLate := countCalls(queue, func(c *sim.Call) bool { return c.OfferedAt > fromSeconds(50) && c.RefusedAt > c.OfferedAt })
 		t.Logf("refused %d after %v, FIFO %d; offered more than 10 s after the stall and not refused at once: %d", refused, refusalDelay, fifoRefused, refusedLate)
-		So(count(queue, expiredInQueue), ShouldEqual, 0)
+		So(countCalls(queue, expiredInQueue), ShouldEqual, 0)
 		So(refusedLate, ShouldEqual, 0)
 		So(fifoRefused, ShouldEqual, 0)
 	})
@@ -316,21 +316,21 @@
 		s := newScenario(newLoad("a", 0.5, 300), hot)
 		servedOnRetry := func(p sim.Policy) float64 {
 			r := sim.Run(s, p)
-			retries := count(r, func(c *sim.Call) bool { return c.IsRetry })
-			servedRetries := count(r, func(c *sim.Call) bool { return c.IsRetry && c.StartedByDeadline() })
+			retries := countCalls(r, func(c *sim.Call) bool { return c.IsRetry })
+			servedRetries := countCalls(r, func(c *sim.Call) bool { return c.IsRetry && c.StartedByDeadline() })
 			return float64(servedRetries) / float64(retries)
 		}
-		computedShare, fixedShare := servedOnRetry(newQueue()), servedOnRetry(fixedRetryAfter{newQueue()})
-		t.Logf("share of retries served: with the queue's RetryAfter %.3f, with 1 s %.3f", computedShare, fixedShare)
+		computedShare, cappedShare := servedOnRetry(newQueue()), servedOnRetry(cappedRetryAfter{newQueue()})
+		t.Logf("share of retries served: with the queue's RetryAfter %.3f, with 1 s %.3f", computedShare, cappedShare)
 		So(computedShare, ShouldBeGreaterThan, 0.8)
-		So(fixedShare, ShouldBeLessThan, computedShare/2)
+		So(cappedShare, ShouldBeLessThan, computedShare/2)
 	})
 }
 
-// fixedRetryAfter limits RetryAfter to one second.
-type fixedRetryAfter struct{ *admission.Queue }
+// cappedRetryAfter limits RetryAfter to one second.
+type cappedRetryAfter struct{ *admission.Queue }
 
-func (p fixedRetryAfter) Offer(now time.Time, r admission.Request) []admission.Verdict {
+func (p cappedRetryAfter) Offer(now time.Time, r admission.Request) []admission.Verdict {
 	out := p.Queue.Offer(now, r)
 	for i := range out {
 		out[i].RetryAfter = min(out[i].RetryAfter, time.Second)
@@ -341,10 +341,10 @@
 func BenchmarkOfferFinish(b *testing.B) {
 	for _, teams := range []int{10, 240} {
 		for _, waiting := range []int{10, 100, 1000, 10000} {
-			b.Run(fmt.Sprintf("teams=%d/waiting=%d", teams, waiting), func(b *testing.B) { benchmark(b, teams, waiting, 1) })
+			b.Run(fmt.Sprintf("teams=%d/waiting=%d", teams, waiting), func(b *testing.B) { benchmarkOfferFinish(b, teams, waiting, 1) })
 		}
 	}
-	b.Run("teams=240/waiting=1000/half from one team", func(b *testing.B) { benchmark(b, 240, 1000, 2) })
+	b.Run("teams=240/waiting=1000/half from one team", func(b *testing.B) { benchmarkOfferFinish(b, 240, 1000, 2) })
 }
 
 // BenchmarkReview measures a review of all waiting requests, which runs under the service's
@@ -365,9 +365,9 @@
 	}
 }
 
-// benchmark offers every spread-th request from the teams by round robin, and all other
+// benchmarkOfferFinish offers every spread-th request from the teams by round robin, and all other
 // requests from the first team.
-func benchmark(b *testing.B, teams, waiting int, spread uint64) {
+func benchmarkOfferFinish(b *testing.B, teams, waiting int, spread uint64) {
 	q := newQueue()
 	names := make([]string, teams)
 	for i := range names {
--- a/decide/admission/share.go
+++ b/decide/admission/nodeslots.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// shareWindow is the time constant of the mean number of slots that a node may use. With a
+// meanSlotsWindow is the time constant of the mean number of slots that a node may use. With a
 // shorter window, the mean follows each swing between nodes that share replicas. With a
 // longer window, waits are predicted from slots that other nodes have taken meanwhile.
-const shareWindow = 2 * time.Second
+const meanSlotsWindow = 2 * time.Second
 
-// slotShare tracks how many of the replicas' slots the node may use. Nodes that share
+// nodeSlots tracks how many of the replicas' slots the node may use. Nodes that share
 // replicas take the free slots from each other. The number of slots of a node therefore
 // swings by a half within tenths of a second, although the replicas do not change.
 //
@@ -18,7 +18,7 @@
 // slots that are taken a moment later. One refused request in a hundred then waited for
 // more than two seconds. Waits are therefore predicted from the mean number of slots, and
 // only a loss of replicas counts at once.
-type slotShare struct {
+type nodeSlots struct {
 	slots      int // that the node may use now
 	totalSlots int // of all usable replicas
 	meanSlots  float64
@@ -28,13 +28,13 @@
 
 // setFixed sets the number of slots of a node that shares no replicas. The mean takes the
 // same value.
-func (s *slotShare) setFixed(now time.Time, slots int) {
-	*s = slotShare{slots: slots, totalSlots: slots, meanSlots: float64(slots), updatedAt: now}
+func (s *nodeSlots) setFixed(now time.Time, slots int) {
+	*s = nodeSlots{slots: slots, totalSlots: slots, meanSlots: float64(slots), updatedAt: now}
 }
 
 // update sets the current number of slots of the node and of all usable replicas. It reports
 // whether replicas were lost.
-func (s *slotShare) update(now time.Time, slots, total int) (replicasLost bool) {
+func (s *nodeSlots) update(now time.Time, slots, total int) (replicasLost bool) {
 	replicasLost = total < s.totalSlots || slots == 0
 	switch {
 	case s.slots == 0 || slots == 0:
@@ -54,7 +54,7 @@
 // Before a rush each node sees nearly all slots as free. If these slots stayed in the mean,
 // the mean would be too high for seconds. Requests were admitted for up to three times the
 // node's actual slots and refused after three seconds.
-func (s *slotShare) restartMean(now time.Time) bool {
+func (s *nodeSlots) restartMean(now time.Time) bool {
 	mean := s.meanAt(now)
 	if float64(s.slots) >= mean {
 		return false
@@ -64,22 +64,22 @@
 }
 
 // meanAt returns the mean number of slots over shareWindow.
-func (s *slotShare) meanAt(now time.Time) float64 {
+func (s *nodeSlots) meanAt(now time.Time) float64 {
 	if float64(s.slots) == s.meanSlots {
 		return s.meanSlots
 	}
-	weight := s.meanWeight(now)
+	weight := s.meanSlotsWeight(now)
 	return s.meanSlots*weight + float64(s.slots)*(1-weight)
 }
 
-// meanWeight returns the weight of meanSlots in the mean at the given time; the current
+// meanSlotsWeight returns the weight of meanSlots in the mean at the given time; the current
 // slots have the remaining weight. The averaging period grows from zero to shareWindow, so
 // that all times since a restart count equally.
-func (s *slotShare) meanWeight(now time.Time) float64 {
+func (s *nodeSlots) meanSlotsWeight(now time.Time) float64 {
 	age := max(now.Sub(s.updatedAt), 0)
 	coveredTime := max(s.updatedAt.Sub(s.meanSince), 0)
-	growthTime := min(age, max(shareWindow-coveredTime, 0))
-	weight := math.Exp(-(age - growthTime).Seconds() / shareWindow.Seconds())
+	growthTime := min(age, max(meanSlotsWindow-coveredTime, 0))
+	weight := math.Exp(-(age - growthTime).Seconds() / meanSlotsWindow.Seconds())
 	if growthTime > 0 {
 		weight *= coveredTime.Seconds() / (coveredTime + growthTime).Seconds()
 	}
--- a/decide/admission/predict.go
+++ b/decide/admission/predict.go
@@ -40,8 +40,8 @@
 	}
 	wait := (q.flows.Debt(t.flow) + p.higherClassAhead + p.sameLengthAhead + p.otherLengthAhead) / t.rate
 	if p.jobLength == long {
-		ownRate := max(t.rate/2, t.rate-t.demand[short])
-		wait = max(wait, p.sameLengthAhead/ownRate, p.longAhead/t.longRate)
+		longJobRate := max(t.rate/2, t.rate-t.demand[short])
+		wait = max(wait, p.sameLengthAhead/longJobRate, p.longAhead/t.longRate)
 	}
 	return toDuration(wait + q.meanCost()/f.drainRate)
 }
--- a/decide/admission/queue.go
+++ b/decide/admission/queue.go
@@ -31,12 +31,12 @@
 	demandStep stepDetector
 	forecast   forecast
 
-	slotShare
-	longRunning  int
-	longSlots    int
-	waitingCount int
-	waitingWork  float64   // expected tokens
-	nextReview   time.Time // set while requests wait
+	nodeSlots
+	runningLongJobs int
+	longJobSlots    int
+	waitingCount    int
+	waitingWork     float64   // expected tokens
+	nextReview      time.Time // set while requests wait
 
 	verdicts []Verdict
 }
@@ -51,8 +51,8 @@
 		items: make(map[uint64]*item),
 		meter: rateMeter{assumedRate: max(cfg.SlotRate, 0)},
 	}
-	q.slotShare.setFixed(time.Time{}, cfg.Slots)
-	q.longSlots = cfg.Slots
+	q.nodeSlots.setFixed(time.Time{}, cfg.Slots)
+	q.longJobSlots = cfg.Slots
 	return q
 }
 
@@ -93,7 +93,7 @@
 	if _, known := q.items[r.ID]; known {
 		return []Verdict{{ID: r.ID, Team: r.Team, Class: r.Class, Kind: Refuse, Reason: DuplicateID, QueueLength: q.waitingCount}}
 	}
-	q.recomputeIfStale(now)
+	q.recomputeForecastIfStale(now)
 	it := q.newItem(now, r)
 	it.team.offeredWork[it.jobLength].add(now, it.Cost)
 	q.demandStep.add(now, it.Cost)
@@ -165,7 +165,7 @@
 // Running requests are never stopped: while more requests run than there are slots, no
 // other request starts.
 func (q *Queue) SetCapacity(now time.Time, slots int) []Verdict {
-	q.slotShare.setFixed(now, max(slots, 0))
+	q.nodeSlots.setFixed(now, max(slots, 0))
 	q.review(now)
 	return q.takeVerdicts()
 }
@@ -176,7 +176,7 @@
 // mean. The waiting requests are reviewed only if the total has decreased or the node
 // has no slots.
 func (q *Queue) SetShare(now time.Time, slots, total int) []Verdict {
-	if q.slotShare.update(now, max(slots, 0), max(slots, total, 0)) {
+	if q.nodeSlots.update(now, max(slots, 0), max(slots, total, 0)) {
 		q.review(now)
 	} else {
 		q.dispatch(now)
@@ -200,7 +200,7 @@
 // review recomputes the forecast, refuses the requests that will be late and starts
 // requests in free slots.
 func (q *Queue) review(now time.Time) {
-	q.recompute(now)
+	q.recomputeForecast(now)
 	earliest := q.sweep(now)
 	q.dispatch(now)
 	q.nextReview = now.Add(TickInterval)
@@ -212,17 +212,17 @@
 // Stats returns the current state of the queue.
 func (q *Queue) Stats(now time.Time) Stats {
 	return Stats{
-		Slots:       q.slots,
-		Running:     q.meter.runningCount,
-		Waiting:     q.waitingCount,
-		LongRunning: q.longRunning,
-		LongSlots:   q.longSlots,
-		DrainRate:   q.drainRate(now),
+		Slots:           q.slots,
+		Running:         q.meter.runningCount,
+		Waiting:         q.waitingCount,
+		RunningLongJobs: q.runningLongJobs,
+		LongJobSlots:    q.longJobSlots,
+		DrainRate:       q.drainRate(now),
 	}
 }
 
 func (q *Queue) drainRate(now time.Time) float64 {
-	return q.meter.slotRate(now) * q.slotShare.meanAt(now)
+	return q.meter.slotRate(now) * q.nodeSlots.meanAt(now)
 }
 
 func (q *Queue) getOrAddTeam(name string) *team {
--- a/decide/admission/queue_test.go
+++ b/decide/admission/queue_test.go
@@ -147,7 +147,7 @@
 			q.Offer(timeAt(0.2), offer(10+id, "a", admission.Interactive, 10000))
 		}
 		s := q.Stats(timeAt(0.2))
-		So([]int{s.LongSlots, s.LongRunning, s.Running, s.Waiting}, ShouldResemble, []int{5, 5, 5, 1})
+		So([]int{s.LongJobSlots, s.RunningLongJobs, s.Running, s.Waiting}, ShouldResemble, []int{5, 5, 5, 1})
 		r := offer(20, "a", admission.Interactive, 500)
 		r.Deadline = timeAt(1)
 		So(q.Offer(timeAt(0.2), r)[0].Kind, ShouldEqual, admission.Run)
@@ -256,7 +256,7 @@
 		applyVerdicts(q.Cancel(now, requestID))
 		delete(state, requestID)
 	}
-	if s := q.Stats(now); s.Running+s.Waiting+s.LongRunning+len(state) != 0 {
+	if s := q.Stats(now); s.Running+s.Waiting+s.RunningLongJobs+len(state) != 0 {
 		t.Fatalf("the queue is not empty after all requests were canceled: %+v, %v", s, state)
 	}
 }
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -20,12 +20,12 @@
 	firstAddAt time.Time // time of the first add since the sum was negligible
 }
 
-// negligible is the value to which one token decays in slightly more than 20 windows.
-const negligible = 1e-9
+// negligibleSum is the value to which one token decays in slightly more than 20 windows.
+const negligibleSum = 1e-9
 
 func (d *decayingSum) add(now time.Time, x float64) {
 	d.sum = d.valueAt(now)
-	if d.sum < negligible {
+	if d.sum < negligibleSum {
 		d.firstAddAt = now
 	}
 	d.sum += x
@@ -66,39 +66,39 @@
 	finishedSlotSeconds float64   // slot time of finished requests, decayed
 	measuredAt          time.Time // when a request last finished
 
-	runningCount   int     // number of running requests
-	runningTokens  float64 // expected tokens of the running requests
-	startSumMicros int64   // sum of the start times of the running requests, after startBase
-	startBase      time.Time
+	runningCount         int     // number of running requests
+	runningTokens        float64 // expected tokens of the running requests
+	startOffsetSumMicros int64   // sum of the start times of the running requests, after startBase
+	startOffsetBase      time.Time
 }
 
 const (
-	// slowFactor limits the total time that the running requests have taken so far, as a
+	// maxElapsedRatio limits the total time that the running requests have taken so far, as a
 	// multiple of their total expected duration. Above the limit the service is slow. In
 	// normal operation the ratio is 0.5 on average, or 1 if the costs vary like an
 	// exponential distribution.
-	slowFactor = 1.5
-	// slowMargin, divided by the square root of the number of running requests, is added to
+	maxElapsedRatio = 1.5
+	// elapsedRatioMargin, divided by the square root of the number of running requests, is added to
 	// slowFactor to allow for random variation.
-	slowMargin = 4
-	// stalledFactor is the multiple of this limit above which the service is stalled.
-	stalledFactor = 2
+	elapsedRatioMargin = 4
+	// stalledElapsedOverMax is the multiple of this limit above which the service is stalled.
+	stalledElapsedOverMax = 2
 )
 
 func (m *rateMeter) addRunning(now time.Time, cost float64) {
-	if m.startBase.IsZero() {
-		m.startBase = now
+	if m.startOffsetBase.IsZero() {
+		m.startOffsetBase = now
 	}
 	m.runningCount++
 	m.runningTokens += cost
-	m.startSumMicros += now.Sub(m.startBase).Microseconds()
+	m.startOffsetSumMicros += now.Sub(m.startOffsetBase).Microseconds()
 }
 
 // removeRunning removes a running request. It does not change the measured rate.
 func (m *rateMeter) removeRunning(startedAt time.Time, cost float64) {
 	m.runningCount--
 	m.runningTokens -= cost
-	m.startSumMicros -= startedAt.Sub(m.startBase).Microseconds()
+	m.startOffsetSumMicros -= startedAt.Sub(m.startOffsetBase).Microseconds()
 	if m.runningCount == 0 {
 		m.runningTokens = 0
 	}
@@ -132,22 +132,22 @@
 	if rate == 0 {
 		rate = m.assumedRate
 	}
-	return rate / max(m.overrun(now, rate), 1)
+	return rate / max(m.elapsedOverMax(now, rate), 1)
 }
 
 // stalled reports whether the service has practically stopped finishing requests. It uses
 // the measured rate only, because an assumed rate may be wrong.
 func (m *rateMeter) stalled(now time.Time) bool {
-	return m.overrun(now, m.measuredRate()) > stalledFactor
+	return m.elapsedOverMax(now, m.measuredRate()) > stalledElapsedOverMax
 }
 
-// overrun returns the total time that the running requests have taken so far, divided by
+// elapsedOverMax returns the total time that the running requests have taken so far, divided by
 // the largest total time that is normal at the given rate.
-func (m *rateMeter) overrun(now time.Time, rate float64) float64 {
+func (m *rateMeter) elapsedOverMax(now time.Time, rate float64) float64 {
 	if m.runningCount == 0 || rate == 0 {
 		return 0
 	}
-	elapsedMicros := int64(m.runningCount)*now.Sub(m.startBase).Microseconds() - m.startSumMicros
-	factor := slowFactor + slowMargin/math.Sqrt(float64(m.runningCount))
-	return float64(elapsedMicros) / 1e6 / (factor * m.runningTokens / rate)
+	elapsedMicros := int64(m.runningCount)*now.Sub(m.startOffsetBase).Microseconds() - m.startOffsetSumMicros
+	maxRatio := maxElapsedRatio + elapsedRatioMargin/math.Sqrt(float64(m.runningCount))
+	return float64(elapsedMicros) / 1e6 / (maxRatio * m.runningTokens / rate)
 }
--- a/decide/admission/refuse.go
+++ b/decide/admission/refuse.go
@@ -3,20 +3,20 @@
 import "time"
 
 const (
-	// admitFraction is the largest fraction of the time before the deadline that the
+	// maxWaitRatioAtOffer is the largest fraction of the time before the deadline that the
 	// predicted wait of an admitted request may take. The rest absorbs prediction errors,
 	// because an admitted request that misses its deadline has waited for nothing.
-	admitFraction = 0.8
-	// shedFraction is the fraction of the time before the deadline above which the predicted
+	maxWaitRatioAtOffer = 0.8
+	// maxWaitRatioInQueue is the fraction of the time before the deadline above which the predicted
 	// wait leads to the refusal of a waiting request. It is larger than admitFraction, so
 	// that random variation alone does not cause a refusal after the admission.
-	shedFraction = 1.25
-	// retryRateFraction is the fraction of a team's rate that RetryAfter assigns to refused
+	maxWaitRatioInQueue = 1.25
+	// retryFractionOfRate is the fraction of a team's rate that RetryAfter assigns to refused
 	// requests. The rest of the rate is for new requests.
-	retryRateFraction = 0.5
-	// retryJitter is the largest fraction by which RetryAfter is shortened. It spreads the
+	retryFractionOfRate = 0.5
+	// maxRetryJitterFraction is the largest fraction by which RetryAfter is shortened. It spreads the
 	// retries of requests that were refused at the same time.
-	retryJitter = 0.1
+	maxRetryJitterFraction = 0.1
 )
 
 // admit reports whether a new request may start or wait. Otherwise it refuses the request.
@@ -32,8 +32,8 @@
 	if q.canStartNow(it) {
 		return true
 	}
-	if q.waitingCount == 0 && q.slotShare.restartMean(now) {
-		q.recompute(now)
+	if q.waitingCount == 0 && q.nodeSlots.restartMean(now) {
+		q.recomputeForecast(now)
 	}
 	if q.forecast.stalled {
 		q.refuse(now, it, Stalled, unboundedWait, stalledRetryAfter)
@@ -41,7 +41,7 @@
 	}
 	wait := q.predictWait(it.team, q.tailPosition(it))
 	it.predictedWait = wait
-	late := wait - scale(it.Deadline.Sub(now), admitFraction)
+	late := wait - scaleDuration(it.Deadline.Sub(now), maxWaitRatioAtOffer)
 	if late > 0 {
 		q.refuse(now, it, TooLate, wait, q.retryAfter(now, it, late))
 		return false
@@ -57,11 +57,11 @@
 func (q *Queue) tailPosition(it *item) position {
 	t := it.team
 	c := &t.queues[it.Class]
-	ahead := c.lists[it.jobLength].cost
+	sameLengthAhead := c.lists[it.jobLength].cost
 	return position{
 		higherClassAhead: t.higherClassWork(it.Class),
-		sameLengthAhead:  ahead,
-		otherLengthAhead: c.otherAhead(it.jobLength, ahead),
+		sameLengthAhead:  sameLengthAhead,
+		otherLengthAhead: c.otherLengthAhead(it.jobLength, sameLengthAhead),
 		longAhead:        t.longWork(),
 		jobLength:        it.jobLength,
 	}
@@ -118,14 +118,14 @@
 		return false
 	}
 	p.advance(b.cost)
-	p.otherLengthAhead = c.otherAhead(p.jobLength, p.sameLengthAhead)
+	p.otherLengthAhead = c.otherLengthAhead(p.jobLength, p.sameLengthAhead)
 	return !q.missesDeadline(t, p, b.earliestDeadline.Sub(now))
 }
 
 func (q *Queue) sweepBlock(now time.Time, c *classQueue, b *block, p *position) (earliestDeadline time.Time) {
 	b.each(func(it *item) {
-		p.otherLengthAhead = c.otherAhead(p.jobLength, p.sameLengthAhead)
-		if q.shedIfLate(now, it, *p) {
+		p.otherLengthAhead = c.otherLengthAhead(p.jobLength, p.sameLengthAhead)
+		if q.refuseIfLate(now, it, *p) {
 			return
 		}
 		p.advance(it.Cost)
@@ -145,8 +145,8 @@
 	return a
 }
 
-// shedIfLate refuses a waiting request that can't start in time, and reports whether it did.
-func (q *Queue) shedIfLate(now time.Time, it *item, p position) bool {
+// refuseIfLate refuses a waiting request that can't start in time, and reports whether it did.
+func (q *Queue) refuseIfLate(now time.Time, it *item, p position) bool {
 	remaining := it.Deadline.Sub(now)
 	if remaining < 0 {
 		q.dequeue(it)
@@ -163,14 +163,14 @@
 	}
 	wait := q.predictWait(it.team, p)
 	q.dequeue(it)
-	q.refuse(now, it, TooLate, wait, q.retryAfter(now, it, wait-scale(remaining, shedFraction)))
+	q.refuse(now, it, TooLate, wait, q.retryAfter(now, it, wait-scaleDuration(remaining, maxWaitRatioInQueue)))
 	return true
 }
 
 // missesDeadline reports whether a request at the position will miss a deadline that is the
 // given time away.
 func (q *Queue) missesDeadline(t *team, p position, remaining time.Duration) bool {
-	return q.slots > 0 && q.predictWait(t, p) > scale(remaining, shedFraction)
+	return q.slots > 0 && q.predictWait(t, p) > scaleDuration(remaining, maxWaitRatioInQueue)
 }
 
 // retryAfter returns the time after which a refused request is expected to be admitted. late
@@ -187,7 +187,7 @@
 	if t.lastRetryAt.After(retryAt) {
 		retryAt = t.lastRetryAt
 	}
-	retryAt = retryAt.Add(toDuration(it.Cost / (retryRateFraction * t.rate)))
+	retryAt = retryAt.Add(toDuration(it.Cost / (retryFractionOfRate * t.rate)))
 	if latest := now.Add(q.cfg.MaxRetryAfter); retryAt.After(latest) {
 		retryAt = latest
 	}
@@ -197,9 +197,9 @@
 
 // jitter shortens the wait by up to retryJitter of it, depending on the request's ID.
 func (q *Queue) jitter(id uint64, wait time.Duration) time.Duration {
-	const golden = 0x9e3779b97f4a7c15 // Fibonacci hashing; spreads consecutive IDs
-	fraction := float64((id*golden)>>11) / (1 << 53)
-	return max(wait-scale(wait, retryJitter*fraction), minRetryAfter)
+	const fibonacciMultiplier = 0x9e3779b97f4a7c15 // Fibonacci hashing; spreads consecutive IDs
+	fraction := float64((id*fibonacciMultiplier)>>11) / (1 << 53)
+	return max(wait-scaleDuration(wait, maxRetryJitterFraction*fraction), minRetryAfter)
 }
 
 // refuse adds the final verdict on a request that is in no list.
@@ -225,6 +225,6 @@
 	}
 }
 
-func scale(d time.Duration, fraction float64) time.Duration {
+func scaleDuration(d time.Duration, fraction float64) time.Duration {
 	return time.Duration(float64(d) * fraction)
 }
--- a/decide/admission/step.go
+++ b/decide/admission/step.go
@@ -9,14 +9,14 @@
 	// stepWindow is the time constant of the recent total demand, by which a step is
 	// detected.
 	stepWindow = time.Second
-	// stepMinAge is the shortest time over which the recent demand is calculated.
-	stepMinAge = stepWindow / 2
+	// minStepWindow is the shortest time over which the recent demand is calculated.
+	minStepWindow = stepWindow / 2
 	// stepResetPause is the time without requests after which the recent demand is reset.
 	stepResetPause = 3 * stepWindow
-	// stepFactor is the ratio of the recent demand to the demand over rateWindow above which
+	// stepDemandRatio is the ratio of the recent demand to the demand over rateWindow above which
 	// a step is detected. At 64 requests a second, random variation changes the recent demand
 	// by 9% (standard deviation).
-	stepFactor = 1.5
+	stepDemandRatio = 1.5
 )
 
 // stepDetector detects a sudden rise of the total demand.
@@ -46,9 +46,9 @@
 // riseFactor returns the ratio of the recent demand to the measured demand, or 1 if random
 // variation may explain it.
 func (s *stepDetector) riseFactor(now time.Time, measuredDemand float64) float64 {
-	age := max(now.Sub(s.firstAddAt), stepMinAge).Seconds() / stepWindow.Seconds()
+	age := max(now.Sub(s.firstAddAt), minStepWindow).Seconds() / stepWindow.Seconds()
 	recentDemand := s.valueAt(now) / (stepWindow.Seconds() * (1 - math.Exp(-age)))
-	if recentDemand <= stepFactor*measuredDemand || measuredDemand == 0 {
+	if recentDemand <= stepDemandRatio*measuredDemand || measuredDemand == 0 {
 		return 1
 	}
 	return recentDemand / measuredDemand
--- a/decide/admission/team.go
+++ b/decide/admission/team.go
@@ -88,15 +88,15 @@
 	c.lists[l].push(it)
 }
 
-// otherAhead returns the work of the other job length that is served before a request of job
+// otherLengthAhead returns the work of the other job length that is served before a request of job
 // length l. ahead is the work of job length l that is served before this request.
-func (c *classQueue) otherAhead(l jobLength, ahead float64) float64 {
+func (c *classQueue) otherLengthAhead(l jobLength, sameLengthAhead float64) float64 {
 	other := c.lists[l.other()]
-	lead := c.virtualTime[l] + ahead - c.virtualTime[l.other()]
-	if other.head == nil || lead < 0 {
+	virtualTimeDiff := c.virtualTime[l] + sameLengthAhead - c.virtualTime[l.other()]
+	if other.head == nil || virtualTimeDiff < 0 {
 		return 0
 	}
-	return min(lead+other.head.Cost, other.cost)
+	return min(virtualTimeDiff+other.head.Cost, other.cost)
 }
 
 // firstItem returns the oldest request of the job length with the lower virtual time, or the
--- a/decide/admission/types.go
+++ b/decide/admission/types.go
@@ -134,12 +134,12 @@
 
 // Stats is the state of the queue for logs and metrics.
 type Stats struct {
-	Slots       int
-	Running     int
-	Waiting     int
-	LongRunning int     // number of running long jobs
-	LongSlots   int     // slots that long jobs may hold
-	DrainRate   float64 // expected tokens per second
+	Slots           int
+	Running         int
+	Waiting         int
+	RunningLongJobs int     // number of running long jobs
+	LongJobSlots    int     // slots that long jobs may hold
+	DrainRate       float64 // expected tokens per second
 }
 
 // Config configures a Queue. The zero value of a field selects its default.
@@ -163,10 +163,10 @@
 }
 
 const (
-	defaultMaxWaiting    = 20000
-	defaultWait          = 30 * time.Second
-	defaultLongCost      = 2048
-	defaultMaxRetryAfter = time.Minute
+	defaultMaxWaiting          = 20000
+	defaultWaitWithoutDeadline = 30 * time.Second
+	defaultLongCost            = 2048
+	defaultMaxRetryAfter       = time.Minute
 
 	// minRetryAfter keeps a refused caller from retrying within the time that a refusal
 	// and a new request take together.
@@ -192,7 +192,7 @@
 		c.MaxWaiting = defaultMaxWaiting
 	}
 	if c.DefaultWait <= 0 {
-		c.DefaultWait = defaultWait
+		c.DefaultWait = defaultWaitWithoutDeadline
 	}
 	if c.LongCost <= 0 {
 		c.LongCost = defaultLongCost
--- a/decide/fairness/scheduler.go
+++ b/decide/fairness/scheduler.go
@@ -95,21 +95,21 @@
 // if none is eligible. If the first flow is not eligible, MinWhere checks every
 // waiting flow.
 func (s *Scheduler[T]) MinWhere(laneIndex int, eligible func(T) bool) *Flow[T] {
-	var least *Flow[T]
+	var leastServed *Flow[T]
 	for _, f := range s.lanes[laneIndex].flows {
-		if (least == nil || f.virtualTime < least.virtualTime) && eligible(f.Value) {
-			least = f
+		if (leastServed == nil || f.virtualTime < leastServed.virtualTime) && eligible(f.Value) {
+			leastServed = f
 			if f.heapIndexes[laneIndex] == 0 {
 				break
 			}
 		}
 	}
-	return least
+	return leastServed
 }
 
-// Ahead returns by how much the virtual time of a exceeds that of b, in tokens at
+// VirtualTimeDiff returns by how much the virtual time of a exceeds that of b, in tokens at
 // weight 1. The flow with the lower virtual time is served first.
-func (s *Scheduler[T]) Ahead(a, b *Flow[T]) float64 { return a.virtualTime - b.virtualTime }
+func (s *Scheduler[T]) VirtualTimeDiff(a, b *Flow[T]) float64 { return a.virtualTime - b.virtualTime }
 
 // Charge records that a request of the given expected cost, in tokens, has started.
 func (s *Scheduler[T]) Charge(f *Flow[T], cost float64) {
--- a/decide/fairness/scheduler_test.go
+++ b/decide/fairness/scheduler_test.go
@@ -91,7 +91,7 @@
 				for l := range lanes {
 					first := s.Min(l)
 					for _, f := range flows {
-						if f.WaitsIn(l) && (first == nil || s.Ahead(first, f) > 0) {
+						if f.WaitsIn(l) && (first == nil || s.VirtualTimeDiff(first, f) > 0) {
 							t.Fatalf("lane %d: Min does not return the flow with the least virtual time", l)
 						}
 					}
--- a/decide/retry/limiter.go
+++ b/decide/retry/limiter.go
@@ -14,25 +14,25 @@
 
 // tokenBucket earns retries per success and per second, and holds at most burst.
 type tokenBucket struct {
-	ratio, burst, minPerSecond float64
-	availableRetries           float64
-	creditedAt                 time.Time // minPerSecond is credited up to this time
+	retryRatio, burst, minRetriesPerSecond float64
+	availableRetries                       float64
+	creditedUntil                          time.Time // minPerSecond is credited up to this time
 }
 
 func (b *tokenBucket) available(now time.Time) float64 {
-	if b.creditedAt.IsZero() {
-		b.creditedAt = now
+	if b.creditedUntil.IsZero() {
+		b.creditedUntil = now
 	}
-	if elapsed := now.Sub(b.creditedAt); elapsed > 0 {
-		b.creditedAt = now
-		b.credit(b.minPerSecond * elapsed.Seconds())
+	if elapsed := now.Sub(b.creditedUntil); elapsed > 0 {
+		b.creditedUntil = now
+		b.credit(b.minRetriesPerSecond * elapsed.Seconds())
 	}
 	return b.availableRetries
 }
 
 func (b *tokenBucket) recordSuccess(now time.Time) {
 	b.available(now)
-	b.credit(b.ratio)
+	b.credit(b.retryRatio)
 }
 
 func (b *tokenBucket) spend(time.Time) { b.availableRetries-- }
@@ -41,18 +41,18 @@
 	b.availableRetries = min(b.burst, b.availableRetries+tokens)
 }
 
-// windowSlots is the number of slots into which the window is divided.
-const windowSlots = 20
+// windowIntervals is the number of slots into which the window is divided.
+const windowIntervals = 20
 
 // slidingWindow allows, in any period of the given width, burst retries plus ratio
 // for each success in the period. The full burst is available at any time without
 // being saved up first.
 type slidingWindow struct {
-	width        time.Duration
-	ratio, burst float64
+	width             time.Duration
+	retryRatio, burst float64
 	// ring has one slot more than the width covers, because a period of that width
 	// usually starts and ends inside a slot.
-	ring [windowSlots + 1]slot
+	ring [windowIntervals + 1]interval
 	// initialSpent is the number of retries that count as spent at the first use.
 	initialSpent float64
 	// pendingBurst is a larger burst that takes effect one width after pendingSince.
@@ -63,50 +63,50 @@
 	firstUse time.Time
 }
 
-// slot counts retries and successes in one slot of the window. Slots are numbered
+// interval counts retries and successes in one interval of the window. Slots are numbered
 // from the first use.
-type slot struct {
-	slotNumber              int64
+type interval struct {
+	intervalNumber          int64
 	spentRetries, successes float64
 }
 
 // newSlidingWindow returns a window in which the given number of retries counts as
 // spent at its first use.
 func newSlidingWindow(cfg Config, spent float64) *slidingWindow {
-	return &slidingWindow{width: cfg.Window, ratio: cfg.RetryRatio, burst: cfg.Burst, initialSpent: spent}
+	return &slidingWindow{width: cfg.Window, retryRatio: cfg.RetryRatio, burst: cfg.Burst, initialSpent: spent}
 }
 
-func (w *slidingWindow) slotNumber(now time.Time) int64 {
+func (w *slidingWindow) intervalNumber(now time.Time) int64 {
 	if w.firstUse.IsZero() {
 		w.firstUse = now
 	}
 	// Numbers start at 1, so that an unused ring entry is not taken for the first slot.
-	return max(0, int64(now.Sub(w.firstUse)/(w.width/windowSlots))) + 1
+	return max(0, int64(now.Sub(w.firstUse)/(w.width/windowIntervals))) + 1
 }
 
-// currentSlot returns the slot that contains now. The ring entry is reset if it
+// currentInterval returns the slot that contains now. The ring entry is reset if it
 // still holds an older slot.
-func (w *slidingWindow) currentSlot(now time.Time) *slot {
-	number := w.slotNumber(now)
+func (w *slidingWindow) currentInterval(now time.Time) *interval {
+	number := w.intervalNumber(now)
 	s := &w.ring[number%int64(len(w.ring))]
-	if s.slotNumber != number {
-		*s = slot{slotNumber: number}
+	if s.intervalNumber != number {
+		*s = interval{intervalNumber: number}
 	}
 	s.spentRetries, w.initialSpent = s.spentRetries+w.initialSpent, 0
 	return s
 }
 
 func (w *slidingWindow) available(now time.Time) float64 {
-	w.currentSlot(now)
-	oldest := w.slotNumber(now) - windowSlots
+	w.currentInterval(now)
+	oldest := w.intervalNumber(now) - windowIntervals
 	retries := w.burst
 	for _, s := range w.ring {
-		if s.slotNumber < oldest {
+		if s.intervalNumber < oldest {
 			continue
 		}
 		retries -= s.spentRetries
-		if s.slotNumber > oldest {
-			retries += w.ratio * s.successes
+		if s.intervalNumber > oldest {
+			retries += w.retryRatio * s.successes
 		}
 	}
 	return retries
@@ -128,6 +128,6 @@
 	}
 }
 
-func (w *slidingWindow) recordSuccess(now time.Time) { w.currentSlot(now).successes++ }
+func (w *slidingWindow) recordSuccess(now time.Time) { w.currentInterval(now).successes++ }
 
-func (w *slidingWindow) spend(now time.Time) { w.currentSlot(now).spentRetries++ }
+func (w *slidingWindow) spend(now time.Time) { w.currentInterval(now).spentRetries++ }
--- a/decide/retry/limiter_test.go
+++ b/decide/retry/limiter_test.go
@@ -47,7 +47,7 @@
 // If the nodes restart one by one and each starts with a full burst, the fleet exceeds
 // its retry limit, because the retries of the previous processes still count in the
 // window. A restarted node therefore starts with InitialRetries.
-func TestInitialLimitsRestartedNode(t *testing.T) {
+func TestInitialRetriesLimitRestartedNode(t *testing.T) {
 	b := New(Config{Burst: 24, InitialRetries: 3, Window: testWindow})
 	if n := retryUntilRefused(b, epoch); n != 3 {
 		t.Errorf("%d retries after the start, want 3", n)
@@ -64,15 +64,15 @@
 	b := New(Config{Burst: 10, Window: testWindow})
 	b.SetBurst(epoch, 20)
 	b.SetBurst(epoch.Add(testWindow/2), 20)
-	if remaining := b.Remaining(epoch.Add(testWindow / 2)); remaining != 10 {
+	if remaining := b.RetriesLeft(epoch.Add(testWindow / 2)); remaining != 10 {
 		t.Errorf("%v retries left half a window later, want 10", remaining)
 	}
 	b.SetBurst(epoch.Add(testWindow), 20)
-	if remaining := b.Remaining(epoch.Add(testWindow)); remaining != 20 {
+	if remaining := b.RetriesLeft(epoch.Add(testWindow)); remaining != 20 {
 		t.Errorf("%v retries left one window later, want 20", remaining)
 	}
 	b.SetBurst(epoch.Add(testWindow), 5)
-	if remaining := b.Remaining(epoch.Add(testWindow)); remaining != 5 {
+	if remaining := b.RetriesLeft(epoch.Add(testWindow)); remaining != 5 {
 		t.Errorf("%v retries left after the burst was lowered, want 5", remaining)
 	}
 }
@@ -126,7 +126,7 @@
 	if n := retryUntilRefused(b, later); n != 0 {
 		t.Errorf("%d more retries a millisecond later, want none", n)
 	}
-	if got := b.limiter.(*slidingWindow).slotNumber(later); got != 1 {
+	if got := b.limiter.(*slidingWindow).intervalNumber(later); got != 1 {
 		t.Errorf("slot %d, want slot 1, counted from the first use", got)
 	}
 }
--- a/decide/retry/retry.go
+++ b/decide/retry/retry.go
@@ -101,8 +101,8 @@
 	// Delay is the time to wait before the retry.
 	Delay  time.Duration
 	Reason Reason
-	// Remaining is the number of retries left after the decision, for the log line.
-	Remaining float64
+	// RetriesLeft is the number of retries left after the decision, for the log line.
+	RetriesLeft float64
 }
 
 // Budget limits the retries of one service on one node.
@@ -123,7 +123,7 @@
 	if cfg.Window > 0 {
 		return newSlidingWindow(cfg, cfg.Burst-initial)
 	}
-	return &tokenBucket{ratio: cfg.RetryRatio, burst: cfg.Burst, minPerSecond: cfg.MinRetriesPerSecond, availableRetries: initial}
+	return &tokenBucket{retryRatio: cfg.RetryRatio, burst: cfg.Burst, minRetriesPerSecond: cfg.MinRetriesPerSecond, availableRetries: initial}
 }
 
 func withDefaults(cfg Config) Config {
@@ -139,8 +139,8 @@
 // Success credits the budget for a complete response.
 func (b *Budget) Success(now time.Time) { b.limiter.recordSuccess(now) }
 
-// Remaining returns the number of retries that may be made now.
-func (b *Budget) Remaining(now time.Time) float64 { return b.limiter.available(now) }
+// RetriesLeft returns the number of retries that may be made now.
+func (b *Budget) RetriesLeft(now time.Time) float64 { return b.limiter.available(now) }
 
 // SetBurst changes Config.Burst of a Budget with a Window; other Budgets ignore the
 // call. A larger burst takes effect one Window later.
@@ -153,20 +153,20 @@
 // Allow decides whether a failed attempt may be retried. If so, it charges the budget
 // for the retry.
 func (b *Budget) Allow(now time.Time, a Attempt) Decision {
-	remaining := b.limiter.available(now)
-	after := b.backoff(a.AttemptsMade)
-	reason := b.refusal(now.Add(after), remaining, a)
+	retriesLeft := b.limiter.available(now)
+	delay := b.backoff(a.AttemptsMade)
+	reason := b.refusal(now.Add(delay), retriesLeft, a)
 	if reason != Allowed {
-		return Decision{Reason: reason, Remaining: remaining}
+		return Decision{Reason: reason, RetriesLeft: retriesLeft}
 	}
 	b.limiter.spend(now)
-	return Decision{Retry: true, Delay: after, Reason: Allowed, Remaining: remaining - 1}
+	return Decision{Retry: true, Delay: delay, Reason: Allowed, RetriesLeft: retriesLeft - 1}
 }
 
 // refusal returns why a retry that would start at the given time may not be made, or
 // Allowed. The budget is checked last: BudgetSpent is reported only if nothing else
 // forbids the retry.
-func (b *Budget) refusal(start time.Time, remaining float64, a Attempt) Reason {
+func (b *Budget) refusal(start time.Time, retriesLeft float64, a Attempt) Reason {
 	switch {
 	case a.Failure == health.None || a.Failure == health.Canceled:
 		return NotAFailure
@@ -180,7 +180,7 @@
 		return NoAlternative
 	case !a.Deadline.IsZero() && start.Add(a.MinDuration).After(a.Deadline):
 		return DeadlineTooNear
-	case remaining < 1:
+	case retriesLeft < 1:
 		return BudgetSpent
 	}
 	return Allowed
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -15,25 +15,25 @@
 // countAttempts returns how many attempts the endpoints receive for the given number
 // of calls, and how many calls fail. The given part of all attempts fails; attempts
 // are 10 ms apart.
-func countAttempts(calls int, failureRatio float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (sent, failed int) {
-	now, failureDebt := epoch, 0.0
+func countAttempts(calls int, failureRatio float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (attempts, failedCalls int) {
+	now, pendingFailures := epoch, 0.0
 	for range calls {
-		for attempts := 1; ; attempts++ {
-			sent++
+		for attemptsMade := 1; ; attemptsMade++ {
+			attempts++
 			now = now.Add(10 * time.Millisecond)
-			failureDebt += failureRatio
-			if failureDebt < 1 {
+			pendingFailures += failureRatio
+			if pendingFailures < 1 {
 				success(now)
 				break
 			}
-			failureDebt--
-			if !allow(now, Attempt{AttemptsMade: attempts, Failure: health.Internal, Idempotent: true, Alternatives: 9}) {
-				failed++
+			pendingFailures--
+			if !allow(now, Attempt{AttemptsMade: attemptsMade, Failure: health.Internal, Idempotent: true, Alternatives: 9}) {
+				failedCalls++
 				break
 			}
 		}
 	}
-	return sent, failed
+	return attempts, failedCalls
 }
 
 // Without a retry budget, a service that is down receives three attempts per call.
@@ -41,20 +41,20 @@
 func TestBudgetLimitsRetryStorm(t *testing.T) {
 	threeAttempts := func(_ time.Time, a Attempt) bool { return a.AttemptsMade < DefaultMaxAttempts }
 	for _, c := range []struct {
-		name         string
-		failureRatio float64 // part of the attempts that fail
-		maxAttempts  float64 // per call
-		maxFailed    float64 // part of the calls
+		name               string
+		failureRatio       float64 // part of the attempts that fail
+		maxAttemptsPerCall float64 // per call
+		maxFailedFraction  float64 // part of the calls
 	}{{"down", 1, 1.05, 1}, {"half down", 0.5, 1.12, 0.5}, {"failing one attempt in twenty", 0.05, 1.06, 0}} {
 		Convey("Given a service that is "+c.name, t, func() {
 			const calls = 10000
 			b := New(Config{})
 			budget := func(now time.Time, a Attempt) bool { return b.Allow(now, a).Retry }
-			sent, failed := countAttempts(calls, c.failureRatio, budget, b.Success)
-			base, baseFailed := countAttempts(calls, c.failureRatio, threeAttempts, func(time.Time) {})
-			t.Logf("attempts per call: with budget %.2f, with three attempts each %.2f; failed calls %d, %d", float64(sent)/calls, float64(base)/calls, failed, baseFailed)
-			So(float64(sent)/calls, ShouldBeLessThanOrEqualTo, c.maxAttempts)
-			So(float64(failed)/calls, ShouldBeLessThanOrEqualTo, c.maxFailed)
+			attempts, failedCalls := countAttempts(calls, c.failureRatio, budget, b.Success)
+			unbudgetedAttempts, unbudgetedFailedCalls := countAttempts(calls, c.failureRatio, threeAttempts, func(time.Time) {})
+			t.Logf("attempts per call: with budget %.2f, with three attempts each %.2f; failed calls %d, %d", float64(attempts)/calls, float64(unbudgetedAttempts)/calls, failedCalls, unbudgetedFailedCalls)
+			So(float64(attempts)/calls, ShouldBeLessThanOrEqualTo, c.maxAttemptsPerCall)
+			So(float64(failedCalls)/calls, ShouldBeLessThanOrEqualTo, c.maxFailedFraction)
 		})
 	}
 }
@@ -113,15 +113,15 @@
 				successes++
 				continue
 			}
-			made := rapid.IntRange(1, 2).Draw(t, "made")
-			d := b.Allow(now, Attempt{AttemptsMade: made, Failure: health.Broken, Idempotent: true, Alternatives: 1})
+			attemptsMade := rapid.IntRange(1, 2).Draw(t, "made")
+			d := b.Allow(now, Attempt{AttemptsMade: attemptsMade, Failure: health.Broken, Idempotent: true, Alternatives: 1})
 			if !d.Retry {
 				continue
 			}
 			retries++
-			maxDelay := DefaultBaseDelay << (made - 1)
+			maxDelay := DefaultBaseDelay << (attemptsMade - 1)
 			if d.Delay < maxDelay/2 || d.Delay > maxDelay {
-				t.Fatalf("backoff %v after %d attempts, want %v to %v", d.Delay, made, maxDelay/2, maxDelay)
+				t.Fatalf("backoff %v after %d attempts, want %v to %v", d.Delay, attemptsMade, maxDelay/2, maxDelay)
 			}
 		}
 		if float64(retries) > DefaultBurst+DefaultRetryRatio*float64(successes)+1e-6 {
--- a/decide/waitqueue/waitqueue.go
+++ b/decide/waitqueue/waitqueue.go
@@ -74,8 +74,8 @@
 }
 
 func insert(list []Request, r Request) []Request {
-	at, _ := slices.BinarySearchFunc(list, r.Priority+1, func(e Request, priority int) int { return cmp.Compare(e.Priority, priority) })
-	return slices.Insert(list, at, r)
+	index, _ := slices.BinarySearchFunc(list, r.Priority+1, func(e Request, priority int) int { return cmp.Compare(e.Priority, priority) })
+	return slices.Insert(list, index, r)
 }
 
 // Remove removes a request that starts or whose caller has given up. It reports whether
--- a/decide/waitqueue/waitqueue_test.go
+++ b/decide/waitqueue/waitqueue_test.go
@@ -70,42 +70,42 @@
 // receives twice the load that it can serve. It returns the number of requests that
 // start on time (within 300 ms) and late (within 600 ms). Callers give up after 600 ms.
 // If byDeadline is false, OnTimeUntil is not set and the queue is first in, first out.
-func simulateBurst(byDeadline bool) (onTime, late int) {
+func simulateBurst(onTimeFirst bool) (onTime, late int) {
 	const capacity, serviceMs, meanGapMs = 10, 300, 15
 	rng := rand.New(rand.NewPCG(1, 1))
 	var q Queue
-	arrived := map[uint64]int{}
-	var endTimes []int
+	arrivalMs := map[uint64]int{}
+	var endTimesMs []int
 	for ms, id := 0, uint64(0); ms < 20000; ms++ {
-		endTimes = slices.DeleteFunc(endTimes, func(end int) bool { return end <= ms })
+		endTimesMs = slices.DeleteFunc(endTimesMs, func(end int) bool { return end <= ms })
 		if rng.IntN(meanGapMs) == 0 {
 			id++
-			arrived[id] = ms
+			arrivalMs[id] = ms
 			r := Request{ID: id}
-			if byDeadline {
+			if onTimeFirst {
 				r.OnTimeUntil = timeAt(ms + 300)
 			}
 			q.Add(timeAt(ms), r)
 		}
-		for id, arrivedAt := range arrived {
-			if ms-arrivedAt >= 600 {
+		for id, arrivedMs := range arrivalMs {
+			if ms-arrivedMs >= 600 {
 				q.Remove(id)
-				delete(arrived, id)
+				delete(arrivalMs, id)
 			}
 		}
-		for len(endTimes) < capacity {
+		for len(endTimesMs) < capacity {
 			first, ok := q.First(timeAt(ms))
 			if !ok {
 				break
 			}
 			q.Remove(first)
-			if ms-arrived[first] < 300 {
+			if ms-arrivalMs[first] < 300 {
 				onTime++
 			} else {
 				late++
 			}
-			delete(arrived, first)
-			endTimes = append(endTimes, ms+serviceMs)
+			delete(arrivalMs, first)
+			endTimesMs = append(endTimesMs, ms+serviceMs)
 		}
 	}
 	return onTime, late
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -180,7 +180,7 @@
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failed), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
 		Figures: map[string]float64{
-			"not_run": boolFigure(res.notRun()), "sends": float64(req.attempts), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
+			"not_run": boolFigure(res.notRun()), "sends": float64(req.attempts), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.RetriesLeft),
 		},
 	})
 	if d.Retry {
--- a/route/retrybudget/retrybudget.go
+++ b/route/retrybudget/retrybudget.go
@@ -53,7 +53,7 @@
 func (b *Budget) Left() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.budget.Remaining(b.now()) >= 1
+	return b.budget.RetriesLeft(b.now()) >= 1
 }
 
 // Success credits the budget for a complete answer.
