--- a/decide/admission/dispatch.go
+++ b/decide/admission/dispatch.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// maxCreditJobs is the credit of a team as a number of long jobs.
+	// maxCreditJobs is the credit as a multiple of Config.LongCost.
 	maxCreditJobs = 4
-	// maxOrderVirtualTimeDiff is how far, in tokens at weight 1, a team may be ahead of another
-	// team and still have its order started before that team's batch job. Orders are
-	// small. Without this bound, a team could send all its work as orders and block the
-	// batch jobs of all other teams.
+	// maxOrderVirtualTimeDiff limits the rule that orders start before batch jobs. An order
+	// of one team starts before a batch job of another team only if the virtual time of the
+	// order's team exceeds that of the other team by at most this difference, in tokens at
+	// weight 1. Orders are small. Without the limit, a team could send all its work as
+	// orders and block the batch jobs of all other teams.
 	maxOrderVirtualTimeDiff = 8192
 )
 
-// dispatch starts requests while slots are free.
+// dispatch starts waiting requests while slots are free.
 func (q *Queue) dispatch(now time.Time) {
 	for q.waitingCount > 0 && q.meter.runningCount < q.slots {
 		it := q.nextItem()
@@ -32,9 +33,9 @@
 	}
 }
 
-// nextItem returns the first request of the team that is furthest below its weighted
-// share. If only the headroom is free, teams that are not below their share are passed
-// over.
+// nextItem returns the first request of the waiting team with the lowest virtual time, or
+// nil if no request may start. If only the headroom is free, teams that are not below their
+// share are passed over.
 func (q *Queue) nextItem() *item {
 	longAllowed := q.runningLongJobs < q.longJobSlots
 	orderFlow := q.nextFlow(laneOrder)
@@ -46,34 +47,37 @@
 		return nil
 	}
 	it := flow.Value.firstItem(longAllowed)
-	if it.Class == Batch && orderFlow != nil && q.flows.VirtualTimeDiff(orderFlow, flow) <= maxOrderVirtualTimeDiff {
+	if it.Class == Batch && orderFlow != nil && q.scheduler.VirtualTimeDiff(orderFlow, flow) <= maxOrderVirtualTimeDiff {
 		return orderFlow.Value.firstItem(longAllowed)
 	}
 	return it
 }
 
-// nextFlow returns the flow of the lane that is served next, or nil.
+// nextFlow returns the flow in the lane that may start a request and has the lowest virtual
+// time, or nil if there is none.
 func (q *Queue) nextFlow(lane int) *fairness.Flow[*team] {
 	if q.meter.runningCount+q.forecast.headroom < q.slots {
-		return q.flows.Min(lane)
+		return q.scheduler.Min(lane)
 	}
-	return q.flows.MinWhere(lane, q.belowShare)
+	return q.scheduler.MinWhere(lane, q.belowShare)
 }
 
-// canStartNow reports whether a new request would start at once. A slot that is free
-// now can't be used by any waiting request, or dispatch would have started that request.
+// canStartNow reports whether a new request would start at once. Waiting requests need not
+// be considered: if one of them could use a slot that is free now, dispatch would have
+// started it.
 func (q *Queue) canStartNow(it *item) bool {
 	freeSlots := q.slots - q.meter.runningCount
 	lengthAllowed := it.jobLength == short || q.runningLongJobs < q.longJobSlots
 	return lengthAllowed && (freeSlots > q.forecast.headroom || (freeSlots > 0 && q.belowShare(it.team)))
 }
 
-// lessServed returns the flow with the lower virtual time; either flow may be nil.
+// lessServed returns the flow with the lower virtual time. If one of the flows is nil, it
+// returns the other flow.
 func (q *Queue) lessServed(a, b *fairness.Flow[*team]) *fairness.Flow[*team] {
 	if a == nil {
 		return b
 	}
-	if b == nil || q.flows.VirtualTimeDiff(a, b) < 0 {
+	if b == nil || q.scheduler.VirtualTimeDiff(a, b) < 0 {
 		return a
 	}
 	return b
@@ -88,11 +92,12 @@
 		q.runningLongJobs++
 	}
 	it.team.queues[it.Class].charge(it, q.cfg.credit())
-	q.flows.Charge(it.team.flow, it.Cost)
+	q.scheduler.Charge(it.team.flow, it.Cost)
 	q.verdicts = append(q.verdicts, q.verdict(now, it, Run, SlotFree))
 }
 
-// release frees the slot of a running request and charges the actual cost.
+// release frees the slot of a running request and corrects the charge of the team from the
+// expected to the actual cost.
 func (q *Queue) release(it *item, cost float64) {
 	t := it.team
 	t.runningCount--
@@ -100,7 +105,7 @@
 	if it.jobLength == long {
 		q.runningLongJobs--
 	}
-	q.flows.Correct(t.flow, cost-it.Cost)
+	q.scheduler.Correct(t.flow, cost-it.Cost)
 	q.recycle(it)
 }
 
@@ -113,7 +118,7 @@
 	q.waitingCount++
 	q.waitingWork += it.Cost
 	q.items[it.ID] = it
-	q.flows.Activate(it.team.flow, it.lane())
+	q.scheduler.Activate(it.team.flow, it.lane())
 }
 
 func (q *Queue) dequeue(it *item) {
@@ -125,7 +130,7 @@
 		q.waitingWork = 0 // drop accumulated rounding errors
 	}
 	if t.laneEmpty(it.lane()) {
-		q.flows.Deactivate(t.flow, it.lane())
+		q.scheduler.Deactivate(t.flow, it.lane())
 	}
 }
 
--- a/decide/admission/doc.go
+++ b/decide/admission/doc.go
@@ -4,29 +4,45 @@
 // # Load pattern
 //
 // All teams send their requests within the same time window at dawn. The offered load is
-// then two to four times what the replicas can serve. The teams differ in size, long reports are mixed with short
-// questions, and some of the replicas may be down. The package calls the start of such
-// a period a rush.
+// then two to four times what the replicas can serve. The teams differ in size, long
+// reports are mixed with short questions, and some of the replicas may be down. The
+// package calls the start of such a period a rush.
 //
 // # Failures without admission control
 //
 // A first-in-first-out queue grows until every request starts after its deadline. From
-// then on each start is for a caller who has already left. The replicas are busy, but
-// no response is useful, and this continues long after the rush. The team with the
-// highest load determines the wait of all teams, and a few long jobs that hold the slots
-// delay hundreds of short requests.
+// then on each request that starts has a caller who has already left. The replicas are
+// busy, but no response is useful, and this state lasts long after the rush. The team with
+// the highest load determines the wait of all teams, and a few long jobs that hold the
+// slots delay hundreds of short requests.
 //
 // # Terms
 //
-//   - A slot runs one request at a time on a replica.
+//   - A slot runs one request at a time on a replica. The slots of a node are the slots
+//     that this node may use. Nodes that share replicas divide the slots of these replicas.
 //   - The cost of a request is measured in tokens. The work of several requests is the
 //     sum of their expected costs.
-//   - The job length of a request is long if its expected cost is at least
-//     Config.LongCost. All other requests, and all orders, are short.
-//   - The demand of a team is the work that it offers, in tokens per second. A hot team
-//     has a demand far above its share by weight.
+//   - The class of a request is Order, Interactive or Batch. An order is a request that
+//     must not run twice, such as a purchase.
+//   - A long job is a request, other than an order, whose expected cost is at least
+//     Config.LongCost. All other requests are short. The job length of a request is
+//     short or long.
+//   - The demand of a team is the work that it offers, in tokens per second.
+//   - The share of a team is the part of the node's slots that corresponds to its weight
+//     among the teams with demand. A hot team has a demand far above its share.
+//   - The virtual time of a team is the work that it was served, divided by its weight;
+//     see package fairness.
 //   - The drain rate is the work that the node's slots finish, in tokens per second.
+//   - The forecast rate of a team is the part of the drain rate that the team is expected
+//     to get. A low-demand team has a demand of at most its forecast rate.
+//   - A review recomputes the forecast rates and refuses the waiting requests that will
+//     miss their deadlines. It runs every TickInterval while requests wait.
 //   - Headroom is the number of slots kept free for teams below their share.
+//   - The credit is the most work that a team, or a job length, may catch up on after a
+//     time in which its requests could not start.
+//   - The elapsed ratio is the time that the running requests have taken so far, divided
+//     by their expected duration. Both times are summed over the running requests. The
+//     service is stalled if this ratio is far above its normal maximum.
 //
 // # Use
 //
@@ -42,33 +58,35 @@
 //
 // # Rules
 //
-//   - Order of teams: the team with the least served work for its weight is next; see
-//     package fairness. Within a team orders go first, then interactive requests, then
-//     batch jobs, each in order of arrival. While an order waits, no batch job starts,
-//     unless the team of the order is far above its share.
+//   - The waiting team with the lowest virtual time is served next. Within a team orders
+//     go first, then interactive requests, then batch jobs. Within a class, short requests
+//     and long jobs get the same amount of work, each in order of arrival.
+//   - While an order of any team waits, no batch job starts, unless the virtual time of the
+//     order's team is far above that of the batch job's team.
 //   - At the start of a rush a part of the slots is kept for teams below their share,
 //     until the demand of these teams is measured.
 //   - Long jobs use only the slots that the recent demand of short requests leaves free.
-//     If these slots are full, long jobs are passed over.
+//     If long jobs hold all of these slots, the other long jobs are passed over.
 //   - A request is refused when it is offered, if its predicted start is after its
 //     deadline. A waiting request is refused as soon as its predicted start is after its
 //     deadline. A refused request was not run, and no refusal is delayed.
-//   - RetryAfter is the time until the queue has drained far enough, including the
-//     requests that were told to retry earlier.
+//   - RetryAfter is the time after which a retry is expected to be admitted. By then the
+//     queue has drained far enough, and the team's refused requests that were told to
+//     retry earlier have been served.
 //
 // # Grounds for the wait prediction
 //
-// The predicted wait is based on the tokens per second of a slot, averaged over
-// rateWindow, times the mean number of the node's slots over shareWindow. The node's
-// slots are averaged because their number swings where nodes share replicas. The mean
-// restarts when the first request has to wait, because the slots that were free before
-// a rush are then taken by all nodes. A loss of replicas lowers the prediction at once,
-// before any request has finished late. The reasons for the other constants stand
-// beside them.
+// Waits are predicted from the drain rate. The drain rate is the tokens per second of one
+// slot, averaged over rateWindow, times the number of the node's slots, averaged over
+// meanSlotsWindow. The number of slots is averaged because it changes quickly where nodes
+// share replicas. Its mean restarts when the first request has to wait: before a rush each
+// node sees nearly all slots as free, but in the rush all nodes use them. A loss of
+// replicas lowers the predicted rate at once, before any request has finished late. The
+// reasons for the other constants stand beside them.
 //
 // # Limits
 //
-// Long and short requests are told apart by the expected cost. A caller that
-// understates the cost of a long job gets it treated as short. When the job finishes,
-// the actual cost is charged to the team's share.
+// Only the expected cost tells long jobs from short requests. If a caller understates the
+// cost of a long job, the queue treats the job as short. When the job finishes, the team is
+// charged the actual cost.
 package admission
--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -12,8 +12,8 @@
 )
 
 // newFleet returns the simulated fleet of the benchmark. Three nodes receive unequal shares
-// of the requests and send them to six replicas with 16 slots each. A response takes 0.5 s,
-// and callers wait for it up to 4 s.
+// of the calls and send them to six replicas with 16 slots each. A response takes 0.5 s,
+// and callers wait at most 4 s for it.
 func newFleet(offeredLoad float64, seed uint64) sim.Fleet {
 	return sim.Fleet{
 		NodeShares: []float64{0.4, 0.35, 0.25}, ReplicaCount: 6, SlotsPerReplica: 16, TokenTime: 20 * time.Millisecond, TokensPerAnswer: 25,
@@ -22,7 +22,7 @@
 	}
 }
 
-// outcomes are the results of the callers in one or more runs.
+// outcomes holds the results of one or more runs, as the callers see them.
 type outcomes struct {
 	goodput, minGoodput        float64 // mean and minimum over the runs, as a fraction of the capacity
 	refused, unanswered        int
@@ -56,7 +56,8 @@
 	r.minGoodput = min(r.minGoodput, goodput)
 }
 
-// simulate runs the load with three seeds.
+// simulate runs the given load with three seeds and returns the outcomes of the three runs
+// together.
 func simulate(t *testing.T, name string, offeredLoad float64, configure func(*sim.Fleet)) *outcomes {
 	const runs = 3
 	r := &outcomes{minGoodput: 9}
@@ -71,12 +72,14 @@
 }
 
 func TestNodesShareReplicas(t *testing.T) {
-	// Three nodes share replicas and learn of each other's load only from the replicas'
-	// reports. If each node counted only free slots, its share would swing by half within
-	// tenths of a second. Requests admitted at the maximum would be refused seconds later,
-	// and at full load some would be refused while other nodes have free slots. With round
-	// robin and no admission control, no request is refused, but in overload hardly any
-	// caller gets a complete response.
+	// If nodes that share replicas counted only the free slots of the replicas, the number
+	// of slots of each node would change by half within tenths of a second. Requests that
+	// are admitted at a maximum of this number would be refused seconds later. At full
+	// load, some requests would be refused while other nodes have free slots. A node learns
+	// of the other nodes' load only from the replicas' reports.
+	//
+	// With round robin and no admission control, no request is refused, but in overload
+	// hardly any caller gets a complete response.
 	Convey("Given three nodes that share replicas", t, func() {
 		coordinated := func(*sim.Fleet) {}
 		uncoordinated := func(f *sim.Fleet) { f.HideNodeCountFromBalancers = true }
@@ -106,10 +109,10 @@
 }
 
 func TestNodesShareOnePrompt(t *testing.T) {
-	// If all requests share one system prompt, each node prefers the same replicas, or those
-	// of its own failure domain. These replicas get up to a quarter more than the mean load.
-	// At full load requests then queue there while other replicas have idle slots, and
-	// callers are refused although there is capacity.
+	// If all requests share one system prompt, each node prefers the same replicas, or
+	// those of its own failure domain. These replicas get up to a quarter more than the
+	// mean load. At full load, requests then queue at these replicas while other replicas
+	// have idle slots, and callers are refused although there is capacity.
 	Convey("Given requests that share one prompt", t, func() {
 		for _, domains := range []int{1, 3} {
 			for _, load := range []float64{1, 2, 4} {
@@ -126,10 +129,11 @@
 }
 
 func TestRushFromNothing(t *testing.T) {
-	// If idle nodes suddenly get two or four times the capacity, each node sees nearly all
-	// slots free and predicts waits from them. Within a second it has a third of these slots
-	// and refuses the waiting requests, after up to three seconds. Nodes that served requests
-	// before also underestimate the demand of each team, which they average over ten seconds.
+	// If a load of two or four times the capacity suddenly starts, each idle node sees
+	// nearly all slots as free and predicts waits from them. Within a second the node has
+	// only a third of these slots. It then refuses the waiting requests, after up to three
+	// seconds. Nodes that served requests before also underestimate the demand of each
+	// team, because they average this demand over ten seconds.
 	Convey("Given idle nodes at the start of a rush", t, func() {
 		for name, preload := range map[string]sim.Preload{
 			"after the start": {},
@@ -153,7 +157,8 @@
 	})
 }
 
-// immediateRefusal is the time within which a refusal counts as immediate.
+// immediateRefusal is the longest time from a call to its refusal with which the refusal
+// counts as immediate.
 const immediateRefusal = 100 * time.Millisecond
 
 func countBelow(delays []time.Duration, limit time.Duration) (n int) {
--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -6,63 +6,71 @@
 )
 
 const (
-	// maxShortReserveFraction is the largest fraction of the slots that is kept free of long jobs.
+	// maxShortReserveFraction is the largest fraction of the slots that shortReserve keeps
+	// free of long jobs.
 	maxShortReserveFraction = 0.5
-	// maxLowDemandHeadroomFraction is the largest fraction of the slots that lowDemandHeadroom keeps
-	// for teams below their share. It bounds the throughput that this headroom may cost.
+	// maxLowDemandHeadroomFraction is the largest fraction of the slots that
+	// lowDemandHeadroom keeps for teams below their share. It bounds the throughput that is
+	// lost to this headroom.
 	maxLowDemandHeadroomFraction = 1.0 / 20
-	// headroomPerSqrtSlots times the square root of the slots that those teams fill is the number
-	// of slots kept for them. TestHotCaller requires that the time to first token (95th
-	// percentile) of a team beside a hot team is at most 1.2 times its time without the hot
-	// team. In the heaviest case the ratio is 1.01 with this factor. With factor 1 and 1/24
-	// of the slots, two of ten seeds exceeded 1.2, with a ratio of up to 1.49. With factor
-	// 1.15 and 1/22 of the slots the ratio was 1.33. The higher factor costs 1% more of the
-	// throughput.
+	// headroomPerSqrtSlots is the ratio of the slots that lowDemandHeadroom keeps to the
+	// square root of the slots that low-demand teams fill. TestHotCaller compares the time
+	// to first token (95th percentile) of a low-demand team beside a hot team with the time
+	// without the hot team. The ratio of these two times must be at most 1.2.
+	//
+	// In the heaviest case this ratio is 1.01 with the factor 1.3 and 1/20 of the slots.
+	// With the factor 1 and 1/24 of the slots, two of ten seeds exceeded 1.2, with a ratio
+	// of up to 1.49. With the factor 1.15 and 1/22 of the slots, the ratio was 1.33. The
+	// higher factor costs 1% more of the throughput.
 	headroomPerSqrtSlots = 1.3
-	// hotDemandRatio is the ratio of a team's demand to its share by weight above which the team
-	// is hot. With a lower factor, random load changes make a team look hot, and headroom
-	// stays idle without need.
+	// hotDemandRatio is the ratio of a team's demand to its share by weight above which the
+	// team is hot. With a lower ratio, random changes of the load would make a team look
+	// hot, and headroom would be kept without need.
 	hotDemandRatio = 1.5
 	// rushHeadroomFraction is the fraction of the slots that is kept for teams below their
-	// share at the start of a rush. The slots that these teams already use count as part of
-	// it. A team that offers ten times the capacity takes all slots within 1.5 s. If its
-	// responses take 15 s, the other teams wait until the first of these responses ends.
+	// share at the start of a rush. The slots that these teams already use count as a part
+	// of it. Without this headroom, a team that offers ten times the capacity takes all
+	// slots within 1.5 s. If the responses of this team take 15 s, the other teams wait
+	// until the first of these responses ends.
 	rushHeadroomFraction = 1.0 / 3
-	// minDemand is the demand, in tokens per second, below which a team counts as inactive.
-	// With this value a request of 300 tokens counts for half a minute.
+	// minDemand is the demand, in tokens per second, below which a team counts as having no
+	// demand. With this value, one request of 300 tokens counts as demand for half a
+	// minute.
 	minDemand = 1
 )
 
-// forecast holds the rates that the teams are expected to get, in expected tokens per
-// second. It is recomputed every TickInterval.
+// forecast holds the rates at which the requests of the teams are expected to be served, in
+// expected tokens per second. It is recomputed at least every TickInterval while requests
+// are offered or wait.
 type forecast struct {
 	computedAt time.Time
-	drainRate  float64 // of all slots of this node
+	drainRate  float64 // of all slots of this node, expected tokens per second
 	// activeWeight is the sum of the weights of the teams with recent demand.
 	activeWeight float64
 	// busySince is the start of the current period with demand; zero without demand.
 	busySince time.Time
-	// headroom is the number of slots kept for teams below their share.
-	headroom int
-	stalled  bool
-	allJobs  allocation // of the drain rate to the demand of all requests
-	longJobs allocation // of the rate of the long jobs' slots to their demand
+	// headroom is the number of slots kept free for teams below their share.
+	headroom           int
+	stalled            bool
+	allJobsAllocation  allocation // assigns the drain rate to teams, from the demand of all their requests
+	longJobsAllocation allocation // assigns the rate of longJobSlots to teams, from the demand of their long jobs
 }
 
-// allocation is a weighted max-min fair allocation of a rate: each team gets its demand, up
-// to its weight times ratePerWeight.
+// allocation divides a rate between the teams by weighted max-min fairness: each team gets
+// its demand, up to its weight times ratePerWeight. All rates are in expected tokens per
+// second.
 //
-// The allocation uses the measured demand of the teams and not the teams that wait at the
-// moment. A team whose queue is empty now may send its next request within the predicted
-// wait. If such teams were left out, requests would be admitted and refused seconds
-// later.
+// The demand is the measured demand of all teams, also of teams that have no waiting
+// request now. Such a team may send its next request within the predicted wait. If these
+// teams were left out, requests would be admitted and refused seconds later.
 type allocation struct {
 	ratePerWeight    float64
-	spareRate        float64 // rate that no team's demand uses
-	minRatePerWeight float64 // rate per weight if the demand of every team exceeds its rate
+	spareRate        float64 // part of the rate that exceeds the total demand; zero if a team gets less than its demand
+	minRatePerWeight float64 // rate divided by the weight of all teams with demand
 }
 
-// rate returns the rate of a team that always has requests waiting.
+// rate returns the rate that a team with the given demand and weight gets if it always has
+// a request waiting.
 func (a allocation) rate(demand, weight float64) float64 {
 	if a.spareRate > 0 {
 		return max(demand+a.spareRate, weight*a.minRatePerWeight)
@@ -70,7 +78,8 @@
 	return weight * a.ratePerWeight
 }
 
-// allocate divides the capacity between the teams; demand returns the demand of a team.
+// allocate divides the capacity, in expected tokens per second, between the teams. demand
+// returns the demand of a team in the same unit.
 func allocate(capacity float64, teams []*team, demand func(*team) float64) allocation {
 	totalWeight := 0.0
 	for _, t := range teams {
@@ -125,24 +134,24 @@
 	if f.drainRate <= 0 {
 		return
 	}
-	f.allJobs = allocate(f.drainRate, q.teamList, func(t *team) float64 { return t.demand[short] + t.demand[long] })
+	f.allJobsAllocation = allocate(f.drainRate, q.teamList, func(t *team) float64 { return t.demand[short] + t.demand[long] })
 	for _, t := range q.teamList {
-		t.rate = f.allJobs.rate(t.demand[short]+t.demand[long], t.flow.Weight())
+		t.forecastRate = f.allJobsAllocation.rate(t.demand[short]+t.demand[long], t.flow.Weight())
 	}
 	q.longJobSlots = q.slots - q.shortReserve(slotRate)
 	f.headroom = max(f.headroom, q.lowDemandHeadroom(slotRate))
-	f.longJobs = allocate(slotRate*float64(q.longJobSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
+	f.longJobsAllocation = allocate(slotRate*float64(q.longJobSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
 	for _, t := range q.teamList {
-		t.longRate = f.longJobs.rate(t.demand[long], t.flow.Weight())
+		t.longForecastRate = f.longJobsAllocation.rate(t.demand[long], t.flow.Weight())
 	}
 }
 
-// measureDemand updates the demand of each team. It also removes teams that have no demand
-// any more and for which SetTeam was not called. Otherwise team names that are used once
-// would accumulate.
+// measureDemand updates the demand of each team. If the total demand has just risen, it
+// multiplies the demand of each team by the factor of this rise, because the rate of a team
+// depends on the demand of the other teams.
 //
-// If the total demand has just risen, measureDemand raises the demand of each team by the
-// same factor, because the rate of a team depends on the demand of the other teams.
+// measureDemand also removes the teams that have no demand any more and for which SetTeam
+// was not called. Otherwise team names that are used only once would accumulate.
 func (q *Queue) measureDemand(now time.Time) {
 	totalDemand := 0.0
 	for i := len(q.teamList) - 1; i >= 0; i-- {
@@ -166,18 +175,18 @@
 	}
 }
 
-// shortReserve returns the number of slots to keep free of long jobs. This is the number
-// of slots that the demand of short requests fills, plus the square root of that number
-// for random variation (square-root staffing).
+// shortReserve returns the number of slots to keep free of long jobs. This is the number of
+// slots that the demand of short requests fills, plus the square root of that number for
+// random variation (square-root staffing).
 //
 // Without this reserve, a short request that arrives while long jobs hold all slots waits
-// until the first long job ends. The short demand of a team counts only up to the team's
-// rate. Otherwise a team could displace the long jobs of other teams by sending many
-// short requests. Without demand for short requests no slot is kept.
+// until the first long job ends. A team's demand of short requests counts only up to the
+// team's forecast rate. Otherwise a team could displace the long jobs of other teams by
+// sending many short requests.
 func (q *Queue) shortReserve(slotRate float64) int {
 	neededSlots := 0.0
 	for _, t := range q.teamList {
-		neededSlots += min(t.demand[short], t.rate) / slotRate
+		neededSlots += min(t.demand[short], t.forecastRate) / slotRate
 	}
 	reserve := math.Ceil(neededSlots + math.Sqrt(neededSlots))
 	return int(min(reserve, math.Floor(float64(q.slots)*maxShortReserveFraction)))
@@ -193,14 +202,15 @@
 	return weight
 }
 
-// rushHeadroom returns the number of slots to keep for teams below their share at the
-// start of a rush, while the demand of these teams is not yet measured. It starts at
-// rushHeadroomFraction of the slots and falls to zero over rateWindow. The slots that
-// these teams already use are subtracted.
+// rushHeadroom returns the number of slots to keep for teams below their share at the start
+// of a rush, while the demand of these teams is not yet measured. It starts at
+// rushHeadroomFraction of the slots and falls to zero over rateWindow. The slots that these
+// teams already use are subtracted.
 //
-// Without this headroom, a node that starts in a rush gives every slot to the hottest team
-// before the other teams have sent their requests. The other teams then get no slot until
-// the first responses end: their 95th percentile wait was two to four seconds.
+// Without this headroom, a node that starts in a rush gives every slot to the team with the
+// highest load before the other teams have sent their requests. The other teams then get no
+// slot until the first responses end. The 95th percentile of their waits was two to four
+// seconds.
 func (q *Queue) rushHeadroom(now time.Time) int {
 	f := &q.forecast
 	if f.activeWeight == 0 {
@@ -223,13 +233,14 @@
 	return int(max(reserve, 0))
 }
 
-// lowDemandHeadroom returns the number of slots to keep for teams whose demand is below
-// their share: headroomFactor times the square root of the slots that these teams fill, up
-// to maxHeadroomFraction of all slots. No slot is kept if no team is hot.
+// lowDemandHeadroom returns the number of slots to keep for teams whose demand is at most
+// their forecast rate. This is headroomPerSqrtSlots times the square root of the number of
+// slots that these teams fill, up to maxLowDemandHeadroomFraction of all slots. If no team
+// is hot, no slot is kept.
 //
-// Without this headroom, a hot team holds every slot, and the first request of another
-// team waits until a request of the hot team finishes. With long responses and few slots
-// this wait is a large part of a second.
+// Without this headroom, a hot team holds every slot, and the first request of another team
+// waits until a request of the hot team finishes. With long responses and few slots, this
+// wait is a large part of a second.
 func (q *Queue) lowDemandHeadroom(slotRate float64) int {
 	neededSlots := 0.0
 	anyHot := false
@@ -238,10 +249,10 @@
 		if demand == 0 {
 			continue
 		}
-		if demand <= t.rate {
+		if demand <= t.forecastRate {
 			neededSlots += demand / slotRate
 		}
-		anyHot = anyHot || demand > hotDemandRatio*q.forecast.allJobs.minRatePerWeight*t.flow.Weight()
+		anyHot = anyHot || demand > hotDemandRatio*q.forecast.allJobsAllocation.minRatePerWeight*t.flow.Weight()
 	}
 	if !anyHot {
 		return 0
@@ -250,7 +261,8 @@
 	return int(min(reserve, math.Floor(float64(q.slots)*maxLowDemandHeadroomFraction)))
 }
 
-// belowShare reports whether the team uses fewer slots than its share by weight.
+// belowShare reports whether the team uses fewer slots than its share by weight. The share
+// is the node's slots divided between the teams with demand in proportion to their weights.
 func (q *Queue) belowShare(t *team) bool {
 	weight := t.flow.Weight()
 	return float64(t.runningCount)*max(q.forecast.activeWeight, weight) < float64(q.slots)*weight
--- a/decide/admission/list.go
+++ b/decide/admission/list.go
@@ -13,9 +13,9 @@
 
 func (l jobLength) other() jobLength { return long - l }
 
-// item is a waiting or running request. The fields that a sweep reads come first, because
-// with thousands of waiting requests a sweep spends most of its time on loading them
-// from memory.
+// item is a waiting or running request. The fields that the function sweep reads come
+// first. With thousands of waiting requests, sweep spends most of its time on loading these
+// fields from memory.
 type item struct {
 	next      *item
 	prev      *item
@@ -29,29 +29,31 @@
 	predictedWait time.Duration // as predicted at the offer
 }
 
-// blockSize is the largest number of requests in a block. A review checks each block, so
-// larger blocks make the review shorter. It also checks each request of a block in which
-// a request may be late, so smaller blocks make that part shorter.
+// blockSize is the largest number of requests in a block. A review looks at each block, so
+// larger blocks make a review shorter. If a request of a block may be late, the review
+// looks at each request of the block, so smaller blocks make this part shorter.
 const blockSize = 64
 
-// block is a sequence of adjacent requests in a list. It holds the values by which a
+// block is a sequence of adjacent requests in a list. From the values of the block, a
 // review recognizes that no request of the block will be late.
 //
-// A review that checked every request took 0.8 ms with 10,000 waiting requests. It ran
-// ten times a second under the service's lock and blocked all other requests.
+// A review that looked at every request took 0.8 ms with 10,000 waiting requests. It ran
+// ten times a second under the service's lock, and all calls on this service waited for it.
 type block struct {
 	next         *block
 	prev         *block
 	first        *item
 	waitingCount int
-	addedCount   int     // including requests that have left the block
+	addedCount   int     // requests ever added, including those that have left the block
 	cost         float64 // sum of the expected costs of the waiting requests, tokens
-	// earliestDeadline is not after the deadline of any request of the block.
+	// earliestDeadline is not after the deadline of any waiting request of the block. It
+	// may be before all of them after a request has left the block.
 	earliestDeadline time.Time
 }
 
 // list holds the waiting requests of one team, class and job length in order of arrival. It
-// is a linked list, so that canceling a request takes constant time at any position.
+// is a doubly linked list, so that removing a canceled request takes constant time at any
+// place.
 type list struct {
 	head       *item
 	tail       *item
@@ -74,8 +76,8 @@
 	l.addToBlock(it)
 }
 
-// addToBlock adds the last request of the list to the last block, or to a new block if
-// the last block is full.
+// addToBlock adds the newest request of the list to the list's last block. If blockSize
+// requests have already been added to that block, the request goes to a new block.
 func (l *list) addToBlock(it *item) {
 	b := l.lastBlock
 	if b == nil || b.addedCount == blockSize {
@@ -151,7 +153,8 @@
 	}
 }
 
-// each calls visit for every request. visit may remove the request that it receives.
+// each calls visit for every request of the list. visit may remove the request with which
+// it is called.
 func (l *list) each(visit func(*item)) {
 	var next *item
 	for it := l.head; it != nil; it = next {
@@ -160,8 +163,8 @@
 	}
 }
 
-// each calls visit for every request of the block. visit may remove the request that it
-// receives.
+// each calls visit for every request of the block. visit may remove the request with which
+// it is called.
 func (b *block) each(visit func(*item)) {
 	it := b.first
 	for range b.waitingCount {
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -16,11 +16,12 @@
 	// slots is the number of slots of one node: 40 replicas with 32 slots each are shared by
 	// 8 nodes.
 	slots    = 160
-	slotRate = 100.0            // tokens per second
+	slotRate = 100.0            // tokens per second of one slot
 	capacity = slots * slotRate // tokens per second
-	// startTimeout is the time from a call to its latest useful start.
+	// startTimeout is the time from a call to the latest time at which its start is still
+	// useful.
 	startTimeout = 5 * time.Second
-	// prefillTime is the engine's time to the first token after the start of a request.
+	// prefillTime is the time from the start of a request to the first token of the engine.
 	prefillTime = 400 * time.Millisecond
 )
 
@@ -28,9 +29,10 @@
 
 func fromSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// newLoad returns a load that offers the given multiple of the capacity.
-func newLoad(team string, multiple, cost float64) sim.Load {
-	return sim.Load{Team: team, Class: admission.Interactive, Rate: multiple * capacity / cost, MeanCost: cost, StartTimeout: startTimeout}
+// newLoad returns a load of one team that offers the given multiple of the capacity. cost
+// is the mean cost of a request in tokens.
+func newLoad(team string, capacityMultiple, cost float64) sim.Load {
+	return sim.Load{Team: team, Class: admission.Interactive, Rate: capacityMultiple * capacity / cost, MeanCost: cost, StartTimeout: startTimeout}
 }
 
 func during(l sim.Load, from, to float64) sim.Load {
@@ -50,26 +52,27 @@
 }
 
 // rushScenario offers the given multiple of the capacity from five teams with equal load.
-// A fifth of the load is long jobs.
-func rushScenario(multiple float64) sim.Scenario {
+// Long jobs make up a fifth of the load.
+func rushScenario(capacityMultiple float64) sim.Scenario {
 	var loads []sim.Load
 	for _, team := range []string{"a", "b", "c", "d", "e"} {
-		loads = append(loads, newLoad(team, multiple*0.16, 300), withStartTimeout(newLoad(team, multiple*0.04, 3000), 4*startTimeout))
+		loads = append(loads, newLoad(team, capacityMultiple*0.16, 300), withStartTimeout(newLoad(team, capacityMultiple*0.04, 3000), 4*startTimeout))
 	}
 	return newScenario(loads...)
 }
 
-// skewedScenario offers the given multiple of the capacity from eleven teams. Half of the
-// load is from one of these teams.
-func skewedScenario(multiple float64) sim.Scenario {
-	loads := []sim.Load{newLoad("big", multiple*0.5, 300)}
+// skewedScenario offers the given multiple of the capacity from eleven teams. One of these
+// teams offers half of the load.
+func skewedScenario(capacityMultiple float64) sim.Scenario {
+	loads := []sim.Load{newLoad("big", capacityMultiple*0.5, 300)}
 	for i := range 10 {
-		loads = append(loads, newLoad(fmt.Sprint("small-", i), multiple*0.05, 300))
+		loads = append(loads, newLoad(fmt.Sprint("small-", i), capacityMultiple*0.05, 300))
 	}
 	return newScenario(loads...)
 }
 
-// refusals returns the number of refused calls and the mean time to their refusals.
+// refusals returns the number of refused calls and the mean time from a call to its
+// refusal.
 func refusals(r *sim.Result) (refused int, meanDelay time.Duration) {
 	for _, c := range r.Calls {
 		if c.Verdict.Kind == admission.Refuse {
@@ -81,7 +84,7 @@
 }
 
 // predictionError returns the mean absolute difference between the predicted and the actual
-// wait of the calls that started after waiting.
+// wait, over the calls that started after waiting.
 func predictionError(r *sim.Result) (meanError time.Duration) {
 	waited := func(c *sim.Call) bool { return c.StartedByDeadline() && c.Verdict.Predicted > 0 }
 	for _, c := range r.Calls {
@@ -104,24 +107,24 @@
 func expiredInQueue(c *sim.Call) bool { return c.Verdict.Reason == admission.DeadlinePassed }
 
 func TestOverload(t *testing.T) {
-	// If twice or four times the capacity is offered to a FIFO queue, the wait grows past
-	// the timeout of every caller. Every start is then for a caller who has left, and no
-	// response is useful although all slots are busy. The admission queue refuses most
-	// requests at once and serves the rest in time.
+	// If twice or four times the capacity is offered to a FIFO queue, the wait grows beyond
+	// the timeout of every caller. Each request that starts then has a caller who has left,
+	// and no response is useful although all slots are busy. The admission queue must
+	// refuse most requests at once and serve the rest in time.
 	Convey("Goodput stays at the capacity for any offered load", t, func() {
 		from, to := fromSeconds(30), fromSeconds(110)
-		for _, multiple := range []float64{1, 1.2, 2, 4} {
-			for name, s := range map[string]sim.Scenario{"five equal teams": rushScenario(multiple), "one large team": skewedScenario(multiple)} {
+		for _, capacityMultiple := range []float64{1, 1.2, 2, 4} {
+			for name, s := range map[string]sim.Scenario{"five equal teams": rushScenario(capacityMultiple), "one large team": skewedScenario(capacityMultiple)} {
 				queue, fifo := sim.Run(s, newQueue()), sim.Run(s, newFIFO())
 				droppingFIFO := sim.Run(s, &sim.FIFO{Slots: slots, DropExpired: true})
 				refused, refusalDelay := refusals(queue)
 				_, droppingDelay := refusals(droppingFIFO)
 				queueGoodput, fifoGoodput := queue.Goodput(slotRate, from, to)/capacity, fifo.Goodput(slotRate, from, to)/capacity
 				t.Logf("%gx load, %s: goodput/capacity queue %.3f, FIFO %.3f, FIFO dropping expired requests %.3f; refused %d of %d after %v (FIFO dropping expired requests: after %v); mean prediction error %v",
-					multiple, name, queueGoodput, fifoGoodput, droppingFIFO.Goodput(slotRate, from, to)/capacity, refused, len(queue.Calls), refusalDelay, droppingDelay, predictionError(queue))
+					capacityMultiple, name, queueGoodput, fifoGoodput, droppingFIFO.Goodput(slotRate, from, to)/capacity, refused, len(queue.Calls), refusalDelay, droppingDelay, predictionError(queue))
 				So(queueGoodput, ShouldBeGreaterThanOrEqualTo, 0.95)
 				So(countCalls(queue, func(c *sim.Call) bool { return c.StartedAt > c.Deadline }), ShouldEqual, 0)
-				if multiple > 1 {
+				if capacityMultiple > 1 {
 					So(fifoGoodput, ShouldBeLessThan, 0.5)
 					So(refusalDelay, ShouldBeLessThan, 500*time.Millisecond)
 					So(droppingDelay, ShouldBeGreaterThan, startTimeout)
@@ -132,9 +135,9 @@
 }
 
 func TestBurst(t *testing.T) {
-	// If six times the capacity is offered for ten seconds on top of half load, a FIFO queue
-	// works on the burst for another minute, for callers who have left. All requests that
-	// arrive meanwhile wait behind the burst.
+	// If a burst of six times the capacity is offered for ten seconds on top of half load,
+	// a FIFO queue serves requests of the burst for another minute. Their callers have left
+	// by then. All requests that arrive in this minute wait behind the burst.
 	Convey("Requests after a burst are served as before the burst", t, func() {
 		s := newScenario(newLoad("a", 0.5, 300), during(newLoad("b", 6, 300), 30, 40))
 		queue, fifo := sim.Run(s, newQueue()), sim.Run(s, newFIFO())
@@ -149,10 +152,10 @@
 }
 
 func TestHotCaller(t *testing.T) {
-	// If a team offers up to ten times the capacity to a FIFO queue, the requests of a team
-	// with low demand wait behind thousands of requests and time out. With the admission
-	// queue, the time to first token of the low-demand team hardly changes. The test checks
-	// the worst of ten runs, because a single run may pass by chance.
+	// If a team offers up to ten times the capacity to a FIFO queue, the requests of a
+	// low-demand team wait behind thousands of requests and time out. With the admission
+	// queue, the time to first token of the low-demand team must hardly change. The test
+	// checks the worst of ten runs, because a single run may pass by chance.
 	Convey("A hot team does not slow down another team", t, func() {
 		for _, c := range []hotCase{
 			{0.05, 1, 300}, {0.05, 10, 300}, {0.2, 3, 300}, {0.05, 1, 1500}, {0.2, 3, 1500}, {0.2, 10, 1500},
@@ -172,15 +175,17 @@
 	})
 }
 
-// hotCaseRuns is the number of runs; each run uses the next seed.
+// hotCaseRuns is the number of runs of each hotCase. Each run uses the next seed.
 const hotCaseRuns = 10
 
-// hotCase is a team with low load beside a hot team. The loads are multiples of the
-// capacity; hotCost is the cost of the hot team's requests in tokens.
+// hotCase describes a low-demand team beside a hot team. lowLoad and hotLoad are the loads
+// of these teams as multiples of the capacity. hotCost is the cost of each request of the
+// hot team in tokens.
 type hotCase struct{ lowLoad, hotLoad, hotCost float64 }
 
-// simulate returns the time to first token (p95) of the low-load team, divided by its time
-// without the hot team, and the goodput as a fraction of the capacity.
+// simulate returns the time to first token (95th percentile) of the low-demand team,
+// divided by this time without the hot team. It also returns the goodput of both teams as a
+// fraction of the capacity.
 func (c hotCase) simulate(seed uint64, policy func() sim.Policy) (slowdown, goodput float64) {
 	from, to := fromSeconds(20), fromSeconds(110)
 	run := func(p sim.Policy, l ...sim.Load) *sim.Result {
@@ -189,8 +194,8 @@
 		return sim.Run(s, p)
 	}
 	p95FirstTokenSeconds := func(r *sim.Result) float64 { return (prefillTime + sim.P95(r.StartDelays(0, from, to))).Seconds() }
-	low, hot := newLoad("good", c.lowLoad, 300), newLoad("hot", c.hotLoad, c.hotCost)
-	alone, withHotTeam := run(newQueue(), low), run(policy(), low, hot)
+	lowDemandTeam, hotTeam := newLoad("good", c.lowLoad, 300), newLoad("hot", c.hotLoad, c.hotCost)
+	alone, withHotTeam := run(newQueue(), lowDemandTeam), run(policy(), lowDemandTeam, hotTeam)
 	if _, isQueue := policy().(*admission.Queue); isQueue {
 		So(withHotTeam.StartedShare(0, from, to), ShouldEqual, 1)
 	}
@@ -199,9 +204,9 @@
 
 func TestHotCallerAtStart(t *testing.T) {
 	// If a node starts in a rush and a team offers ten times the capacity in responses of
-	// 15 s, this team takes every slot within 1.5 s. The other team has not yet filled the
-	// slots that it needs. No response ends for 7 s, so the other team's callers wait for
-	// seconds.
+	// 15 s, this team takes every slot within 1.5 s. By then the other team has not yet
+	// filled the slots that it needs. No response ends for the next 7 s, so the callers of
+	// the other team wait for seconds.
 	Convey("A hot team leaves slots to another team from the first second on", t, func() {
 		for _, c := range []hotCase{{0.05, 10, 1500}, {0.2, 10, 1500}} {
 			for _, assumedRate := range []float64{0, slotRate} {
@@ -225,9 +230,10 @@
 }
 
 func TestShareByWeight(t *testing.T) {
-	// Without weighted fairness, the team that offers most load gets most of the capacity.
-	// Here three teams with weights 1, 2 and 4 together offer more than the capacity, and the
-	// team with the lowest weight offers most. The second team declares half of its cost.
+	// Without weights, the team that offers most load gets most of the capacity. Here three
+	// teams with weights 1, 2 and 4 together offer more than the capacity, and the team
+	// with the lowest weight offers most. The second team states only half of its actual
+	// cost as the expected cost.
 	Convey("The work served per team is proportional to its weight", t, func() {
 		understated := newLoad("b", 1, 600)
 		understated.ExpectedCostRatio = 0.5
@@ -250,9 +256,9 @@
 }
 
 func TestLongAmongShort(t *testing.T) {
-	// If a team sends reports of 80 s in a FIFO queue, the reports fill all slots, and each
-	// short question waits until one report is finished. With the admission queue, short
-	// questions start at once and the reports still get most of the capacity.
+	// If a team sends reports of 80 s to a FIFO queue, the reports fill all slots, and each
+	// short question waits until a report is finished. With the admission queue, short
+	// questions must start at once, and the reports must still get most of the capacity.
 	Convey("Long jobs do not delay short requests and do not starve", t, func() {
 		s := newScenario(newLoad("a", 0.2, 300), withStartTimeout(newLoad("a", 1.5, 8000), 60*time.Second))
 		s.Duration = 300 * time.Second
@@ -271,8 +277,9 @@
 
 func TestCapacityLost(t *testing.T) {
 	// If a third of the slots is lost at a load of 0.9 times the capacity, the waiting
-	// requests were admitted correctly but can't all be served in time any more. A FIFO queue
-	// keeps all of them and from then on serves only callers who have left.
+	// requests were admitted correctly but can't all be served in time any more. A FIFO
+	// queue keeps all of them. From then on it serves only requests whose callers have
+	// left.
 	Convey("After the loss of a third of the capacity, late requests are refused at once", t, func() {
 		s := newScenario(newLoad("a", 0.5, 300), newLoad("b", 0.4, 300))
 		s.SlotsByStartTime = map[time.Duration]int{fromSeconds(50): slots * 2 / 3}
@@ -289,9 +296,9 @@
 }
 
 func TestStalledService(t *testing.T) {
-	// If the endpoints accept requests but no longer finish any, the last measured rate still
-	// predicts short waits. Requests admitted at that rate would be refused only at their
-	// deadlines.
+	// If the endpoints accept requests but no longer finish any, the last measured rate
+	// still predicts short waits. Requests that are admitted at this rate are refused only
+	// at their deadlines.
 	Convey("While the service finishes no request, new requests are refused at once", t, func() {
 		s := newScenario(newLoad("a", 0.9, 300))
 		s.StallAt = fromSeconds(40)
@@ -307,8 +314,8 @@
 }
 
 func TestRetryAfter(t *testing.T) {
-	// If every refused caller is told to retry after one second, most retries arrive in the
-	// same rush and are refused again. RetryAfter must be the time at which a retry is
+	// If every refused caller is told to retry after one second, most retries arrive while
+	// the load is still high and are refused again. A retry after RetryAfter must be
 	// admitted.
 	Convey("Requests retried after RetryAfter are served", t, func() {
 		hot := during(newLoad("a", 3, 300), 20, 30)
@@ -321,13 +328,13 @@
 			return float64(servedRetries) / float64(retries)
 		}
 		computedShare, cappedShare := servedOnRetry(newQueue()), servedOnRetry(cappedRetryAfter{newQueue()})
-		t.Logf("share of retries served: with the queue's RetryAfter %.3f, with 1 s %.3f", computedShare, cappedShare)
+		t.Logf("share of retries served: with the queue's RetryAfter %.3f, with at most 1 s %.3f", computedShare, cappedShare)
 		So(computedShare, ShouldBeGreaterThan, 0.8)
 		So(cappedShare, ShouldBeLessThan, computedShare/2)
 	})
 }
 
-// cappedRetryAfter limits RetryAfter to one second.
+// cappedRetryAfter is a queue that limits RetryAfter to at most one second.
 type cappedRetryAfter struct{ *admission.Queue }
 
 func (p cappedRetryAfter) Offer(now time.Time, r admission.Request) []admission.Verdict {
@@ -347,8 +354,8 @@
 	b.Run("teams=240/waiting=1000/half from one team", func(b *testing.B) { benchmarkOfferFinish(b, 240, 1000, 2) })
 }
 
-// BenchmarkReview measures a review of all waiting requests, which runs under the service's
-// lock.
+// BenchmarkReview measures a review of all waiting requests. In production a review runs
+// under the service's lock.
 func BenchmarkReview(b *testing.B) {
 	for _, teams := range []uint64{10, 240} {
 		for _, waiting := range []uint64{10, 100, 1000, 10000} {
@@ -365,9 +372,10 @@
 	}
 }
 
-// benchmarkOfferFinish offers every spread-th request from the teams by round robin, and all other
-// requests from the first team.
-func benchmarkOfferFinish(b *testing.B, teams, waiting int, spread uint64) {
+// benchmarkOfferFinish measures one Offer, one Finish and one Tick while the given number
+// of requests wait. One of every roundRobinInterval requests is from the next team in turn.
+// All other requests are from the first team.
+func benchmarkOfferFinish(b *testing.B, teams, waiting int, roundRobinInterval uint64) {
 	q := newQueue()
 	names := make([]string, teams)
 	for i := range names {
@@ -378,8 +386,8 @@
 	var running []uint64
 	offer := func(id uint64) {
 		team := names[0]
-		if id%spread == 0 {
-			team = names[id/spread%uint64(teams)]
+		if id%roundRobinInterval == 0 {
+			team = names[id/roundRobinInterval%uint64(teams)]
 		}
 		r := admission.Request{ID: id, Team: team, Class: admission.Interactive, Cost: 300, Deadline: now.Add(time.Hour)}
 		for _, v := range q.Offer(now, r) {
@@ -404,7 +412,8 @@
 		}
 		q.Tick(now) // may be called more often than necessary
 	}
-	// Slots kept for teams below their share may be idle.
+	// Up to slots/24 more requests may wait, because the headroom for teams below their
+	// share may be idle.
 	if got := q.Stats(now).Waiting; got < waiting || got > waiting+slots/24 {
 		b.Fatalf("%d requests wait, want %d", got, waiting)
 	}
--- a/decide/admission/nodeslots.go
+++ b/decide/admission/nodeslots.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// meanSlotsWindow is the time constant of the mean number of slots that a node may use. With a
-// shorter window, the mean follows each swing between nodes that share replicas. With a
-// longer window, waits are predicted from slots that other nodes have taken meanwhile.
+// meanSlotsWindow is the time constant of the mean number of slots that the node may use.
+// With a shorter window, the mean follows the quick changes of this number while nodes
+// share replicas. With a longer window, waits are predicted from slots that other nodes now
+// use.
 const meanSlotsWindow = 2 * time.Second
 
-// nodeSlots tracks how many of the replicas' slots the node may use. Nodes that share
-// replicas take the free slots from each other. The number of slots of a node therefore
-// swings by a half within tenths of a second, although the replicas do not change.
+// nodeSlots tracks the number of the replicas' slots that this node may use. Nodes that
+// share replicas compete for the free slots. The number of slots of one node therefore
+// changes by half within tenths of a second, although the replicas do not change.
 //
 // If waits were predicted from the current number of slots, requests would be admitted for
-// slots that are taken a moment later. One refused request in a hundred then waited for
-// more than two seconds. Waits are therefore predicted from the mean number of slots, and
-// only a loss of replicas counts at once.
+// slots that another node uses a moment later. One refused request in a hundred then waited
+// for more than two seconds. Waits are therefore predicted from the mean number of slots. A
+// loss of replicas still lowers the mean at once.
 type nodeSlots struct {
-	slots      int // that the node may use now
-	totalSlots int // of all usable replicas
+	slots      int // number of slots that the node may use now
+	totalSlots int // number of slots of all usable replicas
 	meanSlots  float64
-	updatedAt  time.Time // when slots was last set
+	updatedAt  time.Time // when slots or meanSlots was last set
 	meanSince  time.Time // start of the period that the mean covers
 }
 
-// setFixed sets the number of slots of a node that shares no replicas. The mean takes the
-// same value.
+// setFixed sets the number of slots of a node that shares no replicas with other nodes. The
+// mean number of slots becomes the same.
 func (s *nodeSlots) setFixed(now time.Time, slots int) {
 	*s = nodeSlots{slots: slots, totalSlots: slots, meanSlots: float64(slots), updatedAt: now}
 }
 
-// update sets the current number of slots of the node and of all usable replicas. It reports
-// whether replicas were lost.
+// update sets the current number of slots that the node may use, and the total number of
+// slots of all usable replicas. It reports whether the total has decreased or the node has
+// no slots.
 func (s *nodeSlots) update(now time.Time, slots, total int) (replicasLost bool) {
 	replicasLost = total < s.totalSlots || slots == 0
 	switch {
@@ -48,12 +50,13 @@
 	return replicasLost
 }
 
-// restartMean restarts the mean when the node's slots have just been filled, because other
-// nodes are then taking the free slots as well. It reports whether the mean has changed.
+// restartMean restarts the mean from the current number of slots if this number is below
+// the mean. It is called when the first request has to wait: the other nodes are then also
+// filling the free slots. It reports whether the mean has changed.
 //
-// Before a rush each node sees nearly all slots as free. If these slots stayed in the mean,
+// Before a rush each node sees nearly all slots as free. If this period stayed in the mean,
 // the mean would be too high for seconds. Requests were admitted for up to three times the
-// node's actual slots and refused after three seconds.
+// slots that the node really had, and refused after three seconds.
 func (s *nodeSlots) restartMean(now time.Time) bool {
 	mean := s.meanAt(now)
 	if float64(s.slots) >= mean {
@@ -63,7 +66,7 @@
 	return true
 }
 
-// meanAt returns the mean number of slots over shareWindow.
+// meanAt returns the mean number of slots over the last meanSlotsWindow.
 func (s *nodeSlots) meanAt(now time.Time) float64 {
 	if float64(s.slots) == s.meanSlots {
 		return s.meanSlots
@@ -72,9 +75,10 @@
 	return s.meanSlots*weight + float64(s.slots)*(1-weight)
 }
 
-// meanSlotsWeight returns the weight of meanSlots in the mean at the given time; the current
-// slots have the remaining weight. The averaging period grows from zero to shareWindow, so
-// that all times since a restart count equally.
+// meanSlotsWeight returns the weight of the field meanSlots in the mean at the given time.
+// The current number of slots has the rest of the weight. After a restart, the averaging
+// period grows from zero to meanSlotsWindow, and all times since the restart have the same
+// weight.
 func (s *nodeSlots) meanSlotsWeight(now time.Time) float64 {
 	age := max(now.Sub(s.updatedAt), 0)
 	coveredTime := max(s.updatedAt.Sub(s.meanSince), 0)
--- a/decide/admission/predict.go
+++ b/decide/admission/predict.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// unboundedWait is the predicted wait if no request is expected to finish.
+// unboundedWait is the predicted wait of a request that is not expected to start.
 const unboundedWait = time.Duration(math.MaxInt64 / 4)
 
-// position describes a position in a team's queue by the work ahead of it. All work is in
-// expected tokens.
+// position describes a place in a team's queue by the team's work that is served before a
+// request in this place. All work is in expected tokens.
 type position struct {
 	higherClassAhead float64 // the team's work in higher classes
 	sameLengthAhead  float64 // the team's work in the same class and job length
@@ -18,7 +18,8 @@
 	jobLength        jobLength
 }
 
-// advance moves the position behind the given work of the same class and job length.
+// advance moves the position behind requests of the same class and job length. cost is the
+// expected cost of these requests.
 func (p *position) advance(cost float64) {
 	p.sameLengthAhead += cost
 	if p.jobLength == long {
@@ -26,29 +27,31 @@
 	}
 }
 
-// predictWait returns the expected wait of a request at the position: the team's debt and the
-// work ahead of the position, divided by the team's forecast rate.
+// predictWait returns the predicted wait of a request at the position. It is the time in
+// which the team, at its forecast rate, works off its debt and the work ahead of the
+// position, plus the time until the next slot is free. The debt is the work that the team
+// was served in advance of the other teams; see [fairness.Scheduler.Debt].
 //
-// Short requests that arrive later may overtake a long job. The long jobs of the same
-// class therefore get the part of the team's rate that its short requests leave, but at
-// least half of the rate. A long job also waits for all long jobs ahead, which use only
-// a part of the slots.
+// Short requests that arrive later may overtake a long job. Long jobs are therefore
+// expected to get the team's rate minus the demand of its short requests, but at least half
+// of the team's rate. A long job also waits for all long jobs of the team that are ahead of
+// it in any class. These jobs use only a part of the slots.
 func (q *Queue) predictWait(t *team, p position) time.Duration {
 	f := &q.forecast
 	if f.drainRate <= 0 {
 		return 0
 	}
-	wait := (q.flows.Debt(t.flow) + p.higherClassAhead + p.sameLengthAhead + p.otherLengthAhead) / t.rate
+	wait := (q.scheduler.Debt(t.flow) + p.higherClassAhead + p.sameLengthAhead + p.otherLengthAhead) / t.forecastRate
 	if p.jobLength == long {
-		longJobRate := max(t.rate/2, t.rate-t.demand[short])
-		wait = max(wait, p.sameLengthAhead/longJobRate, p.longAhead/t.longRate)
+		longJobRate := max(t.forecastRate/2, t.forecastRate-t.demand[short])
+		wait = max(wait, p.sameLengthAhead/longJobRate, p.longAhead/t.longForecastRate)
 	}
 	return toDuration(wait + q.meanCost()/f.drainRate)
 }
 
 // meanCost returns the mean expected cost of the waiting requests, or of the running
-// requests if none waits. The time until the next slot is free is about this cost divided
-// by the drain rate.
+// requests if none waits. This cost divided by the drain rate is about the time until the
+// next slot is free.
 func (q *Queue) meanCost() float64 {
 	if q.waitingCount > 0 {
 		return q.waitingWork / float64(q.waitingCount)
--- a/decide/admission/queue.go
+++ b/decide/admission/queue.go
@@ -6,8 +6,8 @@
 	"github.com/cicadatack/cicadatack/decide/fairness"
 )
 
-// The lanes of the fairness scheduler. A team is active in each lane in which one of its
-// requests waits.
+// The lanes of the fairness scheduler: orders, other short requests and long jobs. A team
+// is active in each lane in which one of its requests waits.
 const (
 	laneOrder = iota
 	laneShort
@@ -22,7 +22,7 @@
 // is not safe for concurrent use; the caller locks.
 type Queue struct {
 	cfg        Config
-	flows      *fairness.Scheduler[*team]
+	scheduler  *fairness.Scheduler[*team]
 	teams      map[string]*team
 	teamList   []*team // the same teams in a deterministic order
 	items      map[uint64]*item
@@ -35,8 +35,8 @@
 	runningLongJobs int
 	longJobSlots    int
 	waitingCount    int
-	waitingWork     float64   // expected tokens
-	nextReview      time.Time // set while requests wait
+	waitingWork     float64   // expected tokens of the waiting requests
+	nextReview      time.Time // time of the next review; set while requests wait
 
 	verdicts []Verdict
 }
@@ -45,25 +45,25 @@
 func New(cfg Config) *Queue {
 	cfg = cfg.withDefaults()
 	q := &Queue{
-		cfg:   cfg,
-		flows: fairness.New[*team](laneCount, cfg.credit()),
-		teams: make(map[string]*team),
-		items: make(map[uint64]*item),
-		meter: rateMeter{assumedRate: max(cfg.SlotRate, 0)},
+		cfg:       cfg,
+		scheduler: fairness.New[*team](laneCount, cfg.credit()),
+		teams:     make(map[string]*team),
+		items:     make(map[uint64]*item),
+		meter:     rateMeter{assumedRate: max(cfg.SlotRate, 0)},
 	}
 	q.nodeSlots.setFixed(time.Time{}, cfg.Slots)
 	q.longJobSlots = cfg.Slots
 	return q
 }
 
-// AssumeRate sets the tokens per second that a slot is assumed to finish until the rate
-// is measured, as Config.SlotRate does. Zero means unknown. A node that starts during a
-// rush learns the rate from the endpoints' reports before its first request finishes.
+// AssumeRate replaces Config.SlotRate, the rate that is used until a rate is measured. Zero
+// means unknown. A node that starts during a rush gets the rate from the endpoints' reports
+// before its first request finishes.
 func (q *Queue) AssumeRate(tokensPerSecond float64) {
 	q.meter.assumedRate = max(tokensPerSecond, 0)
 }
 
-// SetTeam sets a team's weight. Other teams have weight 1.
+// SetTeam sets the weight of a team. A team for which SetTeam was not called has weight 1.
 func (q *Queue) SetTeam(name string, weight float64) {
 	t := q.getOrAddTeam(name)
 	t.configured = true
@@ -87,8 +87,9 @@
 	return q.takeVerdicts()
 }
 
-// Offer offers a request to the queue. The returned verdicts may concern this request or
-// others. If the request has to wait, its verdict is returned by a later call.
+// Offer offers a new request to the queue. It returns the verdicts that this call causes,
+// on the new request or on waiting requests. If the new request has to wait, a later call
+// of any method returns its verdict.
 func (q *Queue) Offer(now time.Time, r Request) []Verdict {
 	if _, known := q.items[r.ID]; known {
 		return []Verdict{{ID: r.ID, Team: r.Team, Class: r.Class, Kind: Refuse, Reason: DuplicateID, QueueLength: q.waitingCount}}
@@ -104,13 +105,13 @@
 	return q.takeVerdicts()
 }
 
-// Finish frees the slot of a running request. cost is the actual cost in tokens; zero
-// means that no work was done, for example because the connection was refused. Unknown
-// IDs are ignored.
+// Finish frees the slot of a running request. cost is the actual cost in tokens. It is zero
+// if no work was done, for example because the endpoint refused the connection. Unknown IDs
+// are ignored.
 //
 // Requests with zero cost do not count in the measured rate. Otherwise endpoints that
-// refuse connections would look very fast. When these endpoints are back, requests would
-// be admitted at that rate and miss their deadlines.
+// refuse connections would look very fast. When these endpoints accept connections again,
+// requests would be admitted at the high rate and miss their deadlines.
 func (q *Queue) Finish(now time.Time, id uint64, cost float64) []Verdict {
 	it, ok := q.items[id]
 	if !ok || !it.running {
@@ -126,12 +127,12 @@
 }
 
 // FinishTruncated frees the slot of a running request whose response ended early, at the
-// caller's deadline or because of a failure. cost is the actual cost in tokens.
+// deadline of its caller or because of a failure. cost is the actual cost in tokens.
 //
-// Truncated responses do not count in the measured rate. If their whole expected cost
-// counted for the short time that they ran, the service would look faster with each
-// truncated response. The queue would then admit more requests, these would start later,
-// and more responses would be truncated at the deadline, until hardly any is complete.
+// Truncated responses do not count in the measured rate. Otherwise each of them would add
+// its whole expected cost for the short time that it ran, and the service would look faster
+// than it is. The queue would then admit more requests, these would start later, and more
+// responses would be truncated at the deadline, until hardly any response is complete.
 func (q *Queue) FinishTruncated(now time.Time, id uint64, cost float64) []Verdict {
 	it, ok := q.items[id]
 	if !ok || !it.running {
@@ -142,9 +143,9 @@
 	return q.takeVerdicts()
 }
 
-// Cancel records that the caller has left. The request gets no verdict, because no caller
-// waits for it. A running request is charged the tokens that a slot finishes in the time
-// for which the request held its slot.
+// Cancel removes a request whose caller has left. The request gets no verdict. If it is
+// running, the actual cost is not known. The team is then charged the tokens that a slot
+// finishes in the time for which the request ran, up to the expected cost.
 func (q *Queue) Cancel(now time.Time, id uint64) []Verdict {
 	it, ok := q.items[id]
 	if !ok {
@@ -170,11 +171,11 @@
 	return q.takeVerdicts()
 }
 
-// SetShare sets the number of slots that this node may currently use. total is the number
-// of slots of the replicas that the node shares with other nodes. The slots of the node
-// may change with each report of a replica, so waits are predicted from their recent
-// mean. The waiting requests are reviewed only if the total has decreased or the node
-// has no slots.
+// SetShare sets the number of slots that this node may use now, and the total number of
+// slots of the replicas that the node shares with other nodes. The number of slots of the
+// node may change with each report of a replica. Waits are therefore predicted from its
+// recent mean. The waiting requests are reviewed only if the total has decreased or the
+// node has no slots.
 func (q *Queue) SetShare(now time.Time, slots, total int) []Verdict {
 	if q.nodeSlots.update(now, max(slots, 0), max(slots, total, 0)) {
 		q.review(now)
@@ -184,9 +185,9 @@
 	return q.takeVerdicts()
 }
 
-// Tick refuses waiting requests that will miss their deadline, and returns the time at
-// which it must be called again. A call before that time has no effect. The zero time
-// means that no request waits. An Offer may change the time of the next call.
+// Tick refuses the waiting requests that will miss their deadlines, and returns the time at
+// which Tick must be called again. An earlier call has no effect. The zero time means that
+// no request waits. An Offer may move the time of the next call.
 func (q *Queue) Tick(now time.Time) (verdicts []Verdict, next time.Time) {
 	if q.waitingCount > 0 && !now.Before(q.nextReview) {
 		q.review(now)
@@ -197,8 +198,8 @@
 	return q.takeVerdicts(), q.nextReview
 }
 
-// review recomputes the forecast, refuses the requests that will be late and starts
-// requests in free slots.
+// review recomputes the forecast, refuses the waiting requests that will miss their
+// deadlines and starts requests in the free slots.
 func (q *Queue) review(now time.Time) {
 	q.recomputeForecast(now)
 	earliest := q.sweep(now)
@@ -209,7 +210,7 @@
 	}
 }
 
-// Stats returns the current state of the queue.
+// Stats returns the current state of the queue, for logs and metrics.
 func (q *Queue) Stats(now time.Time) Stats {
 	return Stats{
 		Slots:           q.slots,
@@ -229,9 +230,9 @@
 	t, ok := q.teams[name]
 	if !ok {
 		t = &team{name: name}
-		t.flow = q.flows.Add(defaultWeight, t)
-		t.rate = q.forecast.allJobs.rate(0, defaultWeight)
-		t.longRate = q.forecast.longJobs.rate(0, defaultWeight)
+		t.flow = q.scheduler.Add(defaultWeight, t)
+		t.forecastRate = q.forecast.allJobsAllocation.rate(0, defaultWeight)
+		t.longForecastRate = q.forecast.longJobsAllocation.rate(0, defaultWeight)
 		t.listIndex = len(q.teamList)
 		q.teamList = append(q.teamList, t)
 		q.teams[name] = t
@@ -239,7 +240,7 @@
 	return t
 }
 
-// removeIfIdle removes a team that has no waiting or running request.
+// removeIfIdle removes the team if none of its requests waits or runs.
 func (q *Queue) removeIfIdle(t *team) {
 	if !t.idle() {
 		return
@@ -272,14 +273,15 @@
 	return it
 }
 
-// recycle removes an item that neither waits nor runs and keeps it for reuse.
+// recycle removes an item that is neither waiting nor running from the queue, and keeps the
+// memory of the item for a new request.
 func (q *Queue) recycle(it *item) {
 	delete(q.items, it.ID)
 	*it = item{next: q.freeItems}
 	q.freeItems = it
 }
 
-// takeVerdicts returns a copy of the collected verdicts and clears them.
+// takeVerdicts returns a copy of the collected verdicts and empties the collection.
 func (q *Queue) takeVerdicts() []Verdict {
 	if len(q.verdicts) == 0 {
 		return nil
--- a/decide/admission/queue_test.go
+++ b/decide/admission/queue_test.go
@@ -11,7 +11,7 @@
 	"github.com/cicadatack/cicadatack/decide/internal/sim"
 )
 
-// Aliases for the tables below.
+// Shorter names for the table in TestOrderOfService and for its helpers.
 type (
 	request        = admission.Request
 	admissionQueue = admission.Queue
@@ -23,8 +23,8 @@
 	return request{ID: id, Team: team, Class: class, Cost: cost, Deadline: timeAt(1000)}
 }
 
-// serviceOrder offers the requests and finishes the running requests one at a time. It
-// returns the IDs in the order in which the requests start.
+// serviceOrder offers the requests and then finishes the running requests one by one. It
+// returns the IDs of the requests in the order in which they start.
 func serviceOrder(q *admissionQueue, offers []request) (ids []uint64) {
 	var started []admission.Verdict
 	cost := map[uint64]float64{}
@@ -44,9 +44,9 @@
 	const o, i, b = admission.Order, admission.Interactive, admission.Batch
 	Convey("With one slot, the waiting requests start in this order", t, func() {
 		for _, c := range []struct {
-			rule  string
-			offer []request
-			want  []uint64
+			rule   string
+			offers []request
+			want   []uint64
 		}{
 			{"by class within a team", []request{offer(1, "a", b, 10), offer(2, "a", b, 10), offer(3, "a", i, 10), offer(4, "a", o, 10)}, []uint64{1, 4, 3, 2}},
 			{"by arrival within a class", []request{offer(1, "a", i, 10), offer(2, "a", i, 30), offer(3, "a", i, 20)}, []uint64{1, 2, 3}},
@@ -56,7 +56,7 @@
 			{"short and long by work served, a short request first if equal", []request{offer(1, "a", i, 100), offer(2, "a", i, 3000), offer(3, "a", i, 100), offer(4, "a", i, 3000), offer(5, "a", i, 100)}, []uint64{1, 3, 2, 5, 4}},
 		} {
 			q := admission.New(admission.Config{Slots: 1})
-			SoMsg(c.rule, serviceOrder(q, c.offer), ShouldResemble, c.want)
+			SoMsg(c.rule, serviceOrder(q, c.offers), ShouldResemble, c.want)
 		}
 	})
 }
@@ -91,7 +91,7 @@
 			So(q.SetCapacity(timeAt(1), 0), ShouldBeEmpty)
 			So(q.Offer(timeAt(1), offer(21, "b", admission.Interactive, 1))[0].Reason, ShouldEqual, admission.NoCapacity)
 		})
-		Convey("and canceled requests free their places for others", func() {
+		Convey("and a canceled request frees its slot or its place in the queue for another request", func() {
 			So(q.Cancel(timeAt(1), 10), ShouldBeEmpty)
 			So(q.Cancel(timeAt(1), 1)[0].ID, ShouldEqual, 11)
 			So(q.Finish(timeAt(2), 1, 100), ShouldBeEmpty)
@@ -115,14 +115,14 @@
 		So(q.Offer(timeAt(30), r)[0].Reason, ShouldEqual, admission.TooLate)
 
 		q.Finish(timeAt(30), 1, 10)
-		for id := range uint64(50) { // refused connections must not count as a fast service
+		for id := range uint64(50) { // requests with refused connections must not raise the measured rate
 			q.Offer(timeAt(31), offer(10+id, "a", admission.Interactive, 10))
 			q.Finish(timeAt(31.001), 10+id, 0)
 		}
 		q.Offer(timeAt(31.1), offer(3, "a", admission.Interactive, 10))
 		So(q.Offer(timeAt(31.1), r)[0].Reason, ShouldEqual, admission.TooLate)
 	})
-	Convey("Truncated responses do not count as a fast service", t, func() {
+	Convey("Truncated responses do not raise the measured rate", t, func() {
 		q := admission.New(admission.Config{Slots: 1})
 		q.Offer(timeAt(0), offer(1, "a", admission.Interactive, 100))
 		q.Finish(timeAt(10), 1, 100)
@@ -167,15 +167,15 @@
 		r.ID = 3
 		r.Deadline = timeAt(5)
 		So(q.Offer(timeAt(1), r), ShouldBeEmpty)
-		So(q.Finish(timeAt(6), 1, 100)[0].Reason, ShouldEqual, admission.DeadlinePassed) // Tick was not called in time
+		So(q.Finish(timeAt(6), 1, 100)[0].Reason, ShouldEqual, admission.DeadlinePassed) // dispatch refuses it, because Tick was not called in time
 	})
 }
 
 func TestEveryRequestGetsOneVerdict(t *testing.T) {
-	// If the queue lost track of a request in some sequence of calls, its caller would get
-	// no verdict or two, or its slot would stay occupied. Each request must get exactly one
-	// verdict, and none after it was canceled. A request may start only in a free slot, and
-	// the queue must be empty in the end.
+	// If the queue lost a request in some sequence of calls, the caller would get no
+	// verdict or two verdicts, or the slot of the request would stay occupied. Each request
+	// must get exactly one verdict, and no verdict after it was canceled. A request may
+	// start only in a free slot. The queue must be empty after all requests were canceled.
 	for range 20 {
 		rapid.Check(t, checkVerdicts)
 	}
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -5,22 +5,25 @@
 	"time"
 )
 
-// rateWindow is the time constant of the measured rates. It spans several responses of a
-// model service, but a slow period is forgotten within half a minute.
+// rateWindow is the time constant with which older values decay in the measured rates. It
+// spans several responses of a model service. The effect of a slow period ends within half
+// a minute.
 const rateWindow = 10 * time.Second
 
-// minRateWindow is the shortest time over which a rate is calculated. With a shorter time,
-// the first request of a team would look like a high rate.
+// minRateWindow is the shortest time over which a rate is calculated. Over a shorter time,
+// the first request of a team would result in a very high rate.
 const minRateWindow = 2 * time.Second
 
-// decayingSum is a sum that decays exponentially with rateWindow.
+// decayingSum is a sum of added values, usually costs in tokens, that decays exponentially
+// with the time constant rateWindow.
 type decayingSum struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
 	firstAddAt time.Time // time of the first add since the sum was negligible
 }
 
-// negligibleSum is the value to which one token decays in slightly more than 20 windows.
+// negligibleSum is the sum, in tokens, below which a decayingSum restarts. A sum of one
+// token decays to this value in slightly more than 20 times rateWindow.
 const negligibleSum = 1e-9
 
 func (d *decayingSum) add(now time.Time, x float64) {
@@ -40,9 +43,11 @@
 	return d.sum * decay(age)
 }
 
-// perSecond returns the sum as a rate per second. It corrects for a sum that is younger than
-// rateWindow. Without this correction the demand would look low in the first ten seconds
-// of a rush, and too many requests would be admitted.
+// perSecond returns the added values as a rate per second, averaged over rateWindow. If the
+// first value was added less than rateWindow ago, the average is over the time since then,
+// but at least over minRateWindow. If the sum were always divided by rateWindow, the demand
+// would look low in the first ten seconds of a rush, and too many requests would be
+// admitted.
 func (d *decayingSum) perSecond(now time.Time) float64 {
 	age := max(now.Sub(d.firstAddAt), minRateWindow)
 	return d.valueAt(now) / (rateWindow.Seconds() * (1 - decay(age)))
@@ -53,35 +58,37 @@
 	return math.Exp(-age.Seconds() / rateWindow.Seconds())
 }
 
-// rateMeter measures the rate of a slot, in expected tokens per second of slot time. It uses
-// expected tokens because only the expected cost of the waiting requests is known.
+// rateMeter measures the rate of a slot, in expected tokens per second of slot time. Slot
+// time is the time for which a request holds its slot, summed over requests. The meter uses
+// expected costs and not actual costs, because for waiting requests only the expected cost
+// is known.
 //
 // The tokens per second of the whole service would fall whenever callers send less, and the
 // queue would then refuse the first requests of a rush. The rate of a slot does not depend
-// on the load. Multiplied by the number of slots, it reflects a loss of capacity at once.
+// on the load. Multiplied by the number of slots, it shows a loss of capacity at once.
 type rateMeter struct {
 	assumedRate float64 // used until a rate is measured
 
 	finishedTokens      float64   // expected tokens of finished requests, decayed
-	finishedSlotSeconds float64   // slot time of finished requests, decayed
+	finishedSlotSeconds float64   // slot time of finished requests in seconds, decayed
 	measuredAt          time.Time // when a request last finished
 
 	runningCount         int     // number of running requests
 	runningTokens        float64 // expected tokens of the running requests
-	startOffsetSumMicros int64   // sum of the start times of the running requests, after startBase
+	startOffsetSumMicros int64   // sum over the running requests of the time from startOffsetBase to the start, microseconds
 	startOffsetBase      time.Time
 }
 
 const (
-	// maxElapsedRatio limits the total time that the running requests have taken so far, as a
-	// multiple of their total expected duration. Above the limit the service is slow. In
-	// normal operation the ratio is 0.5 on average, or 1 if the costs vary like an
-	// exponential distribution.
+	// maxElapsedRatio is the elapsed ratio, before elapsedRatioMargin is added, above which
+	// the service is slow. In normal operation the elapsed ratio is 0.5 on average, or 1 if
+	// the costs are distributed exponentially.
 	maxElapsedRatio = 1.5
-	// elapsedRatioMargin, divided by the square root of the number of running requests, is added to
-	// slowFactor to allow for random variation.
+	// elapsedRatioMargin, divided by the square root of the number of running requests, is
+	// added to maxElapsedRatio to allow for random variation.
 	elapsedRatioMargin = 4
-	// stalledElapsedOverMax is the multiple of this limit above which the service is stalled.
+	// stalledElapsedOverMax is the elapsed ratio above which the service is stalled, as a
+	// multiple of the ratio above which the service is slow.
 	stalledElapsedOverMax = 2
 )
 
@@ -94,7 +101,8 @@
 	m.startOffsetSumMicros += now.Sub(m.startOffsetBase).Microseconds()
 }
 
-// removeRunning removes a running request. It does not change the measured rate.
+// removeRunning removes a request from the running requests. This does not change the
+// measured rate.
 func (m *rateMeter) removeRunning(startedAt time.Time, cost float64) {
 	m.runningCount--
 	m.runningTokens -= cost
@@ -112,8 +120,8 @@
 	m.finishedSlotSeconds = m.finishedSlotSeconds*factor + duration.Seconds()
 }
 
-// measuredRate returns the rate of a slot, measured from finished requests, or zero if no
-// request has finished.
+// measuredRate returns the rate of a slot over the finished requests, in expected tokens
+// per second. It returns zero if no request has finished.
 func (m *rateMeter) measuredRate() float64 {
 	if m.finishedSlotSeconds <= 0 {
 		return 0
@@ -121,12 +129,13 @@
 	return m.finishedTokens / m.finishedSlotSeconds
 }
 
-// slotRate returns the current tokens per second of one slot, or zero if unknown.
+// slotRate returns the current rate of one slot in expected tokens per second, or zero if
+// the rate is unknown.
 //
-// Finished requests do not show that the service has slowed down since, and requests would
-// still be admitted at the old rate. Therefore the time that the running requests have
-// already taken lowers the rate. While these requests take about as long as expected, it
-// has no effect.
+// The finished requests alone do not show that the service has become slow since they
+// finished. Requests would then be admitted at the old rate. Therefore the time that the
+// running requests have taken so far also counts. If this time exceeds its normal maximum,
+// slotRate divides the rate by the ratio of the two.
 func (m *rateMeter) slotRate(now time.Time) float64 {
 	rate := m.measuredRate()
 	if rate == 0 {
@@ -135,14 +144,15 @@
 	return rate / max(m.elapsedOverMax(now, rate), 1)
 }
 
-// stalled reports whether the service has practically stopped finishing requests. It uses
-// the measured rate only, because an assumed rate may be wrong.
+// stalled reports whether the service has practically stopped finishing requests. It uses a
+// measured rate only, because an assumed rate may be wrong.
 func (m *rateMeter) stalled(now time.Time) bool {
 	return m.elapsedOverMax(now, m.measuredRate()) > stalledElapsedOverMax
 }
 
-// elapsedOverMax returns the total time that the running requests have taken so far, divided by
-// the largest total time that is normal at the given rate.
+// elapsedOverMax returns the elapsed ratio, divided by the ratio above which the service is
+// slow. The expected duration of the running requests is their expected cost divided by the
+// given rate of a slot, in tokens per second.
 func (m *rateMeter) elapsedOverMax(now time.Time, rate float64) float64 {
 	if m.runningCount == 0 || rate == 0 {
 		return 0
--- a/decide/admission/refuse.go
+++ b/decide/admission/refuse.go
@@ -3,23 +3,26 @@
 import "time"
 
 const (
-	// maxWaitRatioAtOffer is the largest fraction of the time before the deadline that the
-	// predicted wait of an admitted request may take. The rest absorbs prediction errors,
-	// because an admitted request that misses its deadline has waited for nothing.
+	// maxWaitRatioAtOffer is the largest predicted wait with which a new request is
+	// admitted, as a fraction of the time until its deadline. The rest of that time allows
+	// for errors of the prediction: an admitted request that misses its deadline has waited
+	// in vain.
 	maxWaitRatioAtOffer = 0.8
-	// maxWaitRatioInQueue is the fraction of the time before the deadline above which the predicted
-	// wait leads to the refusal of a waiting request. It is larger than admitFraction, so
-	// that random variation alone does not cause a refusal after the admission.
+	// maxWaitRatioInQueue is the largest predicted wait with which a waiting request stays
+	// in the queue, as a multiple of the time until its deadline. It is larger than
+	// maxWaitRatioAtOffer, so that a random change of the prediction alone does not cause
+	// the refusal of an admitted request.
 	maxWaitRatioInQueue = 1.25
-	// retryFractionOfRate is the fraction of a team's rate that RetryAfter assigns to refused
-	// requests. The rest of the rate is for new requests.
+	// retryFractionOfRate is the fraction of a team's rate that RetryAfter assumes for
+	// retries. The rest of the rate is for new requests.
 	retryFractionOfRate = 0.5
-	// maxRetryJitterFraction is the largest fraction by which RetryAfter is shortened. It spreads the
-	// retries of requests that were refused at the same time.
+	// maxRetryJitterFraction is the largest fraction by which jitter shortens RetryAfter.
+	// Jitter spreads the retries of requests that were refused at the same time.
 	maxRetryJitterFraction = 0.1
 )
 
-// admit reports whether a new request may start or wait. Otherwise it refuses the request.
+// admit reports whether a new request may start or wait. If it may not, admit refuses the
+// request.
 func (q *Queue) admit(now time.Time, it *item) bool {
 	if q.slots == 0 {
 		q.refuse(now, it, NoCapacity, unboundedWait, noCapacityRetryAfter)
@@ -53,27 +56,28 @@
 	return true
 }
 
-// tailPosition returns the position of a new request at the end of its class and job length.
+// tailPosition returns the position of a new request behind all waiting requests of the
+// same team, class and job length.
 func (q *Queue) tailPosition(it *item) position {
 	t := it.team
 	c := &t.queues[it.Class]
-	sameLengthAhead := c.lists[it.jobLength].cost
+	workAhead := c.lists[it.jobLength].cost
 	return position{
 		higherClassAhead: t.higherClassWork(it.Class),
-		sameLengthAhead:  sameLengthAhead,
-		otherLengthAhead: c.otherLengthAhead(it.jobLength, sameLengthAhead),
+		sameLengthAhead:  workAhead,
+		otherLengthAhead: c.otherLengthWorkAhead(it.jobLength, workAhead),
 		longAhead:        t.longWork(),
 		jobLength:        it.jobLength,
 	}
 }
 
-// sweep refuses the waiting requests that will miss their deadline. It returns the earliestDeadline
-// deadline of the remaining requests, or the zero time if none waits.
+// sweep refuses the waiting requests that will miss their deadlines. It returns the
+// earliest deadline of the requests that stay, or the zero time if no request stays.
 //
-// After a loss of capacity the queue holds requests that were admitted correctly but can't
-// be served in time any more. They are refused now, while their callers can still use
-// another service. If they waited until their deadlines, they would also count as work
-// ahead of new requests.
+// After a loss of capacity, the queue holds requests that were admitted correctly but can't
+// be served in time any more. These requests are refused now, while their callers can still
+// use another service. Until their deadlines, they would also count as work that is served
+// before new requests.
 func (q *Queue) sweep(now time.Time) (earliestDeadline time.Time) {
 	for _, t := range q.teamList {
 		if t.flow.Waiting() {
@@ -95,8 +99,8 @@
 	return earliestDeadline
 }
 
-// sweepList sweeps the requests of one class and job length and advances the position. It skips
-// blocks in which no request can be late.
+// sweepList refuses the late requests of one class and job length. It advances the position
+// behind each request that stays. Blocks in which no request can be late are skipped.
 func (q *Queue) sweepList(now time.Time, t *team, c *classQueue, p *position) (earliestDeadline time.Time) {
 	p.sameLengthAhead = 0
 	for b := c.lists[p.jobLength].firstBlock; b != nil; b = b.next {
@@ -110,21 +114,21 @@
 	return earliestDeadline
 }
 
-// allOnTime reports whether the last request of the block would start before the earliestDeadline
-// deadline in the block. Then no request of the block will be late, because the predicted
-// wait grows with the position.
+// allOnTime reports whether no request of the block will be late. This is certain if the
+// last request of the block starts before the earliest deadline in the block, because the
+// predicted wait grows with the position.
 func (q *Queue) allOnTime(now time.Time, t *team, c *classQueue, b *block, p position) bool {
 	if q.forecast.stalled || b.earliestDeadline.Before(now) {
 		return false
 	}
 	p.advance(b.cost)
-	p.otherLengthAhead = c.otherLengthAhead(p.jobLength, p.sameLengthAhead)
+	p.otherLengthAhead = c.otherLengthWorkAhead(p.jobLength, p.sameLengthAhead)
 	return !q.missesDeadline(t, p, b.earliestDeadline.Sub(now))
 }
 
 func (q *Queue) sweepBlock(now time.Time, c *classQueue, b *block, p *position) (earliestDeadline time.Time) {
 	b.each(func(it *item) {
-		p.otherLengthAhead = c.otherLengthAhead(p.jobLength, p.sameLengthAhead)
+		p.otherLengthAhead = c.otherLengthWorkAhead(p.jobLength, p.sameLengthAhead)
 		if q.refuseIfLate(now, it, *p) {
 			return
 		}
@@ -137,7 +141,7 @@
 	return earliestDeadline
 }
 
-// earlier returns the earlier of two times. The zero time means that no time is set.
+// earlier returns the earlier of two times. A zero time means that the time is not set.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
@@ -145,7 +149,8 @@
 	return a
 }
 
-// refuseIfLate refuses a waiting request that can't start in time, and reports whether it did.
+// refuseIfLate refuses a waiting request that can't start in time. It reports whether the
+// request was refused.
 func (q *Queue) refuseIfLate(now time.Time, it *item, p position) bool {
 	remaining := it.Deadline.Sub(now)
 	if remaining < 0 {
@@ -167,17 +172,20 @@
 	return true
 }
 
-// missesDeadline reports whether a request at the position will miss a deadline that is the
-// given time away.
+// missesDeadline reports whether a request at the position will miss its deadline.
+// remaining is the time until the deadline.
 func (q *Queue) missesDeadline(t *team, p position, remaining time.Duration) bool {
 	return q.slots > 0 && q.predictWait(t, p) > scaleDuration(remaining, maxWaitRatioInQueue)
 }
 
-// retryAfter returns the time after which a refused request is expected to be admitted. late
-// is the time by which its predicted wait is too long. The queue must first drain by this
-// time. The team's refused requests that were told to retry earlier must also be served, at
-// retryRateFraction of the team's rate. If all refused requests were told the same time,
-// they would return in one burst and be refused again.
+// retryAfter returns the time after which a retry of a refused request is expected to be
+// admitted. late is the time by which the predicted wait was too long.
+//
+// The retry starts from the later of two times: when the queue has drained for the time
+// late, and when the previous refused request of the team was told to retry. To this,
+// retryAfter adds the time in which the team's rate times retryFractionOfRate serves the
+// request. If all refused requests were told the same time, they would return in one burst
+// and be refused again.
 func (q *Queue) retryAfter(now time.Time, it *item, late time.Duration) time.Duration {
 	if q.forecast.drainRate <= 0 {
 		return noCapacityRetryAfter
@@ -187,7 +195,7 @@
 	if t.lastRetryAt.After(retryAt) {
 		retryAt = t.lastRetryAt
 	}
-	retryAt = retryAt.Add(toDuration(it.Cost / (retryFractionOfRate * t.rate)))
+	retryAt = retryAt.Add(toDuration(it.Cost / (retryFractionOfRate * t.forecastRate)))
 	if latest := now.Add(q.cfg.MaxRetryAfter); retryAt.After(latest) {
 		retryAt = latest
 	}
@@ -195,14 +203,16 @@
 	return q.jitter(it.ID, max(retryAt.Sub(now), minRetryAfter))
 }
 
-// jitter shortens the wait by up to retryJitter of it, depending on the request's ID.
+// jitter shortens wait by a fraction between 0 and maxRetryJitterFraction, which is a hash
+// of the request's ID. The result is at least minRetryAfter.
 func (q *Queue) jitter(id uint64, wait time.Duration) time.Duration {
 	const fibonacciMultiplier = 0x9e3779b97f4a7c15 // Fibonacci hashing; spreads consecutive IDs
 	fraction := float64((id*fibonacciMultiplier)>>11) / (1 << 53)
 	return max(wait-scaleDuration(wait, maxRetryJitterFraction*fraction), minRetryAfter)
 }
 
-// refuse adds the final verdict on a request that is in no list.
+// refuse adds the final verdict on a request that is in no waiting list, and recycles the
+// item.
 func (q *Queue) refuse(now time.Time, it *item, reason Reason, predictedWait, retryAfter time.Duration) {
 	v := q.verdict(now, it, Refuse, reason)
 	v.Predicted = predictedWait
--- a/decide/admission/step.go
+++ b/decide/admission/step.go
@@ -6,25 +6,27 @@
 )
 
 const (
-	// stepWindow is the time constant of the recent total demand, by which a step is
-	// detected.
+	// stepWindow is the time constant of the recent total demand. A step is a sudden rise
+	// of this demand.
 	stepWindow = time.Second
-	// minStepWindow is the shortest time over which the recent demand is calculated.
+	// minStepWindow is the shortest time over which the recent total demand is calculated.
 	minStepWindow = stepWindow / 2
-	// stepResetPause is the time without requests after which the recent demand is reset.
+	// stepResetPause is the time without an offered request after which the recent total
+	// demand restarts from zero.
 	stepResetPause = 3 * stepWindow
-	// stepDemandRatio is the ratio of the recent demand to the demand over rateWindow above which
-	// a step is detected. At 64 requests a second, random variation changes the recent demand
-	// by 9% (standard deviation).
+	// stepDemandRatio is the ratio of the recent total demand to the total demand over
+	// rateWindow above which a step is detected. At 64 requests a second, random variation
+	// changes the recent total demand by 9% (standard deviation).
 	stepDemandRatio = 1.5
 )
 
-// stepDetector detects a sudden rise of the total demand.
+// stepDetector detects a sudden rise of the total demand of all teams.
 //
-// After a quiet period, the demand measured over rateWindow takes seconds to show such a
-// rise. Without this detector, a node that was offered twice its capacity after a pause of
-// 8 s predicted waits that were too short: it assumed that each team could use the rate
-// that the other teams did not seem to need. One refusal in ten came after three seconds.
+// After a quiet period, the demand over rateWindow takes seconds to show such a rise.
+// Without this detector, a node that was offered twice its capacity after a pause of 8 s
+// predicted waits that were too short. It expected each team to get the rate that the other
+// teams did not seem to need. One refusal in ten then came more than three seconds after
+// the offer.
 type stepDetector struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
@@ -43,8 +45,8 @@
 	return s.sum * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/stepWindow.Seconds())
 }
 
-// riseFactor returns the ratio of the recent demand to the measured demand, or 1 if random
-// variation may explain it.
+// riseFactor returns the ratio of the recent total demand to measuredDemand, the total
+// demand over rateWindow. It returns 1 if random variation may explain the difference.
 func (s *stepDetector) riseFactor(now time.Time, measuredDemand float64) float64 {
 	age := max(now.Sub(s.firstAddAt), minStepWindow).Seconds() / stepWindow.Seconds()
 	recentDemand := s.valueAt(now) / (stepWindow.Seconds() * (1 - math.Exp(-age)))
--- a/decide/admission/types.go
+++ b/decide/admission/types.go
@@ -2,11 +2,13 @@
 
 import "time"
 
-// Class is the priority class of a request. Lower classes go first.
+// Class is the priority class of a request. Within a team, the class with the lowest value
+// is served first.
 type Class uint8
 
 // The classes, in the order in which they are served within a team.
 const (
+	// Order is the class of requests that must not run twice, such as a purchase.
 	Order Class = iota
 	Interactive
 	Batch
@@ -35,12 +37,12 @@
 	Class Class
 	// Cost is the expected cost in tokens. A cost below 1 counts as 1.
 	Cost float64
-	// Deadline is the latest useful start time. Zero means Config.DefaultWait after
-	// the offer.
+	// Deadline is the latest useful start time. Zero means the time of the offer plus
+	// Config.DefaultWait.
 	Deadline time.Time
 }
 
-// Kind says what the user of the queue has to do.
+// Kind says what the caller of the queue has to do with the request.
 type Kind uint8
 
 // The kinds of verdict.
@@ -48,7 +50,7 @@
 	// Run means: send the request to an endpoint now. The request holds a slot until
 	// Finish, FinishTruncated or Cancel.
 	Run Kind = iota + 1
-	// Refuse means: answer the caller now; the request was not run.
+	// Refuse means: answer the request with a refusal now. The request was not run.
 	Refuse
 )
 
@@ -70,18 +72,18 @@
 const (
 	// SlotFree: a slot was free and the request was the next to start.
 	SlotFree Reason = iota + 1
-	// TooLate: the predicted start is after the deadline.
+	// TooLate: the predicted start is too late for the deadline.
 	TooLate
-	// DeadlinePassed: the deadline passed before the request was offered or while it
-	// waited.
+	// DeadlinePassed: the deadline had already passed when the request was offered, or it
+	// passed while the request waited.
 	DeadlinePassed
-	// QueueFull: Config.MaxWaiting requests are waiting.
+	// QueueFull: the queue already holds Config.MaxWaiting waiting requests.
 	QueueFull
 	// NoCapacity: the service has no slots.
 	NoCapacity
-	// Stalled: the running requests take far longer than expected.
+	// Stalled: the running requests have taken far longer than expected.
 	Stalled
-	// TeamRemoved: the team was removed from the environment.
+	// TeamRemoved: RemoveTeam was called while the request waited.
 	TeamRemoved
 	// DuplicateID: another request with this ID is waiting or running. The verdict
 	// concerns the second offer only.
@@ -111,24 +113,26 @@
 	return "unknown"
 }
 
-// Verdict is the queue's decision on one request, with the values that led to it.
+// Verdict is the queue's decision on one request, and the values on which the decision is
+// based.
 type Verdict struct {
 	ID     uint64
 	Team   string
 	Class  Class
 	Kind   Kind
 	Reason Reason
-	// RetryAfter is the time after which a refused caller is expected to be admitted.
-	// It is zero for Run and where a retry does not help.
+	// RetryAfter is the time after which a retry of a refused request is expected to be
+	// admitted. It is zero for Run, and if a retry does not help.
 	RetryAfter time.Duration
 	// Waited is the time from the offer to this verdict.
 	Waited time.Duration
-	// Predicted is the predicted wait until the start: for Run as predicted at the
-	// offer, for Refuse as predicted at the verdict.
+	// Predicted is a predicted wait. For Run it is the wait that was predicted at the
+	// offer. For Refuse it is the further wait that was predicted at the refusal.
 	Predicted time.Duration
 	// QueueLength is the number of requests waiting after the verdict.
 	QueueLength int
-	// DrainRate is the node's drain rate in expected tokens per second; zero if unknown.
+	// DrainRate is the node's drain rate, in expected tokens per second. Zero means
+	// unknown.
 	DrainRate float64
 }
 
@@ -138,25 +142,26 @@
 	Running         int
 	Waiting         int
 	RunningLongJobs int     // number of running long jobs
-	LongJobSlots    int     // slots that long jobs may hold
-	DrainRate       float64 // expected tokens per second
+	LongJobSlots    int     // number of slots that long jobs may hold
+	DrainRate       float64 // drain rate in expected tokens per second
 }
 
 // Config configures a Queue. The zero value of a field selects its default.
 type Config struct {
-	// Slots is the number of requests that may run at a time. With zero slots all
+	// Slots is the number of requests that may run at the same time. With zero slots all
 	// requests are refused until SetCapacity or SetShare is called.
 	Slots int
 	// MaxWaiting is the largest number of waiting requests. It bounds the memory of
 	// the queue.
 	MaxWaiting int
-	// DefaultWait is the longest wait of a request without a deadline.
+	// DefaultWait is the longest time that a request without a deadline may wait.
 	DefaultWait time.Duration
-	// LongCost is the expected cost, in tokens, from which a request is a long job.
+	// LongCost is the expected cost, in tokens, at and above which a request that is not an
+	// order is a long job.
 	LongCost float64
-	// SlotRate is the number of expected tokens per second that a slot is assumed to
-	// finish until the rate is measured. Zero means unknown: no request is refused as
-	// too late before the first requests have finished.
+	// SlotRate is the rate at which a slot is assumed to finish work until the rate is
+	// measured, in expected tokens per second. Zero means unknown: no request is then
+	// refused as too late before the first request has finished.
 	SlotRate float64
 	// MaxRetryAfter is the largest RetryAfter of a verdict.
 	MaxRetryAfter time.Duration
@@ -168,23 +173,24 @@
 	defaultLongCost            = 2048
 	defaultMaxRetryAfter       = time.Minute
 
-	// minRetryAfter keeps a refused caller from retrying within the time that a refusal
-	// and a new request take together.
+	// minRetryAfter is the smallest RetryAfter. It keeps a refused caller from retrying
+	// within the time that a refusal and a new request take together.
 	minRetryAfter = 100 * time.Millisecond
-	// noCapacityRetryAfter is the RetryAfter while the service has no slots. No drain
-	// rate exists then, and new endpoints are detected within about a second.
+	// noCapacityRetryAfter is the RetryAfter while the service has no slots. No drain rate
+	// is known then. New endpoints are detected within about a second.
 	noCapacityRetryAfter = time.Second
-	// stalledRetryAfter is the RetryAfter while the service is stalled. No drain rate
-	// exists then either, and stalled endpoints are replaced within seconds.
+	// stalledRetryAfter is the RetryAfter while the service is stalled. No drain rate is
+	// known then. Stalled endpoints are replaced within seconds.
 	stalledRetryAfter = 5 * time.Second
 )
 
-// TickInterval is the longest time that the queue takes to detect that a waiting request
-// will miss its deadline.
+// TickInterval is the time between two reviews of the waiting requests. A waiting request
+// that will miss its deadline is refused at most this time after the queue can predict the
+// miss.
 const TickInterval = 100 * time.Millisecond
 
-// credit is the most work, in tokens, by which a team or a job length may be behind its
-// share and still catch up.
+// credit returns the most work, in tokens, that a team or a job length may catch up on
+// after a time in which its requests could not start.
 func (c Config) credit() float64 { return maxCreditJobs * c.LongCost }
 
 func (c Config) withDefaults() Config {
--- a/decide/fairness/doc.go
+++ b/decide/fairness/doc.go
@@ -22,16 +22,22 @@
 // and call [Scheduler.Charge] with the expected cost. When the actual cost is known,
 // call [Scheduler.Correct] with the difference.
 //
-// A lane is a kind of request, such as long jobs, that may have no free slot while
-// requests of other kinds can start. A flow is one team in the scheduler. It has one
-// virtual time over all lanes, so a team can't gain by spreading its requests over
-// several lanes.
+// # Terms
+//
+//   - A flow is one team in the scheduler.
+//   - A lane holds the flows that wait with requests of one kind, such as long jobs. The
+//     requests of one lane may have to wait for a slot while those of another lane can
+//     start. A flow has one virtual time for all lanes, so a team can't gain by spreading
+//     its requests over several lanes.
+//   - A flow is active while it waits in at least one lane. Otherwise it is idle.
+//   - Tokens at weight 1 is the unit of virtual time: a request of 10 tokens adds 10 at
+//     weight 1 and 5 at weight 2.
 //
 // # Grounds for the default credit
 //
 // The credit is the most that a team may be behind the virtual time of the scheduler,
-// in tokens at weight 1. Without this bound, a team whose lane had no free slot for a
+// in tokens at weight 1. Without this bound, a team whose requests could not start for a
 // while would later take every slot until it has caught up, and the other teams would
-// stall. The default equals four long jobs: it allows a refund of an overestimated
-// cost and bounds the stall to four jobs.
+// get no slot. The default equals the cost of four long jobs. It leaves room for the refund
+// of an overstated cost, and the other teams have to wait for at most four jobs.
 package fairness
--- a/decide/fairness/lane.go
+++ b/decide/fairness/lane.go
@@ -1,11 +1,11 @@
 package fairness
 
-// notInLane stands for the heap index of a flow that does not wait in a lane.
+// notInLane is the heap index of a flow in a lane in which the flow does not wait.
 const notInLane = -1
 
-// lane is a binary heap of waiting flows, ordered by virtual time. It does not use
-// container/heap, because the calls through that interface cost more than the
-// comparisons.
+// lane is a binary heap of the flows that wait in one lane, ordered by virtual time. It
+// does not use container/heap, because calls through the interface of that package take
+// more time than the comparisons.
 type lane[T any] struct {
 	laneIndex int
 	flows     []*Flow[T]
--- a/decide/fairness/scheduler.go
+++ b/decide/fairness/scheduler.go
@@ -2,11 +2,11 @@
 
 import "math"
 
-// DefaultCredit is the default for how far a team may be behind the scheduler's
-// virtual time, in tokens at weight 1.
+// DefaultCredit is the default of the credit: the most that a team may be behind the
+// scheduler's virtual time, in tokens at weight 1.
 const DefaultCredit = 8192
 
-// minWeight replaces a weight that is smaller, infinite or not a number, because
+// minWeight is used in place of a weight that is smaller, infinite or not a number, because
 // costs are divided by the weight.
 const minWeight = 1e-6
 
@@ -16,23 +16,26 @@
 	Value T
 
 	weight      float64
-	virtualTime float64
-	heapIndexes []int // index in the heap of each lane, or notInLane
-	activeLanes int   // number of lanes in which the flow waits
+	virtualTime float64 // tokens at weight 1
+	heapIndexes []int   // index of the flow in the heap of each lane, or notInLane
+	activeLanes int     // number of lanes in which the flow waits
 }
 
 // Weight returns the flow's weight.
 func (f *Flow[T]) Weight() float64 { return f.weight }
 
-// Scheduler orders flows by virtual time. It is not safe for concurrent use.
+// Scheduler holds the flows and serves those with lower virtual time first. Its own virtual
+// time is the largest virtual time at which a request has started. A Scheduler is not safe
+// for concurrent use.
 type Scheduler[T any] struct {
 	lanes       []lane[T]
 	virtualTime float64
 	credit      float64
 }
 
-// New returns a scheduler with the given number of lanes. Credit is in tokens
-// at weight 1; zero means DefaultCredit.
+// New returns a scheduler with the given number of lanes. credit is the most that a flow
+// may be behind the scheduler's virtual time, in tokens at weight 1. Zero means
+// DefaultCredit.
 func New[T any](lanes int, credit float64) *Scheduler[T] {
 	if credit <= 0 {
 		credit = DefaultCredit
@@ -44,7 +47,7 @@
 	return s
 }
 
-// Add returns a new flow, which waits in no lane.
+// Add returns a new flow. It does not wait in any lane yet.
 func (s *Scheduler[T]) Add(weight float64, value T) *Flow[T] {
 	f := &Flow[T]{Value: value, weight: sanitizeWeight(weight), virtualTime: s.virtualTime}
 	f.heapIndexes = make([]int, len(s.lanes))
@@ -54,14 +57,14 @@
 	return f
 }
 
-// SetWeight changes the weight from the next charge on.
+// SetWeight changes the weight that later calls of Charge and Correct use.
 func (f *Flow[T]) SetWeight(weight float64) {
 	f.weight = sanitizeWeight(weight)
 }
 
-// Activate records that a request of the flow waits in the lane. A flow that was
-// idle continues at least at the current virtual time. Otherwise it would save up
-// credit while idle and could then block the other flows.
+// Activate records that a request of the flow waits in the lane. If the flow waited in no
+// lane before, its virtual time is raised at least to that of the scheduler. Otherwise a
+// flow would save up credit while it has no requests, and could then block the other flows.
 func (s *Scheduler[T]) Activate(f *Flow[T], laneIndex int) {
 	if f.heapIndexes[laneIndex] != notInLane {
 		return
@@ -82,7 +85,8 @@
 	f.activeLanes--
 }
 
-// Min returns the waiting flow of the lane that is served next, or nil if none waits.
+// Min returns the flow with the lowest virtual time of those that wait in the lane, or nil
+// if none waits.
 func (s *Scheduler[T]) Min(laneIndex int) *Flow[T] {
 	flows := s.lanes[laneIndex].flows
 	if len(flows) == 0 {
@@ -91,9 +95,9 @@
 	return flows[0]
 }
 
-// MinWhere returns the eligible waiting flow of the lane that is served next, or nil
-// if none is eligible. If the first flow is not eligible, MinWhere checks every
-// waiting flow.
+// MinWhere returns the flow with the lowest virtual time of the eligible flows that wait in
+// the lane, or nil if none is eligible. If the flow with the lowest virtual time is not
+// eligible, MinWhere goes through all flows that wait in the lane.
 func (s *Scheduler[T]) MinWhere(laneIndex int, eligible func(T) bool) *Flow[T] {
 	var leastServed *Flow[T]
 	for _, f := range s.lanes[laneIndex].flows {
@@ -107,11 +111,12 @@
 	return leastServed
 }
 
-// VirtualTimeDiff returns by how much the virtual time of a exceeds that of b, in tokens at
-// weight 1. The flow with the lower virtual time is served first.
+// VirtualTimeDiff returns the virtual time of a minus that of b, in tokens at weight 1. The
+// flow with the lower virtual time is served first.
 func (s *Scheduler[T]) VirtualTimeDiff(a, b *Flow[T]) float64 { return a.virtualTime - b.virtualTime }
 
-// Charge records that a request of the given expected cost, in tokens, has started.
+// Charge records that a request of the flow has started. cost is its expected cost in
+// tokens.
 func (s *Scheduler[T]) Charge(f *Flow[T], cost float64) {
 	start := max(f.virtualTime, s.virtualTime-s.credit)
 	s.virtualTime = max(s.virtualTime, start)
@@ -119,16 +124,17 @@
 	s.fix(f)
 }
 
-// Correct adds the actual minus the expected cost of a request, in tokens. A team
-// that understates its costs is charged later; a team that overstates them gets a
-// refund.
+// Correct adds the actual cost of a request minus its expected cost, in tokens, to the
+// charge of the flow. A team that understates its costs is charged the rest here. A team
+// that overstates its costs gets a refund.
 func (s *Scheduler[T]) Correct(f *Flow[T], costDiff float64) {
 	f.virtualTime += costDiff / f.weight
 	s.fix(f)
 }
 
-// Debt returns how far the flow is ahead of the current virtual time, in tokens. The
-// flow waits until the other flows have caught up by this much.
+// Debt returns the work, in tokens, that corresponds to the flow's virtual time above that
+// of the scheduler, or zero if it is not above. The flow is served again when the other
+// flows have caught up.
 func (s *Scheduler[T]) Debt(f *Flow[T]) float64 {
 	return max(f.virtualTime-s.virtualTime, 0) * f.weight
 }
@@ -139,7 +145,7 @@
 // WaitsIn reports whether the flow waits in the lane.
 func (f *Flow[T]) WaitsIn(laneIndex int) bool { return f.heapIndexes[laneIndex] != notInLane }
 
-// fix restores the heap order after a change of the flow's virtual time.
+// fix restores the heap order of all lanes after a change of the flow's virtual time.
 func (s *Scheduler[T]) fix(f *Flow[T]) {
 	for i := range s.lanes {
 		if f.heapIndexes[i] != notInLane {
--- a/decide/retry/doc.go
+++ b/decide/retry/doc.go
@@ -8,7 +8,7 @@
 //
 // # Load pattern
 //
-// Many attempts fail at once, because a third of the endpoints is lost or because
+// Many attempts fail at once, because a third of the endpoints has failed or because
 // all endpoints are too slow.
 //
 // # Failures without a retry budget
@@ -23,23 +23,24 @@
 //     times the callers' load. Three attempts per request would triple the load.
 //   - DefaultBurst 100: losing a third of the endpoints breaks a third of a node's
 //     streams at once. At the target size a node serves about 50 requests a second
-//     of 7 s each. A third of the streams that run at a time is then 117. A burst of
-//     100 retries saves most of these streams and equals 2 s of the node's load.
+//     of 7 s each, so 350 streams run at a time and 117 of them break. A burst of 100
+//     retries saves most of these streams and equals 2 s of the node's load.
 //   - DefaultMinRetriesPerSecond 0.2: a service with little traffic earns hardly any
 //     retries from successes. One retry every 5 s does no harm there.
-//   - Backoff of 25 ms to 1 s, with the second half of each delay jittered: the first
-//     retry goes to another endpoint, so it need not wait for a recovery. Jitter keeps
-//     callers that failed together from retrying together.
+//   - DefaultBaseDelay 25 ms and DefaultMaxDelay 1 s: the first retry goes to another
+//     endpoint, so it need not wait until the failed endpoint recovers. Each delay is
+//     drawn at random between half of the backoff and the whole of it, so that requests
+//     that failed together are not retried together.
 //
 // # Window limit
 //
 // Where the endpoints limit the retries of all nodes per time window, a Budget with
 // Config.Window enforces this node's part of that limit. Retries are then rarely
-// needed, but many are needed at once when a replica fails under all streams of a
-// failure domain. The full burst is therefore available without saving it up.
+// needed, but many are needed at once when a replica fails that serves all streams of a
+// failure domain. The full burst is therefore available without being saved up first.
 //
 // # Overload
 //
-// Overload is never retried. An endpoint that refuses for lack of capacity needs
-// less load, so its refusal goes to the caller with Retry-After.
+// A request that an endpoint refuses for lack of capacity is never retried. Such an
+// endpoint needs less load, so its refusal goes to the caller with Retry-After.
 package retry
--- a/decide/retry/limiter.go
+++ b/decide/retry/limiter.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// limiter counts the retries that a Budget allows.
+// limiter counts the retries of a Budget and decides how many more are allowed.
 type limiter interface {
-	// available returns the number of retries that may be made now.
+	// available returns the number of retries that are allowed now.
 	available(now time.Time) float64
-	// recordSuccess credits a complete response.
+	// recordSuccess adds the retries that a complete response earns.
 	recordSuccess(now time.Time)
-	// spend charges one retry.
+	// spend subtracts one retry.
 	spend(now time.Time)
 }
 
-// tokenBucket earns retries per success and per second, and holds at most burst.
+// tokenBucket earns retryRatio retries per success and minRetriesPerSecond per second. It
+// holds at most burst retries.
 type tokenBucket struct {
 	retryRatio, burst, minRetriesPerSecond float64
 	availableRetries                       float64
-	creditedUntil                          time.Time // minPerSecond is credited up to this time
+	creditedUntil                          time.Time // time up to which minRetriesPerSecond has been credited
 }
 
 func (b *tokenBucket) available(now time.Time) float64 {
@@ -41,37 +42,37 @@
 	b.availableRetries = min(b.burst, b.availableRetries+tokens)
 }
 
-// windowIntervals is the number of slots into which the window is divided.
+// windowIntervals is the number of equal intervals into which the window is divided.
 const windowIntervals = 20
 
-// slidingWindow allows, in any period of the given width, burst retries plus ratio
-// for each success in the period. The full burst is available at any time without
-// being saved up first.
+// slidingWindow limits the retries in any period of the given width to burst plus
+// retryRatio for each success in that period. The full burst need not be saved up first.
 type slidingWindow struct {
 	width             time.Duration
 	retryRatio, burst float64
-	// ring has one slot more than the width covers, because a period of that width
-	// usually starts and ends inside a slot.
+	// ring has one interval more than the window, because a period of that width usually
+	// starts and ends within an interval.
 	ring [windowIntervals + 1]interval
-	// initialSpent is the number of retries that count as spent at the first use.
+	// initialSpent is the number of retries that count as spent at the first use of the
+	// window.
 	initialSpent float64
-	// pendingBurst is a larger burst that takes effect one width after pendingSince.
+	// pendingBurst is a burst that is larger than the current burst. It takes effect one
+	// window width after pendingSince.
 	pendingBurst float64
 	pendingSince time.Time
-	// firstUse is the time of the first call. The time elapsed since then is measured
-	// with its monotonic clock reading, because the wall clock may jump.
+	// firstUse is the time of the first call. The time elapsed since firstUse is measured
+	// by the monotonic clock readings, because the wall clock may jump.
 	firstUse time.Time
 }
 
-// interval counts retries and successes in one interval of the window. Slots are numbered
-// from the first use.
+// interval holds the number of retries and successes in one interval of the window.
+// intervalNumber counts the intervals since the first use.
 type interval struct {
 	intervalNumber          int64
 	spentRetries, successes float64
 }
 
-// newSlidingWindow returns a window in which the given number of retries counts as
-// spent at its first use.
+// newSlidingWindow returns a window in which spent retries count as spent at the first use.
 func newSlidingWindow(cfg Config, spent float64) *slidingWindow {
 	return &slidingWindow{width: cfg.Window, retryRatio: cfg.RetryRatio, burst: cfg.Burst, initialSpent: spent}
 }
@@ -80,12 +81,13 @@
 	if w.firstUse.IsZero() {
 		w.firstUse = now
 	}
-	// Numbers start at 1, so that an unused ring entry is not taken for the first slot.
+	// Interval numbers start at 1, so that an unused ring entry, with number 0, is not
+	// taken for the first interval.
 	return max(0, int64(now.Sub(w.firstUse)/(w.width/windowIntervals))) + 1
 }
 
-// currentInterval returns the slot that contains now. The ring entry is reset if it
-// still holds an older slot.
+// currentInterval returns the ring entry of the interval that contains now. If the entry
+// still holds an older interval, it is reset.
 func (w *slidingWindow) currentInterval(now time.Time) *interval {
 	number := w.intervalNumber(now)
 	s := &w.ring[number%int64(len(w.ring))]
@@ -112,9 +114,10 @@
 	return retries
 }
 
-// setBurst applies a smaller burst at once and a larger burst after one width. When
-// nodes leave, each remaining node's part of the retries grows. The retries that the
-// departed nodes spent still count against the limit until the width has passed.
+// setBurst applies a smaller burst at once, and a larger burst after one window width. When
+// nodes leave the fleet, the part of the fleet's retries that each remaining node may use
+// grows. The retries that the departed nodes have spent still count against the fleet's
+// limit until one window width has passed.
 func (w *slidingWindow) setBurst(now time.Time, burst float64) {
 	switch {
 	case burst <= w.burst:
--- a/decide/retry/limiter_test.go
+++ b/decide/retry/limiter_test.go
@@ -21,10 +21,10 @@
 	return n
 }
 
-// If a replica fails under all streams of a failure domain seconds after the fleet
-// started, few successes have been recorded. Retries saved up over time would cover a
-// sixth of these streams, and most would wait for busy links. The full burst must be
-// available.
+// If a replica that serves all streams of a failure domain fails seconds after the fleet
+// has started, the node has recorded few successes. Retries earned by successes would then
+// be enough for a sixth of these streams, and most streams would wait for busy links. The
+// full burst must therefore be available from the start.
 func TestFullBurstAvailableAtStart(t *testing.T) {
 	b := New(Config{RetryRatio: 0.16, Burst: 22, Window: testWindow})
 	if n := retryUntilRefused(b, epoch); n != 22 {
@@ -44,9 +44,9 @@
 	}
 }
 
-// If the nodes restart one by one and each starts with a full burst, the fleet exceeds
-// its retry limit, because the retries of the previous processes still count in the
-// window. A restarted node therefore starts with InitialRetries.
+// If the nodes restart one by one and each starts with a full burst, all nodes together
+// exceed their retry limit, because the retries of the previous processes still count in
+// the window. A restarted node therefore starts with InitialRetries.
 func TestInitialRetriesLimitRestartedNode(t *testing.T) {
 	b := New(Config{Burst: 24, InitialRetries: 3, Window: testWindow})
 	if n := retryUntilRefused(b, epoch); n != 3 {
@@ -58,8 +58,8 @@
 }
 
 // If half of the nodes fail after spending their bursts and the bursts of the remaining
-// nodes grow at once, the fleet exceeds its retry limit. The larger burst must take
-// effect one window later, when the failed nodes' retries no longer count.
+// nodes grow at once, all nodes together exceed their retry limit. The larger burst must
+// take effect one window later, when the retries of the failed nodes no longer count.
 func TestLargerBurstTakesEffectAfterWindow(t *testing.T) {
 	b := New(Config{Burst: 10, Window: testWindow})
 	b.SetBurst(epoch, 20)
@@ -77,9 +77,9 @@
 	}
 }
 
-// For any sequence of successes and failures, no period of the window's length has more
-// retries than the burst plus the retry ratio times the successes of that period and the
-// one before.
+// If retries stopped counting before the window has passed, some period of the window's
+// length would have more retries than allowed. The limit here is the burst plus the retry
+// ratio times the successes of that period and of the period before it.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const burst, retryRatio = 7.0, 0.2
@@ -113,9 +113,9 @@
 	})
 }
 
-// If slots were numbered by the wall clock, a jump of that clock would end the window
-// early, and the fleet would exceed its retry limit. Slots are numbered by the monotonic
-// time since the first use.
+// If intervals were numbered by the wall clock, a jump of that clock would end the window
+// early, and all nodes together would exceed their retry limit. Intervals are numbered by
+// the monotonic time since the first use.
 func TestWindowUsesMonotonicClock(t *testing.T) {
 	b := New(Config{Burst: 5, Window: testWindow})
 	now := time.Now() // includes a monotonic clock reading
@@ -127,6 +127,6 @@
 		t.Errorf("%d more retries a millisecond later, want none", n)
 	}
 	if got := b.limiter.(*slidingWindow).intervalNumber(later); got != 1 {
-		t.Errorf("slot %d, want slot 1, counted from the first use", got)
+		t.Errorf("interval %d, want interval 1, counted from the first use", got)
 	}
 }
--- a/decide/retry/retry.go
+++ b/decide/retry/retry.go
@@ -22,21 +22,22 @@
 type Config struct {
 	// RetryRatio is the number of retries earned per success.
 	RetryRatio float64
-	// Burst is the largest number of retries that can be saved up. A new Budget holds
+	// Burst is the largest number of retries that a Budget can hold. A new Budget holds
 	// InitialRetries, or Burst if InitialRetries is zero.
 	Burst          float64
 	InitialRetries float64
-	// MinRetriesPerSecond is the number of retries earned per second without any success.
+	// MinRetriesPerSecond is the number of retries earned per second, in addition to those
+	// earned by successes.
 	MinRetriesPerSecond float64
-	// Window, if set, replaces saving up by a limit for any period of this length:
-	// Burst retries plus RetryRatio for each success in the period.
-	// MinRetriesPerSecond is then not used. Burst minus InitialRetries counts as
-	// spent when the Budget is first used.
+	// Window, if set, limits the retries in any period of this length to Burst plus
+	// RetryRatio for each success in the period. Retries are then not saved up, and
+	// MinRetriesPerSecond is not used. Burst minus InitialRetries counts as spent when the
+	// Budget is first used.
 	Window time.Duration
 	// MaxAttempts is the largest number of attempts of one request, including the first.
 	MaxAttempts int
-	// BaseDelay is the longest delay before the second attempt. The delay doubles with
-	// each further attempt, up to MaxDelay.
+	// BaseDelay is the longest delay before the second attempt. The longest delay doubles
+	// with each further attempt, up to MaxDelay.
 	BaseDelay time.Duration
 	MaxDelay  time.Duration
 	// Seed seeds the jitter; each node uses a different seed.
@@ -45,19 +46,19 @@
 
 // Attempt describes a failed attempt.
 type Attempt struct {
-	// AttemptsMade is the number of attempts made so far, this one included.
+	// AttemptsMade is the number of attempts of the request so far, including this attempt.
 	AttemptsMade int
 	Failure      health.Failure
-	// Idempotent is set if the request may run twice. Any other request is retried
-	// only if NotRun is set or Failure proves that the request did not run.
+	// Idempotent is set if the request may run twice. Other requests are retried only if
+	// they did not run: NotRun is set or Failure proves it.
 	Idempotent bool
 	// NotRun is set if the caller of Allow knows that the request did not run.
 	NotRun bool
 	// Deadline is the deadline of the request; zero means no deadline.
 	Deadline time.Time
-	// MinDuration is the shortest time that a successful attempt takes.
+	// MinDuration is the shortest time that a further attempt needs to succeed.
 	MinDuration time.Duration
-	// Alternatives is the number of other endpoints that could be tried.
+	// Alternatives is the number of other endpoints that could serve a retry.
 	Alternatives int
 }
 
@@ -65,7 +66,7 @@
 type Reason uint8
 
 const (
-	// Allowed is the only reason that comes with Retry set.
+	// Allowed means that the attempt is retried. All other reasons mean that it is not.
 	Allowed Reason = iota
 	// NotAFailure means that the attempt succeeded or its caller canceled the request.
 	NotAFailure
@@ -77,7 +78,8 @@
 	TooManyAttempts
 	// NoAlternative means that no other endpoint is left.
 	NoAlternative
-	// DeadlineTooNear means that a further attempt would end after the deadline.
+	// DeadlineTooNear means that a retry would end after the deadline, even if it took only
+	// MinDuration.
 	DeadlineTooNear
 	// BudgetSpent means that no retry is left in the budget.
 	BudgetSpent
@@ -101,11 +103,12 @@
 	// Delay is the time to wait before the retry.
 	Delay  time.Duration
 	Reason Reason
-	// RetriesLeft is the number of retries left after the decision, for the log line.
+	// RetriesLeft is the number of retries that the budget holds after the decision, for
+	// the log line.
 	RetriesLeft float64
 }
 
-// Budget limits the retries of one service on one node.
+// Budget limits the retries that one node makes for one service.
 type Budget struct {
 	cfg     Config
 	limiter limiter
@@ -139,19 +142,19 @@
 // Success credits the budget for a complete response.
 func (b *Budget) Success(now time.Time) { b.limiter.recordSuccess(now) }
 
-// RetriesLeft returns the number of retries that may be made now.
+// RetriesLeft returns the number of retries that are allowed now.
 func (b *Budget) RetriesLeft(now time.Time) float64 { return b.limiter.available(now) }
 
-// SetBurst changes Config.Burst of a Budget with a Window; other Budgets ignore the
-// call. A larger burst takes effect one Window later.
+// SetBurst changes Config.Burst of a Budget that has a Window. Without a Window, SetBurst
+// does nothing. A smaller burst takes effect at once, a larger burst one Window later.
 func (b *Budget) SetBurst(now time.Time, burst float64) {
 	if w, ok := b.limiter.(*slidingWindow); ok {
 		w.setBurst(now, burst)
 	}
 }
 
-// Allow decides whether a failed attempt may be retried. If so, it charges the budget
-// for the retry.
+// Allow decides whether a failed attempt may be retried. If it may, Allow charges one retry
+// to the budget.
 func (b *Budget) Allow(now time.Time, a Attempt) Decision {
 	retriesLeft := b.limiter.available(now)
 	delay := b.backoff(a.AttemptsMade)
@@ -163,9 +166,9 @@
 	return Decision{Retry: true, Delay: delay, Reason: Allowed, RetriesLeft: retriesLeft - 1}
 }
 
-// refusal returns why a retry that would start at the given time may not be made, or
-// Allowed. The budget is checked last: BudgetSpent is reported only if nothing else
-// forbids the retry.
+// refusal returns the reason why a retry that would start at the given time is not allowed,
+// or Allowed. The budget is checked last, so BudgetSpent means that nothing else forbids
+// the retry.
 func (b *Budget) refusal(start time.Time, retriesLeft float64, a Attempt) Reason {
 	switch {
 	case a.Failure == health.None || a.Failure == health.Canceled:
@@ -186,8 +189,8 @@
 	return Allowed
 }
 
-// backoff draws the delay before the next attempt, uniformly between half and all of
-// the exponential backoff.
+// backoff returns a random delay before the next attempt, uniformly distributed between
+// half of the exponential backoff and the whole of it.
 func (b *Budget) backoff(attemptsMade int) time.Duration {
 	d := b.cfg.BaseDelay
 	for i := 1; i < attemptsMade && d < b.cfg.MaxDelay; i++ {
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -12,9 +12,9 @@
 
 var epoch = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// countAttempts returns how many attempts the endpoints receive for the given number
-// of calls, and how many calls fail. The given part of all attempts fails; attempts
-// are 10 ms apart.
+// countAttempts simulates calls whose attempts fail with the given failure ratio. It
+// returns the number of attempts that the endpoints receive and the number of calls that
+// fail. The attempts are 10 ms apart.
 func countAttempts(calls int, failureRatio float64, allow func(now time.Time, a Attempt) bool, success func(time.Time)) (attempts, failedCalls int) {
 	now, pendingFailures := epoch, 0.0
 	for range calls {
@@ -36,21 +36,21 @@
 	return attempts, failedCalls
 }
 
-// Without a retry budget, a service that is down receives three attempts per call.
-// This triples its load for the whole outage and keeps it from recovering.
+// Without a retry budget, a service that is down receives three attempts per call. This
+// triples the load of the service for the whole outage and keeps it from recovering.
 func TestBudgetLimitsRetryStorm(t *testing.T) {
 	threeAttempts := func(_ time.Time, a Attempt) bool { return a.AttemptsMade < DefaultMaxAttempts }
 	for _, c := range []struct {
 		name               string
-		failureRatio       float64 // part of the attempts that fail
-		maxAttemptsPerCall float64 // per call
-		maxFailedFraction  float64 // part of the calls
+		failureRatio       float64 // fraction of the attempts that fail
+		maxAttemptsPerCall float64 // largest number of attempts per call
+		maxFailedFraction  float64 // largest fraction of the calls that fail
 	}{{"down", 1, 1.05, 1}, {"half down", 0.5, 1.12, 0.5}, {"failing one attempt in twenty", 0.05, 1.06, 0}} {
 		Convey("Given a service that is "+c.name, t, func() {
 			const calls = 10000
 			b := New(Config{})
-			budget := func(now time.Time, a Attempt) bool { return b.Allow(now, a).Retry }
-			attempts, failedCalls := countAttempts(calls, c.failureRatio, budget, b.Success)
+			allowByBudget := func(now time.Time, a Attempt) bool { return b.Allow(now, a).Retry }
+			attempts, failedCalls := countAttempts(calls, c.failureRatio, allowByBudget, b.Success)
 			unbudgetedAttempts, unbudgetedFailedCalls := countAttempts(calls, c.failureRatio, threeAttempts, func(time.Time) {})
 			t.Logf("attempts per call: with budget %.2f, with three attempts each %.2f; failed calls %d, %d", float64(attempts)/calls, float64(unbudgetedAttempts)/calls, failedCalls, unbudgetedFailedCalls)
 			So(float64(attempts)/calls, ShouldBeLessThanOrEqualTo, c.maxAttemptsPerCall)
@@ -59,11 +59,11 @@
 	}
 }
 
-// If an order is retried after it may have run, the goods are delivered twice. If
-// a request is retried after an overload, the overload gets worse. Allow must
-// forbid such retries and return the reason.
+// If a request that is not idempotent, such as an order, is retried although it may have
+// run, it may run twice. If a request is retried after an overload, the overload gets
+// worse. Allow must forbid such retries and return the reason.
 func TestAllowReasons(t *testing.T) {
-	ok := Attempt{AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
+	allowedAttempt := Attempt{AttemptsMade: 1, Failure: health.Broken, Idempotent: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
 	for _, c := range []struct {
 		name   string
 		change func(a *Attempt)
@@ -84,7 +84,7 @@
 		{"no deadline", func(a *Attempt) { a.MinDuration, a.Deadline = time.Hour, time.Time{} }, Allowed},
 	} {
 		Convey("Given "+c.name, t, func() {
-			a := ok
+			a := allowedAttempt
 			c.change(&a)
 			d := New(Config{}).Allow(epoch, a)
 			So(d.Reason, ShouldEqual, c.want)
@@ -93,16 +93,16 @@
 	}
 	Convey("Given a spent budget, the minimum rate earns one retry every 5 s", t, func() {
 		b := New(Config{Burst: 1})
-		So(b.Allow(epoch, ok).Retry, ShouldBeTrue)
-		So(b.Allow(epoch, ok).Reason, ShouldEqual, BudgetSpent)
-		ok.Deadline = time.Time{}
-		So(b.Allow(epoch.Add(5*time.Second), ok).Retry, ShouldBeTrue)
+		So(b.Allow(epoch, allowedAttempt).Retry, ShouldBeTrue)
+		So(b.Allow(epoch, allowedAttempt).Reason, ShouldEqual, BudgetSpent)
+		allowedAttempt.Deadline = time.Time{}
+		So(b.Allow(epoch.Add(5*time.Second), allowedAttempt).Retry, ShouldBeTrue)
 	})
 }
 
-// If calls that failed together are retried together, they overload the endpoints
-// again. The backoff is therefore jittered, and it stays within half and all of the
-// exponential delay.
+// If calls that failed together were retried after the same delay, they would overload the
+// endpoints together again. The delay must therefore vary between half of the exponential
+// backoff and the whole of it. The number of retries must stay within the budget.
 func TestBackoffAndBudgetBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Config{Seed: rapid.Uint64().Draw(t, "seed")})
--- a/decide/waitqueue/waitqueue.go
+++ b/decide/waitqueue/waitqueue.go
@@ -4,9 +4,9 @@
 // # Load pattern
 //
 // For some seconds the offered load exceeds the capacity of the replicas: a burst of
-// twice the usual load, or the usual load with a failure domain down. A response after
-// the request's time objective is worth less than one in time. A refused request is
-// worth nothing.
+// twice the usual load, or the usual load with a failure domain down. Each request has an
+// objective for the time until its response begins. A response after this time is worth
+// less than a response in time. A refused request is worth nothing.
 //
 // # Failures with first-in-first-out order
 //
@@ -16,14 +16,17 @@
 //
 // # Rules
 //
-//   - A request that can still be on time goes before every late request. Late requests
-//     get the remaining capacity until their callers give up.
-//   - Among these requests, a lower Priority value goes first, and requests of the same
-//     priority go in order of arrival. A request that needs much capacity is not passed
-//     over: it holds back the requests behind it. Otherwise it would never find capacity
-//     beside small requests.
-//   - Teams have no shares in this queue. The operator configures priorities only, and
-//     equal shares for all teams would starve the large teams.
+//   - A request is late from OnTimeUntil on. A request that can still be on time goes
+//     before every late request. Late requests get the remaining capacity until their
+//     callers give up.
+//   - Within each of these two groups, a lower Priority value goes first. Requests of the
+//     same priority go in order of arrival; late requests go in the order in which they
+//     became late.
+//   - If the first request needs more capacity than is free, the requests behind it wait as
+//     well. Otherwise a request that needs much capacity would never start beside many
+//     small requests.
+//   - Teams have no shares in this queue. The operator configures priorities but no weights
+//     of teams, and equal shares for all teams would starve the large teams.
 //
 // # Use
 //
@@ -44,9 +47,10 @@
 // Request is a waiting request.
 type Request struct {
 	ID uint64
-	// Priority orders requests; 0 goes first.
+	// Priority orders the requests. Requests with a lower value go first; the lowest value
+	// is 0.
 	Priority int
-	// OnTimeUntil is the time before which a response must begin to be on time. Zero
+	// OnTimeUntil is the time before which the response must begin to be on time. Zero
 	// means that the response is always on time.
 	OnTimeUntil time.Time
 }
@@ -58,12 +62,13 @@
 // Queue holds the requests that wait for one model. The zero value is an empty queue. A
 // Queue is not safe for concurrent use.
 type Queue struct {
-	// onTime is ordered by priority, then by arrival. late is ordered by priority, then
-	// by the time at which a request became late.
+	// onTime holds the requests that can still be on time, by priority, then by arrival.
+	// late holds the other requests, by priority, then by the time at which they became
+	// late.
 	onTime, late []Request
 }
 
-// Add puts a request behind the waiting requests of the same priority.
+// Add adds a waiting request. It goes behind the waiting requests of the same priority.
 func (q *Queue) Add(now time.Time, r Request) {
 	q.moveLate(now)
 	if r.late(now) {
@@ -78,7 +83,7 @@
 	return slices.Insert(list, index, r)
 }
 
-// Remove removes a request that starts or whose caller has given up. It reports whether
+// Remove removes a request that now starts or whose caller has given up. It reports whether
 // the request was waiting.
 func (q *Queue) Remove(id uint64) bool {
 	matches := func(r Request) bool { return r.ID == id }
@@ -88,7 +93,7 @@
 	return q.Len() < before
 }
 
-// First returns the request that starts next; ok is false if none waits.
+// First returns the ID of the request that starts next. ok is false if no request waits.
 func (q *Queue) First(now time.Time) (id uint64, ok bool) {
 	q.moveLate(now)
 	switch {
@@ -100,7 +105,7 @@
 	return 0, false
 }
 
-// MustWait reports whether a waiting request goes before the new request r.
+// MustWait reports whether at least one waiting request goes before the new request r.
 func (q *Queue) MustWait(now time.Time, r Request) bool {
 	q.moveLate(now)
 	if len(q.onTime) > 0 && q.onTime[0].Priority <= r.Priority {
--- a/decide/waitqueue/waitqueue_test.go
+++ b/decide/waitqueue/waitqueue_test.go
@@ -13,7 +13,8 @@
 
 func timeAt(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 
-// drain removes all requests and returns their IDs in the order of First.
+// drain removes all requests and returns their IDs in the order in which First returned
+// them.
 func drain(q *Queue, now time.Time) []uint64 {
 	var ids []uint64
 	for {
@@ -67,9 +68,10 @@
 }
 
 // simulateBurst simulates a node that runs ten requests of 300 ms each at a time and
-// receives twice the load that it can serve. It returns the number of requests that
-// start on time (within 300 ms) and late (within 600 ms). Callers give up after 600 ms.
-// If byDeadline is false, OnTimeUntil is not set and the queue is first in, first out.
+// receives twice the load that it can serve. It returns the number of requests that start
+// on time (less than 300 ms after their arrival) and the number that start late. Callers
+// give up after 600 ms. If onTimeFirst is false, OnTimeUntil is not set, and the queue
+// works first in, first out.
 func simulateBurst(onTimeFirst bool) (onTime, late int) {
 	const capacity, serviceMs, meanGapMs = 10, 300, 15
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -111,9 +113,9 @@
 	return onTime, late
 }
 
-// If a burst of twice the capacity is served in order of arrival for 20 s, nearly every
-// served request starts late. With on-time requests first, as many requests are served
-// and most of them start on time.
+// If the queue worked first in, first out, a burst of 20 s at twice the capacity would make
+// nearly every served request start late. With on-time requests first, at least 95% as many
+// requests are served, and nine in ten of these start on time.
 func TestBurstKeepsMostRequestsOnTime(t *testing.T) {
 	onTime, late := simulateBurst(true)
 	fifoOnTime, fifoLate := simulateBurst(false)
@@ -126,9 +128,9 @@
 	}
 }
 
-// For any sequence of arrivals, cancellations and missed objectives, each request starts
-// at most once. No request that can be on time waits behind a late request, a request of
-// lower priority, or a later request of the same priority.
+// If the queue lost its order after some sequence of calls, a request that can be on time
+// would wait behind a late request, a request of lower priority, or a later request of the
+// same priority. If the queue kept a removed request, this request would start twice.
 func TestOrderUnderRandomOperations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue
