--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -181,7 +181,7 @@
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
 		Figures: map[string]float64{
-			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
+			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.RetriesLeft),
 		},
 	})
 	if d.Retry {
