--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -46,7 +46,7 @@
 }
 
 func newQueue() *admission.Queue { return admission.New(admission.Config{Slots: slots}) }
-func newFIFO() sim.Policy        { return &sim.FIFO{Slots: slots} }
+func newFIFO() sim.AdmissionPolicy        { return &sim.FIFO{Slots: slots} }
 func newScenario(l ...sim.Load) sim.Scenario {
 	return sim.Scenario{SlotRate: slotRate, Duration: 120 * time.Second, Loads: l, Seed: *seed}
 }
@@ -162,7 +162,7 @@
 		} {
 			worstSlowdown, minGoodput := 0.0, 1.0
 			for i := range uint64(hotCaseRuns) {
-				slowdown, goodput := c.simulate(*seed+i, func() sim.Policy { return newQueue() })
+				slowdown, goodput := c.simulate(*seed+i, func() sim.AdmissionPolicy { return newQueue() })
 				worstSlowdown, minGoodput = max(worstSlowdown, slowdown), min(minGoodput, goodput)
 			}
 			fifoSlowdown, _ := c.simulate(*seed, newFIFO)
@@ -186,9 +186,9 @@
 // simulate returns the time to first token (95th percentile) of the low-demand team,
 // divided by this time without the hot team. It also returns the goodput of both teams as a
 // fraction of the capacity.
-func (c hotCase) simulate(seed uint64, policy func() sim.Policy) (slowdown, goodput float64) {
+func (c hotCase) simulate(seed uint64, policy func() sim.AdmissionPolicy) (slowdown, goodput float64) {
 	from, to := fromSeconds(20), fromSeconds(110)
-	run := func(p sim.Policy, l ...sim.Load) *sim.Result {
+	run := func(p sim.AdmissionPolicy, l ...sim.Load) *sim.Result {
 		s := newScenario(l...)
 		s.Seed = seed
 		return sim.Run(s, p)
@@ -321,7 +321,7 @@
 		hot := during(newLoad("a", 3, 300), 20, 30)
 		hot.RetryOnce = true
 		s := newScenario(newLoad("a", 0.5, 300), hot)
-		servedOnRetry := func(p sim.Policy) float64 {
+		servedOnRetry := func(p sim.AdmissionPolicy) float64 {
 			r := sim.Run(s, p)
 			retries := countCalls(r, func(c *sim.Call) bool { return c.IsRetry })
 			servedRetries := countCalls(r, func(c *sim.Call) bool { return c.IsRetry && c.StartedByDeadline() })
