--- a/route/engineclient/client.go
+++ b/route/engineclient/client.go
@@ -20,23 +20,23 @@
 	MaxReplyBytes = 1 << 20
 	// dialTimeout bounds a connect; a loopback or site link needs far less.
 	dialTimeout = 1 * time.Second
-	// idlePerEngine is how many idle connections are kept to one engine: its
+	// maxIdleConnsPerEngine is how many idle connections are kept to one engine: its
 	// slots, so that a full engine's streams need no new connects.
-	idlePerEngine = 128
-	idleTimeout   = 30 * time.Second
+	maxIdleConnsPerEngine = 128
+	idleTimeout           = 30 * time.Second
 )
 
-// headerRepeatable marks a request for net/http as safe to repeat.
-const headerRepeatable = "X-Idempotency-Key"
+// headerIdempotencyKey marks a request for net/http as safe to repeat.
+const headerIdempotencyKey = "X-Idempotency-Key"
 
-// repetition says whether a call may be sent again after a broken connection.
-type repetition bool
+// retryPolicy says whether a call may be sent again after a broken connection.
+type retryPolicy bool
 
 const (
-	// sendOnce is for chats: a second one would take a second slot.
-	sendOnce repetition = false
-	// repeatable is for calls that do the same when they come twice.
-	repeatable repetition = true
+	// neverResend is for chats: a second one would take a second slot.
+	neverResend retryPolicy = false
+	// resendOnBrokenConn is for calls that do the same when they come twice.
+	resendOnBrokenConn retryPolicy = true
 )
 
 // Client calls engines. It is safe for concurrent use.
@@ -49,7 +49,7 @@
 	if transport == nil {
 		transport = &http.Transport{
 			DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
-			MaxIdleConnsPerHost: idlePerEngine,
+			MaxIdleConnsPerHost: maxIdleConnsPerEngine,
 			IdleConnTimeout:     idleTimeout,
 			DisableCompression:  true,
 		}
@@ -64,7 +64,7 @@
 // stream of its answer once the engine has accepted. ctx ends the stream too.
 func (c *Client) Open(ctx context.Context, address string, chat engineapi.ChatRequest) (*Stream, error) {
 	chat.Stream = true
-	resp, err := c.send(ctx, http.MethodPost, address, engineapi.PathChat, chat, sendOnce)
+	resp, err := c.send(ctx, http.MethodPost, address, engineapi.PathChat, chat, neverResend)
 	if err != nil {
 		return nil, err
 	}
@@ -83,10 +83,10 @@
 	return holding, c.call(ctx, http.MethodGet, address, engineapi.PathHolding, nil, &holding)
 }
 
-// Way asks the first engine of a chain whether the stages behind it answer over
+// ProbeChain asks the first engine of a chain whether the stages behind it answer over
 // the links that activations take, and returns what each of them holds.
 // Status(err) is 404 or 405 from engines that don't know the call.
-func (c *Client) Way(ctx context.Context, chain []engineapi.Stage) ([]engineapi.Report, error) {
+func (c *Client) ProbeChain(ctx context.Context, chain []engineapi.Stage) ([]engineapi.Report, error) {
 	var reply engineapi.WayReply
 	req := engineapi.WayRequest{Chain: chain}
 	err := c.call(ctx, http.MethodPost, chain[0].Address, engineapi.PathWay, req, &reply)
@@ -128,60 +128,60 @@
 
 // call sends body, if any, and reads the reply into reply, if any.
 func (c *Client) call(ctx context.Context, method, address, path string, body, reply any) error {
-	resp, err := c.send(ctx, method, address, path, body, repeatable)
+	resp, err := c.send(ctx, method, address, path, body, resendOnBrokenConn)
 	if err != nil {
 		return err
 	}
-	defer closeBody(resp.Body)
+	defer drainAndClose(resp.Body)
 	if reply == nil {
 		return nil
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, MaxReplyBytes)).Decode(reply); err != nil {
-		return wrap(address, Unknown, 0, err)
+		return sendError(address, StateUnknown, 0, err)
 	}
 	return nil
 }
 
 // send returns the response if its status says that the call was accepted.
-func (c *Client) send(ctx context.Context, method, address, path string, body any, repeat repetition) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, method, address, path string, body any, policy retryPolicy) (*http.Response, error) {
 	// A request that was never given a connection cannot have reached the
 	// engine, whatever the error reads like: that is the proof of "not run".
-	var connections atomic.Int32
-	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connections.Add(1) }}
+	var connsUsed atomic.Int32
+	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connsUsed.Add(1) }}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), method, address, path, body)
 	if err != nil {
-		return nil, wrap(address, NotRunState, 0, err)
+		return nil, sendError(address, StateNotRun, 0, err)
 	}
-	if repeat == repeatable {
+	if policy == resendOnBrokenConn {
 		// Lets the transport repeat the call on a new connection if a kept one
 		// turns out to be broken. After a link was cut all kept connections
 		// are, and the cancel or export that follows the cut would be lost.
 		// The header itself is not sent while it has no value.
-		req.Header[headerRepeatable] = nil
+		req.Header[headerIdempotencyKey] = nil
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		state := NotRunState
-		if connections.Load() > 0 {
-			state = Unknown
+		state := StateNotRun
+		if connsUsed.Load() > 0 {
+			state = StateUnknown
 		}
-		return nil, wrap(address, state, 0, err)
+		return nil, sendError(address, state, 0, err)
 	}
 	if resp.StatusCode/100 == 2 {
 		return resp, nil
 	}
-	defer closeBody(resp.Body)
-	return nil, wrap(address, stateOf(resp, connections.Load()), resp.StatusCode, nil)
+	defer drainAndClose(resp.Body)
+	return nil, sendError(address, stateAfterRefusal(resp, connsUsed.Load()), resp.StatusCode, nil)
 }
 
-// stateOf trusts the engine's own statement that it did nothing, unless the
+// stateAfterRefusal trusts the engine's own statement that it did nothing, unless the
 // transport has sent the call before on a connection that broke: a refusal of
 // the second try says nothing of the first.
-func stateOf(resp *http.Response, connections int32) State {
-	if resp.Header.Get(engineapi.HeaderNotRun) == "1" && connections == 1 {
-		return NotRunState
+func stateAfterRefusal(resp *http.Response, connsUsed int32) State {
+	if resp.Header.Get(engineapi.HeaderNotRun) == "1" && connsUsed == 1 {
+		return StateNotRun
 	}
-	return Unknown
+	return StateUnknown
 }
 
 func newRequest(ctx context.Context, method, address, path string, body any) (*http.Request, error) {
@@ -205,12 +205,12 @@
 	return req, nil
 }
 
-func wrap(address string, state State, status int, cause error) error {
+func sendError(address string, state State, status int, cause error) error {
 	return Error.Wrap(&SendError{Endpoint: address, State: state, Status: status, Cause: cause})
 }
 
-// closeBody reads what little may be left, so that the connection is kept.
-func closeBody(body io.ReadCloser) {
+// drainAndClose reads what little may be left, so that the connection is kept.
+func drainAndClose(body io.ReadCloser) {
 	io.CopyN(io.Discard, body, MaxReplyBytes)
 	body.Close()
 }
--- a/route/engineclient/client_test.go
+++ b/route/engineclient/client_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestCalls(t *testing.T) {
+func TestClientCalls(t *testing.T) {
 	Convey("A client talks to an engine", t, func() {
 		srv := startEngine(t, standin.Config{CheckFencing: true})
 		defer srv.Close()
@@ -81,7 +81,7 @@
 // The caller is told "not run" only when that is proved: nothing listened, or
 // the engine says that it refused. A connection that took the request and then
 // broke proves nothing, and neither does an error status alone.
-func TestStateOfFailedSends(t *testing.T) {
+func TestFailedSendIsNotRunOnlyIfCertain(t *testing.T) {
 	refusing := startEngine(t, standin.Config{})
 	defer refusing.Close()
 	refusing.Engine.SetFaults(standin.Faults{Drain: true})
@@ -90,7 +90,7 @@
 	frozen.Engine.SetFaults(standin.Faults{Freeze: true})
 	dead := startEngine(t, standin.Config{})
 	dead.Close()
-	hangsUp, stop := listenAndHangUp(t)
+	disconnecting, stop := listenAndDisconnect(t)
 	defer stop()
 	cases := []struct {
 		name    string
@@ -100,7 +100,7 @@
 		{"nothing listens", dead.Address, true},
 		{"refused with the header", refusing.Address, true},
 		{"frozen", frozen.Address, false},
-		{"connection breaks after the request", hangsUp, false},
+		{"connection breaks after the request", disconnecting, false},
 	}
 	Convey("The state of a failed send is what is proved", t, func() {
 		client := New(nil)
@@ -117,7 +117,7 @@
 
 // The engine hears every cancel, also the first after its connections were
 // cut: the client's kept connections are broken then without its knowing.
-func TestCallsAfterACut(t *testing.T) {
+func TestCallsSucceedAfterConnectionsBreak(t *testing.T) {
 	Convey("Each call after a cut gets through", t, func() {
 		srv := startEngine(t, standin.Config{})
 		defer srv.Close()
@@ -133,11 +133,11 @@
 // The operator is told that an order may have been taken. The engine reads the
 // order on a kept connection and dies before it answers; the transport sends it
 // again, and the engine, just restarted, refuses. That refusal proves nothing.
-func TestRefusedSecondTry(t *testing.T) {
-	calls := 0
+func TestRefusalOfSecondAttemptLeavesStateUnknown(t *testing.T) {
+	attempts := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		switch calls++; calls {
+		switch attempts++; attempts {
 		case 1:
 			w.WriteHeader(http.StatusNoContent)
 		case 2:
@@ -154,15 +154,15 @@
 		address := srv.Listener.Addr().String()
 		So(client.Order(context.Background(), address, engineapi.Order{}), ShouldBeNil)
 		err := client.Order(context.Background(), address, engineapi.Order{})
-		So(calls, ShouldEqual, 3)
+		So(attempts, ShouldEqual, 3)
 		So(Status(err), ShouldEqual, http.StatusServiceUnavailable)
 		So(NotRun(err), ShouldBeFalse)
 	})
 }
 
-// listenAndHangUp accepts connections, reads a little of the request and
+// listenAndDisconnect accepts connections, reads a little of the request and
 // closes them without an answer.
-func listenAndHangUp(t *testing.T) (string, func()) {
+func listenAndDisconnect(t *testing.T) (string, func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/route/engineclient/decoder_test.go
+++ b/route/engineclient/decoder_test.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// decodeFresh decodes the first n events as the messages are written, with
+// decodeIndependently decodes the first n events as the messages are written, with
 // nothing kept from one to the next.
-func decodeFresh(text string, n int) []Event {
+func decodeIndependently(text string, n int) []Event {
 	var events []Event
 	for line := range strings.Lines(text) {
 		data, ok := strings.CutPrefix(line, "data:")
@@ -69,10 +69,10 @@
 	}{
 		{"whole", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
 		{"carriage returns and comments", ": hello\r\nevent: x\r\n" + strings.ReplaceAll(goodEvent, "\n", "\r\n") + "data:[DONE]\r\n", 1, io.EOF},
-		{"no marker", goodEvent, 1, ErrCutShort},
-		{"nothing", "", 0, ErrCutShort},
+		{"no marker", goodEvent, 1, ErrTruncated},
+		{"nothing", "", 0, ErrTruncated},
 		{"half an event", goodEvent[:60], 0, ErrMalformed},
-		{"no trace", `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n", 1, ErrCutShort},
+		{"no trace", `data: {"choices":[{"delta":{"content":"x"}}]}` + "\n\n", 1, ErrTruncated},
 		{"null trace", `data: {"choices":[{"delta":{"content":"x"}}],"cicadatack":null}` + "\n\n", 0, ErrMalformed},
 		{"no choice", `data: {"choices":[],"cicadatack":{"stream":"s"}}` + "\n\n", 0, ErrMalformed},
 		{"endless line", "data: " + strings.Repeat("x", 2*MaxEventBytes), 0, ErrEventTooLong},
@@ -91,12 +91,12 @@
 		}
 		events, _ := decodeAll(text)
 		So(events, ShouldHaveLength, 2)
-		So(sameEvents(events, decodeFresh(text, 2)), ShouldBeTrue)
+		So(sameEvents(events, decodeIndependently(text, 2)), ShouldBeTrue)
 	})
 	Convey("A token does not inherit the span or the text of the one before", t, func() {
-		bare := strings.Replace(goodEvent, `"first":0,"last":7,"micros":9`, `"first":0`, 1)
-		bare = strings.Replace(bare, `"content":" tide"`, ``, 1)
-		decoder := NewDecoder(strings.NewReader(goodEvent + bare))
+		sparseEvent := strings.Replace(goodEvent, `"first":0,"last":7,"micros":9`, `"first":0`, 1)
+		sparseEvent = strings.Replace(sparseEvent, `"content":" tide"`, ``, 1)
+		decoder := NewDecoder(strings.NewReader(goodEvent + sparseEvent))
 		_, err := decoder.Next()
 		So(err, ShouldBeNil)
 		event, err := decoder.Next()
@@ -121,11 +121,11 @@
 	f.Add("data: {\"choices\":[{}],\"cicadatack\":{\"spans\":[{},{}]}}\n\ndata: [DONE]")
 	f.Fuzz(func(t *testing.T, text string) {
 		events, err := decodeAll(text)
-		if !errors.Is(err, io.EOF) && !errors.Is(err, ErrCutShort) && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrEventTooLong) {
+		if !errors.Is(err, io.EOF) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrEventTooLong) {
 			t.Fatal("an error of no kind:", err)
 		}
-		if fresh := decodeFresh(text, len(events)); !sameEvents(events, fresh) {
-			t.Fatalf("memory kept between events shows: %+v, not %+v", events, fresh)
+		if independent := decodeIndependently(text, len(events)); !sameEvents(events, independent) {
+			t.Fatalf("memory kept between events shows: %+v, not %+v", events, independent)
 		}
 	})
 }
@@ -148,7 +148,7 @@
 	if err := json.Unmarshal([]byte(strings.TrimPrefix(strings.TrimSpace(goodEvent), "data: ")), &chunk); err != nil {
 		b.Fatal(err)
 	}
-	decoder := NewDecoder(&repeater{text: goodEvent})
+	decoder := NewDecoder(&repeatingReader{text: goodEvent})
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := decoder.Next(); err != nil {
@@ -157,14 +157,14 @@
 	}
 }
 
-// repeater gives the same text for ever.
-type repeater struct {
-	text string
-	at   int
+// repeatingReader gives the same text for ever.
+type repeatingReader struct {
+	text   string
+	offset int
 }
 
-func (r *repeater) Read(p []byte) (int, error) {
-	n := copy(p, r.text[r.at:])
-	r.at = (r.at + n) % len(r.text)
+func (r *repeatingReader) Read(p []byte) (int, error) {
+	n := copy(p, r.text[r.offset:])
+	r.offset = (r.offset + n) % len(r.text)
 	return n, nil
 }
--- a/route/engineclient/errors.go
+++ b/route/engineclient/errors.go
@@ -15,18 +15,18 @@
 	ErrEventTooLong = errors.New("event longer than the bound")
 	// ErrMalformed reports an event that is not a chunk with a trace.
 	ErrMalformed = errors.New("malformed event")
-	// ErrCutShort reports a stream that ended before its closing event.
-	ErrCutShort = errors.New("stream ended before the answer did")
+	// ErrTruncated reports a stream that ended before its closing event.
+	ErrTruncated = errors.New("stream ended before the answer did")
 )
 
 // State is what is known of work that was sent to an engine.
 type State uint8
 
 const (
-	// Unknown work may have run, in part or whole.
-	Unknown State = iota
-	// NotRunState work provably did not run.
-	NotRunState
+	// StateUnknown work may have run, in part or whole.
+	StateUnknown State = iota
+	// StateNotRun work provably did not run.
+	StateNotRun
 )
 
 // SendError is a failed call of an engine.
@@ -44,7 +44,7 @@
 // Error describes the failure.
 func (e *SendError) Error() string {
 	state := "may have run"
-	if e.State == NotRunState {
+	if e.State == StateNotRun {
 		state = "not run"
 	}
 	if e.Cause != nil {
@@ -59,7 +59,7 @@
 // NotRun reports whether err proves that the engine did not run the work.
 func NotRun(err error) bool {
 	var send *SendError
-	return errors.As(err, &send) && send.State == NotRunState
+	return errors.As(err, &send) && send.State == StateNotRun
 }
 
 // Status returns the HTTP status with which the engine refused, or zero.
--- a/route/engineclient/standard_test.go
+++ b/route/engineclient/standard_test.go
@@ -31,14 +31,14 @@
 		if err != nil {
 			return
 		}
-		want, ok := standardEvent(data)
-		if ok && !reflect.DeepEqual(plainEvent(got), plainEvent(want)) {
+		want, ok := decodeWithStandardLibrary(data)
+		if ok && !reflect.DeepEqual(normalizeSpans(got), normalizeSpans(want)) {
 			t.Errorf("%s\ngot  %+v\nwant %+v", data, got, want)
 		}
 	})
 }
 
-func standardEvent(data string) (Event, bool) {
+func decodeWithStandardLibrary(data string) (Event, bool) {
 	var c chunk
 	trace := engineapi.TokenTrace{}
 	c.Trace = &trace
@@ -48,8 +48,8 @@
 	return Event{Token: c.Choices[0].Delta.Content, Trace: *c.Trace, Finish: c.Choices[0].FinishReason}, true
 }
 
-// plainEvent makes events comparable: no spans and an empty list are the same.
-func plainEvent(e Event) Event {
+// normalizeSpans makes events comparable: no spans and an empty list are the same.
+func normalizeSpans(e Event) Event {
 	if len(e.Trace.Spans) == 0 {
 		e.Trace.Spans = nil
 	}
--- a/route/engineclient/stream.go
+++ b/route/engineclient/stream.go
@@ -15,10 +15,10 @@
 // stages takes a few kilobytes.
 const MaxEventBytes = 64 << 10
 
-const firstBufferBytes = 4 << 10
+const initialBufferBytes = 4 << 10
 
-// maxTailLines is far more than the marker and the lines around it.
-const maxTailLines = 16
+// maxTrailingLines is far more than the marker and the lines around it.
+const maxTrailingLines = 16
 
 var dataField = []byte("data:")
 
@@ -52,7 +52,7 @@
 	if err == nil || errors.Is(err, io.EOF) {
 		return event, err
 	}
-	return Event{}, wrap(s.address, Unknown, 0, err)
+	return Event{}, sendError(s.address, StateUnknown, 0, err)
 }
 
 // Drain reads what follows the event that closes an answer: the marker and the
@@ -61,7 +61,7 @@
 // hundred a second of one engine runs out of local ports. The caller bounds the
 // time by the stream's context, and the length is bounded here.
 func (s *Stream) Drain() {
-	for range maxTailLines {
+	for range maxTrailingLines {
 		if !s.decoder.lines.Scan() {
 			return
 		}
@@ -96,7 +96,7 @@
 // NewDecoder returns a decoder of r.
 func NewDecoder(r io.Reader) Decoder {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(make([]byte, 0, firstBufferBytes), MaxEventBytes)
+	lines.Buffer(make([]byte, 0, initialBufferBytes), MaxEventBytes)
 	return Decoder{lines: lines}
 }
 
@@ -112,20 +112,20 @@
 		if string(data) == engineapi.DoneMarker {
 			return Event{}, io.EOF
 		}
-		return d.event(data)
+		return d.decode(data)
 	}
-	return Event{}, d.endOfLines()
+	return Event{}, d.endError()
 }
 
-func (d *Decoder) endOfLines() error {
+func (d *Decoder) endError() error {
 	err := d.lines.Err()
 	if errors.Is(err, bufio.ErrTooLong) {
 		return ErrEventTooLong
 	}
-	return errors.Join(ErrCutShort, err)
+	return errors.Join(ErrTruncated, err)
 }
 
-func (d *Decoder) event(data []byte) (Event, error) {
+func (d *Decoder) decode(data []byte) (Event, error) {
 	// Spans and choices are decoded into the same memory for each token. All of
 	// it is cleared first, because json leaves fields that an event omits as
 	// they were: a token would inherit a span or the text of an earlier one.
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -191,7 +191,7 @@
 	case errors.Is(err, io.EOF):
 		// The done marker came without the closing event, so tokens may be
 		// missing.
-		e.setEnd(EndConnectionLost, engineclient.ErrCutShort)
+		e.setEnd(EndConnectionLost, engineclient.ErrTruncated)
 	default:
 		e.setEnd(EndConnectionLost, err)
 	}
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -185,7 +185,7 @@
 // probeChain sends a probe along the chain. It returns the reports of the stages, or
 // nil if the probe failed, and whether the first stage supports the probe call.
 func (c *chainProber) probeChain(ctx context.Context, chain Chain) (reports []engineapi.Report, supported bool) {
-	reports, err := c.client.Way(ctx, chain.Stages)
+	reports, err := c.client.ProbeChain(ctx, chain.Stages)
 	if err != nil {
 		status := engineclient.Status(err)
 		return nil, status != http.StatusNotFound && status != http.StatusMethodNotAllowed
--- a/route/stream/reports_test.go
+++ b/route/stream/reports_test.go
@@ -145,7 +145,7 @@
 
 // reports probes a chain and returns the reports of its engines.
 func (f *fleet) reports(chain int) []engineapi.Report {
-	all, err := f.runner.prober.client.Way(context.Background(), f.chain(chain).Stages)
+	all, err := f.runner.prober.client.ProbeChain(context.Background(), f.chain(chain).Stages)
 	So(err, ShouldBeNil)
 	return all
 }
