--- a/route/engineclient/client.go
+++ b/route/engineclient/client.go
@@ -16,35 +16,38 @@
 )
 
 const (
-	// MaxReplyBytes bounds the reply to a call other than a chat.
+	// MaxReplyBytes bounds the size of a reply, except that of a chat request, which is
+	// a stream.
 	MaxReplyBytes = 1 << 20
-	// dialTimeout bounds a connect; a loopback or site link needs far less.
+	// dialTimeout bounds the time to connect. Connections over loopback or within a
+	// site take far less.
 	dialTimeout = 1 * time.Second
-	// maxIdleConnsPerEngine is how many idle connections are kept to one engine: its
-	// slots, so that a full engine's streams need no new connects.
+	// maxIdleConnsPerEngine bounds the idle connections kept to one engine. It
+	// equals the engine's slots, so that a full engine's streams need no new
+	// connections.
 	maxIdleConnsPerEngine = 128
 	idleTimeout           = 30 * time.Second
 )
 
-// headerIdempotencyKey marks a request for net/http as safe to repeat.
+// headerIdempotencyKey tells net/http that a request may be sent twice.
 const headerIdempotencyKey = "X-Idempotency-Key"
 
-// retryPolicy says whether a call may be sent again after a broken connection.
+// retryPolicy says whether the transport may send a call again after its connection broke.
 type retryPolicy bool
 
 const (
-	// neverResend is for chats: a second one would take a second slot.
+	// neverResend is for chat requests, because a second request would take a second slot.
 	neverResend retryPolicy = false
-	// resendOnBrokenConn is for calls that do the same when they come twice.
+	// resendOnBrokenConn is for idempotent calls.
 	resendOnBrokenConn retryPolicy = true
 )
 
-// Client calls engines. It is safe for concurrent use.
+// Client sends requests to engines. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
 
-// New returns a client; transport nil means one of its own.
+// New returns a client. If transport is nil, the client creates its own.
 func New(transport http.RoundTripper) *Client {
 	if transport == nil {
 		transport = &http.Transport{
@@ -57,11 +60,12 @@
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// CloseIdle closes connections that no call uses.
+// CloseIdle closes the idle connections.
 func (c *Client) CloseIdle() { c.http.CloseIdleConnections() }
 
-// Open sends a chat request to the first engine of its chain and returns the
-// stream of its answer once the engine has accepted. ctx ends the stream too.
+// Open sends a chat request to the first engine of its chain. It returns the stream
+// of the answer once the engine has accepted the request. When ctx ends, the stream
+// ends too.
 func (c *Client) Open(ctx context.Context, address string, chat engineapi.ChatRequest) (*Stream, error) {
 	chat.Stream = true
 	resp, err := c.send(ctx, http.MethodPost, address, engineapi.PathChat, chat, neverResend)
@@ -71,21 +75,21 @@
 	return newStream(address, resp.Body), nil
 }
 
-// Load asks an engine for its load.
+// Load returns the load that an engine reports.
 func (c *Client) Load(ctx context.Context, address string) (engineapi.Load, error) {
 	var load engineapi.Load
 	return load, c.call(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &load)
 }
 
-// Holding asks an engine what it holds.
+// Holding returns an engine's report of the layers and adapters that it holds.
 func (c *Client) Holding(ctx context.Context, address string) (engineapi.Report, error) {
 	var holding engineapi.Report
 	return holding, c.call(ctx, http.MethodGet, address, engineapi.PathHolding, nil, &holding)
 }
 
-// ProbeChain asks the first engine of a chain whether the stages behind it answer over
-// the links that activations take, and returns what each of them holds.
-// Status(err) is 404 or 405 from engines that don't know the call.
+// ProbeChain asks the first engine of a chain to check that the later stages answer
+// over the links that carry activations. It returns the report of each stage.
+// Status(err) is 404 or 405 if the engine doesn't support the call.
 func (c *Client) ProbeChain(ctx context.Context, chain []engineapi.Stage) ([]engineapi.Report, error) {
 	var reply engineapi.WayReply
 	req := engineapi.WayRequest{Chain: chain}
@@ -93,19 +97,19 @@
 	return reply.Holdings, err
 }
 
-// Order tells an engine what to hold. Status(err) is 409 if the engine has
-// taken a later placement version.
+// Order tells an engine which layers to hold. Status(err) is 409 if the engine has
+// accepted an order with a later placement version.
 func (c *Client) Order(ctx context.Context, address string, order engineapi.Order) error {
 	return c.call(ctx, http.MethodPost, address, engineapi.PathOrders, order, nil)
 }
 
 // OrderAdapters tells an engine which adapters to hold. Status(err) is 409 if the
-// engine has taken a later version.
+// engine has accepted an order with a later version.
 func (c *Client) OrderAdapters(ctx context.Context, address string, order engineapi.AdapterOrder) error {
 	return c.call(ctx, http.MethodPost, address, engineapi.PathAdapters, order, nil)
 }
 
-// Cancel ends a stream's epochs up to the given one; zero ends all.
+// Cancel ends the epochs of a stream up to the given epoch. Zero ends all epochs.
 func (c *Client) Cancel(ctx context.Context, address, stream string, epoch uint32) error {
 	req := engineapi.CancelRequest{Stream: stream, Epoch: epoch}
 	return c.call(ctx, http.MethodPost, address, engineapi.PathCancel, req, nil)
@@ -118,15 +122,16 @@
 	return reply, c.call(ctx, http.MethodPost, address, engineapi.PathExport, req, &reply)
 }
 
-// CacheEvents asks for the cache events after a sequence number. Gaps in the
-// sequence mean that events were lost.
+// CacheEvents returns an engine's cache events after a sequence number. A gap in the
+// sequence means that events were lost.
 func (c *Client) CacheEvents(ctx context.Context, address string, after uint64) (engineapi.CachePage, error) {
 	var page engineapi.CachePage
 	path := engineapi.PathEvents + "?after=" + strconv.FormatUint(after, 10)
 	return page, c.call(ctx, http.MethodGet, address, path, nil, &page)
 }
 
-// call sends body, if any, and reads the reply into reply, if any.
+// call sends body unless it is nil, and decodes the response into reply unless reply
+// is nil.
 func (c *Client) call(ctx context.Context, method, address, path string, body, reply any) error {
 	resp, err := c.send(ctx, method, address, path, body, resendOnBrokenConn)
 	if err != nil {
@@ -142,10 +147,10 @@
 	return nil
 }
 
-// send returns the response if its status says that the call was accepted.
+// send sends a request and returns the response if its status is 2xx.
 func (c *Client) send(ctx context.Context, method, address, path string, body any, policy retryPolicy) (*http.Response, error) {
-	// A request that was never given a connection cannot have reached the
-	// engine, whatever the error reads like: that is the proof of "not run".
+	// A request that never got a connection cannot have reached the engine,
+	// whatever the error is. This proves that the request was not run.
 	var connsUsed atomic.Int32
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connsUsed.Add(1) }}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), method, address, path, body)
@@ -153,10 +158,10 @@
 		return nil, sendError(address, StateNotRun, 0, err)
 	}
 	if policy == resendOnBrokenConn {
-		// Lets the transport repeat the call on a new connection if a kept one
-		// turns out to be broken. After a link was cut all kept connections
-		// are, and the cancel or export that follows the cut would be lost.
-		// The header itself is not sent while it has no value.
+		// The header lets the transport send the call again on a new connection
+		// if an idle connection turns out to be broken. After a network cut all
+		// idle connections are broken, and the cancel or export call that follows
+		// the cut would be lost. A header without a value is not sent.
 		req.Header[headerIdempotencyKey] = nil
 	}
 	resp, err := c.http.Do(req)
@@ -174,9 +179,10 @@
 	return nil, sendError(address, stateAfterRefusal(resp, connsUsed.Load()), resp.StatusCode, nil)
 }
 
-// stateAfterRefusal trusts the engine's own statement that it did nothing, unless the
-// transport has sent the call before on a connection that broke: a refusal of
-// the second try says nothing of the first.
+// stateAfterRefusal returns StateNotRun if the engine says that it did not run the
+// call. If the transport had already sent the call on a connection that broke, the
+// state is StateUnknown, because a refusal of the second attempt says nothing about the
+// first attempt.
 func stateAfterRefusal(resp *http.Response, connsUsed int32) State {
 	if resp.Header.Get(engineapi.HeaderNotRun) == "1" && connsUsed == 1 {
 		return StateNotRun
@@ -197,7 +203,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// A tenth of a poll's bytes, which no engine reads.
+	// The default User-Agent is a tenth of the bytes of a poll, and no engine reads it.
 	req.Header.Set("User-Agent", "")
 	if body != nil {
 		req.Header.Set("Content-Type", "application/json")
@@ -209,7 +215,8 @@
 	return Error.Wrap(&SendError{Endpoint: address, State: state, Status: status, Cause: cause})
 }
 
-// drainAndClose reads what little may be left, so that the connection is kept.
+// drainAndClose reads the rest of a body before it closes the body, so that the
+// connection can be reused.
 func drainAndClose(body io.ReadCloser) {
 	io.CopyN(io.Discard, body, MaxReplyBytes)
 	body.Close()
--- a/route/engineclient/client_test.go
+++ b/route/engineclient/client_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the run if any test leaves a goroutine behind.
+// TestMain fails the run if a test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func startEngine(t *testing.T, cfg standin.Config) *standin.Server {
@@ -40,7 +40,7 @@
 }
 
 func TestClientCalls(t *testing.T) {
-	Convey("A client talks to an engine", t, func() {
+	Convey("Each call of the client succeeds or fails with the engine's status", t, func() {
 		srv := startEngine(t, standin.Config{CheckFencing: true})
 		defer srv.Close()
 		client := New(nil)
@@ -78,9 +78,10 @@
 	})
 }
 
-// The caller is told "not run" only when that is proved: nothing listened, or
-// the engine says that it refused. A connection that took the request and then
-// broke proves nothing, and neither does an error status alone.
+// If a request that ran is reported as "not run", its caller may run it twice. The
+// state is "not run" only if nothing listened or the engine says that it refused the
+// request. A connection that broke after the request was sent, a timeout or an error
+// status alone does not prove that.
 func TestFailedSendIsNotRunOnlyIfCertain(t *testing.T) {
 	refusing := startEngine(t, standin.Config{})
 	defer refusing.Close()
@@ -102,7 +103,7 @@
 		{"frozen", frozen.Address, false},
 		{"connection breaks after the request", disconnecting, false},
 	}
-	Convey("The state of a failed send is what is proved", t, func() {
+	Convey("A failed send is \"not run\" only if that is certain", t, func() {
 		client := New(nil)
 		defer client.CloseIdle()
 		for _, c := range cases {
@@ -115,10 +116,10 @@
 	})
 }
 
-// The engine hears every cancel, also the first after its connections were
-// cut: the client's kept connections are broken then without its knowing.
+// If calls are not repeated on a new connection, the first cancel after a network cut
+// is lost: the client's idle connections are broken and the client does not know.
 func TestCallsSucceedAfterConnectionsBreak(t *testing.T) {
-	Convey("Each call after a cut gets through", t, func() {
+	Convey("Each call after its connections were cut reaches the engine", t, func() {
 		srv := startEngine(t, standin.Config{})
 		defer srv.Close()
 		client := New(nil)
@@ -130,9 +131,10 @@
 	})
 }
 
-// The operator is told that an order may have been taken. The engine reads the
-// order on a kept connection and dies before it answers; the transport sends it
-// again, and the engine, just restarted, refuses. That refusal proves nothing.
+// If a refusal of the second attempt counted as "not run", an order that the engine
+// has carried out would be reported as not run. The engine reads the order on an idle
+// connection and crashes before it answers. The transport sends the order again, and
+// the restarted engine refuses it.
 func TestRefusalOfSecondAttemptLeavesStateUnknown(t *testing.T) {
 	attempts := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -148,7 +150,7 @@
 		}
 	}))
 	defer srv.Close()
-	Convey("A refusal after a broken first try does not mean not run", t, func() {
+	Convey("A refusal after a broken first attempt does not mean \"not run\"", t, func() {
 		client := New(nil)
 		defer client.CloseIdle()
 		address := srv.Listener.Addr().String()
@@ -160,8 +162,8 @@
 	})
 }
 
-// listenAndDisconnect accepts connections, reads a little of the request and
-// closes them without an answer.
+// listenAndDisconnect accepts connections, reads the first byte of the request
+// and closes the connection without an answer.
 func listenAndDisconnect(t *testing.T) (string, func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/route/engineclient/decoder_test.go
+++ b/route/engineclient/decoder_test.go
@@ -30,8 +30,7 @@
 	}
 }
 
-// decodeIndependently decodes the first n events as the messages are written, with
-// nothing kept from one to the next.
+// decodeIndependently decodes the first n events, each into new memory.
 func decodeIndependently(text string, n int) []Event {
 	var events []Event
 	for line := range strings.Lines(text) {
@@ -67,7 +66,7 @@
 		events int
 		err    error
 	}{
-		{"whole", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
+		{"complete", goodEvent + "data: [DONE]\n\n", 1, io.EOF},
 		{"carriage returns and comments", ": hello\r\nevent: x\r\n" + strings.ReplaceAll(goodEvent, "\n", "\r\n") + "data:[DONE]\r\n", 1, io.EOF},
 		{"no marker", goodEvent, 1, ErrTruncated},
 		{"nothing", "", 0, ErrTruncated},
@@ -77,14 +76,14 @@
 		{"no choice", `data: {"choices":[],"cicadatack":{"stream":"s"}}` + "\n\n", 0, ErrMalformed},
 		{"endless line", "data: " + strings.Repeat("x", 2*MaxEventBytes), 0, ErrEventTooLong},
 	}
-	Convey("Streams are read to their proper end, or the fault is named", t, func() {
+	Convey("A complete stream ends with io.EOF, a faulty one with the error of its fault", t, func() {
 		for _, c := range cases {
 			events, err := decodeAll(c.text)
 			So(c.name+errorText(err, c.err), ShouldEqual, c.name)
 			So(len(events), ShouldEqual, c.events)
 		}
 	})
-	Convey("Nor what an event wrote and took back by naming spans twice", t, func() {
+	Convey("A token does not inherit spans that an event overwrote by naming spans twice", t, func() {
 		text := ""
 		for _, spans := range []string{`[{"first":1},{"first":2}],"spans":[{}]`, `[{},{}]`} {
 			text += `data: {"choices":[{}],"cicadatack":{"spans":` + spans + "}}\n"
@@ -93,7 +92,7 @@
 		So(events, ShouldHaveLength, 2)
 		So(sameEvents(events, decodeIndependently(text, 2)), ShouldBeTrue)
 	})
-	Convey("A token does not inherit the span or the text of the one before", t, func() {
+	Convey("A token does not inherit the span or the text of the previous token", t, func() {
 		sparseEvent := strings.Replace(goodEvent, `"first":0,"last":7,"micros":9`, `"first":0`, 1)
 		sparseEvent = strings.Replace(sparseEvent, `"content":" tide"`, ``, 1)
 		decoder := NewDecoder(strings.NewReader(goodEvent + sparseEvent))
@@ -113,8 +112,8 @@
 	return " gave " + err.Error()
 }
 
-// FuzzDecoder feeds streams as a faulty engine may send them. The decoder must
-// end, with an error of its own, and each event must be as if decoded alone.
+// FuzzDecoder decodes streams that a faulty engine may send. The decoder must end with
+// one of its own errors, and each event must equal the event decoded on its own.
 func FuzzDecoder(f *testing.F) {
 	f.Add(goodEvent + "data: [DONE]\n\n")
 	f.Add(strings.Replace(goodEvent, `"position":0`, `"position":-9223372036854775808`, 1))
@@ -122,23 +121,23 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		events, err := decodeAll(text)
 		if !errors.Is(err, io.EOF) && !errors.Is(err, ErrTruncated) && !errors.Is(err, ErrMalformed) && !errors.Is(err, ErrEventTooLong) {
-			t.Fatal("an error of no kind:", err)
+			t.Fatal("unexpected kind of error:", err)
 		}
 		if independent := decodeIndependently(text, len(events)); !sameEvents(events, independent) {
-			t.Fatalf("memory kept between events shows: %+v, not %+v", events, independent)
+			t.Fatalf("memory reused between events changes them: got %+v, want %+v", events, independent)
 		}
 	})
 }
 
-// TestSeedsAreCommitted keeps the fuzz target's seeds from being lost.
+// Without its seed files, the fuzz target starts from three inputs only.
 func TestSeedsAreCommitted(t *testing.T) {
 	seeds, err := filepath.Glob(filepath.Join("testdata", "fuzz", "FuzzDecoder", "*"))
 	if err != nil || len(seeds) == 0 {
-		t.Fatal("no seeds", err)
+		t.Fatal("no seed files found", err)
 	}
 	for _, seed := range seeds {
 		if text, err := os.ReadFile(seed); err != nil || !strings.HasPrefix(string(text), "go test fuzz v1\n") {
-			t.Error(seed, "is no seed", err)
+			t.Error(seed, "is not a seed file", err)
 		}
 	}
 }
@@ -157,7 +156,7 @@
 	}
 }
 
-// repeatingReader gives the same text for ever.
+// repeatingReader returns the same text again and again.
 type repeatingReader struct {
 	text   string
 	offset int
--- a/route/engineclient/doc.go
+++ b/route/engineclient/doc.go
@@ -1,9 +1,9 @@
-// Package engineclient is the client of one model engine.
+// Package engineclient is the HTTP client of model engines.
 //
 //	client := engineclient.New(nil)
 //	stream, err := client.Open(ctx, address, request)
 //	if engineclient.NotRun(err) {
-//		// The engine provably did nothing: try another one.
+//		// The engine did not run the request: send it to another engine.
 //	}
 //	defer stream.Close()
 //	for {
@@ -11,9 +11,13 @@
 //		...
 //	}
 //
-// The failure that it answers: after a failed send nobody knows whether the
-// engine has begun, and a caller who is told "not run" must be able to rely on
-// it. Every error therefore carries a state: not run, when no byte could have
-// reached the engine or the engine said so itself, and unknown otherwise.
+// # Failures that the states of errors prevent
+//
+// After a failed send the router does not know whether the engine has started to run
+// the request, but a caller must be able to rely on the answer "not run". Every error
+// of this package therefore carries a state. The state is "not run" if no byte can
+// have reached the engine, or if the engine says that it did not run the request.
+// Otherwise the state is unknown.
+//
 // Every read is bounded, so a faulty engine cannot fill the node's memory.
 package engineclient
--- a/route/engineclient/errors.go
+++ b/route/engineclient/errors.go
@@ -11,37 +11,37 @@
 var Error = errs.Class("engine")
 
 var (
-	// ErrEventTooLong reports an event over MaxEventBytes.
-	ErrEventTooLong = errors.New("event longer than the bound")
-	// ErrMalformed reports an event that is not a chunk with a trace.
+	// ErrEventTooLong reports an event larger than MaxEventBytes.
+	ErrEventTooLong = errors.New("event exceeds the size limit")
+	// ErrMalformed reports an event that is not a chunk with one choice and a trace.
 	ErrMalformed = errors.New("malformed event")
-	// ErrTruncated reports a stream that ended before its closing event.
-	ErrTruncated = errors.New("stream ended before the answer did")
+	// ErrTruncated reports a stream that ended before its closing marker.
+	ErrTruncated = errors.New("stream ended before the answer was complete")
 )
 
-// State is what is known of work that was sent to an engine.
+// State says whether a request that was sent to an engine may have run.
 type State uint8
 
 const (
-	// StateUnknown work may have run, in part or whole.
+	// StateUnknown means that the request may have run, completely or in part.
 	StateUnknown State = iota
-	// StateNotRun work provably did not run.
+	// StateNotRun means that the request certainly did not run.
 	StateNotRun
 )
 
-// SendError is a failed call of an engine.
+// SendError is a failed call to an engine.
 type SendError struct {
 	// Endpoint is the address that was called.
 	Endpoint string
-	// State says whether the work may have run.
+	// State says whether the request may have run.
 	State State
-	// Status is the HTTP status of the engine's own refusal, or zero.
+	// Status is the HTTP status with which the engine refused the call, or zero.
 	Status int
-	// Cause is the error below, or nil if the engine answered.
+	// Cause is the underlying error, or nil if the engine answered.
 	Cause error
 }
 
-// Error describes the failure.
+// Error returns the address, the state, and the cause or the HTTP status.
 func (e *SendError) Error() string {
 	state := "may have run"
 	if e.State == StateNotRun {
@@ -53,16 +53,17 @@
 	return fmt.Sprintf("%s: %s: status %d", e.Endpoint, state, e.Status)
 }
 
-// Unwrap returns the error below.
+// Unwrap returns Cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// NotRun reports whether err proves that the engine did not run the work.
+// NotRun reports whether err proves that the engine did not run the request.
 func NotRun(err error) bool {
 	var send *SendError
 	return errors.As(err, &send) && send.State == StateNotRun
 }
 
-// Status returns the HTTP status with which the engine refused, or zero.
+// Status returns the HTTP status with which the engine refused the call, or zero if
+// err carries none.
 func Status(err error) int {
 	var send *SendError
 	if errors.As(err, &send) {
--- a/route/engineclient/standard_test.go
+++ b/route/engineclient/standard_test.go
@@ -9,9 +9,9 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// The decoder's JSON library was chosen for its speed. An engine's event that
-// both it and the standard library accept must mean the same to both, or a
-// token's spans would be checked against something that the engine did not say.
+// The decoder uses a faster JSON library than the standard one. If the two libraries
+// decoded the same event differently, a token's spans would be checked against values
+// that the engine did not send.
 func FuzzAgainstStandard(f *testing.F) {
 	for _, seed := range []string{
 		`{"choices":[{"delta":{"content":" flour"},"finish_reason":null}],"cicadatack":{"stream":"s","epoch":1,"position":3,"spans":[{"endpoint":"e","first":0,"last":3,"micros":9}]}}`,
@@ -48,7 +48,7 @@
 	return Event{Token: c.Choices[0].Delta.Content, Trace: *c.Trace, Finish: c.Choices[0].FinishReason}, true
 }
 
-// normalizeSpans makes events comparable: no spans and an empty list are the same.
+// normalizeSpans makes events comparable: nil spans and an empty list are equal.
 func normalizeSpans(e Event) Event {
 	if len(e.Trace.Spans) == 0 {
 		e.Trace.Spans = nil
--- a/route/engineclient/stream.go
+++ b/route/engineclient/stream.go
@@ -11,13 +11,14 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// MaxEventBytes bounds one event. A token with the spans of a few dozen
+// MaxEventBytes bounds the size of one event. A token with the spans of a few dozen
 // stages takes a few kilobytes.
 const MaxEventBytes = 64 << 10
 
 const initialBufferBytes = 4 << 10
 
-// maxTrailingLines is far more than the marker and the lines around it.
+// maxTrailingLines bounds the lines that Drain reads. It is far more than the closing
+// marker and the lines around it.
 const maxTrailingLines = 16
 
 var dataField = []byte("data:")
@@ -26,14 +27,14 @@
 type Event struct {
 	// Token is the text that the event carries.
 	Token string
-	// Trace says where the token comes from. Its Spans are good until the
-	// next call of Next.
+	// Trace says which engines computed the token. Its Spans are valid until the
+	// next call to Next.
 	Trace engineapi.TokenTrace
-	// Finish is the reason that the answer ended, empty before its last event.
+	// Finish is the reason why the answer ended. It is empty before the last event.
 	Finish string
 }
 
-// Stream is the answer to a chat request. It is for one goroutine.
+// Stream is the answer to a chat request. It is not safe for concurrent use.
 type Stream struct {
 	address string
 	body    io.ReadCloser
@@ -44,9 +45,9 @@
 	return &Stream{address: address, body: body, decoder: NewDecoder(body)}
 }
 
-// Next returns the next event. It returns io.EOF after the marker that closes
-// a whole answer, and an error that wraps ErrCutShort if the stream ended
-// without it.
+// Next returns the next event. It returns io.EOF after the marker that closes a
+// complete answer, and an error that wraps ErrTruncated if the stream ended without
+// the marker.
 func (s *Stream) Next() (Event, error) {
 	event, err := s.decoder.Next()
 	if err == nil || errors.Is(err, io.EOF) {
@@ -55,11 +56,11 @@
 	return Event{}, sendError(s.address, StateUnknown, 0, err)
 }
 
-// Drain reads what follows the event that closes an answer: the marker and the
-// end of the body. Only a body read to its end leaves its connection to the next
-// stream; without it each stream costs a connection, and a node that serves some
-// hundred a second of one engine runs out of local ports. The caller bounds the
-// time by the stream's context, and the length is bounded here.
+// Drain reads what follows the last event of an answer: the closing marker and the
+// end of the body. The connection can be reused only if its body was read to the end.
+// Without Drain each stream costs a connection, and a node that opens some hundred
+// streams a second to one engine runs out of local ports. The stream's context bounds
+// the time of Drain, and maxTrailingLines bounds the lines that it reads.
 func (s *Stream) Drain() {
 	for range maxTrailingLines {
 		if !s.decoder.lines.Scan() {
@@ -68,19 +69,19 @@
 	}
 }
 
-// Close ends the stream; the engine sees its caller gone unless the whole
-// answer has been read.
+// Close ends the stream. Unless the complete answer has been read, the engine sees
+// that its caller has disconnected.
 func (s *Stream) Close() { s.body.Close() }
 
-// Decoder reads the server-sent events of an answer.
+// Decoder decodes the server-sent events of an answer.
 type Decoder struct {
 	lines   *bufio.Scanner
 	trace   engineapi.TokenTrace
 	choices []choice
 }
 
-// chunk is the part of engineapi.Chunk that the router needs. The rest is the
-// same in each event, and decoding it would cost each token three strings.
+// chunk has the fields of engineapi.Chunk that the router needs. The other fields are
+// the same in each event, and decoding them would allocate three strings per token.
 type chunk struct {
 	Choices []choice              `json:"choices"`
 	Trace   *engineapi.TokenTrace `json:"cicadatack"`
@@ -93,7 +94,7 @@
 	FinishReason string `json:"finish_reason"`
 }
 
-// NewDecoder returns a decoder of r.
+// NewDecoder returns a decoder that reads from r.
 func NewDecoder(r io.Reader) Decoder {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, initialBufferBytes), MaxEventBytes)
@@ -101,12 +102,12 @@
 }
 
 // Next returns the next event, io.EOF after the closing marker, or an error
-// that wraps ErrCutShort, ErrEventTooLong or ErrMalformed.
+// that wraps ErrTruncated, ErrEventTooLong or ErrMalformed.
 func (d *Decoder) Next() (Event, error) {
 	for d.lines.Scan() {
 		data, ok := bytes.CutPrefix(d.lines.Bytes(), dataField)
 		if !ok {
-			continue // a comment, another field, or the line between events
+			continue // a comment, another field, or the empty line between events
 		}
 		data = bytes.TrimSpace(data)
 		if string(data) == engineapi.DoneMarker {
@@ -126,9 +127,9 @@
 }
 
 func (d *Decoder) decode(data []byte) (Event, error) {
-	// Spans and choices are decoded into the same memory for each token. All of
-	// it is cleared first, because json leaves fields that an event omits as
-	// they were: a token would inherit a span or the text of an earlier one.
+	// Spans and choices are decoded into the same memory for each token. The memory
+	// is cleared first, because json leaves the fields that an event omits unchanged.
+	// Without this, a token would inherit a span or the text of an earlier token.
 	clear(d.trace.Spans[:cap(d.trace.Spans)])
 	clear(d.choices[:cap(d.choices)])
 	d.trace = engineapi.TokenTrace{Spans: d.trace.Spans[:0]}
