--- a/node/server/events.go
+++ b/node/server/events.go
@@ -24,22 +24,22 @@
 		return
 	}
 	var of *service.Service
-	var longest service.EventsDue
+	var longest service.EventsPoll
 	mustAsk := false
 	for _, each := range s.registry.All() {
 		if !each.IsModel() {
 			continue
 		}
-		due, must := each.EventsDue(pause)
+		due, must := each.NextEventsPoll(pause)
 		mustAsk = mustAsk || must
-		if due.Endpoint != "" && (of == nil || due.Asked.Before(longest.Asked)) {
+		if due.Endpoint != "" && (of == nil || due.LastPolledAt.Before(longest.LastPolledAt)) {
 			of, longest = each, due
 		}
 	}
 	if !mustAsk || of == nil {
 		return
 	}
-	of.EventsAsked(longest.Replica)
+	of.MarkEventsPolled(longest.Replica)
 	if e, known := d.Endpoint(longest.Endpoint); known {
 		go s.takeEvents(ctx, of, longest, e.Address)
 	}
@@ -51,20 +51,20 @@
 	if !of.IsModel() {
 		return false
 	}
-	due, ok := of.EventsWith(endpoint, s.pause(s.settings.Load.CacheEventPollsPerSecond))
+	due, ok := of.EventsPollFor(endpoint, s.pause(s.settings.Load.CacheEventPollsPerSecond))
 	if !ok {
 		return false
 	}
-	of.EventsAsked(due.Replica)
+	of.MarkEventsPolled(due.Replica)
 	return s.takeEvents(ctx, of, due, address)
 }
 
 // takeEvents asks a replica's first stage for its cache events and says whether
 // its load came along.
-func (s *Server) takeEvents(ctx context.Context, of *service.Service, due service.EventsDue, address string) bool {
+func (s *Server) takeEvents(ctx context.Context, of *service.Service, due service.EventsPoll, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	page, err := s.engines.CacheEvents(ctx, address, due.After)
+	page, err := s.engines.CacheEvents(ctx, address, due.LastSequence)
 	if err != nil {
 		s.metrics.CacheEvents(of.Name, "failed")
 		return false // silence takes the trust away by itself
@@ -72,7 +72,7 @@
 	if page.Load != nil {
 		s.reportLoad(due.Endpoint, *page.Load)
 	}
-	change := of.Prefixes.Take(due.Replica, pageOf(page))
+	change := of.PrefixIndex.Apply(due.Replica, pageOf(page))
 	s.metrics.CacheEvents(of.Name, change.String())
 	if change != cacheindex.Continued {
 		s.log.Debug("cache events", "service", of.Name, "replica", due.Replica, "change", change.String())
--- a/node/server/leaving.go
+++ b/node/server/leaving.go
@@ -158,7 +158,7 @@
 // others before.
 func (l *leavingList) tell(s *service.Service, leaving []drainnotice.Endpoint, before map[string]bool) map[string]bool {
 	now := map[string]bool{}
-	room := hintRoom(s.Replicas())
+	room := hintRoom(s.ReplicaCount())
 	for _, e := range leaving {
 		replicas := s.ReplicasOf(e.Name)
 		if !e.Confirmed {
@@ -171,11 +171,11 @@
 		if !before[e.Name] && len(replicas) > 0 {
 			l.log.Info("endpoint leaves", "service", s.Name, "endpoint", e.Name, "confirmed", e.Confirmed)
 		}
-		s.EndpointLeaving(e.Name, balance.SourcePlatform, true)
+		s.MarkLeaving(e.Name, balance.SourcePlatform, true)
 	}
 	for name := range before {
 		if !now[name] {
-			s.EndpointLeaving(name, balance.SourcePlatform, false)
+			s.MarkLeaving(name, balance.SourcePlatform, false)
 		}
 	}
 	return now
--- a/node/server/polls.go
+++ b/node/server/polls.go
@@ -62,19 +62,19 @@
 		return
 	}
 	var quietest *service.Service
-	var due service.LoadDue
+	var due service.LoadPoll
 	mustAsk := false
 	for _, each := range s.registry.All() {
-		next, must := each.LoadDue(pause)
+		next, must := each.NextLoadPoll(pause)
 		mustAsk = mustAsk || must
-		if next.Endpoint != "" && (quietest == nil || next.Heard.Before(due.Heard)) {
+		if next.Endpoint != "" && (quietest == nil || next.LastContact.Before(due.LastContact)) {
 			quietest, due = each, next
 		}
 	}
 	if !mustAsk {
 		return
 	}
-	quietest.Asked(due.Endpoint, time.Now())
+	quietest.MarkLoadPolled(due.Endpoint, time.Now())
 	if e, known := d.Endpoint(due.Endpoint); known {
 		go s.poll(ctx, quietest, e.Name, e.Address)
 	}
@@ -97,7 +97,7 @@
 
 func (s *Server) reportLoad(endpoint string, load engineapi.Load) {
 	for _, each := range s.registry.All() {
-		each.ReportLoad(endpoint, load)
+		each.RecordLoad(endpoint, load)
 	}
 }
 
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -121,10 +121,10 @@
 	s.metrics = metrics.New(s.settings.Name, func(err error) { s.log.Error("metric not registered", "error", err) })
 	s.decisions = decisionlog.NewLog(s.log)
 	s.registry = service.NewRegistry(service.Config{
-		Node:          s.settings.Name,
-		FailureDomain: s.settings.FailureDomain,
-		Now:           time.Now,
-		OnSlots:       s.metrics.Slots,
+		Node:           s.settings.Name,
+		FailureDomain:  s.settings.FailureDomain,
+		Now:            time.Now,
+		OnSlotsChanged: s.metrics.Slots,
 	})
 	s.limits = teamlimiter.New(limits.New(limits.Config{
 		Self:         s.settings.Name,
@@ -156,7 +156,7 @@
 // cacheLost passes on that a stage of a model's replica has lost its cache.
 func (s *Server) cacheLost(model, replica string) {
 	if service := s.registry.Get(model); service != nil {
-		service.Prefixes.Lost(replica)
+		service.PrefixIndex.Clear(replica)
 		s.log.Info("cache lost by a stage", "service", model, "replica", replica)
 	}
 }
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -90,7 +90,7 @@
 		v.desk.Figures.Refused(v.Service.Name, refusal.Code)
 		return nil, refusal
 	}
-	ticket, err := v.At.Gate.Enter(ctx, admissionqueue.Request{
+	ticket, err := v.At.Admission.Enter(ctx, admissionqueue.Request{
 		Team: v.Team.Name, Class: v.Class, Cost: cost, Deadline: v.latestStart(cost),
 	})
 	if err != nil {
@@ -109,7 +109,7 @@
 	if v.Deadline.IsZero() {
 		return v.Start
 	}
-	latest := v.Deadline.Add(-v.At.Expected(cost))
+	latest := v.Deadline.Add(-v.At.ExpectedRunTime(cost))
 	if latest.Before(v.Start) {
 		return latest
 	}
@@ -149,7 +149,7 @@
 // Leave gives the room back. used is the work that was really done, in tokens.
 func (p *Pass) Leave(used float64) {
 	p.ticket.Leave(used)
-	p.visit.At.Served(p.cost, used, p.visit.Now().Sub(p.since))
+	p.visit.At.RecordRun(p.cost, used, p.visit.Now().Sub(p.since))
 	p.visit.desk.Limits.Correct(p.visit.Team.Name, used-p.cost)
 }
 
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -86,7 +86,7 @@
 	a := c.answer
 	choice, ok := a.At.Picker.Pick(balance.Query{
 		Prefix:  prefixHash(a.chat.Messages),
-		Holders: a.At.Prefixes.Holders(c.hashes()),
+		Holders: a.At.PrefixIndex.Holders(c.hashes()),
 		Cost:    a.cost,
 		Exclude: exclude,
 	})
@@ -152,13 +152,13 @@
 	for i := range r.Hops {
 		// Without it a slow link looks like slow layers, and the plan leaves the
 		// engine out in place of the link.
-		r.Hops[i].StepMicros = float64(c.answer.At.Step(r.Hops[i].Endpoint).Microseconds())
+		r.Hops[i].StepMicros = float64(c.answer.At.TokenTime(r.Hops[i].Endpoint).Microseconds())
 	}
 	if len(r.Hops) > 0 {
 		c.answer.server.Plans.Observe(c.answer.Service.Name, chain.Replica, r.Hops)
 	}
 	if r.Load != nil {
-		c.answer.At.ReportLoad(chain.Stages[0].Endpoint, *r.Load)
+		c.answer.At.RecordLoad(chain.Stages[0].Endpoint, *r.Load)
 	}
 }
 
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -126,7 +126,7 @@
 	a.count(summary)
 	what := fromStream(summary.Outcome)
 	if err == nil {
-		a.At.Retry.Success()
+		a.At.RetryBudget.Success()
 		sink.finish(summary.FinishReason, what)
 	} else {
 		sink.fail(failure(err, summary.LastResult.Status, what))
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -35,7 +35,7 @@
 	}
 	r := &c.runs[trace.Epoch-1]
 	if trace.Load != nil {
-		c.answer.At.ReportLoad(r.first, *trace.Load)
+		c.answer.At.RecordLoad(r.first, *trace.Load)
 	}
 	now := c.answer.Now()
 	if !r.started {
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -123,7 +123,7 @@
 		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
-		Targets: endpoints{e.Visit}, Budget: e.At.Retry,
+		Targets: endpoints{e.Visit}, Budget: e.At.RetryBudget,
 		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
 		Arrived: e.Arrived, Deadline: deadline,
 	})
--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -7,27 +7,27 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// leavingMark is what one source says of one endpoint.
-type leavingMark struct {
+// leavingKey is what one source says of one endpoint.
+type leavingKey struct {
 	endpoint string
 	source   balance.Source
 }
 
-// EndpointLeaving notes what a source says of an endpoint. A chain leaves with
+// MarkLeaving notes what a source says of an endpoint. A chain leaves with
 // any of its stages: one stage that stays must not call a chain back which
 // another is leaving, so the marks are kept by endpoint and not by replica.
-func (s *Service) EndpointLeaving(endpoint string, source balance.Source, leaving bool) {
-	s.mark(endpoint, source, leaving)
+func (s *Service) MarkLeaving(endpoint string, source balance.Source, leaving bool) {
+	s.setMark(endpoint, source, leaving)
 	for _, replica := range s.ReplicasOf(endpoint) {
 		s.Picker.Leaving(replica, source, s.anyLeaving(replica, source))
 	}
 }
 
-// ReportLoad takes an endpoint's own report of its load.
-func (s *Service) ReportLoad(endpoint string, l engineapi.Load) {
-	s.mark(endpoint, balance.SourceEndpoint, l.Draining)
-	s.Asked(endpoint, s.now())
-	s.learnPace(endpoint, time.Duration(l.StepMicros)*time.Microsecond)
+// RecordLoad takes an endpoint's own report of its load.
+func (s *Service) RecordLoad(endpoint string, l engineapi.Load) {
+	s.setMark(endpoint, balance.SourceEndpoint, l.Draining)
+	s.MarkLoadPolled(endpoint, s.now())
+	s.updateTokenTime(endpoint, time.Duration(l.StepMicros)*time.Microsecond)
 	for _, replica := range s.ReplicasOf(endpoint) {
 		s.Picker.Report(replica, balance.LoadReport{
 			RunningRequests: l.Running,
@@ -45,30 +45,30 @@
 	return s.replicasOf[endpoint]
 }
 
-// LoadDue is an endpoint whose load is to be asked for.
-type LoadDue struct {
+// LoadPoll is an endpoint whose load is to be asked for.
+type LoadPoll struct {
 	Endpoint string
-	// Heard is when it was heard of, or last asked; never is the zero time.
-	Heard time.Time
+	// LastContact is when it was heard of, or last asked; never is the zero time.
+	LastContact time.Time
 }
 
-// LoadDue returns the endpoint, among those of the replicas that this node uses,
+// NextLoadPoll returns the endpoint, among those of the replicas that this node uses,
 // that was heard of longest ago, and whether one of them must be asked in this of
 // the turns that come a pause apart.
-func (s *Service) LoadDue(pause time.Duration) (due LoadDue, must bool) {
+func (s *Service) NextLoadPoll(interval time.Duration) (next LoadPoll, mustPoll bool) {
 	version := s.Picker.SubsetVersion()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.quietOf != version {
-		s.quiet.SetEndpoints(s.endpointsOf(s.Picker.Subset()))
-		s.quietOf = version
+	if s.loadPollsVersion != version {
+		s.loadPolls.SetEndpoints(s.endpointsOf(s.Picker.Subset()))
+		s.loadPollsVersion = version
 	}
-	endpoint, heard, _ := s.quiet.Oldest()
-	return LoadDue{endpoint, heard}, s.quiet.Due(s.now(), pause)
+	endpoint, lastContact, _ := s.loadPolls.Oldest()
+	return LoadPoll{endpoint, lastContact}, s.loadPolls.Due(s.now(), interval)
 }
 
-// Replicas returns how many replicas the document names.
-func (s *Service) Replicas() int {
+// ReplicaCount returns how many replicas the document names.
+func (s *Service) ReplicaCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.stagesOf)
@@ -82,27 +82,27 @@
 	return endpoints
 }
 
-// Asked notes that an endpoint is being asked for its load, so that one that
+// MarkLoadPolled notes that an endpoint is being asked for its load, so that one that
 // does not answer is not asked over and over before the others.
-func (s *Service) Asked(endpoint string, at time.Time) {
+func (s *Service) MarkLoadPolled(endpoint string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.quiet.Touch(endpoint, at)
+	s.loadPolls.Touch(endpoint, at)
 }
 
-// mark keeps what a source says of an endpoint that a replica needs. A word that
+// setMark keeps what a source says of an endpoint that a replica needs. A word that
 // is taken back is dropped even if no replica needs the endpoint any more: the
-// source says it once, and a mark left behind would keep a chain that comes back
+// source says it once, and a setMark left behind would keep a chain that comes back
 // in a later document from ever being used.
-func (s *Service) mark(endpoint string, source balance.Source, leaving bool) {
+func (s *Service) setMark(endpoint string, source balance.Source, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	m := leavingMark{endpoint, source}
+	key := leavingKey{endpoint, source}
 	switch {
 	case !leaving:
-		delete(s.marks, m)
+		delete(s.leavingMarks, key)
 	case len(s.replicasOf[endpoint]) > 0:
-		s.marks[m] = true
+		s.leavingMarks[key] = true
 	}
 }
 
@@ -110,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, endpoint := range s.stagesOf[replica] {
-		if s.marks[leavingMark{endpoint, source}] {
+		if s.leavingMarks[leavingKey{endpoint, source}] {
 			return true
 		}
 	}
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -10,14 +10,14 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// word is what one source says of one engine.
-type word struct {
+// statement is what one source says of one engine.
+type statement struct {
 	endpoint string
 	source   balance.Source
 	leaving  bool
 }
 
-func twoChains(replicas ...string) *docindex.Directory {
+func documentWithChains(replicas ...string) *docindex.Directory {
 	doc := &document.Document{Teams: []document.Team{{Name: "menteng", Weight: 1}}}
 	m := &document.Model{Layers: 8}
 	for _, name := range replicas {
@@ -32,16 +32,16 @@
 	return docindex.Build(doc, 1, "digest")
 }
 
-func (s *Service) say(w word) {
-	if w.source == balance.SourceEndpoint {
-		s.ReportLoad(w.endpoint, engineapi.Load{Draining: w.leaving})
+func (s *Service) apply(st statement) {
+	if st.source == balance.SourceEndpoint {
+		s.RecordLoad(st.endpoint, engineapi.Load{Draining: st.leaving})
 		return
 	}
-	s.EndpointLeaving(w.endpoint, w.source, w.leaving)
+	s.MarkLeaving(st.endpoint, st.source, st.leaving)
 }
 
-// chosen says whether a replica gets any of many requests.
-func (s *Service) chosen(replica string) bool {
+// isPicked says whether a replica gets any of many requests.
+func (s *Service) isPicked(replica string) bool {
 	const draws = 200
 	found := false
 	for range draws {
@@ -61,31 +61,31 @@
 func TestChainLeavesWithAnyStage(t *testing.T) {
 	const platform, operator, endpoint = balance.SourcePlatform, balance.SourceOperator, balance.SourceEndpoint
 	cases := []struct {
-		name  string
-		words []word
-		used  bool
+		name       string
+		statements []statement
+		picked     bool
 	}{
 		{"nobody leaves", nil, true},
-		{"the first stage leaves", []word{{"xa", platform, true}}, false},
-		{"the second stage leaves", []word{{"xb", platform, true}}, false},
-		{"a stage says so itself", []word{{"xb", endpoint, true}}, false},
-		{"the other stage stays", []word{{"xa", platform, true}, {"xb", platform, false}}, false},
-		{"the other stage reports that it stays", []word{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
-		{"another source says that it stays", []word{{"xa", platform, true}, {"xa", endpoint, false}}, false},
-		{"one of two takes it back", []word{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
-		{"both take it back", []word{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
-		{"all sources take it back", []word{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
-		{"a stage of another chain leaves", []word{{"ya", operator, true}}, true},
-		{"an engine that nobody knows leaves", []word{{"za", platform, true}}, true},
+		{"the first stage leaves", []statement{{"xa", platform, true}}, false},
+		{"the second stage leaves", []statement{{"xb", platform, true}}, false},
+		{"a stage says so itself", []statement{{"xb", endpoint, true}}, false},
+		{"the other stage stays", []statement{{"xa", platform, true}, {"xb", platform, false}}, false},
+		{"the other stage reports that it stays", []statement{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
+		{"another source says that it stays", []statement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
+		{"one of two takes it back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
+		{"both take it back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
+		{"all sources take it back", []statement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
+		{"a stage of another chain leaves", []statement{{"ya", operator, true}}, true},
+		{"an engine that nobody knows leaves", []statement{{"za", platform, true}}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s := newTestService(twoChains("x", "y"))
-			for _, w := range c.words {
-				s.say(w)
+			s := newTestService(documentWithChains("x", "y"))
+			for _, st := range c.statements {
+				s.apply(st)
 			}
-			if got := s.chosen("x"); got != c.used {
-				t.Errorf("the chain is used: %t, want %t", got, c.used)
+			if got := s.isPicked("x"); got != c.picked {
+				t.Errorf("the chain is used: %t, want %t", got, c.picked)
 			}
 		})
 	}
@@ -101,20 +101,20 @@
 // leaving, and comes back in a later document, when the VM has been replaced and
 // is listed no more. A word that was kept from before would keep the chain from
 // callers for good: the platform takes back only what it said.
-func TestWordsOfAChainThatWentAreForgotten(t *testing.T) {
+func TestRemovedChainIsUsedAgainAfterItReturns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: func() time.Time { return now }})
-	r.Apply(twoChains("x", "y"))
+	r.Apply(documentWithChains("x", "y"))
 	s := r.Get("pastry-llm")
-	s.say(word{"xa", balance.SourcePlatform, true})
-	r.Apply(twoChains("y"))
-	s.say(word{"xa", balance.SourcePlatform, false})
-	r.Apply(twoChains("x", "y"))
-	s.say(word{"xb", balance.SourcePlatform, true})
-	s.say(word{"xb", balance.SourcePlatform, false})
+	s.apply(statement{"xa", balance.SourcePlatform, true})
+	r.Apply(documentWithChains("y"))
+	s.apply(statement{"xa", balance.SourcePlatform, false})
+	r.Apply(documentWithChains("x", "y"))
+	s.apply(statement{"xb", balance.SourcePlatform, true})
+	s.apply(statement{"xb", balance.SourcePlatform, false})
 	now = now.Add(2 * balance.DefaultSlowStart) // a newcomer gets little at first
 	s.Picker.Refresh()
-	if !s.chosen("x") {
+	if !s.isPicked("x") {
 		t.Error("the chain is never used again")
 	}
 }
@@ -122,21 +122,21 @@
 // A document replaces one engine of a chain by another in the same failure
 // domain and leaves everything else. The balancer's list stays the same, but the
 // new engine's word must count and the former one's must not.
-func TestEngineOfAChainIsReplaced(t *testing.T) {
+func TestReplacedEngineNoLongerMarksChain(t *testing.T) {
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
-	r.Apply(twoChains("x", "y"))
+	r.Apply(documentWithChains("x", "y"))
 	s := r.Get("pastry-llm")
-	next := twoChains("x", "y")
+	next := documentWithChains("x", "y")
 	doc := *next.Document
 	doc.Endpoints = append(doc.Endpoints, document.Endpoint{Name: "new", FailureDomain: "bandung"})
 	doc.Services[0].Model.Replicas[0].Stages[1].Endpoint = "new"
 	r.Apply(docindex.Build(&doc, 2, "digest"))
-	s.say(word{"xb", balance.SourcePlatform, true})
-	if !s.chosen("x") {
+	s.apply(statement{"xb", balance.SourcePlatform, true})
+	if !s.isPicked("x") {
 		t.Error("an engine that has gone keeps the chain from callers")
 	}
-	s.say(word{"new", balance.SourcePlatform, true})
-	if s.chosen("x") {
+	s.apply(statement{"new", balance.SourcePlatform, true})
+	if s.isPicked("x") {
 		t.Error("the new engine is not known")
 	}
 }
--- a/route/service/prefixes_test.go
+++ b/route/service/prefixes_test.go
@@ -10,33 +10,33 @@
 // An engine that is about to be asked for its load is asked for its cache events
 // as well, in one call. Only the first stage of a chain has events that count, and
 // one that was asked lately must not take the turn of one that was not.
-func TestEventsGoWithTheLoad(t *testing.T) {
-	const pause = time.Second
+func TestCacheEventsArePolledWithLoad(t *testing.T) {
+	const interval = time.Second
 	Convey("Two chains of two stages", t, func() {
 		now := time.Unix(1_000, 0)
 		r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: func() time.Time { return now }})
-		r.Apply(twoChains("x", "y"))
+		r.Apply(documentWithChains("x", "y"))
 		s := r.Get("pastry-llm")
 
-		due, ok := s.EventsWith("xa", pause)
+		due, ok := s.EventsPollFor("xa", interval)
 		So(ok, ShouldBeTrue)
 		So(due.Replica, ShouldEqual, "x")
 		So(due.Endpoint, ShouldEqual, "xa")
-		_, ok = s.EventsWith("xb", pause)
+		_, ok = s.EventsPollFor("xb", interval)
 		So(ok, ShouldBeFalse)
 
-		s.EventsAsked("x")
-		_, ok = s.EventsWith("xa", pause)
+		s.MarkEventsPolled("x")
+		_, ok = s.EventsPollFor("xa", interval)
 		So(ok, ShouldBeFalse)
-		due, must := s.EventsDue(pause)
-		So(must, ShouldBeTrue)
+		due, mustPoll := s.NextEventsPoll(interval)
+		So(mustPoll, ShouldBeTrue)
 		So(due.Replica, ShouldEqual, "y")
-		s.EventsAsked("y")
-		_, must = s.EventsDue(pause)
-		So(must, ShouldBeFalse)
+		s.MarkEventsPolled("y")
+		_, mustPoll = s.NextEventsPoll(interval)
+		So(mustPoll, ShouldBeFalse)
 
-		now = now.Add(pause) // half a round of two turns
-		_, ok = s.EventsWith("xa", pause)
+		now = now.Add(interval) // half a round of two turns
+		_, ok = s.EventsPollFor("xa", interval)
 		So(ok, ShouldBeTrue)
 	})
 }
--- a/route/service/rate_test.go
+++ b/route/service/rate_test.go
@@ -9,17 +9,17 @@
 // through both yields 40 tokens a second, which the queue may assume once both
 // have spoken. Small changes are not passed on, and a plain endpoint, which
 // reports no time, changes nothing.
-func TestPaceOfAChain(t *testing.T) {
+func TestTokenRateOfChain(t *testing.T) {
 	s := &Service{
-		steps:      map[string]time.Duration{},
+		tokenTimes: map[string]time.Duration{},
 		stagesOf:   map[string][]string{"replica-1": {"a", "b"}},
 		replicasOf: map[string][]string{"a": {"replica-1"}, "b": {"replica-1"}},
 	}
 	for _, c := range []struct {
-		endpoint string
-		step     time.Duration
-		rate     float64
-		changed  bool
+		endpoint  string
+		tokenTime time.Duration
+		rate      float64
+		changed   bool
 	}{
 		{"a", 10 * time.Millisecond, 0, false},
 		{"b", 15 * time.Millisecond, 40, true},
@@ -28,9 +28,9 @@
 		{"stranger", time.Second, 0, false},
 		{"b", 40 * time.Millisecond, 20, true},
 	} {
-		rate, changed := s.pace(c.endpoint, c.step)
+		rate, changed := s.recordTokenTime(c.endpoint, c.tokenTime)
 		if rate != c.rate || changed != c.changed {
-			t.Errorf("%s at %v: rate %v, changed %t; want %v, %t", c.endpoint, c.step, rate, changed, c.rate, c.changed)
+			t.Errorf("%s at %v: rate %v, changed %t; want %v, %t", c.endpoint, c.tokenTime, rate, changed, c.rate, c.changed)
 		}
 	}
 }
@@ -39,32 +39,32 @@
 // second. After some answers a declared 80 tokens are foreseen to run a second,
 // not two; before any pace is known nothing is foreseen. When engines let requests
 // wait first, the wait is foreseen as well, but not the time of slow readers.
-func TestExpectedTime(t *testing.T) {
-	s := &Service{usedPart: 1, stretch: 1}
-	if got := s.Expected(80); got != 0 {
+func TestExpectedRunTime(t *testing.T) {
+	s := &Service{costRatio: 1, runTimeRatio: 1}
+	if got := s.ExpectedRunTime(80); got != 0 {
 		t.Errorf("%v foreseen without a pace", got)
 	}
-	s.assumed = 40
-	if got := s.Expected(80); got != 2*time.Second {
+	s.assumedTokenRate = 40
+	if got := s.ExpectedRunTime(80); got != 2*time.Second {
 		t.Errorf("%v foreseen before any answer, want 2s", got)
 	}
 	for range 200 {
-		s.Served(80, 40, time.Second)
-		s.Served(80, 0, time.Second) // not run: tells nothing
+		s.RecordRun(80, 40, time.Second)
+		s.RecordRun(80, 0, time.Second) // not run: tells nothing
 	}
-	if got := s.Expected(80); got < 990*time.Millisecond || got > 1010*time.Millisecond {
+	if got := s.ExpectedRunTime(80); got < 990*time.Millisecond || got > 1010*time.Millisecond {
 		t.Errorf("%v foreseen after 200 answers, want about 1s", got)
 	}
 	for range 200 {
-		s.Served(80, 40, 1500*time.Millisecond) // half a second in the engine's queue
+		s.RecordRun(80, 40, 1500*time.Millisecond) // half a second in the engine's queue
 	}
-	if got := s.Expected(80); got < 1490*time.Millisecond || got > 1510*time.Millisecond {
+	if got := s.ExpectedRunTime(80); got < 1490*time.Millisecond || got > 1510*time.Millisecond {
 		t.Errorf("%v foreseen while answers take 1.5s", got)
 	}
 	for range 200 {
-		s.Served(80, 40, time.Minute) // slow readers
+		s.RecordRun(80, 40, time.Minute) // slow readers
 	}
-	if got := s.Expected(80); got > 2*time.Second {
+	if got := s.ExpectedRunTime(80); got > 2*time.Second {
 		t.Errorf("%v foreseen because of slow readers, want 2s at most", got)
 	}
 }
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -27,36 +27,36 @@
 
 // Service is one service on this node. Safe for concurrent use.
 type Service struct {
-	Name   string
-	Gate   *admissionqueue.Gate
-	Picker *replicapicker.Picker
-	// Retry is the budget of further tries.
-	Retry *retrybudget.Budget
-	// Prefixes are hints at what the engines have cached; empty for a plain
+	Name      string
+	Admission *admissionqueue.Gate
+	Picker    *replicapicker.Picker
+	// RetryBudget is the budget of further tries.
+	RetryBudget *retrybudget.Budget
+	// PrefixIndex are hints at what the engines have cached; empty for a plain
 	// service.
-	Prefixes *Prefixes
+	PrefixIndex *PrefixIndex
 
 	mu sync.Mutex
 	// replicasOf maps each endpoint to the replicas that need it, stagesOf each
 	// replica to its endpoints.
 	replicasOf map[string][]string
 	stagesOf   map[string][]string
-	// applied is what the balancer was last given, of which specification.
-	applied []balance.Replica
-	spec    *document.Service
-	marks   map[leavingMark]bool
-	// quiet orders the endpoints of the subset quietOf by when each last told its
+	// appliedReplicas is what the balancer was last given, of which specification.
+	appliedReplicas []balance.Replica
+	spec            *document.Service
+	leavingMarks    map[leavingKey]bool
+	// loadPolls orders the endpoints of the subset quietOf by when each last told its
 	// load, or was last asked.
-	quiet   balance.PollSchedule
-	quietOf uint64
-	// steps is each endpoint's own report of its time for a token.
-	steps   map[string]time.Duration
-	assumed float64
-	// usedPart is the mean part of the expected cost that answers really take.
-	usedPart float64
-	// stretch is the mean time of an answer over that of its tokens.
-	stretch float64
-	now     func() time.Time
+	loadPolls        balance.PollSchedule
+	loadPollsVersion uint64
+	// tokenTimes is each endpoint's own report of its time for a token.
+	tokenTimes       map[string]time.Duration
+	assumedTokenRate float64
+	// costRatio is the mean part of the expected cost that answers really take.
+	costRatio float64
+	// runTimeRatio is the mean time of an answer over that of its tokens.
+	runTimeRatio float64
+	now          func() time.Time
 }
 
 // Config names the node that the services are on.
@@ -64,8 +64,8 @@
 	Node          string
 	FailureDomain string
 	Now           func() time.Time
-	// OnSlots is told of each change of a service's usable slots; may be nil.
-	OnSlots func(service string, slots int)
+	// OnSlotsChanged is told of each change of a service's usable slots; may be nil.
+	OnSlotsChanged func(service string, slots int)
 }
 
 // Registry holds the services of the document in force. Safe for concurrent
@@ -107,73 +107,73 @@
 func (r *Registry) Apply(d *docindex.Directory) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	teams := weights(d.Document)
-	kept := map[string]*Service{}
+	teams := teamWeights(d.Document)
+	services := map[string]*Service{}
 	for i := range d.Document.Services {
 		spec := &d.Document.Services[i]
 		s := r.services[spec.Name]
 		if s == nil {
 			s = r.newService(spec.Name)
 		}
-		s.Retry.SetShare(d.Document.Policy.RetryBudget)
+		s.RetryBudget.SetShare(d.Document.Policy.RetryBudget)
 		s.applyTeams(teams, r.teams)
 		s.applyReplicas(d, spec)
-		kept[spec.Name] = s
+		services[spec.Name] = s
 	}
 	for name, s := range r.services {
-		if kept[name] == nil {
-			s.Gate.Close()
+		if services[name] == nil {
+			s.Admission.Close()
 		}
 	}
-	r.services = kept
+	r.services = services
 	r.teams = teams
 }
 
-func weights(doc *document.Document) map[string]float64 {
-	w := make(map[string]float64, len(doc.Teams))
+func teamWeights(doc *document.Document) map[string]float64 {
+	weights := make(map[string]float64, len(doc.Teams))
 	for _, t := range doc.Teams {
-		w[t.Name] = t.Weight
+		weights[t.Name] = t.Weight
 	}
-	return w
+	return weights
 }
 
 func (r *Registry) newService(name string) *Service {
 	seed := hash(r.cfg.Node + "/" + name)
 	s := &Service{
-		Name:  name,
-		Gate:  admissionqueue.New(admission.New(admission.Config{}), r.cfg.Now),
-		Retry: retrybudget.New(retry.Config{Seed: seed}, r.cfg.Now),
-		marks: map[leavingMark]bool{},
+		Name:         name,
+		Admission:    admissionqueue.New(admission.New(admission.Config{}), r.cfg.Now),
+		RetryBudget:  retrybudget.New(retry.Config{Seed: seed}, r.cfg.Now),
+		leavingMarks: map[leavingKey]bool{},
 
-		Prefixes: newPrefixes(r.cfg.Now),
+		PrefixIndex: newPrefixIndex(r.cfg.Now),
 
-		steps: map[string]time.Duration{},
+		tokenTimes: map[string]time.Duration{},
 
-		usedPart: 1,
-		stretch:  1,
-		now:      r.cfg.Now,
+		costRatio:    1,
+		runTimeRatio: 1,
+		now:          r.cfg.Now,
 	}
 	balancer := balance.New(balance.Config{Node: r.cfg.Node, FailureDomain: r.cfg.FailureDomain, Seed: seed})
 	s.Picker = replicapicker.New(balancer, r.cfg.Now, func() {
-		s.followCapacity()
-		if r.cfg.OnSlots != nil {
-			r.cfg.OnSlots(name, s.Picker.Slots())
+		s.updateCapacity()
+		if r.cfg.OnSlotsChanged != nil {
+			r.cfg.OnSlotsChanged(name, s.Picker.Slots())
 		}
 	})
 	return s
 }
 
-func (s *Service) followCapacity() {
-	s.Gate.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
-		slots, whole := s.Picker.Share()
-		return q.SetShare(now, slots, whole)
+func (s *Service) updateCapacity() {
+	s.Admission.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+		slots, total := s.Picker.Share()
+		return q.SetShare(now, slots, total)
 	})
 }
 
-func (s *Service) applyTeams(teams, before map[string]float64) {
-	s.Gate.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+func (s *Service) applyTeams(teams, previous map[string]float64) {
+	s.Admission.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
 		var verdicts []admission.Verdict
-		for name := range before {
+		for name := range previous {
 			if _, stays := teams[name]; !stays {
 				verdicts = append(verdicts, q.RemoveTeam(now, name)...)
 			}
@@ -190,20 +190,20 @@
 	if slots <= 0 {
 		slots = defaultSlots
 	}
-	replicas := replicasOf(d, spec, slots)
+	replicas := balancedReplicas(d, spec, slots)
 	s.mu.Lock()
-	same := s.spec != nil && slices.Equal(s.applied, replicas) && sameStages(s.spec, spec)
+	unchanged := s.spec != nil && slices.Equal(s.appliedReplicas, replicas) && sameStages(s.spec, spec)
 	// Also if nothing changed: the former specification holds its whole document.
-	s.applied, s.spec = replicas, spec
-	if same {
+	s.appliedReplicas, s.spec = replicas, spec
+	if unchanged {
 		// Most changes are of other services, or of an endpoint's address. To
 		// choose the subset anew took a third of a change's time.
 		s.mu.Unlock()
 		return
 	}
-	s.stagesOf = stagesOf(spec)
-	s.replicasOf = inverted(s.stagesOf)
-	maps.DeleteFunc(s.steps, func(e string, _ time.Duration) bool { return len(s.replicasOf[e]) == 0 })
+	s.stagesOf = endpointsByReplica(spec)
+	s.replicasOf = replicasByEndpoint(s.stagesOf)
+	maps.DeleteFunc(s.tokenTimes, func(e string, _ time.Duration) bool { return len(s.replicasOf[e]) == 0 })
 	s.mu.Unlock()
 	s.Picker.SetReplicas(replicas)
 }
@@ -219,9 +219,9 @@
 	})
 }
 
-// replicasOf lists what the balancer chooses among: chains of a model, or single
+// balancedReplicas lists what the balancer chooses among: chains of a model, or single
 // endpoints of a plain service.
-func replicasOf(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
+func balancedReplicas(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
 	var replicas []balance.Replica
 	add := func(name, first string) {
 		e, _ := d.Endpoint(first)
@@ -240,8 +240,8 @@
 	return replicas
 }
 
-// stagesOf lists the endpoints that each replica needs.
-func stagesOf(spec *document.Service) map[string][]string {
+// endpointsByReplica lists the endpoints that each replica needs.
+func endpointsByReplica(spec *document.Service) map[string][]string {
 	stages := map[string][]string{}
 	if spec.Kind != document.KindModel {
 		for _, name := range spec.Plain.Endpoints {
@@ -264,7 +264,7 @@
 	return s.spec != nil && s.spec.Kind == document.KindModel
 }
 
-func inverted(stages map[string][]string) map[string][]string {
+func replicasByEndpoint(stages map[string][]string) map[string][]string {
 	replicas := map[string][]string{}
 	for name, endpoints := range stages {
 		for _, e := range endpoints {
