--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -7,15 +7,16 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// leavingKey is what one source says of one endpoint.
+// leavingKey identifies what one source says about one endpoint.
 type leavingKey struct {
 	endpoint string
 	source   balance.Source
 }
 
-// MarkLeaving notes what a source says of an endpoint. A chain leaves with
-// any of its stages: one stage that stays must not call a chain back which
-// another is leaving, so the marks are kept by endpoint and not by replica.
+// MarkLeaving records whether an endpoint is leaving, according to a source. A chain is
+// leaving while any of its stages is leaving. The marks are therefore kept by endpoint
+// and not by replica: a stage that stays must not put a chain back into use while
+// another stage is leaving.
 func (s *Service) MarkLeaving(endpoint string, source balance.Source, leaving bool) {
 	s.setMark(endpoint, source, leaving)
 	for _, replica := range s.ReplicasOf(endpoint) {
@@ -23,7 +24,7 @@
 	}
 }
 
-// RecordLoad takes an endpoint's own report of its load.
+// RecordLoad records an endpoint's own report of its load.
 func (s *Service) RecordLoad(endpoint string, l engineapi.Load) {
 	s.setMark(endpoint, balance.SourceEndpoint, l.Draining)
 	s.MarkLoadPolled(endpoint, s.now())
@@ -38,23 +39,24 @@
 	}
 }
 
-// ReplicasOf returns the replicas that need an endpoint.
+// ReplicasOf returns the replicas that have the endpoint as a stage.
 func (s *Service) ReplicasOf(endpoint string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replicasOf[endpoint]
 }
 
-// LoadPoll is an endpoint whose load is to be asked for.
+// LoadPoll is an endpoint whose load should be polled.
 type LoadPoll struct {
 	Endpoint string
-	// LastContact is when it was heard of, or last asked; never is the zero time.
+	// LastContact is the time of the endpoint's last load report or poll. It is zero if
+	// there was none.
 	LastContact time.Time
 }
 
-// NextLoadPoll returns the endpoint, among those of the replicas that this node uses,
-// that was heard of longest ago, and whether one of them must be asked in this of
-// the turns that come a pause apart.
+// NextLoadPoll returns the endpoint with the oldest contact among the endpoints of the
+// replicas that this node uses. mustPoll says whether one of them must be polled at this
+// poll opportunity. interval is the time between poll opportunities.
 func (s *Service) NextLoadPoll(interval time.Duration) (next LoadPoll, mustPoll bool) {
 	version := s.Picker.SubsetVersion()
 	s.mu.Lock()
@@ -67,7 +69,7 @@
 	return LoadPoll{endpoint, lastContact}, s.loadPolls.Due(s.now(), interval)
 }
 
-// ReplicaCount returns how many replicas the document names.
+// ReplicaCount returns the number of replicas in the document.
 func (s *Service) ReplicaCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,18 +84,18 @@
 	return endpoints
 }
 
-// MarkLoadPolled notes that an endpoint is being asked for its load, so that one that
-// does not answer is not asked over and over before the others.
+// MarkLoadPolled records that an endpoint's load is being polled. Without it, an endpoint
+// that does not answer would be polled again and again before the other endpoints.
 func (s *Service) MarkLoadPolled(endpoint string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loadPolls.Touch(endpoint, at)
 }
 
-// setMark keeps what a source says of an endpoint that a replica needs. A word that
-// is taken back is dropped even if no replica needs the endpoint any more: the
-// source says it once, and a setMark left behind would keep a chain that comes back
-// in a later document from ever being used.
+// setMark records a source's mark of an endpoint that a replica needs. The mark is removed
+// when the source takes it back, even if no replica needs the endpoint any more. The
+// source takes it back only once, and a chain that returns in a later document would
+// never be used if the mark remained.
 func (s *Service) setMark(endpoint string, source balance.Source, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -10,7 +10,7 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// statement is what one source says of one engine.
+// statement says whether an engine is leaving, according to one source.
 type statement struct {
 	endpoint string
 	source   balance.Source
@@ -40,7 +40,7 @@
 	s.MarkLeaving(st.endpoint, st.source, st.leaving)
 }
 
-// isPicked says whether a replica gets any of many requests.
+// isPicked reports whether the replica gets any of 200 requests.
 func (s *Service) isPicked(replica string) bool {
 	const draws = 200
 	found := false
@@ -55,9 +55,9 @@
 	return found
 }
 
-// Callers are sent along a chain of which a stage is leaving, and their answers
-// break when it goes: a chain leaves with any of its stages, whichever source
-// says so, and comes back when every source has taken back every stage.
+// If one leaving stage did not take its chain out of use, requests would be sent to the
+// chain, and their answers would break when the stage stops. A chain is leaving while any
+// source says that any of its stages is leaving.
 func TestChainLeavesWithAnyStage(t *testing.T) {
 	const platform, operator, endpoint = balance.SourcePlatform, balance.SourceOperator, balance.SourceEndpoint
 	cases := []struct {
@@ -65,18 +65,18 @@
 		statements []statement
 		picked     bool
 	}{
-		{"nobody leaves", nil, true},
+		{"no stage leaves", nil, true},
 		{"the first stage leaves", []statement{{"xa", platform, true}}, false},
 		{"the second stage leaves", []statement{{"xb", platform, true}}, false},
-		{"a stage says so itself", []statement{{"xb", endpoint, true}}, false},
+		{"a stage itself reports that it leaves", []statement{{"xb", endpoint, true}}, false},
 		{"the other stage stays", []statement{{"xa", platform, true}, {"xb", platform, false}}, false},
 		{"the other stage reports that it stays", []statement{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
-		{"another source says that it stays", []statement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
-		{"one of two takes it back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
-		{"both take it back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
-		{"all sources take it back", []statement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
+		{"another source says that the stage stays", []statement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
+		{"one of two marks is taken back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
+		{"both marks are taken back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
+		{"all sources take their marks back", []statement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
 		{"a stage of another chain leaves", []statement{{"ya", operator, true}}, true},
-		{"an engine that nobody knows leaves", []statement{{"za", platform, true}}, true},
+		{"an engine that is in no document leaves", []statement{{"za", platform, true}}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,10 +97,9 @@
 	return r.Get("pastry-llm")
 }
 
-// A chain is taken out of the document while the platform lists a stage of it as
-// leaving, and comes back in a later document, when the VM has been replaced and
-// is listed no more. A word that was kept from before would keep the chain from
-// callers for good: the platform takes back only what it said.
+// If a mark outlives its chain, the chain is never used again. A chain is removed from
+// the document while the platform lists one of its stages as leaving. The platform takes
+// the mark back, and a later document contains the chain again.
 func TestRemovedChainIsUsedAgainAfterItReturns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: func() time.Time { return now }})
@@ -112,16 +111,16 @@
 	r.Apply(documentWithChains("x", "y"))
 	s.apply(statement{"xb", balance.SourcePlatform, true})
 	s.apply(statement{"xb", balance.SourcePlatform, false})
-	now = now.Add(2 * balance.DefaultSlowStart) // a newcomer gets little at first
+	now = now.Add(2 * balance.DefaultSlowStart) // until then a new replica gets few requests
 	s.Picker.Refresh()
 	if !s.isPicked("x") {
-		t.Error("the chain is never used again")
+		t.Error("the chain that returned gets no requests")
 	}
 }
 
-// A document replaces one engine of a chain by another in the same failure
-// domain and leaves everything else. The balancer's list stays the same, but the
-// new engine's word must count and the former one's must not.
+// If a changed stage is missed, marks of the old engine keep the chain out of use and
+// marks of the new engine are ignored. A document replaces one engine of a chain by
+// another one in the same failure domain, so the balancer's list of replicas stays equal.
 func TestReplacedEngineNoLongerMarksChain(t *testing.T) {
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
 	r.Apply(documentWithChains("x", "y"))
@@ -133,10 +132,10 @@
 	r.Apply(docindex.Build(&doc, 2, "digest"))
 	s.apply(statement{"xb", balance.SourcePlatform, true})
 	if !s.isPicked("x") {
-		t.Error("an engine that has gone keeps the chain from callers")
+		t.Error("a mark of the replaced engine keeps the chain out of use")
 	}
 	s.apply(statement{"new", balance.SourcePlatform, true})
 	if s.isPicked("x") {
-		t.Error("the new engine is not known")
+		t.Error("a mark of the new engine is ignored")
 	}
 }
--- a/route/service/prefixes.go
+++ b/route/service/prefixes.go
@@ -8,15 +8,15 @@
 	"github.com/cicadatack/cicadatack/decide/cacheindex"
 )
 
-// PrefixIndex is what this node thinks that the engines of a service have cached. It
-// is a hint for the picker. Safe for concurrent use.
+// PrefixIndex is this node's estimate of which prompt prefixes the engines of a service
+// have cached. The picker uses it as a hint. Safe for concurrent use.
 type PrefixIndex struct {
 	now func() time.Time
 
 	mu    sync.Mutex
 	index *cacheindex.Index
-	// eventPolls orders the replicas of the subset askedOf by when each was last eventPolls
-	// for its events.
+	// eventPolls orders the replicas by the time of the last poll for cache events.
+	// eventPollsVersion is the version of the subset that the replicas belong to.
 	eventPolls        balance.PollSchedule
 	eventPollsVersion uint64
 }
@@ -25,8 +25,7 @@
 	return &PrefixIndex{now: now, index: cacheindex.New(cacheindex.Config{})}
 }
 
-// Holders returns the replicas that are thought to hold the most of a prompt's
-// prefixes.
+// Holders returns the replicas that probably hold the longest part of a prompt's prefixes.
 func (p *PrefixIndex) Holders(prefixes []uint64) []cacheindex.Holder {
 	if len(prefixes) == 0 {
 		return nil
@@ -36,8 +35,9 @@
 	return p.index.Holders(p.now(), prefixes)
 }
 
-// Apply enters a replica's answer. One that comes after the node has left the
-// replica is dropped: nothing would forget it before the subset changes again.
+// Apply records the events that a replica returned. Events of a replica that this node no
+// longer uses are dropped, because they would stay in memory until the subset changes
+// again.
 func (p *PrefixIndex) Apply(replica string, page cacheindex.Page) cacheindex.Change {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,28 +47,29 @@
 	return p.index.Apply(p.now(), replica, page)
 }
 
-// Clear says that a stage of a replica has lost its cache. Only the first stage's
-// events are read, and they do not tell.
+// Clear forgets the cached prefixes of a replica after one of its stages has lost its
+// cache. The node reads only the first stage's events, which do not show that.
 func (p *PrefixIndex) Clear(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.index.Clear(replica)
 }
 
-// EventsPoll is a replica whose cache events are to be asked for.
+// EventsPoll is a replica whose cache events should be polled.
 type EventsPoll struct {
 	Replica string
-	// Endpoint is the replica's first stage. Its cache stands for the chain's, as all
-	// stages see the same prompts; a later one that loses its own is told by Lost.
+	// Endpoint is the replica's first stage. Its cache stands for the caches of all
+	// stages, because all stages see the same prompts. If a later stage loses its cache,
+	// PrefixIndex.Clear is called.
 	Endpoint string
 	// LastSequence is the sequence number to ask after, Asked when this was last done.
 	LastSequence uint64
 	LastPolledAt time.Time
 }
 
-// NextEventsPoll returns, among the replicas that this node uses, the one that was asked
-// for its events longest ago, and whether one of them must be asked in this of the
-// turns that come a pause apart.
+// NextEventsPoll returns the replica with the oldest poll for cache events among the replicas
+// that this node uses. mustPoll says whether one of them must be polled at this poll
+// opportunity. interval is the time between poll opportunities.
 func (s *Service) NextEventsPoll(interval time.Duration) (next EventsPoll, mustPoll bool) {
 	p := s.PrefixIndex
 	p.mu.Lock()
@@ -78,9 +79,9 @@
 	return s.newEventsPoll(replica, lastPolled), p.eventPolls.Due(s.now(), interval)
 }
 
-// EventsPollFor returns the replica whose first stage is an endpoint, if half a round
-// has passed since it was asked for its events: the endpoint is to be asked for
-// its load, which it tells with the events.
+// EventsPollFor returns the replica whose first stage is the endpoint, if at least half a
+// round of polls has passed since its last poll for cache events. It is called when the
+// endpoint's load is due, because one call can return both the load and the events.
 func (s *Service) EventsPollFor(endpoint string, interval time.Duration) (EventsPoll, bool) {
 	replicas := s.ReplicasOf(endpoint)
 	p := s.PrefixIndex
@@ -95,9 +96,9 @@
 	return EventsPoll{}, false
 }
 
-// updateSubset keeps the replicas that this node uses and forgets the others: a
-// node that kept all of a large fleet's would outgrow its memory. The caller holds
-// Prefixes.mu.
+// updateSubset drops the prefixes of the replicas that this node no longer uses. The prefixes
+// of all replicas of a large fleet would not fit in the node's memory. The caller holds
+// PrefixIndex.mu.
 func (s *Service) updateSubset() {
 	p := s.PrefixIndex
 	version := s.Picker.SubsetVersion()
@@ -110,13 +111,14 @@
 	p.eventPollsVersion = version
 }
 
-// newEventsPoll is the question to a replica. The caller holds Prefixes.mu.
+// newEventsPoll returns the next poll of a replica for cache events. The caller holds
+// PrefixIndex.mu.
 func (s *Service) newEventsPoll(replica string, lastPolled time.Time) EventsPoll {
 	return EventsPoll{Replica: replica, Endpoint: s.firstStage(replica), LastSequence: s.PrefixIndex.index.LastSequence(replica), LastPolledAt: lastPolled}
 }
 
-// MarkEventsPolled notes that a replica is being asked, so that one which does not
-// answer is not asked over and over before the others.
+// MarkEventsPolled records that a replica is being polled for cache events. Without it, a
+// replica that does not answer would be polled again and again before the others.
 func (s *Service) MarkEventsPolled(replica string) {
 	s.PrefixIndex.mu.Lock()
 	defer s.PrefixIndex.mu.Unlock()
--- a/route/service/prefixes_test.go
+++ b/route/service/prefixes_test.go
@@ -7,9 +7,9 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// An engine that is about to be asked for its load is asked for its cache events
-// as well, in one call. Only the first stage of a chain has events that count, and
-// one that was asked lately must not take the turn of one that was not.
+// Without polling load and cache events in one call, a node sends twice as many polls.
+// Only the first stage of a chain is polled for events. A replica that was polled
+// recently must not be polled before a replica that was not.
 func TestCacheEventsArePolledWithLoad(t *testing.T) {
 	const interval = time.Second
 	Convey("Two chains of two stages", t, func() {
@@ -35,7 +35,7 @@
 		_, mustPoll = s.NextEventsPoll(interval)
 		So(mustPoll, ShouldBeFalse)
 
-		now = now.Add(interval) // half a round of two turns
+		now = now.Add(interval) // half a round, which has two poll opportunities
 		_, ok = s.EventsPollFor("xa", interval)
 		So(ok, ShouldBeTrue)
 	})
--- a/route/service/rate.go
+++ b/route/service/rate.go
@@ -6,20 +6,21 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// minRateChange is the part by which the reported pace must move before the queue
-// is told: it takes the gate's lock, and an assumption needs no more digits.
+// minRateChange is the fraction by which the token rate must change before the queue is
+// told. Telling the queue takes its lock, and the assumed rate need not be exact.
 const minRateChange = 0.2
 
-// averageWeight is the weight of one answer in the mean part of its expected cost
-// that an answer really takes: a few dozen answers set it.
+// averageWeight is the weight of one answer in the moving averages costRatio and
+// runTimeRatio, which therefore follow the last few dozen answers.
 const averageWeight = 0.05
 
-// maxRunTimeRatio bounds how much longer than its tokens an answer is taken to run: a
-// few callers who read slowly must not have all others refused for lack of time.
+// maxRunTimeRatio bounds the ratio of an answer's run time to the time of its tokens.
+// Without the bound, a few callers that read slowly would raise the expected run time
+// so far that the requests of all other callers are refused.
 const maxRunTimeRatio = 2.0
 
-// RecordRun notes what a request really took of its expected cost, both in tokens,
-// and how long it ran.
+// RecordRun records a finished request: its expected and actual cost, both in tokens, and
+// its run time.
 func (s *Service) RecordRun(cost, actual float64, runTime time.Duration) {
 	if cost <= 0 || actual <= 0 {
 		return
@@ -31,18 +32,19 @@
 	s.runTimeRatio += averageWeight * (ratio - s.runTimeRatio)
 }
 
-// TokenTime returns an endpoint's own report of its time for a token, zero if it has
-// made none.
+// TokenTime returns the time per token that an endpoint has reported, or zero if the
+// endpoint has reported none.
 func (s *Service) TokenTime(endpoint string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tokenTimes[endpoint]
 }
 
-// ExpectedRunTime is how long a request of an expected cost, in tokens, will run once it
-// has room; zero if the endpoints' pace is not known. An engine that other nodes
-// send to as well lets a request wait before it runs: foreseen by the pace of its
-// tokens alone, the last to start in time would end after their callers have gone.
+// ExpectedRunTime returns how long a request of the given expected cost, in tokens, will
+// run once it is admitted. It returns zero if the endpoints' token rate is not known.
+// The estimate includes the wait in an engine that other nodes also use. If it counted
+// only the time of the tokens, the last requests admitted before their deadlines would
+// end after their callers have disconnected.
 func (s *Service) ExpectedRunTime(cost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,10 +54,10 @@
 	return time.Duration(cost * s.costRatio * s.runTimeRatio / s.assumedTokenRate * float64(time.Second))
 }
 
-// updateTokenTime takes an endpoint's own time for a token and tells the queue what a
-// slot will yield. The queue goes by it only until it has measured the rate
-// itself: a node that starts in the middle of a rush would otherwise let callers
-// wait who can't be served in time, until the first answers are done.
+// updateTokenTime records an endpoint's reported time per token and tells the admission queue
+// the resulting token rate of a slot. The queue uses this rate only until it has measured
+// its own. Without it, a node that starts during a peak would, until the first answers
+// are complete, queue requests that can't be served in time.
 func (s *Service) updateTokenTime(endpoint string, tokenTime time.Duration) {
 	rate, changed := s.recordTokenTime(endpoint, tokenTime)
 	if !changed {
@@ -67,9 +69,10 @@
 	})
 }
 
-// recordTokenTime notes an endpoint's time for a token and returns the mean tokens a second
-// of a slot over the replicas whose every stage is known, and whether it has
-// moved. A token passes every stage of its chain, so their times add up.
+// recordTokenTime records an endpoint's time per token. It returns the mean token rate of a
+// slot, in tokens per second, over the replicas for which the times of all stages are
+// known, and whether the rate has changed. A token passes all stages of its chain, so
+// the times of the stages add up.
 func (s *Service) recordTokenTime(endpoint string, tokenTime time.Duration) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +117,7 @@
 	return sum, true
 }
 
-// nearlyEqual says whether b is about a.
+// nearlyEqual reports whether b differs from a by at most the fraction minRateChange.
 func nearlyEqual(a, b float64) bool {
 	return b >= a*(1-minRateChange) && b <= a*(1+minRateChange)
 }
--- a/route/service/rate_test.go
+++ b/route/service/rate_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// A node has just started. Its engines report 10 ms and 15 ms a token: a stream
-// through both yields 40 tokens a second, which the queue may assume once both
-// have spoken. Small changes are not passed on, and a plain endpoint, which
-// reports no time, changes nothing.
+// If the rate of a chain counted one stage only, the queue of a node that has just
+// started would admit too many requests. Engines that report 10 ms and 15 ms per token
+// give 40 tokens a second, known once both have reported. Small changes are not passed
+// on, and an endpoint that reports no time changes nothing.
 func TestTokenRateOfChain(t *testing.T) {
 	s := &Service{
 		tokenTimes: map[string]time.Duration{},
@@ -25,7 +25,7 @@
 		{"b", 15 * time.Millisecond, 40, true},
 		{"b", 16 * time.Millisecond, 0, false},
 		{"b", 0, 0, false},
-		{"stranger", time.Second, 0, false},
+		{"unknown", time.Second, 0, false},
 		{"b", 40 * time.Millisecond, 20, true},
 	} {
 		rate, changed := s.recordTokenTime(c.endpoint, c.tokenTime)
@@ -35,36 +35,37 @@
 	}
 }
 
-// A team declares twice what its answers take, and engines give 40 tokens a
-// second. After some answers a declared 80 tokens are foreseen to run a second,
-// not two; before any pace is known nothing is foreseen. When engines let requests
-// wait first, the wait is foreseen as well, but not the time of slow readers.
+// If the expected run time ignored past answers, requests would be refused that could
+// be served, or admitted too late. A team declares twice the tokens that its answers
+// take, and engines give 40 tokens a second. After some answers a declared 80 tokens are
+// expected to take one second, not two. The wait in the engines' queues is included, but
+// the time of slow readers only up to a bound.
 func TestExpectedRunTime(t *testing.T) {
 	s := &Service{costRatio: 1, runTimeRatio: 1}
 	if got := s.ExpectedRunTime(80); got != 0 {
-		t.Errorf("%v foreseen without a pace", got)
+		t.Errorf("expected run time %v without a token rate, want 0", got)
 	}
 	s.assumedTokenRate = 40
 	if got := s.ExpectedRunTime(80); got != 2*time.Second {
-		t.Errorf("%v foreseen before any answer, want 2s", got)
+		t.Errorf("expected run time %v before any answer, want 2s", got)
 	}
 	for range 200 {
 		s.RecordRun(80, 40, time.Second)
-		s.RecordRun(80, 0, time.Second) // not run: tells nothing
+		s.RecordRun(80, 0, time.Second) // a request that did not run is ignored
 	}
 	if got := s.ExpectedRunTime(80); got < 990*time.Millisecond || got > 1010*time.Millisecond {
-		t.Errorf("%v foreseen after 200 answers, want about 1s", got)
+		t.Errorf("expected run time %v after 200 answers, want about 1s", got)
 	}
 	for range 200 {
 		s.RecordRun(80, 40, 1500*time.Millisecond) // half a second in the engine's queue
 	}
 	if got := s.ExpectedRunTime(80); got < 1490*time.Millisecond || got > 1510*time.Millisecond {
-		t.Errorf("%v foreseen while answers take 1.5s", got)
+		t.Errorf("expected run time %v while answers take 1.5s, want about 1.5s", got)
 	}
 	for range 200 {
 		s.RecordRun(80, 40, time.Minute) // slow readers
 	}
 	if got := s.ExpectedRunTime(80); got > 2*time.Second {
-		t.Errorf("%v foreseen because of slow readers, want 2s at most", got)
+		t.Errorf("expected run time %v with slow readers, want at most 2s", got)
 	}
 }
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -1,7 +1,12 @@
-// Package service holds what a node keeps of each service in the document: the
-// gate that lets requests in, the picker that places them and the budget of
-// retries. All three live on over document changes, so that a new revision does
-// not forget who waits, what is underway or which endpoint was slow.
+// Package service holds a node's state of each service in the document: the admission
+// queue, the picker that chooses replicas, the retry budget and the index of cached
+// prompt prefixes. The state outlives changes of the document, so that a new revision
+// does not lose the waiting and running requests or the measured times of endpoints.
+//
+// A replica of a model is a chain of engines, its stages; a replica of a plain service is
+// one endpoint. The subset is the list of replicas that this node sends requests to. An
+// endpoint is leaving while the platform, an operator or the endpoint itself says that
+// the endpoint will stop.
 package service
 
 import (
@@ -21,19 +26,19 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// defaultSlots is how many requests a replica is given at once when the
-// document says nothing: a common batch size of engines.
+// defaultSlots is the number of concurrent requests of a replica if the document names
+// none: a common batch size of engines.
 const defaultSlots = 16
 
-// Service is one service on this node. Safe for concurrent use.
+// Service is the state of one service on this node. Safe for concurrent use.
 type Service struct {
 	Name      string
 	Admission *admissionqueue.Gate
 	Picker    *replicapicker.Picker
-	// RetryBudget is the budget of further tries.
+	// RetryBudget limits the retries of failed requests.
 	RetryBudget *retrybudget.Budget
-	// PrefixIndex are hints at what the engines have cached; empty for a plain
-	// service.
+	// PrefixIndex estimates which prompt prefixes the engines have cached. It is empty for
+	// a plain service.
 	PrefixIndex *PrefixIndex
 
 	mu sync.Mutex
@@ -41,30 +46,34 @@
 	// replica to its endpoints.
 	replicasOf map[string][]string
 	stagesOf   map[string][]string
-	// appliedReplicas is what the balancer was last given, of which specification.
+	// appliedReplicas is the balancer's present list of replicas, and spec the
+	// specification that it comes from.
 	appliedReplicas []balance.Replica
 	spec            *document.Service
 	leavingMarks    map[leavingKey]bool
-	// loadPolls orders the endpoints of the subset quietOf by when each last told its
-	// load, or was last asked.
+	// loadPolls orders the endpoints by the time of their last load report or poll.
+	// loadPollsVersion is the version of the subset that the endpoints belong to.
 	loadPolls        balance.PollSchedule
 	loadPollsVersion uint64
-	// tokenTimes is each endpoint's own report of its time for a token.
-	tokenTimes       map[string]time.Duration
+	// tokenTimes is the time per token that each endpoint has reported.
+	tokenTimes map[string]time.Duration
+	// assumedTokenRate is the mean token rate of a slot that the queue was last told, in
+	// tokens per second.
 	assumedTokenRate float64
-	// costRatio is the mean part of the expected cost that answers really take.
+	// costRatio is the mean ratio of an answer's actual cost to its expected cost.
 	costRatio float64
-	// runTimeRatio is the mean time of an answer over that of its tokens.
+	// runTimeRatio is the mean ratio of an answer's run time to the time of its tokens.
 	runTimeRatio float64
 	now          func() time.Time
 }
 
-// Config names the node that the services are on.
+// Config describes the node that the services run on.
 type Config struct {
 	Node          string
 	FailureDomain string
 	Now           func() time.Time
-	// OnSlotsChanged is told of each change of a service's usable slots; may be nil.
+	// OnSlotsChanged is called when the number of usable slots of a service changes. It
+	// may be nil.
 	OnSlotsChanged func(service string, slots int)
 }
 
@@ -75,7 +84,7 @@
 
 	mu       sync.RWMutex
 	services map[string]*Service
-	// teams are the weights last applied, to see which teams went.
+	// teams are the weights last applied. They show which teams a new document removes.
 	teams map[string]float64
 }
 
@@ -102,8 +111,8 @@
 	return all
 }
 
-// Apply puts a document in force. Requests underway keep their tickets, also
-// when their service has gone.
+// Apply puts a document in force. Running requests keep their tickets, even if the
+// document no longer has their service.
 func (r *Registry) Apply(d *docindex.Directory) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -193,11 +202,12 @@
 	replicas := balancedReplicas(d, spec, slots)
 	s.mu.Lock()
 	unchanged := s.spec != nil && slices.Equal(s.appliedReplicas, replicas) && sameStages(s.spec, spec)
-	// Also if nothing changed: the former specification holds its whole document.
+	// Replace the specification even if nothing changed: the old one would keep its whole
+	// document in memory.
 	s.appliedReplicas, s.spec = replicas, spec
 	if unchanged {
-		// Most changes are of other services, or of an endpoint's address. To
-		// choose the subset anew took a third of a change's time.
+		// Most documents change other services or an endpoint's address. Choosing the
+		// subset again would take a third of the time to apply a document.
 		s.mu.Unlock()
 		return
 	}
@@ -208,8 +218,8 @@
 	s.Picker.SetReplicas(replicas)
 }
 
-// sameStages says whether two specifications, whose replicas have the same
-// names, also have the same endpoints in the same order.
+// sameStages reports whether two specifications whose replicas have the same names also
+// have the same endpoints in the same order.
 func sameStages(a, b *document.Service) bool {
 	if a.Kind != b.Kind || a.Kind != document.KindModel {
 		return a.Kind == b.Kind
@@ -219,8 +229,8 @@
 	})
 }
 
-// balancedReplicas lists what the balancer chooses among: chains of a model, or single
-// endpoints of a plain service.
+// balancedReplicas lists the replicas that the balancer chooses from: the chains of a model,
+// or the endpoints of a plain service.
 func balancedReplicas(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
 	var replicas []balance.Replica
 	add := func(name, first string) {
@@ -240,7 +250,7 @@
 	return replicas
 }
 
-// endpointsByReplica lists the endpoints that each replica needs.
+// endpointsByReplica lists the endpoints of each replica's stages.
 func endpointsByReplica(spec *document.Service) map[string][]string {
 	stages := map[string][]string{}
 	if spec.Kind != document.KindModel {
@@ -257,7 +267,7 @@
 	return stages
 }
 
-// IsModel says whether the service's replicas are chains of engines.
+// IsModel reports whether the service's replicas are chains of engines.
 func (s *Service) IsModel() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
