--- a/node/site/services.go
+++ b/node/site/services.go
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	models  map[string]*targets.ModelTargets
 	plain   map[string]*targets.PlainTargets
-	keepers map[string]*layerorders.Keeper
+	keepers map[string]*layerorders.Controller
 	budgets map[string]*retrybudget.Budget
 }
 
@@ -31,7 +31,7 @@
 	s.node = n
 	s.models = map[string]*targets.ModelTargets{}
 	s.plain = map[string]*targets.PlainTargets{}
-	s.keepers = map[string]*layerorders.Keeper{}
+	s.keepers = map[string]*layerorders.Controller{}
 	s.budgets = map[string]*retrybudget.Budget{}
 }
 
@@ -116,7 +116,7 @@
 	return p
 }
 
-func (s *services) keeper(name string) *layerorders.Keeper {
+func (s *services) keeper(name string) *layerorders.Controller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.keepers[name]
@@ -247,7 +247,7 @@
 		model := n.services.model(service.Name)
 		for domain := range domains {
 			if n.keeps(domain) {
-				n.services.keeper(service.Name).Step(ctx, time.Now(), service.Model, domain, revision, own, model.LayersLost)
+				n.services.keeper(service.Name).Reconcile(ctx, time.Now(), service.Model, domain, revision, own, model.LayersLost)
 			}
 		}
 	}
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -1,10 +1,10 @@
-// Package layerorders gives the orders of decide/layers to model replicas: it is the
-// driver of the planner.
+// Package layerorders calls the planner decide/layers and sends its orders to model
+// replicas.
 //
-// One node orders the replicas of a failure domain; which one that is, is a hint. Two
-// that order at once do no harm: an order names how many the replica has accepted,
-// and the replica refuses the second. What a replica holds is believed only when the
-// replica says so.
+// One node sends the orders to the replicas of a failure domain. Two nodes may both
+// take this role for a time, which does no harm: an order names the number of orders
+// that the replica has accepted so far, so the replica refuses the second node's order.
+// The layers that a replica holds are known only from the replica's own reports.
 package layerorders
 
 import (
@@ -21,86 +21,90 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-// Error is the class of this layer's errors.
+// Error is the class of this package's errors.
 var Error = errs.Class("layering")
 
-// Orderer gives an order to one replica.
-type Orderer interface {
-	// Place orders a replica to hold a span. orders is how many orders it has
-	// accepted; it refuses if it has taken another one since. fence rises with what
-	// the order is based on; a replica that checks it refuses one that is based on
-	// less than an earlier one.
-	Place(ctx context.Context, address, replica string, orders, fence int64, hold layers.Span) error
-	// Report asks a replica for its account of itself.
+// ReplicaClient sends orders to replicas and reads their reports.
+type ReplicaClient interface {
+	// Place orders a replica to hold a span of layers. accepted is the number of
+	// orders that the replica has accepted so far; the replica refuses the order if it
+	// has accepted another number of orders. revision is the store revision that the
+	// order is based on. A replica that checks it refuses an order based on an older
+	// revision than an earlier order.
+	Place(ctx context.Context, address, replica string, accepted, revision int64, span layers.Span) error
+	// Report returns a replica's report on itself.
 	Report(ctx context.Context, address, replica string) (replicareport.Report, error)
 }
 
 const (
-	// settleMost is the longest wait for further replicas after the first: a domain
-	// whose replicas keep coming one by one must not stay without a plan.
-	settleMost = 4 * time.Second
-	// reportDelay is how long after an order was carried out its result may still be
-	// unreported: a heartbeat and a read of the store.
-	reportDelay = 2500 * time.Millisecond
+	// maxSettleTime bounds the time that the first plan waits for further replicas after
+	// the first replica was listed. Without the bound, a domain whose replicas start one
+	// by one would stay without a plan.
+	maxSettleTime = 4 * time.Second
+	// maxReportDelay is the time from the end of a load until the list of replicas shows
+	// its result: a heartbeat and a read of the store.
+	maxReportDelay = 2500 * time.Millisecond
 )
 
-// ordered is an order that has not shown in the list yet.
-type ordered struct {
-	born  int64
-	hold  layers.Span
-	until time.Time
+// pendingOrder is an order whose result the list of replicas does not show yet.
+type pendingOrder struct {
+	incarnation int64
+	span        layers.Span
+	expiresAt   time.Time
 }
 
-// count is how many orders a replica is known to have accepted in one life.
-type count struct {
-	born int64
-	n    int64
+// orderCount is the number of orders that one incarnation of a replica has accepted, as far
+// as known.
+type orderCount struct {
+	incarnation int64
+	accepted    int64
 }
 
-// Keeper orders the replicas of one service. Safe for concurrent use.
-type Keeper struct {
-	service string
-	orderer Orderer
-	settle  time.Duration
-	log     hclog.Logger
+// Controller plans the layers of one service's replicas and sends the orders. Safe for
+// concurrent use.
+type Controller struct {
+	service    string
+	client     ReplicaClient
+	settleTime time.Duration
+	log        hclog.Logger
 
-	mu      sync.Mutex
-	pending map[string]ordered
-	orders  map[string]count
-	planned map[string]bool // domains that have had a first plan
-	first   map[string]time.Time
-	last    map[string]time.Time
-	counts  map[string]int
+	mu             sync.Mutex
+	pendingOrders  map[string]pendingOrder
+	acceptedOrders map[string]orderCount
+	plannedDomains map[string]bool // the domains that have had a first plan
+	firstListedAt  map[string]time.Time
+	countChangedAt map[string]time.Time
+	replicaCounts  map[string]int
 }
 
-// New returns a Keeper. settle is how long the first plan of a domain waits for
-// further replicas after the last one was listed.
-func New(service string, orderer Orderer, settle time.Duration, log hclog.Logger) *Keeper {
-	return &Keeper{
-		service: service, orderer: orderer, settle: settle, log: log.With("service", service),
-		pending: map[string]ordered{}, orders: map[string]count{}, planned: map[string]bool{},
-		first: map[string]time.Time{}, last: map[string]time.Time{}, counts: map[string]int{},
+// New returns a Controller. settleTime is how long the first plan of a domain
+// waits for further replicas after the last new replica was listed.
+func New(service string, client ReplicaClient, settleTime time.Duration, log hclog.Logger) *Controller {
+	return &Controller{
+		service: service, client: client, settleTime: settleTime, log: log.With("service", service),
+		pendingOrders: map[string]pendingOrder{}, acceptedOrders: map[string]orderCount{}, plannedDomains: map[string]bool{},
+		firstListedAt: map[string]time.Time{}, countChangedAt: map[string]time.Time{}, replicaCounts: map[string]int{},
 	}
 }
 
-// Step looks at the replicas of a domain and orders what they lack. lost says
-// whether a replica is thought to be dead; revision is the store's when the list was
-// read.
-func (k *Keeper) Step(ctx context.Context, now time.Time, model *ruleset.Model, domain string, revision int64, list []*replicalist.Replica, lost func(id string) bool) {
-	replicas := inDomain(domain, list)
-	for _, o := range k.plan(now, model, domain, replicas, lost) {
-		go k.give(ctx, o.replica, revision, o.Order)
+// Reconcile plans the layers of a domain's replicas and sends the orders that are due.
+// suspected reports whether a replica is thought to be down. revision is the store
+// revision at which the list was read.
+func (k *Controller) Reconcile(ctx context.Context, now time.Time, model *ruleset.Model, domain string, revision int64, list []*replicalist.Replica, suspected func(id string) bool) {
+	replicas := replicasInDomain(domain, list)
+	for _, o := range k.plan(now, model, domain, replicas, suspected) {
+		go k.deliver(ctx, o.replica, revision, o.Order)
 	}
 }
 
-func inDomain(domain string, list []*replicalist.Replica) []*replicalist.Replica {
-	var in []*replicalist.Replica
+func replicasInDomain(domain string, list []*replicalist.Replica) []*replicalist.Replica {
+	var members []*replicalist.Replica
 	for _, r := range list {
 		if r.Domain == domain {
-			in = append(in, r)
+			members = append(members, r)
 		}
 	}
-	return in
+	return members
 }
 
 type assignment struct {
@@ -108,82 +112,84 @@
 	replica *replicalist.Replica
 }
 
-func (k *Keeper) plan(now time.Time, model *ruleset.Model, domain string, replicas []*replicalist.Replica, lost func(string) bool) []assignment {
+func (k *Controller) plan(now time.Time, model *ruleset.Model, domain string, replicas []*replicalist.Replica, suspected func(string) bool) []assignment {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.settled(now, domain, replicas) {
+	if !k.mayPlan(now, domain, replicas) {
 		return nil
 	}
 	byID := map[string]*replicalist.Replica{}
-	cards := make([]layers.Replica, 0, len(replicas))
+	plannerReplicas := make([]layers.Replica, 0, len(replicas))
 	for _, r := range replicas {
 		byID[r.ID] = r
-		cards = append(cards, k.card(now, model, r, lost(r.ID)))
+		plannerReplicas = append(plannerReplicas, k.plannerReplica(now, model, r, suspected(r.ID)))
 	}
-	shape := layers.Model{
+	layerModel := layers.Model{
 		Layers: model.Layers, LayerMB: model.LayerMB, TokenLayerMB: model.TokenLayerMB(),
 	}
-	var list []assignment
-	for _, o := range layers.Plan(shape, cards) {
+	var assignments []assignment
+	for _, o := range layers.Plan(layerModel, plannerReplicas) {
 		r := byID[o.ID]
-		k.pending[o.ID] = ordered{
-			born: r.Born, hold: o.Hold,
-			until: now.Add(loadTime(model, r.Holds, o.Hold) + reportDelay),
+		k.pendingOrders[o.ID] = pendingOrder{
+			incarnation: r.Born, span: o.Hold,
+			expiresAt: now.Add(maxLoadTime(model, r.Holds, o.Hold) + maxReportDelay),
 		}
-		list = append(list, assignment{Order: o, replica: r})
+		assignments = append(assignments, assignment{Order: o, replica: r})
 	}
-	return list
+	return assignments
 }
 
-// settled says whether the first plan may be made.
-func (k *Keeper) settled(now time.Time, domain string, replicas []*replicalist.Replica) bool {
-	if k.planned[domain] {
+// mayPlan reports whether the domain may be planned. The first plan waits until the list
+// of replicas is stable.
+func (k *Controller) mayPlan(now time.Time, domain string, replicas []*replicalist.Replica) bool {
+	if k.plannedDomains[domain] {
 		return true
 	}
 	if len(replicas) == 0 {
 		return false
 	}
-	if k.first[domain].IsZero() {
-		k.first[domain] = now
+	if k.firstListedAt[domain].IsZero() {
+		k.firstListedAt[domain] = now
 	}
-	if len(replicas) != k.counts[domain] {
-		k.counts[domain], k.last[domain] = len(replicas), now
+	if len(replicas) != k.replicaCounts[domain] {
+		k.replicaCounts[domain], k.countChangedAt[domain] = len(replicas), now
 	}
-	held := false
+	anyLayersHeld := false
 	for _, r := range replicas {
-		held = held || !r.Holds.Empty()
+		anyLayersHeld = anyLayersHeld || !r.Holds.Empty()
 	}
-	// Replicas that hold layers were ordered by another node before this one.
-	if !held && now.Sub(k.last[domain]) < k.settle && now.Sub(k.first[domain]) < settleMost {
+	// If some replica holds layers, another node has already made the first plan.
+	if !anyLayersHeld && now.Sub(k.countChangedAt[domain]) < k.settleTime && now.Sub(k.firstListedAt[domain]) < maxSettleTime {
 		return false
 	}
-	k.planned[domain] = true
+	k.plannedDomains[domain] = true
 	return true
 }
 
-// card is a replica with what it has been ordered.
-func (k *Keeper) card(now time.Time, model *ruleset.Model, r *replicalist.Replica, lost bool) layers.Replica {
+// plannerReplica returns a replica as input of the planner. Until the list shows the result
+// of a pending order, the replica counts as holding the ordered span.
+func (k *Controller) plannerReplica(now time.Time, model *ruleset.Model, r *replicalist.Replica, suspected bool) layers.Replica {
 	c := layers.Replica{
 		ID: r.ID, MemoryMB: model.Cards[r.Kind].MemoryMB, Held: r.Holds,
-		Fixed: r.Busy, Excluded: r.Draining || lost || model.Cards[r.Kind].MemoryMB == 0,
+		Fixed: r.Busy, Excluded: r.Draining || suspected || model.Cards[r.Kind].MemoryMB == 0,
 	}
-	p, ok := k.pending[r.ID]
+	p, ok := k.pendingOrders[r.ID]
 	if !ok {
 		return c
 	}
-	if p.born != r.Born || r.Holds == p.hold || now.After(p.until) {
-		delete(k.pending, r.ID)
+	if p.incarnation != r.Born || r.Holds == p.span || now.After(p.expiresAt) {
+		delete(k.pendingOrders, r.ID)
 		return c
 	}
-	c.Held, c.Fixed = p.hold, true
+	c.Held, c.Fixed = p.span, true
 	return c
 }
 
-// loadTime is how long an engine takes to load what it does not hold, with as many
-// loads at once as the whole fleet may have.
-func loadTime(model *ruleset.Model, held, hold layers.Span) time.Duration {
+// maxLoadTime returns the time that an engine needs to load the ordered layers that it does
+// not hold, while as many other engines load at once as the fleet permits.
+func maxLoadTime(model *ruleset.Model, held, ordered layers.Span) time.Duration {
 	missing := 0
-	for l := hold.From; l < hold.To; l++ {
+	for l := ordered.From; l < ordered.To; l++ {
 		if l < held.From || l >= held.To {
 			missing++
 		}
@@ -191,71 +197,73 @@
 	return 2 * model.LoadTime * time.Duration(missing) / time.Duration(max(1, model.Layers))
 }
 
-// give gives one order. If it was refused, or its fate is not known, the replica is
-// asked. If it has accepted more orders than was known here and is otherwise as the plan
-// took it to be, the order is given once more: this node has just taken over, and a
-// domain that lacks layers would wait for the next read of the list. Else what the
-// replica reports decides what is ordered next.
-func (k *Keeper) give(ctx context.Context, r *replicalist.Replica, revision int64, o layers.Order) {
-	known := k.accepted(r)
-	if k.place(ctx, r, revision, known, o) {
+// deliver sends one order. If the order fails, deliver reads the replica's report. If the
+// replica has accepted another number of orders than expected but holds the same layers
+// as in the plan, the order is sent once more. This happens when the node has just taken
+// over from another node; without it, a domain that lacks layers would wait for the next
+// read of the list. Otherwise the next plan follows the report.
+func (k *Controller) deliver(ctx context.Context, r *replicalist.Replica, revision int64, o layers.Order) {
+	expected := k.expectedOrders(r)
+	if k.sendOrder(ctx, r, revision, expected, o) {
 		return
 	}
-	account, ok := k.ask(ctx, r)
+	report, ok := k.fetchReport(ctx, r)
 	if !ok {
 		return
 	}
-	if account.Orders != known && account.Holds == r.Holds && !account.Busy && k.place(ctx, r, revision, account.Orders, o) {
+	if report.Orders != expected && report.Holds == r.Holds && !report.Busy && k.sendOrder(ctx, r, revision, report.Orders, o) {
 		return
 	}
-	k.forget(r.ID, account)
+	k.clearPending(r.ID, report)
 }
 
-// place gives an order that names how many the replica is thought to have accepted. It
-// says whether the replica took it.
-func (k *Keeper) place(ctx context.Context, r *replicalist.Replica, revision, accepted int64, o layers.Order) bool {
-	err := k.orderer.Place(ctx, r.Address, r.ID, accepted, revision, o.Hold)
+// sendOrder sends an order that names the number of orders that the replica is expected to
+// have accepted. It reports whether the replica accepted the order.
+func (k *Controller) sendOrder(ctx context.Context, r *replicalist.Replica, revision, expected int64, o layers.Order) bool {
+	err := k.client.Place(ctx, r.Address, r.ID, expected, revision, o.Hold)
 	k.log.Info("layers ordered", "replica", r.ID, "domain", r.Domain, "kind", r.Kind, "held", r.Holds, "hold", o.Hold,
-		"reason", o.Reason, "orders", accepted, "born", r.Born, "revision", revision, "error", err)
+		"reason", o.Reason, "orders", expected, "born", r.Born, "revision", revision, "error", err)
 	if err == nil {
-		k.setAccepted(r, accepted+1)
+		k.setAcceptedOrders(r, expected+1)
 	}
 	return err == nil
 }
 
-func (k *Keeper) accepted(r *replicalist.Replica) int64 {
+func (k *Controller) expectedOrders(r *replicalist.Replica) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if c := k.orders[r.ID]; c.born == r.Born {
-		return c.n
+	if c := k.acceptedOrders[r.ID]; c.incarnation == r.Born {
+		return c.accepted
 	}
 	return 0
 }
 
-func (k *Keeper) setAccepted(r *replicalist.Replica, n int64) {
+func (k *Controller) setAcceptedOrders(r *replicalist.Replica, accepted int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.orders[r.ID] = count{born: r.Born, n: n}
+	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Born, accepted: accepted}
 }
 
-// ask learns from a replica what it has accepted.
-func (k *Keeper) ask(ctx context.Context, r *replicalist.Replica) (replicareport.Report, bool) {
-	account, err := k.orderer.Report(ctx, r.Address, r.ID)
+// fetchReport reads a replica's report and records the number of orders that the replica has
+// accepted.
+func (k *Controller) fetchReport(ctx context.Context, r *replicalist.Replica) (replicareport.Report, bool) {
+	report, err := k.client.Report(ctx, r.Address, r.ID)
 	if err != nil {
-		k.log.Warn("no report", "replica", r.ID, "error", err)
-		return account, false
+		k.log.Warn("replica report not read", "replica", r.ID, "error", err)
+		return report, false
 	}
-	k.log.Info("report", "replica", r.ID, "orders", account.Orders, "holds", account.Holds, "busy", account.Busy, "born", account.Born)
-	k.setAccepted(r, account.Orders)
-	return account, true
+	k.log.Info("replica report", "replica", r.ID, "orders", report.Orders, "holds", report.Holds, "busy", report.Busy, "born", report.Born)
+	k.setAcceptedOrders(r, report.Orders)
+	return report, true
 }
 
-// forget gives up an order that was not taken. One that may still come is none the less
-// expected: until its time has passed nothing else is ordered, and then the count tells.
-func (k *Keeper) forget(replica string, account replicareport.Report) {
+// clearPending removes a replica's pending order if the report shows that the order was not
+// accepted. Otherwise the order may still arrive: it stays pending until it expires, and
+// no other order is sent to the replica meanwhile.
+func (k *Controller) clearPending(replica string, report replicareport.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if p, ok := k.pending[replica]; ok && account.Holds != p.hold && !account.Busy {
-		delete(k.pending, replica)
+	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.Busy {
+		delete(k.pendingOrders, replica)
 	}
 }
--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -16,45 +16,45 @@
 )
 
 var (
-	start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
-	llm   = &ruleset.Model{
+	start     = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
+	testModel = &ruleset.Model{
 		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, LoadTime: time.Second,
 		Cards: map[string]ruleset.Card{"l4": {MemoryMB: 700}},
 	}
 )
 
-type engine struct {
+type fakeReplica struct {
 	orders int64
 	holds  layers.Span
 }
 
-// engines are replicas that take orders as real ones do.
-type engines struct {
+// fakeReplicas accept and refuse orders as real replicas do.
+type fakeReplicas struct {
 	mu    sync.Mutex
-	byID  map[string]*engine
-	given chan string
+	byID  map[string]*fakeReplica
+	calls chan string
 	fail  error
 }
 
-func newEngines() *engines {
-	return &engines{byID: map[string]*engine{}, given: make(chan string, 100)}
+func newFakeReplicas() *fakeReplicas {
+	return &fakeReplicas{byID: map[string]*fakeReplica{}, calls: make(chan string, 100)}
 }
 
-func (e *engines) of(id string) *engine {
+func (e *fakeReplicas) replica(id string) *fakeReplica {
 	if e.byID[id] == nil {
-		e.byID[id] = &engine{}
+		e.byID[id] = &fakeReplica{}
 	}
 	return e.byID[id]
 }
 
-func (e *engines) Place(_ context.Context, _, id string, orders, _ int64, hold layers.Span) error {
+func (e *fakeReplicas) Place(_ context.Context, _, id string, orders, _ int64, hold layers.Span) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	defer func() { e.given <- id }()
+	defer func() { e.calls <- id }()
 	if e.fail != nil {
 		return e.fail
 	}
-	r := e.of(id)
+	r := e.replica(id)
 	if r.orders != orders {
 		return errors.New("409")
 	}
@@ -63,125 +63,131 @@
 	return nil
 }
 
-func (e *engines) Report(_ context.Context, _, id string) (replicareport.Report, error) {
+func (e *fakeReplicas) Report(_ context.Context, _, id string) (replicareport.Report, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	r := e.of(id)
+	r := e.replica(id)
 	return replicareport.Report{Orders: r.orders, Holds: r.holds}, nil
 }
 
-func (e *engines) list(ids ...string) []*replicalist.Replica {
+func (e *fakeReplicas) list(ids ...string) []*replicalist.Replica {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var list []*replicalist.Replica
 	for _, id := range ids {
-		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: e.of(id).holds})
+		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: e.replica(id).holds})
 	}
 	return list
 }
 
-func none(string) bool { return false }
+func noneSuspected(string) bool { return false }
 
-func wait(t *testing.T, e *engines, n int) {
+func awaitCalls(t *testing.T, e *fakeReplicas, n int) {
 	t.Helper()
 	for range n {
 		select {
-		case <-e.given:
+		case <-e.calls:
 		case <-time.After(10 * time.Second):
-			t.Fatal("an order is missing")
+			t.Fatal("not all expected orders were sent")
 		}
 	}
 }
 
-func keeper(e *engines) *Keeper { return New("llm", e, time.Second, hclog.NewNullLogger()) }
+func newTestController(e *fakeReplicas) *Controller {
+	return New("llm", e, time.Second, hclog.NewNullLogger())
+}
 
-// Replicas appear one after the other while a fleet starts. The first plan waits until
-// no more come, since loads before it are cheap and later ones are not; it is ordered
-// once, however often the list is read before replicas report.
-func TestFirstPlanWaitsForTheFleet(t *testing.T) {
-	e := newEngines()
-	k := keeper(e)
-	step := func(ms int, list []*replicalist.Replica) {
-		k.Step(context.Background(), start.Add(time.Duration(ms)*time.Millisecond), llm, "d", 1, list, none)
-	}
-	step(0, e.list("a"))
-	step(800, e.list("a", "b"))
-	step(1600, e.list("a", "b"))
-	if len(e.given) > 0 {
-		t.Fatal("ordered before the fleet was there")
+// If the first plan did not wait, it would assign all layers to the replicas that start
+// first, and the later replicas would cost expensive reloads. While a fleet starts, its
+// replicas are listed one after the other. The plan's orders are sent once, even if the
+// list is read again before the replicas report.
+func TestFirstPlanWaitsForReplicas(t *testing.T) {
+	e := newFakeReplicas()
+	controller := newTestController(e)
+	reconcile := func(ms int, list []*replicalist.Replica) {
+		controller.Reconcile(context.Background(), start.Add(time.Duration(ms)*time.Millisecond), testModel, "d", 1, list, noneSuspected)
+	}
+	reconcile(0, e.list("a"))
+	reconcile(800, e.list("a", "b"))
+	reconcile(1600, e.list("a", "b"))
+	if len(e.calls) > 0 {
+		t.Fatal("orders were sent before all replicas were listed")
 	}
 	stale := e.list("a", "b")
-	step(2000, stale)
-	wait(t, e, 2)
-	step(2400, stale)
-	if len(e.given) > 0 {
-		t.Error("ordered again before the replicas could report")
+	reconcile(2000, stale)
+	awaitCalls(t, e, 2)
+	reconcile(2400, stale)
+	if len(e.calls) > 0 {
+		t.Error("orders were sent again before the replicas could report")
 	}
 	if e.byID["a"].holds.Empty() || e.byID["b"].holds.Empty() {
 		t.Errorf("%v %v", e.byID["a"], e.byID["b"])
 	}
 }
 
-// Two nodes take themselves for the keeper at once. Each replica takes one of their
-// orders; the other node learns what has become of it and orders nothing against it.
-func TestTwoKeepersDoNoHarm(t *testing.T) {
-	e := newEngines()
-	first, second := keeper(e), keeper(e)
+// If a replica accepted orders from two nodes, the nodes would overwrite each other's
+// plans. Two nodes both order the replicas of one domain. Each replica accepts one
+// order, and the other node reads the replica's report and sends no further order.
+func TestConcurrentControllersDoNotOverrideEachOther(t *testing.T) {
+	e := newFakeReplicas()
+	first, second := newTestController(e), newTestController(e)
 	list := e.list("a", "b")
-	for _, k := range []*Keeper{first, second} {
-		k.Step(context.Background(), start, llm, "d", 1, list, none)
-		k.Step(context.Background(), start.Add(2*time.Second), llm, "d", 1, list, none)
+	for _, k := range []*Controller{first, second} {
+		k.Reconcile(context.Background(), start, testModel, "d", 1, list, noneSuspected)
+		k.Reconcile(context.Background(), start.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
 	}
-	wait(t, e, 4)
-	if e.taken("a") != 1 || e.taken("b") != 1 {
-		t.Errorf("%d and %d orders were taken", e.taken("a"), e.taken("b"))
+	awaitCalls(t, e, 4)
+	if e.accepted("a") != 1 || e.accepted("b") != 1 {
+		t.Errorf("the replicas accepted %d and %d orders, want 1 each", e.accepted("a"), e.accepted("b"))
 	}
-	for _, k := range []*Keeper{first, second} {
-		k.Step(context.Background(), start.Add(10*time.Second), llm, "d", 1, e.list("a", "b"), none)
+	for _, k := range []*Controller{first, second} {
+		k.Reconcile(context.Background(), start.Add(10*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
 	}
-	if len(e.given) > 0 {
-		t.Error("ordered again")
+	if len(e.calls) > 0 {
+		t.Error("a controller sent further orders")
 	}
 }
 
-// A node that takes over has given none of the orders that a replica counts. Its first
-// one is refused; it asks, and its next one is taken.
-func TestSuccessorLearnsTheCount(t *testing.T) {
-	e := newEngines()
-	old := keeper(e)
-	old.Step(context.Background(), start, llm, "d", 1, e.list("a", "b"), none)
-	old.Step(context.Background(), start.Add(2*time.Second), llm, "d", 1, e.list("a", "b"), none)
-	wait(t, e, 2)
-	next := keeper(e)
-	lost := func(id string) bool { return id == "b" }
+// If a node that takes over did not read the replica's number of accepted orders, the
+// replica would refuse all its orders. The node has sent none of the orders that the
+// replica has accepted, so its first order is refused. It reads the report, and the
+// replica accepts its next order.
+func TestSuccessorLearnsAcceptedOrders(t *testing.T) {
+	e := newFakeReplicas()
+	predecessor := newTestController(e)
+	predecessor.Reconcile(context.Background(), start, testModel, "d", 1, e.list("a", "b"), noneSuspected)
+	predecessor.Reconcile(context.Background(), start.Add(2*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
+	awaitCalls(t, e, 2)
+	successor := newTestController(e)
+	suspected := func(id string) bool { return id == "b" }
 	deadline := time.Now().Add(10 * time.Second)
-	for at := start.Add(10 * time.Second); e.taken("a") < 2; at = at.Add(reportDelay) {
+	for at := start.Add(10 * time.Second); e.accepted("a") < 2; at = at.Add(maxReportDelay) {
 		if time.Now().After(deadline) {
-			t.Fatalf("never repaired: %d orders taken", e.taken("a"))
+			t.Fatalf("the lost replica's layers were not reassigned: %d orders accepted", e.accepted("a"))
 		}
-		next.Step(context.Background(), at, llm, "d", 1, e.list("a", "b"), lost)
+		successor.Reconcile(context.Background(), at, testModel, "d", 1, e.list("a", "b"), suspected)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (e *engines) taken(id string) int64 {
+func (e *fakeReplicas) accepted(id string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.of(id).orders
+	return e.replica(id).orders
 }
 
-// A node takes over the orders of a failure domain and does not know how many its
-// predecessor gave. Its first order is refused for that. It asks the replica and, as
-// that is as the plan took it to be, orders again at once: a domain that lacks layers
-// would otherwise wait for the next read of the store.
-func TestSuccessorOrdersAgainAtOnce(t *testing.T) {
-	e := newEngines()
-	e.of("a").orders = 3
-	k := keeper(e)
+// Without an immediate second order, a domain that lacks layers would wait for the next
+// read of the store. A node takes over a failure domain and does not know how many orders
+// its predecessor sent, so its first order is refused. It reads the replica's report. The
+// replica holds the same layers as in the plan, so the node sends the order again.
+func TestSuccessorRepeatsOrderAtOnce(t *testing.T) {
+	e := newFakeReplicas()
+	e.replica("a").orders = 3
+	controller := newTestController(e)
 	list := e.list("a")
-	k.Step(context.Background(), start, llm, "d", 1, list, none)
-	k.Step(context.Background(), start.Add(2*time.Second), llm, "d", 1, list, none)
-	wait(t, e, 2)
+	controller.Reconcile(context.Background(), start, testModel, "d", 1, list, noneSuspected)
+	controller.Reconcile(context.Background(), start.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
+	awaitCalls(t, e, 2)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.byID["a"].holds.Empty() || e.byID["a"].orders != 4 {
