--- a/node/server/plans.go
+++ b/node/server/plans.go
@@ -9,31 +9,31 @@
 )
 
 func (s *Server) buildPlans() {
-	s.book = layerplans.NewBook(s.store, s.settings.Environment, s.log)
-	s.keeper = layerplans.NewKeeper(layerplans.KeeperConfig{
-		Node:        s.settings.Name,
-		Environment: s.settings.Environment,
-		Store:       s.store,
-		Engines:     s.engines,
-		Book:        s.book,
-		Record:      s.decisions,
-		Log:         s.log,
-		Turn:        s.plansFor,
-		Members:     func() any { return s.memberStamp() },
+	s.book = layerplans.NewCache(s.store, s.settings.Environment, s.log)
+	s.keeper = layerplans.NewController(layerplans.ControllerConfig{
+		Node:              s.settings.Name,
+		Environment:       s.settings.Environment,
+		Store:             s.store,
+		EngineClient:      s.engines,
+		Cache:             s.book,
+		Recorder:          s.decisions,
+		Log:               s.log,
+		IsOwner:           s.plansFor,
+		MembershipVersion: func() any { return s.memberStamp() },
 	})
 }
 
 // planWatcher passes on what streams tell of replicas.
 type planWatcher struct {
-	*layerplans.Book
-	*layerplans.Keeper
+	*layerplans.Cache
+	*layerplans.Controller
 }
 
-// Suspect tells both the book, which reads the plan again, and the keeper, which
+// Suspect tells both the cache, which reads the plan again, and the controller, which
 // looks at the engines if it is this node's turn.
 func (w planWatcher) Suspect(model, replica string) {
-	w.Book.Suspect(model, replica)
-	w.Keeper.Suspect(model, replica)
+	w.Cache.Suspect(model, replica)
+	w.Controller.Suspect(model, replica)
 }
 
 // plansFor says whether it is this node's turn to keep a model's plans in a
@@ -41,7 +41,7 @@
 // engines follow production.
 //
 // A node of that domain comes first, as its streams run there. Moves go by the hop
-// times of the keeper's own streams: one in another domain keeps a plan without
+// times of the controller's own streams: one in another domain keeps a plan without
 // ever hearing that a link has turned bad, and callers stay behind the link.
 func (s *Server) plansFor(model, domain string) bool {
 	if s.settings.Slot != settings.SlotProduction || s.draining.Load() {
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -75,8 +75,8 @@
 	peerFiles  *tlsfiles.Files
 	orders     *ledger.Ledger
 	orderPeers *orderPeers
-	book       *layerplans.Book
-	keeper     *layerplans.Keeper
+	book       *layerplans.Cache
+	keeper     *layerplans.Controller
 
 	// parser is used by apply only, which the fleet calls one at a time.
 	parser    document.Parser
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -16,93 +16,93 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// keptAdapters is what a keeper knows of one replica's adapters.
-type keptAdapters struct {
-	// booked is the time at the weight store that an order for adapters was given,
+// adapterState is what a keeper knows of one replica's adapters.
+type adapterState struct {
+	// reservedVersion is the time at the weight store that an order for adapters was given,
 	// by its version; zero if none is due.
-	booked int64
-	start  time.Time
-	// counts and at are the uses that the first engine last told, and when; rates
+	reservedVersion int64
+	loadAt          time.Time
+	// useCounts and at are the uses that the first engine last told, and when; rates
 	// are uses a second.
-	counts map[string]uint64
-	at     time.Time
-	rates  map[adapters.Adapter]float64
+	useCounts map[string]uint64
+	countedAt time.Time
+	useRates  map[adapters.Adapter]float64
 }
 
-// noteUses takes the first engine's counts. Every stream of the replica is opened
+// updateUseRates takes the first engine's counts. Every stream of the replica is opened
 // there, whichever node it comes through, so demand needs no messages between
 // nodes.
-func (kept *keptReplica) noteUses(now time.Time, first string) {
-	report, known := kept.reports[first]
-	seconds := now.Sub(kept.adapters.at).Seconds()
-	if !known || seconds <= 0 {
+func (managed *managedReplica) updateUseRates(now time.Time, first string) {
+	report, known := managed.reports[first]
+	elapsedSeconds := now.Sub(managed.adapters.countedAt).Seconds()
+	if !known || elapsedSeconds <= 0 {
 		return
 	}
 	rates := map[adapters.Adapter]float64{}
 	for _, a := range report.Adapters {
-		count, before := report.Uses[a.String()], kept.adapters.counts[a.String()]
-		if kept.adapters.counts != nil && count >= before {
-			rates[adapters.Adapter(a)] = float64(count-before) / seconds
+		count, previous := report.Uses[a.String()], managed.adapters.useCounts[a.String()]
+		if managed.adapters.useCounts != nil && count >= previous {
+			rates[adapters.Adapter(a)] = float64(count-previous) / elapsedSeconds
 		}
 	}
-	kept.adapters.counts, kept.adapters.at, kept.adapters.rates = report.Uses, now, rates
+	managed.adapters.useCounts, managed.adapters.countedAt, managed.adapters.useRates = report.Uses, now, rates
 }
 
 // placeAdapters decides which replicas of this node's turn hold which adapters, and
 // enters it into their plans.
-func (k *Keeper) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
-	groups := map[place][]*keptReplica{}
-	for _, kept := range k.kept {
+func (k *Controller) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
+	groups := map[recordKey][]*managedReplica{}
+	for _, managed := range k.managed {
 		// Most models have no adapters, and this runs each second.
-		if len(kept.open.model.Adapters) > 0 || k.cfg.Book.adapters(kept.open.place) {
-			groups[kept.open.place] = append(groups[kept.open.place], kept)
+		if len(managed.spec.model.Adapters) > 0 || k.cfg.Cache.hasAdapters(managed.spec.key) {
+			groups[managed.spec.key] = append(groups[managed.spec.key], managed)
 		}
 	}
-	for p, group := range groups {
-		result := adapters.Decide(wantedAdapters(group[0].open), k.holders(d, group))
+	for key, group := range groups {
+		result := adapters.Decide(desiredAdapters(group[0].spec), k.adapterReplicas(d, group))
 		if len(result.Changes) == 0 {
 			continue
 		}
-		if err := k.agreeAdapters(ctx, p, result.Changes); err != nil {
-			k.cfg.Log.Warn("adapters not agreed", "model", p.model, "failure_domain", p.domain, "error", err)
+		if err := k.commitAdapters(ctx, key, result.Changes); err != nil {
+			k.cfg.Log.Warn("adapters not agreed", "model", key.model, "failure_domain", key.domain, "error", err)
 			continue
 		}
 		for _, change := range result.Changes {
-			k.recordAdapters(now, p, change, len(result.Unplaced))
+			k.recordAdapterChange(now, key, change, len(result.Unplaced))
 		}
 	}
 }
 
-func wantedAdapters(open openReplica) []adapters.Desired {
-	var wanted []adapters.Desired
-	for _, a := range open.model.Adapters {
-		wanted = append(wanted, adapters.Desired{
+func desiredAdapters(spec replicaSpec) []adapters.Desired {
+	var desired []adapters.Desired
+	for _, a := range spec.model.Adapters {
+		desired = append(desired, adapters.Desired{
 			Adapter: adapters.Adapter{Name: a.Name, Version: a.Version}, Bytes: int64(a.Bytes), Replicas: a.Replicas,
 		})
 	}
-	return wanted
+	return desired
 }
 
-func (k *Keeper) holders(d *docindex.Directory, group []*keptReplica) []adapters.Replica {
+func (k *Controller) adapterReplicas(d *docindex.Directory, group []*managedReplica) []adapters.Replica {
 	slots := d.Document.Policy.ConcurrentPerReplica
 	if slots <= 0 {
 		slots = assumedSlots
 	}
 	var replicas []adapters.Replica
-	for _, kept := range group {
-		agreed, ok := k.cfg.Book.Agreed(kept.open.place.model, kept.open.name)
+	for _, managed := range group {
+		replicaPlan, ok := k.cfg.Cache.Agreed(managed.spec.key.model, managed.spec.name)
 		if !ok {
 			continue
 		}
 		r := adapters.Replica{
-			Name:        kept.open.name,
-			MemoryBytes: adapterRoom(d, kept.open, agreed),
-			Held:        kept.heldAdapters(agreed),
-			Serving:     kept.state == placement.Ready,
-			Utilization: float64(kept.running()) / float64(slots),
-			UseRate:     kept.adapters.rates,
+			Name:        managed.spec.name,
+			MemoryBytes: adapterMemory(d, managed.spec, replicaPlan),
+			Held:        managed.heldAdapters(replicaPlan),
+			Serving:     managed.state == placement.Ready,
+			Utilization: float64(managed.runningStreams()) / float64(slots),
+			UseRate:     managed.adapters.useRates,
 		}
-		for _, a := range agreed.Adapters {
+		for _, a := range replicaPlan.Adapters {
 			r.Planned = append(r.Planned, adapters.Adapter(a))
 		}
 		replicas = append(replicas, r)
@@ -114,64 +114,64 @@
 // nothing, as in route/service.
 const assumedSlots = 16
 
-// adapterRoom is the memory for adapters in bytes over all layers: each engine keeps
+// adapterMemory is the memory for adapters in bytes over all layers: each engine keeps
 // the part of an adapter that belongs to its layers, so the tightest one counts.
-func adapterRoom(d *docindex.Directory, open openReplica, agreed plan.Replica) int64 {
-	model := modelOf(open)
-	room := math.Inf(1)
-	for _, s := range agreed.Stages {
+func adapterMemory(d *docindex.Directory, spec replicaSpec, replicaPlan plan.Replica) int64 {
+	model := placementModel(spec)
+	memory := math.Inf(1)
+	for _, s := range replicaPlan.Stages {
 		e, _ := d.Endpoint(s.Endpoint)
 		layers := s.Last - s.First + 1
 		free := acceleratorOf(d.Document, e).MemoryBytes - int64(layers)*model.LayerBytes
-		room = min(room, float64(max(free, 0))*float64(model.Layers)/float64(layers))
+		memory = min(memory, float64(max(free, 0))*float64(model.Layers)/float64(layers))
 	}
-	return int64(min(room, float64(assumedMemory)))
+	return int64(min(memory, float64(assumedMemory)))
 }
 
 // heldAdapters are those that every engine of the replica reports.
-func (kept *keptReplica) heldAdapters(agreed plan.Replica) []adapters.Adapter {
+func (managed *managedReplica) heldAdapters(replicaPlan plan.Replica) []adapters.Adapter {
 	var held []adapters.Adapter
-	for i, s := range agreed.Stages {
-		var here []adapters.Adapter
-		for _, a := range kept.reports[s.Endpoint].Adapters {
-			here = append(here, adapters.Adapter(a))
+	for i, s := range replicaPlan.Stages {
+		var onEngine []adapters.Adapter
+		for _, a := range managed.reports[s.Endpoint].Adapters {
+			onEngine = append(onEngine, adapters.Adapter(a))
 		}
 		if i == 0 {
-			held = here
+			held = onEngine
 			continue
 		}
-		held = slices.DeleteFunc(held, func(a adapters.Adapter) bool { return !slices.Contains(here, a) })
+		held = slices.DeleteFunc(held, func(a adapters.Adapter) bool { return !slices.Contains(onEngine, a) })
 	}
 	return held
 }
 
-// agreeAdapters writes changes in one swap. A replica whose plan another node has
+// commitAdapters writes changes in one swap. A replica whose plan another node has
 // changed meanwhile is left for the next round.
-func (k *Keeper) agreeAdapters(ctx context.Context, p place, changes []adapters.Change) error {
-	ctx, cancel := context.WithTimeout(ctx, agreeTimeout)
+func (k *Controller) commitAdapters(ctx context.Context, key recordKey, changes []adapters.Change) error {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	seen := map[string]plan.Replica{}
+	previous := map[string]plan.Replica{}
 	for _, c := range changes {
-		seen[c.Replica], _ = k.cfg.Book.Agreed(p.model, c.Replica)
+		previous[c.Replica], _ = k.cfg.Cache.Agreed(key.model, c.Replica)
 	}
-	key := plan.Key(k.cfg.Environment, p.model, p.domain)
-	record, err := plan.Agree(ctx, k.cfg.Store, key, k.cfg.Node, func(r *plan.Record) bool {
+	storeKey := plan.Key(k.cfg.Environment, key.model, key.domain)
+	record, err := plan.Agree(ctx, k.cfg.Store, storeKey, k.cfg.Node, func(r *plan.Record) bool {
 		changed := false
 		for _, c := range changes {
-			if r.Replicas[c.Replica].AdapterVersion != seen[c.Replica].AdapterVersion {
+			if r.Replicas[c.Replica].AdapterVersion != previous[c.Replica].AdapterVersion {
 				continue
 			}
-			changed = r.PutAdapters(c.Replica, planned(c.Adapters)) || changed
+			changed = r.PutAdapters(c.Replica, planAdapters(c.Adapters)) || changed
 		}
 		return changed
 	})
 	if err == nil {
-		k.cfg.Book.take(p, record)
+		k.cfg.Cache.update(key, record)
 	}
 	return err
 }
 
-func planned(list []adapters.Adapter) []plan.Adapter {
+func planAdapters(list []adapters.Adapter) []plan.Adapter {
 	var all []plan.Adapter
 	for _, a := range list {
 		all = append(all, plan.Adapter(a))
@@ -179,13 +179,13 @@
 	return all
 }
 
-func (k *Keeper) recordAdapters(now time.Time, p place, c adapters.Change, unplaced int) {
-	k.cfg.Record.Record(decisionlog.Decision{
+func (k *Controller) recordAdapterChange(now time.Time, key recordKey, c adapters.Change, unplaced int) {
+	k.cfg.Recorder.Record(decisionlog.Decision{
 		At:      now,
 		Kind:    decisionlog.Place,
-		Service: p.model,
+		Service: key.model,
 		Chosen:  c.Replica,
-		Reason:  c.Reason + describe(c),
+		Reason:  c.Reason + loadsAndDrops(c),
 		Figures: map[string]float64{
 			"holders":   float64(c.Holders),
 			"target":    float64(c.Target),
@@ -198,7 +198,7 @@
 	})
 }
 
-func describe(c adapters.Change) string {
+func loadsAndDrops(c adapters.Change) string {
 	text := ""
 	for _, a := range c.Loads {
 		text += ", load " + engineapi.Adapter(a).String()
@@ -212,36 +212,36 @@
 // orderAdapters tells the engines of a replica that is whole to hold the adapters of
 // its plan, once the weight store has time for those that are missing. The replica
 // serves meanwhile.
-func (k *Keeper) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica, agreed plan.Replica) {
-	order := engineapi.AdapterOrder{Model: kept.open.place.model, Version: agreed.AdapterVersion}
-	for _, a := range agreed.Adapters {
+func (k *Controller) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, replicaPlan plan.Replica) {
+	order := engineapi.AdapterOrder{Model: managed.spec.key.model, Version: replicaPlan.AdapterVersion}
+	for _, a := range replicaPlan.Adapters {
 		order.Adapters = append(order.Adapters, engineapi.Adapter(a))
 	}
-	var differ []string
-	for _, s := range agreed.Stages {
-		if !followsAdapters(kept.reports[s.Endpoint], order) {
-			differ = append(differ, s.Endpoint)
+	var outdated []string
+	for _, s := range replicaPlan.Stages {
+		if !matchesOrder(managed.reports[s.Endpoint], order) {
+			outdated = append(outdated, s.Endpoint)
 		}
 	}
-	if len(differ) == 0 {
-		kept.adapters.booked = 0
+	if len(outdated) == 0 {
+		managed.adapters.reservedVersion = 0
 		return
 	}
-	if err := k.bookAdapters(ctx, now, d, kept, order, differ); err != nil {
-		k.cfg.Log.Warn("adapters not booked", "model", order.Model, "replica", kept.open.name, "error", err)
+	if err := k.reserveAdapterLoad(ctx, now, d, managed, order, outdated); err != nil {
+		k.cfg.Log.Warn("adapters not booked", "model", order.Model, "replica", managed.spec.name, "error", err)
 		return
 	}
-	if now.Before(kept.adapters.start) {
+	if now.Before(managed.adapters.loadAt) {
 		return
 	}
-	for _, endpoint := range differ {
+	for _, endpoint := range outdated {
 		e, _ := d.Endpoint(endpoint)
-		k.sendAdapters(ctx, kept, e.Name, e.Address, order)
+		k.sendAdapterOrder(ctx, managed, e.Name, e.Address, order)
 	}
 }
 
-// followsAdapters reports whether an engine holds what an order says, by its number.
-func followsAdapters(report engineapi.Report, order engineapi.AdapterOrder) bool {
+// matchesOrder reports whether an engine holds what an order says, by its number.
+func matchesOrder(report engineapi.Report, order engineapi.AdapterOrder) bool {
 	if report.AdapterVersion != order.Version || len(report.Adapters) != len(order.Adapters) {
 		return false
 	}
@@ -253,43 +253,43 @@
 	return true
 }
 
-// bookAdapters gives an order its time at the weight store, once.
-func (k *Keeper) bookAdapters(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica, order engineapi.AdapterOrder, differ []string) error {
-	if kept.adapters.booked == order.Version {
+// reserveAdapterLoad gives an order its time at the weight store, once.
+func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
+	if managed.adapters.reservedVersion == order.Version {
 		return nil
 	}
 	bytes := int64(0)
 	for _, a := range order.Adapters {
-		missing := slices.ContainsFunc(differ, func(e string) bool { return !slices.Contains(kept.reports[e].Adapters, a) })
-		if spec := kept.open.model.Adapter(a.Name); missing && spec != nil {
+		missing := slices.ContainsFunc(outdated, func(e string) bool { return !slices.Contains(managed.reports[e].Adapters, a) })
+		if spec := managed.spec.model.Adapter(a.Name); missing && spec != nil {
 			bytes += int64(spec.Bytes)
 		}
 	}
-	start := now
+	startTime := now
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
-	if take := placement.FetchTime(bytes, rate); take > 0 {
-		starts, err := k.bookTimes(ctx, now, []time.Duration{take})
+	if fetchTime := placement.FetchTime(bytes, rate); fetchTime > 0 {
+		startTimes, err := k.reserveLoads(ctx, now, []time.Duration{fetchTime})
 		if err != nil {
 			return err
 		}
-		start = starts[0]
+		startTime = startTimes[0]
 	}
-	kept.adapters.booked, kept.adapters.start = order.Version, start
+	managed.adapters.reservedVersion, managed.adapters.loadAt = order.Version, startTime
 	return nil
 }
 
-func (k *Keeper) sendAdapters(ctx context.Context, kept *keptReplica, name, address string, order engineapi.AdapterOrder) {
+func (k *Controller) sendAdapterOrder(ctx context.Context, managed *managedReplica, name, address string, order engineapi.AdapterOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	err := k.cfg.Engines.OrderAdapters(ctx, address, order)
+	err := k.cfg.EngineClient.OrderAdapters(ctx, address, order)
 	if err == nil {
 		k.cfg.Log.Info("adapters ordered", "endpoint", name, "model", order.Model, "adapters", len(order.Adapters), "version", order.Version)
 		return
 	}
 	k.cfg.Log.Warn("order for adapters not taken", "endpoint", name, "version", order.Version, "error", err)
 	if engineclient.Status(err) == http.StatusConflict {
-		k.change(kept.open, func(r *plan.Record) bool {
-			return r.RaiseAdapters(kept.open.name, kept.reports[name].AdapterVersion)
+		k.updateRecord(managed.spec, func(r *plan.Record) bool {
+			return r.RaiseAdapters(managed.spec.name, managed.reports[name].AdapterVersion)
 		})
 	}
 }
--- a/route/layerplans/keeper_test.go
+++ b/route/layerplans/controller_test.go
@@ -26,35 +26,35 @@
 	layers = 8
 )
 
-var epoch = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// fleet is engines by address, which is their name.
-type fleet struct {
-	now    time.Time
-	holds  map[string]engineapi.Holding
-	loads  map[string]time.Duration // when an engine was last ordered other layers
-	silent map[string]bool
-	// loadFor is how long a load takes; an engine reports what it held until then.
-	loadFor time.Duration
-	loading map[string]load
+// fakeEngines is engines by address, which is their name.
+type fakeEngines struct {
+	now         time.Time
+	holds       map[string]engineapi.Holding
+	orderedAt   map[string]time.Duration // when an engine was last ordered other layers
+	unreachable map[string]bool
+	// loadTime is how long a load takes; an engine reports what it held until then.
+	loadTime time.Duration
+	loading  map[string]pendingLoad
 	// running is how many streams each engine works on, cut how often engines took
 	// other weights with streams on them. broken weights are never there.
-	running map[string]int
-	cut     int
-	broken  string
+	running       map[string]int
+	interrupted   int
+	brokenVersion string
 	// adapters is what each engine holds of adapters, added when it was told.
-	adapters map[string]engineapi.AdapterOrder
-	uses     map[string]uint64
-	added    []time.Duration
+	adapters          map[string]engineapi.AdapterOrder
+	uses              map[string]uint64
+	adapterOrderTimes []time.Duration
 }
 
-type load struct {
+type pendingLoad struct {
 	order engineapi.Order
 	ready time.Time
 }
 
-func (f *fleet) Holding(_ context.Context, address string) (engineapi.Report, error) {
-	if f.silent[address] {
+func (f *fakeEngines) Holding(_ context.Context, address string) (engineapi.Report, error) {
+	if f.unreachable[address] {
 		return engineapi.Report{}, errors.New("no answer")
 	}
 	if l, ok := f.loading[address]; ok && !f.now.Before(l.ready) {
@@ -66,70 +66,70 @@
 	}, nil
 }
 
-func (f *fleet) OrderAdapters(_ context.Context, address string, order engineapi.AdapterOrder) error {
+func (f *fakeEngines) OrderAdapters(_ context.Context, address string, order engineapi.AdapterOrder) error {
 	if order.Version < f.adapters[address].Version {
 		return &engineclient.SendError{Endpoint: address, Status: http.StatusConflict}
 	}
 	f.adapters[address] = order
-	f.added = append(f.added, f.now.Sub(epoch))
+	f.adapterOrderTimes = append(f.adapterOrderTimes, f.now.Sub(startTime))
 	return nil
 }
 
-func (f *fleet) Order(_ context.Context, address string, order engineapi.Order) error {
+func (f *fakeEngines) Order(_ context.Context, address string, order engineapi.Order) error {
 	if order.Role == engineapi.RoleDrain {
 		delete(f.loading, address)
 		f.holds[address] = engineapi.Holding(order)
 		return nil
 	}
 	if f.holds[address].Weights != "" && f.holds[address].Weights != order.Weights && f.running[address] > 0 {
-		f.cut++
+		f.interrupted++
 	}
-	if order.Weights == f.broken && order.Weights != "" {
+	if order.Weights == f.brokenVersion && order.Weights != "" {
 		delete(f.loading, address)
 		f.holds[address] = engineapi.Holding{Last: -1, PlacementVersion: order.PlacementVersion}
 		return nil
 	}
-	if f.loading[address].order != order || f.loadFor == 0 {
-		f.loading[address] = load{order, f.now.Add(f.loadFor)}
-		f.loads[address] = f.now.Sub(epoch)
+	if f.loading[address].order != order || f.loadTime == 0 {
+		f.loading[address] = pendingLoad{order, f.now.Add(f.loadTime)}
+		f.orderedAt[address] = f.now.Sub(startTime)
 	}
-	if f.loadFor == 0 {
+	if f.loadTime == 0 {
 		f.holds[address] = engineapi.Holding(order)
 	}
 	return nil
 }
 
 // Record implements decisionlog.Recorder.
-func (f *fleet) Record(decisionlog.Decision) {}
+func (f *fakeEngines) Record(decisionlog.Decision) {}
 
-// site is replicas of two engines, in one failure domain or each in its own, and
+// cluster is replicas of two engines, in one failure domain or each in its own, and
 // a keeper for each domain.
-type site struct {
-	*fleet
-	keepers []*Keeper
+type cluster struct {
+	*fakeEngines
+	controllers []*Controller
 }
 
-func newSite(t *testing.T, replicas, domains, rate int) *site {
-	return siteOf(t, documentOf(replicas, domains, rate), domains)
+func newCluster(t *testing.T, replicas, domains, rate int) *cluster {
+	return clusterOf(t, documentOf(replicas, domains, rate), domains)
 }
 
-func siteOf(t *testing.T, doc *document.Document, domains int) *site {
+func clusterOf(t *testing.T, doc *document.Document, domains int) *cluster {
 	memory := storetest.NewMemory()
 	t.Cleanup(memory.Close)
 	d := docindex.Build(doc, 1, "digest")
-	s := &site{fleet: &fleet{now: epoch, holds: map[string]engineapi.Holding{}, loads: map[string]time.Duration{}, silent: map[string]bool{}, loading: map[string]load{}, running: map[string]int{}, adapters: map[string]engineapi.AdapterOrder{}}}
+	s := &cluster{fakeEngines: &fakeEngines{now: startTime, holds: map[string]engineapi.Holding{}, orderedAt: map[string]time.Duration{}, unreachable: map[string]bool{}, loading: map[string]pendingLoad{}, running: map[string]int{}, adapters: map[string]engineapi.AdapterOrder{}}}
 	for i := range domains {
 		client := storetest.NewClient(memory)
-		book := NewBook(client, "java", hclog.NewNullLogger())
-		book.Apply(d)
-		k := NewKeeper(KeeperConfig{
-			Node: fmt.Sprint("vm-", i), Environment: "java", Store: client, Engines: s.fleet, Book: book,
-			Record: s.fleet, Log: hclog.NewNullLogger(),
-			Turn:    func(_, domain string) bool { return domain == domainName(i) },
-			Members: func() any { return 0 },
+		cache := NewCache(client, "java", hclog.NewNullLogger())
+		cache.Apply(d)
+		k := NewController(ControllerConfig{
+			Node: fmt.Sprint("vm-", i), Environment: "java", Store: client, EngineClient: s.fakeEngines, Cache: cache,
+			Recorder: s.fakeEngines, Log: hclog.NewNullLogger(),
+			IsOwner:           func(_, domain string) bool { return domain == domainName(i) },
+			MembershipVersion: func() any { return 0 },
 		})
 		k.Apply(d)
-		s.keepers = append(s.keepers, k)
+		s.controllers = append(s.controllers, k)
 	}
 	return s
 }
@@ -152,28 +152,28 @@
 	return doc
 }
 
-// run plays rounds, one a second, and returns the most replicas that were not whole
+// runRounds plays rounds, one a second, and returns the most replicas that were not whole
 // by their plan at once, from the given second on.
-func (s *site) run(seconds, from int, each func()) int {
-	worst := 0
-	for second := range seconds {
-		each()
-		for _, k := range s.keepers {
+func (s *cluster) runRounds(rounds, countFrom int, beforeRound func()) int {
+	maxNotReady := 0
+	for round := range rounds {
+		beforeRound()
+		for _, k := range s.controllers {
 			k.round(context.Background(), s.now)
 		}
-		if second >= from {
-			worst = max(worst, s.moving())
+		if round >= countFrom {
+			maxNotReady = max(maxNotReady, s.notReady())
 		}
 		s.now = s.now.Add(time.Second)
 	}
-	return worst
+	return maxNotReady
 }
 
-func (s *site) moving() int {
+func (s *cluster) notReady() int {
 	n := 0
-	for _, k := range s.keepers {
-		for name := range k.kept {
-			stages, version, _ := k.cfg.Book.Plan(name.model, name.replica)
+	for _, k := range s.controllers {
+		for name := range k.managed {
+			stages, version, _ := k.cfg.Cache.Plan(name.model, name.replica)
 			if slices.ContainsFunc(stages, func(st document.Stage) bool {
 				want := engineapi.Holding{Model: model, First: st.Layers[0], Last: st.Layers[1], PlacementVersion: version}
 				return s.holds[st.Endpoint] != want
@@ -185,17 +185,17 @@
 	return n
 }
 
-func nothing() {}
+func noAction() {}
 
 // Callers get the first replica back in the time of its own loads. Two failure
 // domains come back empty at once, each kept by another node; paced each for itself
 // they share the weight store's rate, and nothing serves until all is loaded.
-func TestLoadsArePacedTogether(t *testing.T) {
-	s := newSite(t, 2, 2, 1)
-	s.run(2*layers+4, 0, nothing)
-	ordered := slices.Sorted(maps.Values(s.loads))
-	if len(ordered) < 4 || s.moving() != 0 {
-		t.Fatalf("ordered at %v, %d replicas not whole", ordered, s.moving())
+func TestDomainsShareLoadSchedule(t *testing.T) {
+	s := newCluster(t, 2, 2, 1)
+	s.runRounds(2*layers+4, 0, noAction)
+	ordered := slices.Sorted(maps.Values(s.orderedAt))
+	if len(ordered) < 4 || s.notReady() != 0 {
+		t.Fatalf("ordered at %v, %d replicas not whole", ordered, s.notReady())
 	}
 	t.Logf("loads begin at %v", ordered)
 	// Each engine holds a part of 8 MB of layers; the rate is 1 MB a second.
@@ -204,61 +204,61 @@
 		if at < loaded {
 			t.Errorf("a load begins at %v, the one before takes until %v: %v", at, loaded, ordered)
 		}
-		loaded += s.shortest() // no engine's part is shorter
+		loaded += s.shortestLoad() // no engine's part is shorter
 	}
-	again := len(s.loads)
+	loadCount := len(s.orderedAt)
 	clear(s.holds) // a rack comes back empty
 	clear(s.loading)
-	clear(s.loads)
-	back := s.now.Sub(epoch)
-	s.run(2*layers+4, 0, nothing)
-	ordered = slices.Sorted(maps.Values(s.loads))
-	if len(ordered) != again || ordered[again-1] < back+layers*time.Second {
-		t.Errorf("back at %v, ordered at %v: all at once", back, ordered)
+	clear(s.orderedAt)
+	returnedAt := s.now.Sub(startTime)
+	s.runRounds(2*layers+4, 0, noAction)
+	ordered = slices.Sorted(maps.Values(s.orderedAt))
+	if len(ordered) != loadCount || ordered[loadCount-1] < returnedAt+layers*time.Second {
+		t.Errorf("back at %v, ordered at %v: all at once", returnedAt, ordered)
 	}
 }
 
-// shortest is the time of the shortest load.
-func (s *site) shortest() time.Duration {
-	least := layers
+// shortestLoad is the time of the shortestLoad load.
+func (s *cluster) shortestLoad() time.Duration {
+	fewestLayers := layers
 	for _, h := range s.holds {
-		least = min(least, h.Last-h.First+1)
+		fewestLayers = min(fewestLayers, h.Last-h.First+1)
 	}
-	return time.Duration(least) * time.Second
+	return time.Duration(fewestLayers) * time.Second
 }
 
 // Callers keep two of three replicas while all three move. A switch makes the same
 // link of every replica bad, so all plans are due in the same second; each plan
 // that is agreed stops its replica until its layers are loaded.
-func TestReplicasMoveOneAtATime(t *testing.T) {
-	s := newSite(t, 3, 1, 0)
-	s.loadFor = 3 * time.Second
-	k := s.keepers[0]
-	s.run(3*layers+6, 0, nothing)
+func TestReplicasReloadOneAtATime(t *testing.T) {
+	s := newCluster(t, 3, 1, 0)
+	s.loadTime = 3 * time.Second
+	k := s.controllers[0]
+	s.runRounds(3*layers+6, 0, noAction)
 	versions := func() (sum int64) {
 		for i := range 3 {
-			_, v, _ := k.cfg.Book.Plan(model, fmt.Sprint("replica-", i))
+			_, v, _ := k.cfg.Cache.Plan(model, fmt.Sprint("replica-", i))
 			sum += v
 		}
 		return sum
 	}
 	before := versions()
-	measured := func() { s.observe(k) }
-	worst := s.run(120, 0, measured)
-	if worst != 1 {
-		t.Errorf("%d replicas moved at once, want 1", worst)
+	measured := func() { s.observeHops(k) }
+	maxNotReady := s.runRounds(120, 0, measured)
+	if maxNotReady != 1 {
+		t.Errorf("%d replicas moved at once, want 1", maxNotReady)
 	}
-	if after := versions(); after <= before+2 || s.moving() != 0 {
-		t.Errorf("the plans did not all change: versions %d, then %d; %d not whole", before, after, s.moving())
+	if after := versions(); after <= before+2 || s.notReady() != 0 {
+		t.Errorf("the plans did not all change: versions %d, then %d; %d not whole", before, after, s.notReady())
 	}
 }
 
-// observe tells the times of each replica's present hops: a millisecond a layer,
+// observeHops tells the times of each replica's present hops: a millisecond a layer,
 // and 50 ms for the link behind the first engine.
-func (s *site) observe(k *Keeper) {
+func (s *cluster) observeHops(k *Controller) {
 	for i := range 3 {
 		name := fmt.Sprint("replica-", i)
-		stages, _, _ := k.cfg.Book.Plan(model, name)
+		stages, _, _ := k.cfg.Cache.Plan(model, name)
 		var hops []stream.Hop
 		for j, st := range stages {
 			micros := 1000 * float64(st.Layers[1]-st.Layers[0]+1)
@@ -273,19 +273,19 @@
 
 // Callers keep the only replica that serves: the others do not answer, and a plan
 // that is better by measure must not stop the last one.
-func TestLastReplicaIsNotMoved(t *testing.T) {
-	s := newSite(t, 3, 1, 1)
-	k := s.keepers[0]
-	s.run(3*layers+6, 0, nothing)
+func TestLastServingReplicaIsNotReloaded(t *testing.T) {
+	s := newCluster(t, 3, 1, 1)
+	k := s.controllers[0]
+	s.runRounds(3*layers+6, 0, noAction)
 	for _, i := range []int{1, 2} {
 		for _, stage := range []string{"a", "b", "c"} {
-			s.silent[fmt.Sprint("engine-", i, stage)] = true
+			s.unreachable[fmt.Sprint("engine-", i, stage)] = true
 		}
 	}
-	s.run(10, 0, nothing) // every engine is asked once
-	_, before, _ := k.cfg.Book.Plan(model, "replica-0")
-	s.run(60, 0, func() { s.observe(k) })
-	if _, after, _ := k.cfg.Book.Plan(model, "replica-0"); after != before {
+	s.runRounds(10, 0, noAction) // every engine is asked once
+	_, before, _ := k.cfg.Cache.Plan(model, "replica-0")
+	s.runRounds(60, 0, func() { s.observeHops(k) })
+	if _, after, _ := k.cfg.Cache.Plan(model, "replica-0"); after != before {
 		t.Errorf("the last replica was stopped for version %d", after)
 	}
 }
@@ -294,7 +294,7 @@
 // itself reports that its layers are as quick as ever, and the plan goes past the
 // link. Without its report the whole hop would count as its layers, and the plan would
 // leave the fast engine out.
-func TestSlowLinkIsNotSlowLayers(t *testing.T) {
+func TestSlowLinkIsNotCountedAsSlowLayers(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{
 		{Name: "fast", LayerMicros: 1000, MemoryMegabytes: 100},
@@ -303,11 +303,11 @@
 	for i, kind := range []string{"fast", "slow", "slow"} {
 		doc.Endpoints[i].Accelerator = kind
 	}
-	s := siteOf(t, doc, 1)
-	k := s.keepers[0]
-	s.run(5, 0, nothing)
-	s.run(60, 0, func() {
-		stages, _, _ := k.cfg.Book.Plan(model, "replica-0")
+	s := clusterOf(t, doc, 1)
+	k := s.controllers[0]
+	s.runRounds(5, 0, noAction)
+	s.runRounds(60, 0, func() {
+		stages, _, _ := k.cfg.Cache.Plan(model, "replica-0")
 		var hops []stream.Hop
 		for i, st := range stages {
 			step := 1000 * float64(st.Layers[1]-st.Layers[0]+1)
@@ -322,7 +322,7 @@
 		}
 		k.Observe(model, "replica-0", hops)
 	})
-	stages, _, _ := k.cfg.Book.Plan(model, "replica-0")
+	stages, _, _ := k.cfg.Cache.Plan(model, "replica-0")
 	if stages[0].Endpoint != "engine-0a" || stages[len(stages)-1].Endpoint == "engine-0b" {
 		t.Errorf("the plan is %+v", stages)
 	}
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -9,55 +9,55 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// drainLimit is how long engines may finish their streams before they take other
+// drainTimeout is how long engines may finish their streams before they take other
 // weights. An answer of 4,000 tokens at the 36 ms between tokens that callers are
 // promised takes 144 s. A stream that is still there then goes on elsewhere with
 // the weights that it began with, as long as a replica has them.
-const drainLimit = 150 * time.Second
+const drainTimeout = 150 * time.Second
 
-// may says whether a plan decided for a reason may be agreed now.
-func (k *Keeper) may(ctx context.Context, now time.Time, kept *keptReplica, reason string) (bool, error) {
+// mayCommit says whether a plan decided for a reason mayCommit be agreed now.
+func (k *Controller) mayCommit(ctx context.Context, now time.Time, managed *managedReplica, reason string) (bool, error) {
 	switch reason {
 	case reasonMeasured:
-		return k.mayMove(ctx, now, kept)
+		return k.mayReload(ctx, now, managed)
 	case reasonVersion:
-		return k.mayRoll(ctx, now, kept)
+		return k.mayRollOut(ctx, now, managed)
 	default:
 		return true, nil // it serves nobody
 	}
 }
 
-// mayRoll says whether it is a replica's turn to take the document's version. One
+// mayRollOut says whether it is a replica's turn to take the document's version. One
 // that serves also waits for the weight store, or it would stand empty until its
 // load's turn.
-func (k *Keeper) mayRoll(ctx context.Context, now time.Time, kept *keptReplica) (bool, error) {
-	rollout, known := k.rollouts[kept.open.place]
+func (k *Controller) mayRollOut(ctx context.Context, now time.Time, managed *managedReplica) (bool, error) {
+	rollout, known := k.rollouts[managed.spec.key]
 	if !known {
-		rollout = k.rollout(kept.open)
-		k.rollouts[kept.open.place] = rollout
+		rollout = k.rollout(managed.spec)
+		k.rollouts[managed.spec.key] = rollout
 	}
-	if !contains(rollout.Start, kept.open.name) {
+	if !contains(rollout.Start, managed.spec.name) {
 		return false, nil
 	}
-	if kept.state != placement.Ready {
+	if managed.state != placement.Ready {
 		return true, nil
 	}
-	pace, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
-	return err == nil && pace.Free(now), err
+	schedule, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
+	return err == nil && schedule.Free(now), err
 }
 
-func (k *Keeper) rollout(open openReplica) placement.Rollout {
+func (k *Controller) rollout(spec replicaSpec) placement.Rollout {
 	var candidates []placement.RolloutReplica
-	for _, other := range k.kept {
-		if other.open.place != open.place {
+	for _, other := range k.managed {
+		if other.spec.key != spec.key {
 			continue
 		}
-		agreed, _ := k.cfg.Book.Agreed(open.place.model, other.open.name)
+		replicaPlan, _ := k.cfg.Cache.Agreed(spec.key.model, other.spec.name)
 		candidates = append(candidates, placement.RolloutReplica{
-			Name: other.open.name, Version: agreed.Weights, State: other.state, RunningStreams: other.running(),
+			Name: other.spec.name, Version: replicaPlan.Weights, State: other.state, RunningStreams: other.runningStreams(),
 		})
 	}
-	return placement.NextRollout(open.model.Version, open.model.Rollout(), candidates)
+	return placement.NextRollout(spec.model.Version, spec.model.Rollout(), candidates)
 }
 
 func contains(names []string, name string) bool {
@@ -69,10 +69,10 @@
 	return false
 }
 
-// running is how many streams the engine with the most works on.
-func (kept *keptReplica) running() int {
+// runningStreams is how many streams the engine with the most works on.
+func (managed *managedReplica) runningStreams() int {
 	most := 0
-	for _, r := range kept.reports {
+	for _, r := range managed.reports {
 		most = max(most, r.Running)
 	}
 	return most
@@ -87,26 +87,26 @@
 // chain to read its prompt again. The order to drain carries the plan's new number,
 // so from then on the check at use keeps new streams away whichever plan a node
 // knows.
-func (k *Keeper) drain(ctx context.Context, now time.Time, kept *keptReplica, differ []due) bool {
-	done := true
-	for _, each := range differ {
-		held := each.holding.Holding
+func (k *Controller) drain(ctx context.Context, now time.Time, managed *managedReplica, pending []pendingOrder) bool {
+	drained := true
+	for _, each := range pending {
+		held := each.report.Holding
 		if held.Model != each.order.Model || held.Weights == each.order.Weights {
 			continue
 		}
-		if kept.drained.IsZero() {
-			kept.drained = now
+		if managed.drainStartedAt.IsZero() {
+			managed.drainStartedAt = now
 		}
 		drain := engineapi.Order(held)
 		drain.PlacementVersion = each.order.PlacementVersion
 		drain.Role = engineapi.RoleDrain
 		if held != engineapi.Holding(drain) {
-			k.send(ctx, kept.open, due{each.endpoint, drain, each.holding})
-			done = false
+			k.sendOrder(ctx, managed.spec, pendingOrder{each.endpoint, drain, each.report})
+			drained = false
 		}
-		if each.holding.Running > 0 {
-			done = false
+		if each.report.Running > 0 {
+			drained = false
 		}
 	}
-	return done || now.Sub(kept.drained) >= drainLimit
+	return drained || now.Sub(managed.drainStartedAt) >= drainTimeout
 }
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -16,38 +16,38 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// promote puts a document in force at every node.
-func (s *site) promote(doc *document.Document) {
+// applyDocument puts a document in force at every node.
+func (s *cluster) applyDocument(doc *document.Document) {
 	d := docindex.Build(doc, 1, "digest")
-	for _, k := range s.keepers {
-		k.cfg.Book.Apply(d)
+	for _, k := range s.controllers {
+		k.cfg.Cache.Apply(d)
 		k.Apply(d)
 	}
 }
 
-func versionOf(doc *document.Document, version string) *document.Document {
+func withVersion(doc *document.Document, version string) *document.Document {
 	doc.Services[0].Model.Version = version
 	return doc
 }
 
 // serving counts the replicas whose engines all hold a version and take new streams.
-func (s *site) serving(replicas int, version string) int {
+func (s *cluster) serving(replicas int, version string) int {
 	n := 0
 	for i := range replicas {
-		whole := true
-		for _, st := range s.agreed(i).Stages {
+		ready := true
+		for _, st := range s.replicaPlan(i).Stages {
 			h := s.holds[st.Endpoint]
-			whole = whole && h.Weights == version && h.Role == engineapi.RoleBoth && h.Last == st.Last
+			ready = ready && h.Weights == version && h.Role == engineapi.RoleBoth && h.Last == st.Last
 		}
-		if whole {
+		if ready {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *site) agreed(i int) plan.Replica {
-	agreed, _ := s.keepers[0].cfg.Book.Agreed(model, fmt.Sprint("replica-", i))
+func (s *cluster) replicaPlan(i int) plan.Replica {
+	agreed, _ := s.controllers[0].cfg.Cache.Agreed(model, fmt.Sprint("replica-", i))
 	return agreed
 }
 
@@ -55,39 +55,39 @@
 // began. A new version is promoted while each replica works on streams that take
 // five more seconds; a replica that is to change takes no new ones, ends these, loads
 // at the weight store's rate, and the next two begin when it is free.
-func TestVersionIsRolledOut(t *testing.T) {
+func TestRolloutKeepsHalfOfReplicas(t *testing.T) {
 	const replicas, rate = 4, 4
-	s := siteOf(t, versionOf(documentOf(replicas, 1, rate), "v1"), 1)
-	s.loadFor = 2 * time.Second // a replica's 8 MB at 4 MB/s
-	s.run(30, 0, nothing)
+	s := clusterOf(t, withVersion(documentOf(replicas, 1, rate), "v1"), 1)
+	s.loadTime = 2 * time.Second // a replica's 8 MB at 4 MB/s
+	s.runRounds(30, 0, noAction)
 	if n := s.serving(replicas, "v1"); n != replicas {
 		t.Fatalf("%d of %d replicas serve", n, replicas)
 	}
 	for i := range replicas {
-		s.running[s.agreed(i).Stages[0].Endpoint] = 1
+		s.running[s.replicaPlan(i).Stages[0].Endpoint] = 1
 	}
-	s.promote(versionOf(documentOf(replicas, 1, rate), "v2"))
-	clear(s.loads)
-	drainedAt := map[string]time.Time{}
-	least := replicas
-	s.run(60, 0, func() {
+	s.applyDocument(withVersion(documentOf(replicas, 1, rate), "v2"))
+	clear(s.orderedAt)
+	drainOrderedAt := map[string]time.Time{}
+	minServing := replicas
+	s.runRounds(60, 0, func() {
 		for name, h := range s.holds {
-			if h.Role == engineapi.RoleDrain && drainedAt[name].IsZero() {
-				drainedAt[name] = s.now
+			if h.Role == engineapi.RoleDrain && drainOrderedAt[name].IsZero() {
+				drainOrderedAt[name] = s.now
 			}
-			if at := drainedAt[name]; !at.IsZero() && s.now.Sub(at) >= 5*time.Second {
+			if at := drainOrderedAt[name]; !at.IsZero() && s.now.Sub(at) >= 5*time.Second {
 				s.running[name] = 0
 			}
 		}
-		least = min(least, s.serving(replicas, "v1")+s.serving(replicas, "v2"))
+		minServing = min(minServing, s.serving(replicas, "v1")+s.serving(replicas, "v2"))
 	})
-	if n := s.serving(replicas, "v2"); n != replicas || least != replicas/2 || s.cut != 0 {
-		t.Errorf("%d of %d replicas on the new version, at least %d served, %d engines changed under streams", n, replicas, least, s.cut)
+	if n := s.serving(replicas, "v2"); n != replicas || minServing != replicas/2 || s.interrupted != 0 {
+		t.Errorf("%d of %d replicas on the new version, at least %d served, %d engines changed under streams", n, replicas, minServing, s.interrupted)
 	}
 	// An engine has two or three of the eight layers of a megabyte each, so at 4 MB/s
 	// no more than two loads begin in a second.
 	perSecond := map[time.Duration]int{}
-	for _, at := range s.loads {
+	for _, at := range s.orderedAt {
 		perSecond[at]++
 	}
 	for at, n := range perSecond {
@@ -99,46 +99,46 @@
 
 // Callers keep half of the replicas though the new version cannot be loaded. The
 // roll-out stops by itself, and goes back with the document.
-func TestBrokenVersionStops(t *testing.T) {
+func TestRolloutOfBrokenVersionStops(t *testing.T) {
 	const replicas = 4
-	s := siteOf(t, versionOf(documentOf(replicas, 1, 0), "v1"), 1)
-	s.run(30, 0, nothing)
-	s.broken = "v2"
-	s.promote(versionOf(documentOf(replicas, 1, 0), "v2"))
-	s.run(60, 0, nothing)
+	s := clusterOf(t, withVersion(documentOf(replicas, 1, 0), "v1"), 1)
+	s.runRounds(30, 0, noAction)
+	s.brokenVersion = "v2"
+	s.applyDocument(withVersion(documentOf(replicas, 1, 0), "v2"))
+	s.runRounds(60, 0, noAction)
 	if n := s.serving(replicas, "v1"); n != replicas/2 {
 		t.Errorf("%d of %d replicas serve", n, replicas)
 	}
-	s.promote(versionOf(documentOf(replicas, 1, 0), "v1"))
-	s.run(30, 0, nothing)
+	s.applyDocument(withVersion(documentOf(replicas, 1, 0), "v1"))
+	s.runRounds(30, 0, noAction)
 	if n := s.serving(replicas, "v1"); n != replicas {
 		t.Errorf("%d of %d replicas are back", n, replicas)
 	}
 }
 
 // An engine that works on a stream for ever does not hold a roll-out up for ever.
-func TestDrainEnds(t *testing.T) {
-	s := siteOf(t, versionOf(documentOf(2, 1, 0), "v1"), 1)
-	s.run(10, 0, nothing)
+func TestDrainTimesOut(t *testing.T) {
+	s := clusterOf(t, withVersion(documentOf(2, 1, 0), "v1"), 1)
+	s.runRounds(10, 0, noAction)
 	s.running["engine-0a"] = 1
-	s.run(2, 0, nothing) // its engines have told
-	s.promote(versionOf(documentOf(2, 1, 0), "v2"))
-	s.run(int(drainLimit/time.Second)-5, 0, nothing)
+	s.runRounds(2, 0, noAction) // its engines have told
+	s.applyDocument(withVersion(documentOf(2, 1, 0), "v2"))
+	s.runRounds(int(drainTimeout/time.Second)-5, 0, noAction)
 	if n := s.serving(2, "v2"); n != 1 {
 		t.Errorf("%d replicas on the new version before the limit, want 1", n)
 	}
-	s.run(20, 0, nothing)
+	s.runRounds(20, 0, noAction)
 	if n := s.serving(2, "v2"); n != 2 {
 		t.Errorf("%d replicas on the new version after the limit, want 2", n)
 	}
 }
 
-func adaptersOf(doc *document.Document, version string) *document.Document {
+func withAdapters(doc *document.Document, version string) *document.Document {
 	doc.Services[0].Model.Adapters = []document.Adapter{{Name: "notes", Version: version, Bytes: 3 * megabyte, Replicas: 2}}
 	return doc
 }
 
-func (s *site) holding(a engineapi.Adapter) int {
+func (s *cluster) enginesHolding(a engineapi.Adapter) int {
 	n := 0
 	for _, held := range s.adapters {
 		if slices.Contains(held.Adapters, a) {
@@ -151,53 +151,55 @@
 // Callers of an adapter find it on two replicas, which serve all others meanwhile.
 // Its loads wait for each other, an engine that lost it gets it again, and one that
 // took a higher number from someone else gets it under a higher one still.
-func TestAdaptersAreOrdered(t *testing.T) {
+func TestAdaptersAreLoadedAndRestored(t *testing.T) {
 	notes := engineapi.Adapter{Name: "notes", Version: "1"}
-	s := siteOf(t, documentOf(3, 1, 1), 1)
-	s.run(40, 0, nothing)
-	s.promote(adaptersOf(documentOf(3, 1, 1), "1"))
-	s.run(20, 0, nothing)
+	s := clusterOf(t, documentOf(3, 1, 1), 1)
+	s.runRounds(40, 0, noAction)
+	s.applyDocument(withAdapters(documentOf(3, 1, 1), "1"))
+	s.runRounds(20, 0, noAction)
 	engines := 0
 	for i := range 3 {
-		if len(s.agreed(i).Adapters) > 0 {
-			engines += len(s.agreed(i).Stages)
+		if len(s.replicaPlan(i).Adapters) > 0 {
+			engines += len(s.replicaPlan(i).Stages)
 		}
 	}
-	if n := s.holding(notes); engines == 0 || n != engines {
+	if n := s.enginesHolding(notes); engines == 0 || n != engines {
 		t.Fatalf("%d engines hold the adapter, want %d", n, engines)
 	}
 	// The second replica's load of 3 MB at 1 MB/s begins when the first one's is over.
-	if first, last := s.added[0], s.added[len(s.added)-1]; last-first < 3*time.Second {
-		t.Errorf("loads at %v, all at once", s.added)
+	if first, last := s.adapterOrderTimes[0], s.adapterOrderTimes[len(s.adapterOrderTimes)-1]; last-first < 3*time.Second {
+		t.Errorf("loads at %v, all at once", s.adapterOrderTimes)
 	}
 	var name string
 	for name = range s.adapters {
 		break
 	}
 	s.adapters[name] = engineapi.AdapterOrder{Version: 1000}
-	before := s.agreed(0).Version
-	s.run(20, 0, nothing)
-	if n := s.holding(notes); n != engines || s.agreed(0).Version != before {
-		t.Errorf("%d engines hold the adapter, want %d; the layers' plan went from %d to %d", n, engines, before, s.agreed(0).Version)
-	}
-	s.promote(adaptersOf(documentOf(3, 1, 1), "2"))
-	least := engines
-	s.run(40, 0, func() { least = min(least, s.holding(notes)+s.holding(engineapi.Adapter{Name: "notes", Version: "2"})) })
-	if n := s.holding(engineapi.Adapter{Name: "notes", Version: "2"}); n != engines || s.holding(notes) != 0 || least < engines {
-		t.Errorf("%d engines hold the new version, %d the old one; at least %d held either", n, s.holding(notes), least)
+	before := s.replicaPlan(0).Version
+	s.runRounds(20, 0, noAction)
+	if n := s.enginesHolding(notes); n != engines || s.replicaPlan(0).Version != before {
+		t.Errorf("%d engines hold the adapter, want %d; the layers' plan went from %d to %d", n, engines, before, s.replicaPlan(0).Version)
+	}
+	s.applyDocument(withAdapters(documentOf(3, 1, 1), "2"))
+	minHolding := engines
+	s.runRounds(40, 0, func() {
+		minHolding = min(minHolding, s.enginesHolding(notes)+s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}))
+	})
+	if n := s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}); n != engines || s.enginesHolding(notes) != 0 || minHolding < engines {
+		t.Errorf("%d engines hold the new version, %d the old one; at least %d held either", n, s.enginesHolding(notes), minHolding)
 	}
 }
 
 // Callers of a busy adapter get a third replica. Every stream that its holders are
 // opened for counts, whichever node it came through, as the engines tell; nothing
 // else is added while the load is underway, or later, while one of them is idle.
-func TestBusyAdapterIsSpread(t *testing.T) {
-	s := siteOf(t, adaptersOf(documentOf(4, 1, 0), "1"), 1)
-	s.run(20, 0, nothing)
+func TestBusyAdapterGetsThirdReplica(t *testing.T) {
+	s := clusterOf(t, withAdapters(documentOf(4, 1, 0), "1"), 1)
+	s.runRounds(20, 0, noAction)
 	s.uses = map[string]uint64{}
 	holders := func() (n int) {
 		for i := range 4 {
-			if len(s.agreed(i).Adapters) > 0 {
+			if len(s.replicaPlan(i).Adapters) > 0 {
 				n++
 			}
 		}
@@ -207,11 +209,11 @@
 		t.Fatalf("%d replicas are to hold the adapter, want 2", n)
 	}
 	for i := range 4 {
-		if len(s.agreed(i).Adapters) > 0 {
-			s.running[s.agreed(i).Stages[0].Endpoint] = assumedSlots
+		if len(s.replicaPlan(i).Adapters) > 0 {
+			s.running[s.replicaPlan(i).Stages[0].Endpoint] = assumedSlots
 		}
 	}
-	s.run(30, 0, func() { s.uses = map[string]uint64{"notes@1": uint64(s.now.Sub(epoch) / time.Second)} })
+	s.runRounds(30, 0, func() { s.uses = map[string]uint64{"notes@1": uint64(s.now.Sub(startTime) / time.Second)} })
 	if n := holders(); n != 3 {
 		t.Errorf("%d replicas are to hold the adapter, want 3", n)
 	}
@@ -219,13 +221,13 @@
 
 // Callers at every node reach a replica that gained an adapter. Nothing there shows a
 // node that its plan is old, as the holders that it knows are as they were.
-func TestNewHoldersAreLearnt(t *testing.T) {
-	s := siteOf(t, adaptersOf(documentOf(4, 1, 0), "1"), 1)
-	s.run(20, 0, nothing)
-	other := NewBook(s.keepers[0].cfg.Store, "java", hclog.NewNullLogger())
-	now := epoch
+func TestCacheLearnsNewAdapterReplicas(t *testing.T) {
+	s := clusterOf(t, withAdapters(documentOf(4, 1, 0), "1"), 1)
+	s.runRounds(20, 0, noAction)
+	other := NewCache(s.controllers[0].cfg.Store, "java", hclog.NewNullLogger())
+	now := startTime
 	other.now = func() time.Time { return now }
-	other.Apply(s.keepers[0].directory)
+	other.Apply(s.controllers[0].directory)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
 	go other.Run(ctx)
@@ -243,23 +245,23 @@
 		}
 	}
 	await(2)
-	doc := adaptersOf(documentOf(4, 1, 0), "1")
+	doc := withAdapters(documentOf(4, 1, 0), "1")
 	doc.Services[0].Model.Adapters[0].Replicas = 4
-	s.promote(doc)
-	s.run(10, 0, nothing)
+	s.applyDocument(doc)
+	s.runRounds(10, 0, noAction)
 	now = now.Add(adapterRefresh)
 	await(4)
 }
 
 // A replica that takes a new version keeps its adapters: they are neither dropped
 // from its plan nor ordered again under a new number.
-func TestPlansKeepAdapters(t *testing.T) {
-	s := siteOf(t, adaptersOf(versionOf(documentOf(2, 1, 0), "v1"), "1"), 1)
-	s.run(10, 0, nothing)
-	before := []int64{s.agreed(0).AdapterVersion, s.agreed(1).AdapterVersion}
-	s.promote(adaptersOf(versionOf(documentOf(2, 1, 0), "v2"), "1"))
-	s.run(30, 0, nothing)
-	record, _, err := plan.Load(context.Background(), s.keepers[0].cfg.Store, plan.Key("java", model, domainName(0)))
+func TestNewVersionKeepsAdapters(t *testing.T) {
+	s := clusterOf(t, withAdapters(withVersion(documentOf(2, 1, 0), "v1"), "1"), 1)
+	s.runRounds(10, 0, noAction)
+	before := []int64{s.replicaPlan(0).AdapterVersion, s.replicaPlan(1).AdapterVersion}
+	s.applyDocument(withAdapters(withVersion(documentOf(2, 1, 0), "v2"), "1"))
+	s.runRounds(30, 0, noAction)
+	record, _, err := plan.Load(context.Background(), s.controllers[0].cfg.Store, plan.Key("java", model, domainName(0)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -269,7 +271,7 @@
 		}
 	}
 	for i, version := range before {
-		if now := s.agreed(i).AdapterVersion; version == 0 || now != version {
+		if now := s.replicaPlan(i).AdapterVersion; version == 0 || now != version {
 			t.Errorf("the adapters of replica %d went from version %d to %d", i, version, now)
 		}
 	}
@@ -277,15 +279,15 @@
 
 // Callers get a replica back whose engine someone else has ordered into another
 // role: its report differs from the plan, and the keeper orders it anew.
-func TestRoleIsOrderedBack(t *testing.T) {
-	s := newSite(t, 1, 1, 0)
-	s.run(5, 0, nothing)
-	name := s.agreed(0).Stages[0].Endpoint
+func TestForeignRoleIsCorrected(t *testing.T) {
+	s := newCluster(t, 1, 1, 0)
+	s.runRounds(5, 0, noAction)
+	name := s.replicaPlan(0).Stages[0].Endpoint
 	other := s.holds[name]
 	other.Role = engineapi.RolePrefill
 	s.holds[name] = other
 	delete(s.loading, name)
-	s.run(5, 0, nothing)
+	s.runRounds(5, 0, noAction)
 	if got := s.holds[name].Role; got != engineapi.RoleBoth {
 		t.Errorf("the engine's role is %q", got)
 	}
@@ -293,21 +295,21 @@
 
 // Callers keep a replica that would only stand empty: the weight store's next minute
 // is given away to other loads, and the roll-out begins when it is free.
-func TestRollOutWaitsForTheWeightStore(t *testing.T) {
+func TestRolloutWaitsForWeightStore(t *testing.T) {
 	const busy = 60
-	s := siteOf(t, versionOf(documentOf(2, 1, 1), "v1"), 1)
-	s.run(30, 0, nothing)
+	s := clusterOf(t, withVersion(documentOf(2, 1, 1), "v1"), 1)
+	s.runRounds(30, 0, noAction)
 	key := plan.PaceKey("java")
-	if _, err := plan.Book(context.Background(), s.keepers[0].cfg.Store, key, "other", s.now, []time.Duration{busy * time.Second}); err != nil {
+	if _, err := plan.Book(context.Background(), s.controllers[0].cfg.Store, key, "other", s.now, []time.Duration{busy * time.Second}); err != nil {
 		t.Fatal(err)
 	}
-	s.promote(versionOf(documentOf(2, 1, 1), "v2"))
-	s.run(busy, 0, func() {
+	s.applyDocument(withVersion(documentOf(2, 1, 1), "v2"))
+	s.runRounds(busy, 0, func() {
 		if n := s.serving(2, "v1"); n != 2 {
 			t.Fatalf("%d of 2 replicas serve while the weight store is busy", n)
 		}
 	})
-	s.run(40, 0, nothing)
+	s.runRounds(40, 0, noAction)
 	if n := s.serving(2, "v2"); n != 2 {
 		t.Errorf("%d of 2 replicas are on the new version", n)
 	}
@@ -315,31 +317,31 @@
 
 // Callers keep what another node has just agreed. Its keeper looked at other reports
 // and gave the replica an adapter; this node, whose record is older, takes it out.
-func TestAdaptersOfAnotherKeeperStay(t *testing.T) {
-	s := siteOf(t, adaptersOf(documentOf(2, 1, 0), "1"), 1)
-	s.run(10, 0, nothing)
-	k := s.keepers[0]
-	at := place{model, domainName(0)}
+func TestAdaptersOfOtherControllerAreKept(t *testing.T) {
+	s := clusterOf(t, withAdapters(documentOf(2, 1, 0), "1"), 1)
+	s.runRounds(10, 0, noAction)
+	k := s.controllers[0]
+	key := recordKey{model, domainName(0)}
 	both := []plan.Adapter{{Name: "notes", Version: "1"}, {Name: "plans", Version: "1"}}
-	record, err := plan.Agree(context.Background(), k.cfg.Store, plan.Key("java", model, at.domain), "other", func(r *plan.Record) bool {
+	record, err := plan.Agree(context.Background(), k.cfg.Store, plan.Key("java", model, key.domain), "other", func(r *plan.Record) bool {
 		return r.PutAdapters("replica-0", both)
 	})
 	if err == nil {
-		err = k.agreeAdapters(context.Background(), at, []adapters.Change{{Replica: "replica-0"}})
+		err = k.commitAdapters(context.Background(), key, []adapters.Change{{Replica: "replica-0"}})
 	}
-	if got := s.agreed(0); err != nil || len(got.Adapters) != 2 || got.AdapterVersion != record.Version {
+	if got := s.replicaPlan(0); err != nil || len(got.Adapters) != 2 || got.AdapterVersion != record.Version {
 		t.Errorf("%+v: %v", got, err)
 	}
 }
 
 // The engine with the least room counts: it keeps its layers' part of each adapter.
-func TestAdapterRoom(t *testing.T) {
+func TestAdapterMemoryOfTightestEngine(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{{Name: "wide", MemoryMegabytes: 100}, {Name: "tight", MemoryMegabytes: 5}}
 	doc.Endpoints[0].Accelerator, doc.Endpoints[1].Accelerator, doc.Endpoints[2].Accelerator = "wide", "tight", "wide"
 	d := docindex.Build(doc, 1, "digest")
 	agreed := plan.Replica{Stages: []plan.Stage{{Endpoint: "engine-0a", Last: 1}, {Endpoint: "engine-0b", First: 2, Last: 5}, {Endpoint: "engine-0c", First: 6, Last: 7}}}
-	if got := adapterRoom(d, openReplicas(d)[0], agreed); got != 2*megabyte {
+	if got := adapterMemory(d, replicaSpecs(d)[0], agreed); got != 2*megabyte {
 		t.Errorf("room for %d bytes, want %d", got, 2*megabyte) // 1 MB for half of the layers
 	}
 }
