--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -16,22 +16,22 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// adapterState is what a keeper knows of one replica's adapters.
+// adapterState is what the controller knows about the adapters of one replica.
 type adapterState struct {
-	// reservedVersion is the time at the weight store that an order for adapters was given,
-	// by its version; zero if none is due.
+	// reservedVersion is the version of the adapter order for which load time at the weight
+	// store is reserved, or zero if no order is due. loadAt is the start of that time.
 	reservedVersion int64
 	loadAt          time.Time
-	// useCounts and at are the uses that the first engine last told, and when; rates
-	// are uses a second.
+	// useCounts are the uses per adapter that the first engine last reported, countedAt
+	// the time of that report, and useRates the uses per second since the previous report.
 	useCounts map[string]uint64
 	countedAt time.Time
 	useRates  map[adapters.Adapter]float64
 }
 
-// updateUseRates takes the first engine's counts. Every stream of the replica is opened
-// there, whichever node it comes through, so demand needs no messages between
-// nodes.
+// updateUseRates computes the use rates from the use counts that the first engine reports.
+// All nodes open the replica's streams at its first engine, so nodes need not exchange
+// messages to know the demand.
 func (managed *managedReplica) updateUseRates(now time.Time, first string) {
 	report, known := managed.reports[first]
 	elapsedSeconds := now.Sub(managed.adapters.countedAt).Seconds()
@@ -48,8 +48,8 @@
 	managed.adapters.useCounts, managed.adapters.countedAt, managed.adapters.useRates = report.Uses, now, rates
 }
 
-// placeAdapters decides which replicas of this node's turn hold which adapters, and
-// enters it into their plans.
+// placeAdapters decides which of the managed replicas hold which adapters, and writes the
+// decision into their plans.
 func (k *Controller) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
 	groups := map[recordKey][]*managedReplica{}
 	for _, managed := range k.managed {
@@ -64,7 +64,7 @@
 			continue
 		}
 		if err := k.commitAdapters(ctx, key, result.Changes); err != nil {
-			k.cfg.Log.Warn("adapters not agreed", "model", key.model, "failure_domain", key.domain, "error", err)
+			k.cfg.Log.Warn("adapter plan not written", "model", key.model, "failure_domain", key.domain, "error", err)
 			continue
 		}
 		for _, change := range result.Changes {
@@ -110,12 +110,13 @@
 	return replicas
 }
 
-// assumedSlots is how many streams a replica is given when the document says
-// nothing, as in route/service.
+// assumedSlots is the number of concurrent streams of a replica if the document names
+// none, as in route/service.
 const assumedSlots = 16
 
-// adapterMemory is the memory for adapters in bytes over all layers: each engine keeps
-// the part of an adapter that belongs to its layers, so the tightest one counts.
+// adapterMemory returns the memory for adapters in bytes, for all layers together. Each
+// engine holds the part of an adapter that belongs to its layers, so the engine with the
+// least free memory per layer counts.
 func adapterMemory(d *docindex.Directory, spec replicaSpec, replicaPlan plan.Replica) int64 {
 	model := placementModel(spec)
 	memory := math.Inf(1)
@@ -128,7 +129,7 @@
 	return int64(min(memory, float64(assumedMemory)))
 }
 
-// heldAdapters are those that every engine of the replica reports.
+// heldAdapters returns the adapters that every engine of the replica reports.
 func (managed *managedReplica) heldAdapters(replicaPlan plan.Replica) []adapters.Adapter {
 	var held []adapters.Adapter
 	for i, s := range replicaPlan.Stages {
@@ -145,8 +146,8 @@
 	return held
 }
 
-// commitAdapters writes changes in one swap. A replica whose plan another node has
-// changed meanwhile is left for the next round.
+// commitAdapters writes all changes in one compare-and-swap. A replica whose adapters
+// another node has changed meanwhile is skipped until the next round.
 func (k *Controller) commitAdapters(ctx context.Context, key recordKey, changes []adapters.Change) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -209,9 +210,9 @@
 	return text
 }
 
-// orderAdapters tells the engines of a replica that is whole to hold the adapters of
-// its plan, once the weight store has time for those that are missing. The replica
-// serves meanwhile.
+// orderAdapters orders the engines of a ready replica to hold the adapters of its plan,
+// once the reserved load time for the missing adapters has come. The replica serves
+// meanwhile.
 func (k *Controller) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, replicaPlan plan.Replica) {
 	order := engineapi.AdapterOrder{Model: managed.spec.key.model, Version: replicaPlan.AdapterVersion}
 	for _, a := range replicaPlan.Adapters {
@@ -228,7 +229,7 @@
 		return
 	}
 	if err := k.reserveAdapterLoad(ctx, now, d, managed, order, outdated); err != nil {
-		k.cfg.Log.Warn("adapters not booked", "model", order.Model, "replica", managed.spec.name, "error", err)
+		k.cfg.Log.Warn("adapter load not reserved", "model", order.Model, "replica", managed.spec.name, "error", err)
 		return
 	}
 	if now.Before(managed.adapters.loadAt) {
@@ -240,7 +241,7 @@
 	}
 }
 
-// matchesOrder reports whether an engine holds what an order says, by its number.
+// matchesOrder reports whether an engine has the version and the adapters of an order.
 func matchesOrder(report engineapi.Report, order engineapi.AdapterOrder) bool {
 	if report.AdapterVersion != order.Version || len(report.Adapters) != len(order.Adapters) {
 		return false
@@ -253,7 +254,8 @@
 	return true
 }
 
-// reserveAdapterLoad gives an order its time at the weight store, once.
+// reserveAdapterLoad reserves load time at the weight store for an order, unless it is
+// already reserved.
 func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
 	if managed.adapters.reservedVersion == order.Version {
 		return nil
@@ -286,7 +288,7 @@
 		k.cfg.Log.Info("adapters ordered", "endpoint", name, "model", order.Model, "adapters", len(order.Adapters), "version", order.Version)
 		return
 	}
-	k.cfg.Log.Warn("order for adapters not taken", "endpoint", name, "version", order.Version, "error", err)
+	k.cfg.Log.Warn("adapter order not accepted", "endpoint", name, "version", order.Version, "error", err)
 	if engineclient.Status(err) == http.StatusConflict {
 		k.updateRecord(managed.spec, func(r *plan.Record) bool {
 			return r.RaiseAdapters(managed.spec.name, managed.reports[name].AdapterVersion)
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -1,12 +1,20 @@
-// Package layerplans keeps the placement of layers on a node: the Book holds the
-// plans that the store has agreed, for the data path; the Keeper makes plans
-// and carries them out, on the node whose turn it is.
+// Package layerplans keeps the plans of model replicas on a node. A plan says which
+// engine of a replica holds which layers, and which adapters the replica holds. The Cache
+// has the plans that are in force, for the data path. The Controller, on one node per
+// model and failure domain, makes plans and orders the engines to carry them out.
 //
-// The failure that it answers: layers cut by hand leave every token waiting for
-// the slowest hop, and a plan that changed must reach every node without each
-// of them watching the store. A node reads a plan when it needs it, and again
-// when an engine reports to hold something else than the plan says: the check
-// at use tells that a plan is old, so nothing has to be pushed.
+// A model's replicas in one failure domain share one record of plans in the store. All
+// nodes agree on the record by compare-and-swap. The version of a plan is the fencing
+// number of the orders that carry it out. The weight store is where engines fetch layers
+// and adapters; its rate is limited, so loads get reserved times one after the other. A
+// hop is the time of a stage's layers and of the stage's outgoing link.
+//
+// # Failures without planned layers
+//
+// If layers are divided by hand, every token waits for the slowest hop. A changed plan
+// must reach every node, but not every node can watch the store. A node therefore reads
+// a plan when it needs the plan, and again when an engine reports that it holds other
+// layers than the plan says. Every use of a plan thus shows whether the plan is outdated.
 package layerplans
 
 import (
@@ -23,30 +31,29 @@
 )
 
 const (
-	// minReadInterval is between two reads of one record: a replica whose engines are
-	// loading is suspected by every stream that would use it.
+	// minReadInterval is the minimum time between two reads of one record. While a
+	// replica's engines are loading, every stream that would use the replica requests a
+	// read.
 	minReadInterval = 500 * time.Millisecond
-	// readTimeout bounds one read.
-	readTimeout = 2 * time.Second
-	// adapterRefresh is how old a record with adapters may be before it is read
-	// again. An engine that lost an adapter is noticed where a stream is sent, but a
-	// replica that gained one is not: its calls would go on to the holders that this
-	// node knows, which are busy. A read a minute for each of the few records that a
-	// node uses is 400 a second for 2,200 nodes with a dozen each, of the two thousand
-	// that the store gives.
+	readTimeout     = 2 * time.Second
+	// adapterRefresh is the maximum age of a record with adapters. A lost adapter shows
+	// when a stream is sent to the replica, but an additional adapter does not: calls
+	// would still be sent to the replicas that this node knows to hold the adapter, which
+	// are busy. With 2,200 nodes that use a dozen records each, one read a minute per
+	// record is 400 reads a second. The store serves two thousand.
 	adapterRefresh = time.Minute
-	// maxPendingReads bounds the reads asked for and not begun; more are dropped, and
-	// asked for again by the next stream.
+	// maxPendingReads bounds the reads that are requested and not started. Further requests
+	// are dropped; the next stream requests the read again.
 	maxPendingReads = 256
 )
 
-// recordKey names one record: a model's replicas in one failure domain.
+// recordKey identifies the record of a model's replicas in one failure domain.
 type recordKey struct {
 	model  string
 	domain string
 }
 
-// Cache is the plans that this node knows. Safe for concurrent use.
+// Cache holds the plans that this node has read. Safe for concurrent use.
 type Cache struct {
 	store        store.Reader
 	environment  string
@@ -58,17 +65,17 @@
 	keyOf           map[replicaID]recordKey
 	records         map[recordKey]plan.Record
 	readRequestedAt map[recordKey]time.Time
-	// withAdapters are the records in which some replica is to hold an adapter.
+	// withAdapters says for each record whether the plan of some replica has an adapter.
 	withAdapters map[recordKey]bool
 }
 
-// replicaID names a replica within the environment.
+// replicaID identifies a replica within the environment.
 type replicaID struct {
 	model   string
 	replica string
 }
 
-// NewCache returns a book without plans.
+// NewCache returns an empty cache.
 func NewCache(s store.Reader, environment string, log hclog.Logger) *Cache {
 	return &Cache{
 		store:           s,
@@ -83,7 +90,8 @@
 	}
 }
 
-// Apply takes the replicas of a document whose layers it leaves to the planner.
+// Apply replaces the set of replicas by those of a document that leaves their layers to
+// the planner.
 func (c *Cache) Apply(d *docindex.Directory) {
 	keys := map[replicaID]recordKey{}
 	for _, r := range replicaSpecs(d) {
@@ -109,8 +117,8 @@
 	return all
 }
 
-// Plan returns a replica's stages and the version to fence by. If there is none
-// the plan is read, for those who ask later.
+// Plan returns the stages of a replica's plan and its version. If the plan is not known,
+// a read is requested, and a later call returns the plan.
 func (c *Cache) Plan(model, replica string) ([]document.Stage, int64, bool) {
 	replicaPlan, ok := c.Agreed(model, replica)
 	if !ok {
@@ -119,7 +127,7 @@
 	return documentStages(replicaPlan), replicaPlan.Version, true
 }
 
-// Agreed returns a replica's plan, and like Plan has one read that is not known.
+// Agreed returns a replica's plan. If the plan is not known, a read is requested.
 func (c *Cache) Agreed(model, replica string) (plan.Replica, bool) {
 	c.mu.RLock()
 	key, known := c.keyOf[replicaID{model, replica}]
@@ -140,7 +148,8 @@
 	return stages
 }
 
-// Suspect says that an engine of a replica holds something else than the plan.
+// Suspect requests a read of a replica's plan because an engine holds other layers or
+// adapters than the plan says.
 func (c *Cache) Suspect(model, replica string) {
 	c.mu.RLock()
 	key, known := c.keyOf[replicaID{model, replica}]
@@ -150,7 +159,7 @@
 	}
 }
 
-// requestRead asks for a record to be read, unless it has just been.
+// requestRead requests a read of a record, unless one was requested within minReadInterval.
 func (c *Cache) requestRead(key recordKey) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -165,7 +174,7 @@
 	}
 }
 
-// Run reads the records that are asked for until ctx ends.
+// Run reads the requested records until ctx ends.
 func (c *Cache) Run(ctx context.Context) {
 	for {
 		select {
@@ -182,13 +191,13 @@
 	defer cancel()
 	record, _, err := plan.Load(ctx, c.store, plan.Key(c.environment, key.model, key.domain))
 	if err != nil {
-		c.log.Warn("plan not read, the one known stays", "model", key.model, "failure_domain", key.domain, "error", err)
+		c.log.Warn("plan not read, the cached plan stays in use", "model", key.model, "failure_domain", key.domain, "error", err)
 		return
 	}
 	c.update(key, record)
 }
 
-// update puts a record in force on this node unless it knows a later one.
+// update stores a record unless the cache has a later one.
 func (c *Cache) update(key recordKey, record plan.Record) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -198,7 +207,7 @@
 	}
 }
 
-// hasAdapters says whether some replica of a record is to hold an adapter.
+// hasAdapters reports whether the plan of some replica in a record has an adapter.
 func (c *Cache) hasAdapters(key recordKey) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -214,7 +223,8 @@
 	return false
 }
 
-// replicaSpec is a replica whose layers the document leaves to the planner.
+// replicaSpec is the document's specification of a replica whose layers the document leaves to
+// the planner.
 type replicaSpec struct {
 	key    recordKey
 	name   string
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -21,25 +21,26 @@
 )
 
 const (
-	// roundInterval is between two rounds over the replicas of this node's turn.
+	// roundInterval is the time between two rounds over the managed replicas.
 	roundInterval = time.Second
-	// reportsPerRound bounds the engines asked in a round: about 2 KB/s. With
-	// more replicas to keep, each is asked less often; what streams find wrong
-	// is looked at first.
+	// reportsPerRound bounds the engine reports fetched in a round: about 2 KB/s. With more
+	// managed replicas, each is checked less often. Replicas that streams suspect are
+	// checked first.
 	reportsPerRound = 8
-	// commitTimeout bounds one agreement, orderTimeout one order to an engine.
+	// commitTimeout bounds one compare-and-swap in the store, orderTimeout one call to an
+	// engine.
 	commitTimeout = 5 * time.Second
 	orderTimeout  = 2 * time.Second
 )
 
-// EngineClient is the part of the engine's client that plans are carried out by.
+// EngineClient has the calls to engines that the controller uses.
 type EngineClient interface {
 	Holding(ctx context.Context, address string) (engineapi.Report, error)
 	Order(ctx context.Context, address string, order engineapi.Order) error
 	OrderAdapters(ctx context.Context, address string, order engineapi.AdapterOrder) error
 }
 
-// ControllerConfig is what a Keeper works with.
+// ControllerConfig configures a Controller.
 type ControllerConfig struct {
 	Node         string
 	Environment  string
@@ -48,17 +49,17 @@
 	Cache        *Cache
 	Recorder     decisionlog.Recorder
 	Log          hclog.Logger
-	// IsOwner says whether this node is the one to keep the plans of a model in a
-	// failure domain. It is a hint: two nodes that both think so are kept apart
-	// by compare-and-swap and by the fencing numbers of their orders.
+	// IsOwner reports whether this node manages the plans of a model in a failure domain.
+	// Two nodes may both manage them for a time: compare-and-swap and the fencing numbers
+	// of orders prevent conflicts.
 	IsOwner func(model, domain string) bool
-	// MembershipVersion returns a value that differs once the members have changed, and
-	// with them perhaps whose turn it is.
+	// MembershipVersion returns a value that changes when the list of nodes changes. The
+	// results of IsOwner may then change too.
 	MembershipVersion func() any
 }
 
-// Controller makes plans and carries them out. Run and Observe may be called at
-// the same time.
+// Controller makes plans and orders engines to carry them out. Run may be called
+// concurrently with the other methods.
 type Controller struct {
 	cfg ControllerConfig
 
@@ -67,55 +68,56 @@
 	measurements []hopMeasurement
 	suspects     map[replicaID]bool
 
-	// The rest belongs to Run alone.
+	// Only Run uses the following fields.
 	managed             map[replicaID]*managedReplica
 	refreshedFor        *docindex.Directory
 	refreshedMembership any
-	// rollouts are this round's, by place.
+	// rollouts are the roll-outs decided in this round.
 	rollouts map[recordKey]placement.Rollout
 }
 
-// managedReplica is one replica that this node plans for.
+// managedReplica is a replica whose plan this node manages.
 type managedReplica struct {
 	spec    replicaSpec
 	planner *placement.Planner
-	// reservations are the orders that were given a time at the weight store, by
-	// endpoint, until the engine holds what it was told to.
+	// reservations has, by endpoint, the orders with reserved load time at the weight
+	// store that the engines have not carried out yet.
 	reservations map[string]reservation
-	// state is how the engines stood to the plan when they were last asked.
+	// state says whether the engines followed the plan at the last check.
 	state placement.ReplicaState
-	// checkedAt is when the engines were last asked what they hold.
+	// checkedAt is the time of the last check of the engines.
 	checkedAt time.Time
-	// reports are the engines' last answers, by endpoint.
+	// reports are the last reports of the engines, by endpoint.
 	reports map[string]engineapi.Report
-	// drainStartedAt is since when the engines are told to finish their streams before
-	// other weights; zero if they are not.
+	// drainStartedAt is the time when the engines were first ordered to finish their
+	// streams before they load other weights. It is zero if they are not draining.
 	drainStartedAt time.Time
 	adapters       adapterState
 }
 
-// hopMeasurement is what a stream told of a hop.
+// hopMeasurement is a measurement of a hop along a replica, reported by a stream.
 type hopMeasurement struct {
 	replica     replicaID
 	measurement placement.Measurement
 }
 
-// maxMeasurements bounds what is kept between two rounds; more tell nothing new.
+// maxMeasurements bounds the measurements kept between two rounds. Further measurements
+// would not change the means noticeably.
 const maxMeasurements = 4096
 
-// NewController returns a keeper without plans.
+// NewController returns a controller without plans.
 func NewController(cfg ControllerConfig) *Controller {
 	return &Controller{cfg: cfg, suspects: map[replicaID]bool{}, managed: map[replicaID]*managedReplica{}}
 }
 
-// Apply takes a new document.
+// Apply replaces the document.
 func (k *Controller) Apply(d *docindex.Directory) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.directory = d
 }
 
-// Observe takes the mean times of a stream's hops along a replica.
+// Observe records the mean times of a stream's hops along a replica.
 func (k *Controller) Observe(model, replica string, hops []stream.Hop) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -131,14 +133,15 @@
 	}
 }
 
-// Suspect says that an engine of a replica holds something else than the plan.
+// Suspect schedules a check of a replica because an engine holds other layers or adapters
+// than the plan says.
 func (k *Controller) Suspect(model, replica string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.suspects[replicaID{model, replica}] = true
 }
 
-// Run keeps the plans of this node's turn until ctx ends.
+// Run manages the plans that this node owns until ctx ends.
 func (k *Controller) Run(ctx context.Context) {
 	ticker := time.NewTicker(roundInterval)
 	defer ticker.Stop()
@@ -189,9 +192,9 @@
 	return k.directory, measurements, suspects
 }
 
-// refreshManaged takes up the replicas of this node's turn and forgets the others. That
-// looks at every replica of the document, so it is done only when the document
-// or the members have changed.
+// refreshManaged updates the set of managed replicas to those that this node owns. It
+// iterates over every replica of the document, so it runs only when the document or the
+// list of nodes has changed.
 func (k *Controller) refreshManaged(d *docindex.Directory) {
 	membership := k.cfg.MembershipVersion()
 	if d == k.refreshedFor && membership == k.refreshedMembership {
@@ -222,8 +225,7 @@
 	return managed
 }
 
-// byLastCheck lists what this node keeps, with those first whose engines it
-// has not asked for longest.
+// byLastCheck lists the managed replicas, the one with the oldest check first.
 func (k *Controller) byLastCheck() []*managedReplica {
 	return slices.SortedFunc(maps.Values(k.managed), func(a, b *managedReplica) int {
 		if c := a.checkedAt.Compare(b.checkedAt); c != 0 {
@@ -233,17 +235,18 @@
 	})
 }
 
-// reconcile brings one replica towards its best plan and says whether it has one.
+// reconcile brings one replica towards its best plan. It reports whether the replica has a
+// plan.
 func (k *Controller) reconcile(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica) bool {
 	if err := k.commitPlan(ctx, now, d, managed); err != nil {
-		k.cfg.Log.Warn("plan not agreed", "model", managed.spec.key.model, "replica", managed.spec.name, "error", err)
+		k.cfg.Log.Warn("plan not written", "model", managed.spec.key.model, "replica", managed.spec.name, "error", err)
 		return false
 	}
 	return true
 }
 
-// commitPlan makes sure that the store holds a plan for the replica, a better one if
-// the measured times ask for it.
+// commitPlan writes a plan for the replica to the store if the replica has none, or if the
+// document or the measured times require another plan.
 func (k *Controller) commitPlan(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica) error {
 	model, chain := plannerInput(d, managed.spec)
 	stages, reason, changed, err := managed.decide(now, model, chain, k.cfg.Cache)
@@ -269,8 +272,8 @@
 	return nil
 }
 
-// putPlan enters a plan that was decided for a reason into the record in force, which
-// may be another than the one that the decision saw.
+// putPlan puts a plan that was decided for a reason into the record that is in force. The
+// record may have changed since the decision.
 func putPlan(r *plan.Record, spec replicaSpec, stages []plan.Stage, reason string) bool {
 	current := r.Replicas[spec.name]
 	switch {
@@ -285,9 +288,9 @@
 	}
 }
 
-// hasValidPlan says whether a replica has a plan already that the document allows. A
-// node that has just begun to keep plans has not read them; without this look it
-// would put a first plan in place of one that measured times have led to.
+// hasValidPlan reports whether a replica already has a plan that the document allows. A node
+// that has just become the owner has not read the plans yet. Without this check it would
+// replace plans that are based on measured times by first plans.
 func hasValidPlan(replicaPlan plan.Replica, declared []document.Stage) bool {
 	return len(replicaPlan.Stages) > 0 && usesOnly(documentStages(replicaPlan), declared)
 }
--- a/route/layerplans/controller_test.go
+++ b/route/layerplans/controller_test.go
@@ -28,21 +28,22 @@
 
 var startTime = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// fakeEngines is engines by address, which is their name.
+// fakeEngines are engines by address. The address of an engine is its name.
 type fakeEngines struct {
 	now         time.Time
 	holds       map[string]engineapi.Holding
-	orderedAt   map[string]time.Duration // when an engine was last ordered other layers
+	orderedAt   map[string]time.Duration // time of an engine's last order for other layers
 	unreachable map[string]bool
-	// loadTime is how long a load takes; an engine reports what it held until then.
+	// loadTime is the duration of a load. During a load, an engine reports its old layers.
 	loadTime time.Duration
 	loading  map[string]pendingLoad
-	// running is how many streams each engine works on, cut how often engines took
-	// other weights with streams on them. broken weights are never there.
+	// running is the number of streams of each engine. interrupted counts orders for other
+	// weights while streams run. Loads of brokenVersion always fail.
 	running       map[string]int
 	interrupted   int
 	brokenVersion string
-	// adapters is what each engine holds of adapters, added when it was told.
+	// adapters has the last adapter order of each engine, and adapterOrderTimes the times of
+	// all adapter orders.
 	adapters          map[string]engineapi.AdapterOrder
 	uses              map[string]uint64
 	adapterOrderTimes []time.Duration
@@ -102,8 +103,8 @@
 // Record implements decisionlog.Recorder.
 func (f *fakeEngines) Record(decisionlog.Decision) {}
 
-// cluster is replicas of two engines, in one failure domain or each in its own, and
-// a keeper for each domain.
+// cluster is a number of replicas of three engines each, spread over failure domains, and a
+// controller for each domain.
 type cluster struct {
 	*fakeEngines
 	controllers []*Controller
@@ -152,8 +153,8 @@
 	return doc
 }
 
-// runRounds plays rounds, one a second, and returns the most replicas that were not whole
-// by their plan at once, from the given second on.
+// runRounds runs rounds, one a second. It returns the maximum number of replicas that did not
+// hold the layers of their plans at the same time, from round countFrom on.
 func (s *cluster) runRounds(rounds, countFrom int, beforeRound func()) int {
 	maxNotReady := 0
 	for round := range rounds {
@@ -187,38 +188,39 @@
 
 func noAction() {}
 
-// Callers get the first replica back in the time of its own loads. Two failure
-// domains come back empty at once, each kept by another node; paced each for itself
-// they share the weight store's rate, and nothing serves until all is loaded.
+// If each node scheduled its loads on its own, the loads of two failure domains would
+// share the weight store's rate, and no replica would serve until all are loaded. Two
+// failure domains restart without layers, each managed by another node. With a common
+// schedule, the first replica serves after the time of its own loads.
 func TestDomainsShareLoadSchedule(t *testing.T) {
 	s := newCluster(t, 2, 2, 1)
 	s.runRounds(2*layers+4, 0, noAction)
 	ordered := slices.Sorted(maps.Values(s.orderedAt))
 	if len(ordered) < 4 || s.notReady() != 0 {
-		t.Fatalf("ordered at %v, %d replicas not whole", ordered, s.notReady())
+		t.Fatalf("loads ordered at %v, %d replicas not ready", ordered, s.notReady())
 	}
 	t.Logf("loads begin at %v", ordered)
-	// Each engine holds a part of 8 MB of layers; the rate is 1 MB a second.
+	// Each engine loads some of 8 layers of 1 MB; the rate is 1 MB a second.
 	loaded := time.Duration(0)
 	for _, at := range ordered {
 		if at < loaded {
-			t.Errorf("a load begins at %v, the one before takes until %v: %v", at, loaded, ordered)
+			t.Errorf("a load begins at %v, but the loads before it end at %v: %v", at, loaded, ordered)
 		}
-		loaded += s.shortestLoad() // no engine's part is shorter
+		loaded += s.shortestLoad() // no load takes less time
 	}
 	loadCount := len(s.orderedAt)
-	clear(s.holds) // a rack comes back empty
+	clear(s.holds) // all engines restart without layers
 	clear(s.loading)
 	clear(s.orderedAt)
 	returnedAt := s.now.Sub(startTime)
 	s.runRounds(2*layers+4, 0, noAction)
 	ordered = slices.Sorted(maps.Values(s.orderedAt))
 	if len(ordered) != loadCount || ordered[loadCount-1] < returnedAt+layers*time.Second {
-		t.Errorf("back at %v, ordered at %v: all at once", returnedAt, ordered)
+		t.Errorf("restarted at %v, loads ordered at %v, too close together", returnedAt, ordered)
 	}
 }
 
-// shortestLoad is the time of the shortestLoad load.
+// shortestLoad returns the duration of the shortest load.
 func (s *cluster) shortestLoad() time.Duration {
 	fewestLayers := layers
 	for _, h := range s.holds {
@@ -227,9 +229,9 @@
 	return time.Duration(fewestLayers) * time.Second
 }
 
-// Callers keep two of three replicas while all three move. A switch makes the same
-// link of every replica bad, so all plans are due in the same second; each plan
-// that is agreed stops its replica until its layers are loaded.
+// If all replicas reloaded at the same time, no replica would serve. A faulty switch
+// slows down the same link of all three replicas, so all plans change in the same second.
+// A new plan stops its replica until the layers are loaded.
 func TestReplicasReloadOneAtATime(t *testing.T) {
 	s := newCluster(t, 3, 1, 0)
 	s.loadTime = 3 * time.Second
@@ -246,15 +248,15 @@
 	measured := func() { s.observeHops(k) }
 	maxNotReady := s.runRounds(120, 0, measured)
 	if maxNotReady != 1 {
-		t.Errorf("%d replicas moved at once, want 1", maxNotReady)
+		t.Errorf("%d replicas reloaded at once, want 1", maxNotReady)
 	}
 	if after := versions(); after <= before+2 || s.notReady() != 0 {
-		t.Errorf("the plans did not all change: versions %d, then %d; %d not whole", before, after, s.notReady())
+		t.Errorf("not all plans changed: sum of versions %d, then %d; %d replicas not ready", before, after, s.notReady())
 	}
 }
 
-// observeHops tells the times of each replica's present hops: a millisecond a layer,
-// and 50 ms for the link behind the first engine.
+// observeHops reports the times of each replica's hops: 1 ms per layer, and 50 ms for the
+// link from the first to the second engine.
 func (s *cluster) observeHops(k *Controller) {
 	for i := range 3 {
 		name := fmt.Sprint("replica-", i)
@@ -271,8 +273,8 @@
 	}
 }
 
-// Callers keep the only replica that serves: the others do not answer, and a plan
-// that is better by measure must not stop the last one.
+// If a better plan could stop the last serving replica, callers would find no replica.
+// The engines of the other two replicas do not answer.
 func TestLastServingReplicaIsNotReloaded(t *testing.T) {
 	s := newCluster(t, 3, 1, 1)
 	k := s.controllers[0]
@@ -282,18 +284,18 @@
 			s.unreachable[fmt.Sprint("engine-", i, stage)] = true
 		}
 	}
-	s.runRounds(10, 0, noAction) // every engine is asked once
+	s.runRounds(10, 0, noAction) // each engine is checked once
 	_, before, _ := k.cfg.Cache.Plan(model, "replica-0")
 	s.runRounds(60, 0, func() { s.observeHops(k) })
 	if _, after, _ := k.cfg.Cache.Plan(model, "replica-0"); after != before {
-		t.Errorf("the last replica was stopped for version %d", after)
+		t.Errorf("the last serving replica was stopped for version %d", after)
 	}
 }
 
-// Callers get the fast engine's tokens. The link behind it turns bad; the engine
-// itself reports that its layers are as quick as ever, and the plan goes past the
-// link. Without its report the whole hop would count as its layers, and the plan would
-// leave the fast engine out.
+// If the whole time of a hop counted as time of the layers, a slow link would make the
+// plan leave out the fast engine before the link. The link becomes slow, but the engine
+// reports that the time of its layers has not changed. The new plan avoids the link and
+// keeps the engine.
 func TestSlowLinkIsNotCountedAsSlowLayers(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{
@@ -324,6 +326,6 @@
 	})
 	stages, _, _ := k.cfg.Cache.Plan(model, "replica-0")
 	if stages[0].Endpoint != "engine-0a" || stages[len(stages)-1].Endpoint == "engine-0b" {
-		t.Errorf("the plan is %+v", stages)
+		t.Errorf("the plan leaves out the fast engine or uses the slow link: %+v", stages)
 	}
 }
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -13,22 +13,22 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// reservation is the time at the weight store that an order was given.
+// reservation is an order with the reserved start of its load at the weight store.
 type reservation struct {
 	order engineapi.Order
 	start time.Time
 }
 
-// pendingOrder is an order that an engine's report asks for.
+// pendingOrder is an order that is due because the engine's report differs from the plan.
 type pendingOrder struct {
 	endpoint document.Endpoint
 	order    engineapi.Order
 	report   engineapi.Report
 }
 
-// orderLayers tells each engine whose holding differs from the plan to follow it, once
-// the weight store has time for what it must fetch. An engine that restarted empty
-// is found the same way, so a rack that comes back is paced too.
+// orderLayers sends orders to the engines whose layers differ from the plan, once their
+// reserved load time has come. Engines that restart without layers are found the same
+// way, so the loads of a restarted rack are scheduled too.
 func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica) {
 	replicaPlan, ok := k.cfg.Cache.Agreed(managed.spec.key.model, managed.spec.name)
 	if !ok {
@@ -45,11 +45,11 @@
 	}
 	managed.state = placement.Loading
 	if !k.drain(ctx, now, managed, pending) {
-		managed.checkedAt = time.Time{} // looked at first in the next round
+		managed.checkedAt = time.Time{} // check this replica first in the next round
 		return
 	}
 	if err := k.reserveLayerLoads(ctx, now, d, managed, pending); err != nil {
-		k.cfg.Log.Warn("loads not booked", "model", managed.spec.key.model, "replica", managed.spec.name, "error", err)
+		k.cfg.Log.Warn("loads not reserved", "model", managed.spec.key.model, "replica", managed.spec.name, "error", err)
 		return
 	}
 	for _, each := range pending {
@@ -59,8 +59,8 @@
 	}
 }
 
-// pendingOrders asks the engines of a replica what they hold, notes how it stands to its
-// plan, and returns the orders that are due.
+// pendingOrders fetches the reports of a replica's engines and updates the replica's
+// state. It returns the orders for the engines that differ from the plan.
 func (k *Controller) pendingOrders(ctx context.Context, d *docindex.Directory, managed *managedReplica, replicaPlan plan.Replica) []pendingOrder {
 	var pending []pendingOrder
 	managed.state = placement.Ready
@@ -72,7 +72,7 @@
 		}
 		report, err := k.fetchReport(ctx, e)
 		if err != nil {
-			managed.state = placement.Unknown // asked again in the next round
+			managed.state = placement.Unknown // fetched again in the next round
 			delete(managed.reports, e.Name)
 			continue
 		}
@@ -96,8 +96,8 @@
 	return k.cfg.EngineClient.Holding(ctx, e.Address)
 }
 
-// reserveLayerLoads gives each order that has none yet its time at the weight store, all of them
-// in one write.
+// reserveLayerLoads reserves load time at the weight store for the orders that have none
+// yet, all in one write.
 func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, pending []pendingOrder) error {
 	model, _ := plannerInput(d, managed.spec)
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
@@ -113,7 +113,7 @@
 		fetchTimes = append(fetchTimes, fetchTime)
 		longest = max(longest, fetchTime)
 	}
-	starts := make([]time.Time, len(unreserved)) // long past: at once
+	starts := make([]time.Time, len(unreserved)) // the zero time: start at once
 	if longest > 0 {
 		var err error
 		if starts, err = k.reserveLoads(ctx, now, fetchTimes); err != nil {
@@ -123,7 +123,7 @@
 	for i, each := range unreserved {
 		managed.reservations[each.endpoint.Name] = reservation{each.order, starts[i]}
 		if starts[i].After(now) {
-			k.cfg.Log.Info("load waits", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", starts[i].Sub(now).Milliseconds())
+			k.cfg.Log.Info("load waits for the weight store", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", starts[i].Sub(now).Milliseconds())
 		}
 	}
 	return nil
@@ -135,7 +135,7 @@
 	return plan.Book(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment), k.cfg.Node, now, durations)
 }
 
-// heldStage is what an engine has of the ordered model.
+// heldStage returns the layers of the ordered model and weights that an engine holds.
 func heldStage(d pendingOrder) placement.Stage {
 	if d.report.Model != d.order.Model || d.report.Weights != d.order.Weights {
 		return placement.Stage{First: 0, Last: -1}
@@ -151,7 +151,7 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	if err := k.cfg.EngineClient.Order(ctx, d.endpoint.Address, d.order); err != nil {
-		k.cfg.Log.Warn("order not taken", "endpoint", d.endpoint.Name, "version", d.order.PlacementVersion, "error", err)
+		k.cfg.Log.Warn("order not accepted", "endpoint", d.endpoint.Name, "version", d.order.PlacementVersion, "error", err)
 		if engineclient.Status(err) == http.StatusConflict {
 			k.raiseVersion(spec, d.report.PlacementVersion)
 		}
@@ -160,28 +160,28 @@
 	k.cfg.Log.Info("order", "endpoint", d.endpoint.Name, "model", d.order.Model, "weights", d.order.Weights, "first", d.order.First, "last", d.order.Last, "role", d.order.Role, "version", d.order.PlacementVersion)
 }
 
-// raiseVersion puts the replica's plan above a fencing number that an engine took from
-// someone else; the next round orders by the new number.
+// raiseVersion raises the plan's version above a version that an engine accepted from
+// another source. The next round sends orders with the new version.
 func (k *Controller) raiseVersion(spec replicaSpec, above int64) {
 	k.updateRecord(spec, func(r *plan.Record) bool { return r.Raise(spec.name, above) })
 }
 
-// updateRecord agrees on a updateRecord of a replica's plan by which later orders are taken.
+// updateRecord writes a change of a replica's plan to the store and the cache.
 func (k *Controller) updateRecord(spec replicaSpec, change func(*plan.Record) bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
 	key := plan.Key(k.cfg.Environment, spec.key.model, spec.key.domain)
 	record, err := plan.Agree(ctx, k.cfg.Store, key, k.cfg.Node, change)
 	if err != nil {
-		k.cfg.Log.Warn("plan not raised", "replica", spec.name, "error", err)
+		k.cfg.Log.Warn("plan version not raised", "replica", spec.name, "error", err)
 		return
 	}
 	k.cfg.Cache.update(spec.key, record)
 }
 
-// mayReload says whether a replica may stop serving for a better plan: the others of
-// its model and failure domain must carry its callers meanwhile, and the weight
-// store must be free, or the chain would stand empty until its turn.
+// mayReload reports whether a replica may stop serving for a better plan. The other
+// replicas of its model and failure domain must serve its requests meanwhile. The weight
+// store must be free, or the replica would be out of service until its reserved time.
 func (k *Controller) mayReload(ctx context.Context, now time.Time, managed *managedReplica) (bool, error) {
 	var others []placement.ReplicaState
 	for _, other := range k.managed {
--- a/route/layerplans/planning.go
+++ b/route/layerplans/planning.go
@@ -12,9 +12,9 @@
 
 const (
 	megabyte = 1 << 20
-	// Assumed where the document says nothing: equal accelerators with room
-	// enough, and links an order of magnitude apart within and between failure
-	// domains. An even cut follows, which the measured times then correct.
+	// These values are used where the document names none: equal accelerators with
+	// enough memory, and links between failure domains that are ten times slower than
+	// links within one. They give an even partition, which measured times then improve.
 	assumedLayerMicros      = 1000
 	assumedMemory           = int64(1) << 50
 	assumedLocalLinkMicros  = 100
@@ -26,7 +26,7 @@
 	reasonVersion           = "the document names another version of the weights"
 )
 
-// plannerInput is a replica as the planner sees it.
+// plannerInput returns a replica's model and chain as input of the planner.
 func plannerInput(d *docindex.Directory, spec replicaSpec) (placement.Model, placement.Chain) {
 	model := placementModel(spec)
 	var chain placement.Chain
@@ -77,8 +77,8 @@
 	return assumedRemoteLinkMicros
 }
 
-// decide says whether the replica needs another plan than the one agreed, and
-// which.
+// decide reports whether the replica needs another plan than the cached one. It returns the
+// stages and the reason of the new plan.
 func (managed *managedReplica) decide(now time.Time, model placement.Model, chain placement.Chain, cache *Cache) ([]plan.Stage, string, bool, error) {
 	replicaPlan, ok := cache.Agreed(managed.spec.key.model, managed.spec.name)
 	stages, version := documentStages(replicaPlan), replicaPlan.Version
@@ -102,7 +102,7 @@
 	return planStages(next.Partition), reasonMeasured, changed, nil
 }
 
-// usesOnly says whether every stage's endpoint is one that the document names.
+// usesOnly reports whether the endpoints of all stages are among the declared ones.
 func usesOnly(stages, declared []document.Stage) bool {
 	for _, s := range stages {
 		if !slices.ContainsFunc(declared, func(n document.Stage) bool { return n.Endpoint == s.Endpoint }) {
@@ -131,7 +131,7 @@
 	return stages
 }
 
-// adopt takes an agreed plan.
+// adopt passes a plan that was written to the store to the planner.
 func (managed *managedReplica) adopt(now time.Time, model placement.Model, chain placement.Chain, replicaPlan plan.Replica) {
 	next := placement.Partition{}
 	for _, s := range replicaPlan.Stages {
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -9,13 +9,13 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// drainTimeout is how long engines may finish their streams before they take other
-// weights. An answer of 4,000 tokens at the 36 ms between tokens that callers are
-// promised takes 144 s. A stream that is still there then goes on elsewhere with
-// the weights that it began with, as long as a replica has them.
+// drainTimeout bounds the time that engines have to finish their streams before they load
+// other weights. An answer of 4,000 tokens at the guaranteed 36 ms between tokens takes
+// 144 s. A stream that is not finished after drainTimeout resumes on another replica that
+// has the stream's version of the weights, if there is one.
 const drainTimeout = 150 * time.Second
 
-// mayCommit says whether a plan decided for a reason mayCommit be agreed now.
+// mayCommit reports whether a plan that was decided for a reason may be written now.
 func (k *Controller) mayCommit(ctx context.Context, now time.Time, managed *managedReplica, reason string) (bool, error) {
 	switch reason {
 	case reasonMeasured:
@@ -23,13 +23,13 @@
 	case reasonVersion:
 		return k.mayRollOut(ctx, now, managed)
 	default:
-		return true, nil // it serves nobody
+		return true, nil // the replica is not serving
 	}
 }
 
-// mayRollOut says whether it is a replica's turn to take the document's version. One
-// that serves also waits for the weight store, or it would stand empty until its
-// load's turn.
+// mayRollOut reports whether a replica may take the document's version of the weights now.
+// A replica that is serving also waits until the weight store is free. Otherwise it would
+// be out of service until its reserved load time.
 func (k *Controller) mayRollOut(ctx context.Context, now time.Time, managed *managedReplica) (bool, error) {
 	rollout, known := k.rollouts[managed.spec.key]
 	if !known {
@@ -69,7 +69,7 @@
 	return false
 }
 
-// runningStreams is how many streams the engine with the most works on.
+// runningStreams returns the number of running streams at the engine with the most.
 func (managed *managedReplica) runningStreams() int {
 	most := 0
 	for _, r := range managed.reports {
@@ -78,15 +78,15 @@
 	return most
 }
 
-// drain has engines that are to take other weights finish their streams first, and
-// reports whether they have, or were given long enough.
+// drain orders the engines that will load other weights to finish their streams first. It
+// reports whether all of them are idle or drainTimeout has passed.
 //
-// The failure that it answers: weights are replaced under streams that have begun.
-// Their answers would go on with another version's tokens; those that the check of
-// spans refuses would be cut off, and each caller of the replica waits for another
-// chain to read its prompt again. The order to drain carries the plan's new number,
-// so from then on the check at use keeps new streams away whichever plan a node
-// knows.
+// Without drain, weights are replaced while streams run. Their answers would continue
+// with tokens of another version. Where the check of spans detects this, the streams
+// would be cut off, and each caller would wait until another replica has prefilled its
+// prompt again. The drain order carries the plan's new version. Every node checks the
+// version before it uses an engine, so no node starts new streams at the engine,
+// whichever plan the node has cached.
 func (k *Controller) drain(ctx context.Context, now time.Time, managed *managedReplica, pending []pendingOrder) bool {
 	drained := true
 	for _, each := range pending {
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -16,7 +16,7 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// applyDocument puts a document in force at every node.
+// applyDocument applies a document at every node.
 func (s *cluster) applyDocument(doc *document.Document) {
 	d := docindex.Build(doc, 1, "digest")
 	for _, k := range s.controllers {
@@ -30,7 +30,7 @@
 	return doc
 }
 
-// serving counts the replicas whose engines all hold a version and take new streams.
+// serving counts the replicas whose engines all hold a version and accept new streams.
 func (s *cluster) serving(replicas int, version string) int {
 	n := 0
 	for i := range replicas {
@@ -51,14 +51,14 @@
 	return agreed
 }
 
-// Callers keep half of the replicas, and every answer that has begun ends where it
-// began. A new version is promoted while each replica works on streams that take
-// five more seconds; a replica that is to change takes no new ones, ends these, loads
-// at the weight store's rate, and the next two begin when it is free.
+// If all replicas took a new version at once, callers would find no replica and running
+// answers would be cut off. A new version is promoted while each replica has streams that
+// take five more seconds. Half of the replicas must serve at any time, and no engine may
+// replace its weights while a stream runs. The loads must keep to the weight store's rate.
 func TestRolloutKeepsHalfOfReplicas(t *testing.T) {
 	const replicas, rate = 4, 4
 	s := clusterOf(t, withVersion(documentOf(replicas, 1, rate), "v1"), 1)
-	s.loadTime = 2 * time.Second // a replica's 8 MB at 4 MB/s
+	s.loadTime = 2 * time.Second // 8 MB per replica at 4 MB/s
 	s.runRounds(30, 0, noAction)
 	if n := s.serving(replicas, "v1"); n != replicas {
 		t.Fatalf("%d of %d replicas serve", n, replicas)
@@ -82,10 +82,10 @@
 		minServing = min(minServing, s.serving(replicas, "v1")+s.serving(replicas, "v2"))
 	})
 	if n := s.serving(replicas, "v2"); n != replicas || minServing != replicas/2 || s.interrupted != 0 {
-		t.Errorf("%d of %d replicas on the new version, at least %d served, %d engines changed under streams", n, replicas, minServing, s.interrupted)
+		t.Errorf("%d of %d replicas on the new version, at least %d served, %d engines replaced weights while streams ran", n, replicas, minServing, s.interrupted)
 	}
-	// An engine has two or three of the eight layers of a megabyte each, so at 4 MB/s
-	// no more than two loads begin in a second.
+	// An engine loads two or three of the eight layers of 1 MB each, so at 4 MB/s at most
+	// two loads begin in a second.
 	perSecond := map[time.Duration]int{}
 	for _, at := range s.orderedAt {
 		perSecond[at]++
@@ -97,8 +97,9 @@
 	}
 }
 
-// Callers keep half of the replicas though the new version cannot be loaded. The
-// roll-out stops by itself, and goes back with the document.
+// If a roll-out of a version that cannot be loaded continued, it would stop all replicas.
+// The roll-out must stop with half of the replicas serving. When the document names the
+// old version again, all replicas return to it.
 func TestRolloutOfBrokenVersionStops(t *testing.T) {
 	const replicas = 4
 	s := clusterOf(t, withVersion(documentOf(replicas, 1, 0), "v1"), 1)
@@ -112,24 +113,24 @@
 	s.applyDocument(withVersion(documentOf(replicas, 1, 0), "v1"))
 	s.runRounds(30, 0, noAction)
 	if n := s.serving(replicas, "v1"); n != replicas {
-		t.Errorf("%d of %d replicas are back", n, replicas)
+		t.Errorf("%d of %d replicas serve the old version again", n, replicas)
 	}
 }
 
-// An engine that works on a stream for ever does not hold a roll-out up for ever.
+// Without drainTimeout, an engine with a stream that never ends would block a roll-out.
 func TestDrainTimesOut(t *testing.T) {
 	s := clusterOf(t, withVersion(documentOf(2, 1, 0), "v1"), 1)
 	s.runRounds(10, 0, noAction)
 	s.running["engine-0a"] = 1
-	s.runRounds(2, 0, noAction) // its engines have told
+	s.runRounds(2, 0, noAction) // the engines report the running stream
 	s.applyDocument(withVersion(documentOf(2, 1, 0), "v2"))
 	s.runRounds(int(drainTimeout/time.Second)-5, 0, noAction)
 	if n := s.serving(2, "v2"); n != 1 {
-		t.Errorf("%d replicas on the new version before the limit, want 1", n)
+		t.Errorf("%d replicas on the new version before the timeout, want 1", n)
 	}
 	s.runRounds(20, 0, noAction)
 	if n := s.serving(2, "v2"); n != 2 {
-		t.Errorf("%d replicas on the new version after the limit, want 2", n)
+		t.Errorf("%d replicas on the new version after the timeout, want 2", n)
 	}
 }
 
@@ -148,9 +149,10 @@
 	return n
 }
 
-// Callers of an adapter find it on two replicas, which serve all others meanwhile.
-// Its loads wait for each other, an engine that lost it gets it again, and one that
-// took a higher number from someone else gets it under a higher one still.
+// If an adapter is not loaded, or not loaded again after its loss, its callers find no
+// replica. The document asks for the adapter on two replicas. Their loads run one after
+// the other. One engine then loses the adapter through an order with a higher version from
+// another source, and must get the adapter under a still higher version.
 func TestAdaptersAreLoadedAndRestored(t *testing.T) {
 	notes := engineapi.Adapter{Name: "notes", Version: "1"}
 	s := clusterOf(t, documentOf(3, 1, 1), 1)
@@ -166,9 +168,10 @@
 	if n := s.enginesHolding(notes); engines == 0 || n != engines {
 		t.Fatalf("%d engines hold the adapter, want %d", n, engines)
 	}
-	// The second replica's load of 3 MB at 1 MB/s begins when the first one's is over.
+	// The second replica's load begins when the first replica's load of 3 MB at 1 MB/s has
+	// ended.
 	if first, last := s.adapterOrderTimes[0], s.adapterOrderTimes[len(s.adapterOrderTimes)-1]; last-first < 3*time.Second {
-		t.Errorf("loads at %v, all at once", s.adapterOrderTimes)
+		t.Errorf("adapter loads at %v, too close together", s.adapterOrderTimes)
 	}
 	var name string
 	for name = range s.adapters {
@@ -178,7 +181,7 @@
 	before := s.replicaPlan(0).Version
 	s.runRounds(20, 0, noAction)
 	if n := s.enginesHolding(notes); n != engines || s.replicaPlan(0).Version != before {
-		t.Errorf("%d engines hold the adapter, want %d; the layers' plan went from %d to %d", n, engines, before, s.replicaPlan(0).Version)
+		t.Errorf("%d engines hold the adapter, want %d; the version of the layers' plan changed from %d to %d", n, engines, before, s.replicaPlan(0).Version)
 	}
 	s.applyDocument(withAdapters(documentOf(3, 1, 1), "2"))
 	minHolding := engines
@@ -186,13 +189,14 @@
 		minHolding = min(minHolding, s.enginesHolding(notes)+s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}))
 	})
 	if n := s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}); n != engines || s.enginesHolding(notes) != 0 || minHolding < engines {
-		t.Errorf("%d engines hold the new version, %d the old one; at least %d held either", n, s.enginesHolding(notes), minHolding)
+		t.Errorf("%d engines hold the new version, %d the old version; at least %d held one of them", n, s.enginesHolding(notes), minHolding)
 	}
 }
 
-// Callers of a busy adapter get a third replica. Every stream that its holders are
-// opened for counts, whichever node it came through, as the engines tell; nothing
-// else is added while the load is underway, or later, while one of them is idle.
+// If the demand for an adapter were not measured, its callers would wait for the two busy
+// replicas that hold the adapter. The engines report the uses of the adapter through all
+// nodes, and exactly one further replica gets the adapter. No other replica may get it
+// while that load runs, or later while one of the three replicas is idle.
 func TestBusyAdapterGetsThirdReplica(t *testing.T) {
 	s := clusterOf(t, withAdapters(documentOf(4, 1, 0), "1"), 1)
 	s.runRounds(20, 0, noAction)
@@ -206,7 +210,7 @@
 		return n
 	}
 	if n := holders(); n != 2 {
-		t.Fatalf("%d replicas are to hold the adapter, want 2", n)
+		t.Fatalf("the adapter is planned on %d replicas, want 2", n)
 	}
 	for i := range 4 {
 		if len(s.replicaPlan(i).Adapters) > 0 {
@@ -215,12 +219,13 @@
 	}
 	s.runRounds(30, 0, func() { s.uses = map[string]uint64{"notes@1": uint64(s.now.Sub(startTime) / time.Second)} })
 	if n := holders(); n != 3 {
-		t.Errorf("%d replicas are to hold the adapter, want 3", n)
+		t.Errorf("the adapter is planned on %d replicas, want 3", n)
 	}
 }
 
-// Callers at every node reach a replica that gained an adapter. Nothing there shows a
-// node that its plan is old, as the holders that it knows are as they were.
+// If a node did not read records with adapters again, its callers would not reach the
+// replicas that gained an adapter. The replicas that the node knows to hold the adapter
+// still hold it, so nothing shows the node that its plans are outdated.
 func TestCacheLearnsNewAdapterReplicas(t *testing.T) {
 	s := clusterOf(t, withAdapters(documentOf(4, 1, 0), "1"), 1)
 	s.runRounds(20, 0, noAction)
@@ -241,7 +246,7 @@
 	}
 	await := func(replicas int) {
 		for !knows(replicas) {
-			time.Sleep(time.Millisecond) // the test's own time limit ends it
+			time.Sleep(time.Millisecond) // the time limit of the test ends the loop
 		}
 	}
 	await(2)
@@ -253,8 +258,8 @@
 	await(4)
 }
 
-// A replica that takes a new version keeps its adapters: they are neither dropped
-// from its plan nor ordered again under a new number.
+// If a plan for new weights replaced the whole plan, a replica would lose its adapters in
+// a roll-out. The adapters must stay in the plan under the same adapter version.
 func TestNewVersionKeepsAdapters(t *testing.T) {
 	s := clusterOf(t, withAdapters(withVersion(documentOf(2, 1, 0), "v1"), "1"), 1)
 	s.runRounds(10, 0, noAction)
@@ -272,13 +277,13 @@
 	}
 	for i, version := range before {
 		if now := s.replicaPlan(i).AdapterVersion; version == 0 || now != version {
-			t.Errorf("the adapters of replica %d went from version %d to %d", i, version, now)
+			t.Errorf("the adapter version of replica %d changed from %d to %d", i, version, now)
 		}
 	}
 }
 
-// Callers get a replica back whose engine someone else has ordered into another
-// role: its report differs from the plan, and the keeper orders it anew.
+// If roles were not compared with the plan, a replica would stay out of use after another
+// source has ordered one of its engines into another role.
 func TestForeignRoleIsCorrected(t *testing.T) {
 	s := newCluster(t, 1, 1, 0)
 	s.runRounds(5, 0, noAction)
@@ -289,12 +294,13 @@
 	delete(s.loading, name)
 	s.runRounds(5, 0, noAction)
 	if got := s.holds[name].Role; got != engineapi.RoleBoth {
-		t.Errorf("the engine's role is %q", got)
+		t.Errorf("the engine kept the foreign role %q", got)
 	}
 }
 
-// Callers keep a replica that would only stand empty: the weight store's next minute
-// is given away to other loads, and the roll-out begins when it is free.
+// If a roll-out started while the weight store is busy, a replica would be out of service
+// until its reserved time. The next minute of the weight store is reserved for other
+// loads, and the roll-out must start after that.
 func TestRolloutWaitsForWeightStore(t *testing.T) {
 	const busy = 60
 	s := clusterOf(t, withVersion(documentOf(2, 1, 1), "v1"), 1)
@@ -315,8 +321,9 @@
 	}
 }
 
-// Callers keep what another node has just agreed. Its keeper looked at other reports
-// and gave the replica an adapter; this node, whose record is older, takes it out.
+// If a node wrote its adapter decision over a newer record, an adapter that another node
+// has just placed would be removed. This node's cached record is older than the other
+// node's change.
 func TestAdaptersOfOtherControllerAreKept(t *testing.T) {
 	s := clusterOf(t, withAdapters(documentOf(2, 1, 0), "1"), 1)
 	s.runRounds(10, 0, noAction)
@@ -334,7 +341,8 @@
 	}
 }
 
-// The engine with the least room counts: it keeps its layers' part of each adapter.
+// If the memory of the tightest engine were ignored, adapters would be planned that do
+// not fit. Each engine holds the part of an adapter that belongs to its layers.
 func TestAdapterMemoryOfTightestEngine(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{{Name: "wide", MemoryMegabytes: 100}, {Name: "tight", MemoryMegabytes: 5}}
@@ -342,6 +350,6 @@
 	d := docindex.Build(doc, 1, "digest")
 	agreed := plan.Replica{Stages: []plan.Stage{{Endpoint: "engine-0a", Last: 1}, {Endpoint: "engine-0b", First: 2, Last: 5}, {Endpoint: "engine-0c", First: 6, Last: 7}}}
 	if got := adapterMemory(d, replicaSpecs(d)[0], agreed); got != 2*megabyte {
-		t.Errorf("room for %d bytes, want %d", got, 2*megabyte) // 1 MB for half of the layers
+		t.Errorf("memory for adapters is %d bytes, want %d", got, 2*megabyte) // 1 MB for half of the layers
 	}
 }
