--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -252,7 +252,7 @@
 		k.log.Warn("replica report not read", "replica", r.ID, "error", err)
 		return report, false
 	}
-	k.log.Info("replica report", "replica", r.ID, "orders", report.Orders, "holds", report.Holds, "busy", report.Busy, "born", report.Born)
+	k.log.Info("report", "replica", r.ID, "orders", report.Orders, "holds", report.Holds, "busy", report.Busy, "born", report.Born)
 	k.setAcceptedOrders(r, report.Orders)
 	return report, true
 }
