--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -19,9 +19,9 @@
 // adapterState is what the controller knows about the adapters of one replica.
 type adapterState struct {
 	// reservedVersion is the version of the adapter order for which load time at the weight
-	// store is reserved, or zero if no order is due. loadAt is the start of that time.
+	// store is reserved, or zero if no order is due. loadStartsAt is the start of that time.
 	reservedVersion int64
-	loadAt          time.Time
+	loadStartsAt    time.Time
 	// useCounts are the uses per adapter that the first engine last reported, countedAt
 	// the time of that report, and useRates the uses per second since the previous report.
 	useCounts map[string]uint64
@@ -32,30 +32,30 @@
 // updateUseRates computes the use rates from the use counts that the first engine reports.
 // All nodes open the replica's streams at its first engine, so nodes need not exchange
 // messages to know the demand.
-func (managed *managedReplica) updateUseRates(now time.Time, first string) {
-	report, known := managed.reports[first]
-	elapsedSeconds := now.Sub(managed.adapters.countedAt).Seconds()
+func (replica *managedReplica) updateUseRates(now time.Time, firstEndpoint string) {
+	report, known := replica.reports[firstEndpoint]
+	elapsedSeconds := now.Sub(replica.adapters.countedAt).Seconds()
 	if !known || elapsedSeconds <= 0 {
 		return
 	}
 	rates := map[adapters.Adapter]float64{}
 	for _, a := range report.Adapters {
-		count, previous := report.Uses[a.String()], managed.adapters.useCounts[a.String()]
-		if managed.adapters.useCounts != nil && count >= previous {
+		count, previous := report.Uses[a.String()], replica.adapters.useCounts[a.String()]
+		if replica.adapters.useCounts != nil && count >= previous {
 			rates[adapters.Adapter(a)] = float64(count-previous) / elapsedSeconds
 		}
 	}
-	managed.adapters.useCounts, managed.adapters.countedAt, managed.adapters.useRates = report.Uses, now, rates
+	replica.adapters.useCounts, replica.adapters.countedAt, replica.adapters.useRates = report.Uses, now, rates
 }
 
 // placeAdapters decides which of the managed replicas hold which adapters, and writes the
 // decision into their plans.
 func (k *Controller) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
 	groups := map[recordKey][]*managedReplica{}
-	for _, managed := range k.managed {
+	for _, replica := range k.replicas {
 		// Most models have no adapters, and this runs each second.
-		if len(managed.spec.model.Adapters) > 0 || k.cfg.Cache.hasAdapters(managed.spec.key) {
-			groups[managed.spec.key] = append(groups[managed.spec.key], managed)
+		if len(replica.spec.model.Adapters) > 0 || k.cfg.Cache.hasAdapters(replica.spec.key) {
+			groups[replica.spec.key] = append(groups[replica.spec.key], replica)
 		}
 	}
 	for key, group := range groups {
@@ -89,18 +89,18 @@
 		slots = assumedSlots
 	}
 	var replicas []adapters.Replica
-	for _, managed := range group {
-		replicaPlan, ok := k.cfg.Cache.Agreed(managed.spec.key.model, managed.spec.name)
+	for _, replica := range group {
+		replicaPlan, ok := k.cfg.Cache.Agreed(replica.spec.key.model, replica.spec.name)
 		if !ok {
 			continue
 		}
 		r := adapters.Replica{
-			Name:        managed.spec.name,
-			MemoryBytes: adapterMemory(d, managed.spec, replicaPlan),
-			Held:        managed.heldAdapters(replicaPlan),
-			Serving:     managed.state == placement.Ready,
-			Utilization: float64(managed.runningStreams()) / float64(slots),
-			UseRate:     managed.adapters.useRates,
+			Name:        replica.spec.name,
+			MemoryBytes: adapterMemory(d, replica.spec, replicaPlan),
+			Held:        replica.heldAdapters(replicaPlan),
+			Serving:     replica.state == placement.Ready,
+			Utilization: float64(replica.runningStreams()) / float64(slots),
+			UseRate:     replica.adapters.useRates,
 		}
 		for _, a := range replicaPlan.Adapters {
 			r.Planned = append(r.Planned, adapters.Adapter(a))
@@ -130,11 +130,11 @@
 }
 
 // heldAdapters returns the adapters that every engine of the replica reports.
-func (managed *managedReplica) heldAdapters(replicaPlan plan.Replica) []adapters.Adapter {
+func (replica *managedReplica) heldAdapters(replicaPlan plan.Replica) []adapters.Adapter {
 	var held []adapters.Adapter
 	for i, s := range replicaPlan.Stages {
 		var onEngine []adapters.Adapter
-		for _, a := range managed.reports[s.Endpoint].Adapters {
+		for _, a := range replica.reports[s.Endpoint].Adapters {
 			onEngine = append(onEngine, adapters.Adapter(a))
 		}
 		if i == 0 {
@@ -213,31 +213,31 @@
 // orderAdapters orders the engines of a ready replica to hold the adapters of its plan,
 // once the reserved load time for the missing adapters has come. The replica serves
 // meanwhile.
-func (k *Controller) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, replicaPlan plan.Replica) {
-	order := engineapi.AdapterOrder{Model: managed.spec.key.model, Version: replicaPlan.AdapterVersion}
+func (k *Controller) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, replicaPlan plan.Replica) {
+	order := engineapi.AdapterOrder{Model: replica.spec.key.model, Version: replicaPlan.AdapterVersion}
 	for _, a := range replicaPlan.Adapters {
 		order.Adapters = append(order.Adapters, engineapi.Adapter(a))
 	}
 	var outdated []string
 	for _, s := range replicaPlan.Stages {
-		if !matchesOrder(managed.reports[s.Endpoint], order) {
+		if !matchesOrder(replica.reports[s.Endpoint], order) {
 			outdated = append(outdated, s.Endpoint)
 		}
 	}
 	if len(outdated) == 0 {
-		managed.adapters.reservedVersion = 0
+		replica.adapters.reservedVersion = 0
 		return
 	}
-	if err := k.reserveAdapterLoad(ctx, now, d, managed, order, outdated); err != nil {
-		k.cfg.Log.Warn("adapter load not reserved", "model", order.Model, "replica", managed.spec.name, "error", err)
+	if err := k.reserveAdapterLoad(ctx, now, d, replica, order, outdated); err != nil {
+		k.cfg.Log.Warn("adapter load not reserved", "model", order.Model, "replica", replica.spec.name, "error", err)
 		return
 	}
-	if now.Before(managed.adapters.loadAt) {
+	if now.Before(replica.adapters.loadStartsAt) {
 		return
 	}
 	for _, endpoint := range outdated {
 		e, _ := d.Endpoint(endpoint)
-		k.sendAdapterOrder(ctx, managed, e.Name, e.Address, order)
+		k.sendAdapterOrder(ctx, replica, e.Name, e.Address, order)
 	}
 }
 
@@ -256,14 +256,14 @@
 
 // reserveAdapterLoad reserves load time at the weight store for an order, unless it is
 // already reserved.
-func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
-	if managed.adapters.reservedVersion == order.Version {
+func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
+	if replica.adapters.reservedVersion == order.Version {
 		return nil
 	}
 	bytes := int64(0)
 	for _, a := range order.Adapters {
-		missing := slices.ContainsFunc(outdated, func(e string) bool { return !slices.Contains(managed.reports[e].Adapters, a) })
-		if spec := managed.spec.model.Adapter(a.Name); missing && spec != nil {
+		missing := slices.ContainsFunc(outdated, func(e string) bool { return !slices.Contains(replica.reports[e].Adapters, a) })
+		if spec := replica.spec.model.Adapter(a.Name); missing && spec != nil {
 			bytes += int64(spec.Bytes)
 		}
 	}
@@ -276,11 +276,11 @@
 		}
 		startTime = startTimes[0]
 	}
-	managed.adapters.reservedVersion, managed.adapters.loadAt = order.Version, startTime
+	replica.adapters.reservedVersion, replica.adapters.loadStartsAt = order.Version, startTime
 	return nil
 }
 
-func (k *Controller) sendAdapterOrder(ctx context.Context, managed *managedReplica, name, address string, order engineapi.AdapterOrder) {
+func (k *Controller) sendAdapterOrder(ctx context.Context, replica *managedReplica, name, address string, order engineapi.AdapterOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	err := k.cfg.EngineClient.OrderAdapters(ctx, address, order)
@@ -290,8 +290,8 @@
 	}
 	k.cfg.Log.Warn("adapter order not accepted", "endpoint", name, "version", order.Version, "error", err)
 	if engineclient.Status(err) == http.StatusConflict {
-		k.updateRecord(managed.spec, func(r *plan.Record) bool {
-			return r.RaiseAdapters(managed.spec.name, managed.reports[name].AdapterVersion)
+		k.updateRecord(replica.spec, func(r *plan.Record) bool {
+			return r.RaiseAdapters(replica.spec.name, replica.reports[name].AdapterVersion)
 		})
 	}
 }
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -69,7 +69,7 @@
 	suspects     map[replicaID]bool
 
 	// Only Run uses the following fields.
-	managed             map[replicaID]*managedReplica
+	replicas            map[replicaID]*managedReplica
 	refreshedFor        *docindex.Directory
 	refreshedMembership any
 	// rollouts are the roll-outs decided in this round.
@@ -107,7 +107,7 @@
 
 // NewController returns a controller without plans.
 func NewController(cfg ControllerConfig) *Controller {
-	return &Controller{cfg: cfg, suspects: map[replicaID]bool{}, managed: map[replicaID]*managedReplica{}}
+	return &Controller{cfg: cfg, suspects: map[replicaID]bool{}, replicas: map[replicaID]*managedReplica{}}
 }
 
 // Apply replaces the document.
@@ -160,24 +160,24 @@
 	if d == nil {
 		return
 	}
-	k.refreshManaged(d)
+	k.refreshReplicas(d)
 	k.rollouts = map[recordKey]placement.Rollout{}
 	for _, m := range measurements {
-		if managed := k.managed[m.replica]; managed != nil && managed.planner != nil {
-			managed.planner.Observe(now, m.measurement)
+		if replica := k.replicas[m.replica]; replica != nil && replica.planner != nil {
+			replica.planner.Observe(now, m.measurement)
 		}
 	}
-	for name := range suspects {
-		if managed := k.managed[name]; managed != nil {
-			managed.checkedAt = time.Time{}
+	for id := range suspects {
+		if replica := k.replicas[id]; replica != nil {
+			replica.checkedAt = time.Time{}
 		}
 	}
 	remainingReports := reportsPerRound
-	for _, managed := range k.byLastCheck() {
-		if k.reconcile(ctx, now, d, managed) && remainingReports > 0 {
-			remainingReports -= len(managed.spec.stages)
-			managed.checkedAt = now
-			k.orderLayers(ctx, now, d, managed)
+	for _, replica := range k.byLastCheck() {
+		if k.reconcile(ctx, now, d, replica) && remainingReports > 0 {
+			remainingReports -= len(replica.spec.stages)
+			replica.checkedAt = now
+			k.orderLayers(ctx, now, d, replica)
 		}
 	}
 	k.placeAdapters(ctx, now, d)
@@ -192,17 +192,17 @@
 	return k.directory, measurements, suspects
 }
 
-// refreshManaged updates the set of managed replicas to those that this node owns. It
+// refreshReplicas updates the set of managed replicas to those that this node owns. It
 // iterates over every replica of the document, so it runs only when the document or the
 // list of nodes has changed.
-func (k *Controller) refreshManaged(d *docindex.Directory) {
+func (k *Controller) refreshReplicas(d *docindex.Directory) {
 	membership := k.cfg.MembershipVersion()
 	if d == k.refreshedFor && membership == k.refreshedMembership {
 		return
 	}
 	k.refreshedFor, k.refreshedMembership = d, membership
 	owned := map[recordKey]bool{}
-	managed := map[replicaID]*managedReplica{}
+	replicas := map[replicaID]*managedReplica{}
 	for _, spec := range replicaSpecs(d) {
 		isOwner, decided := owned[spec.key]
 		if !decided {
@@ -210,24 +210,24 @@
 			owned[spec.key] = isOwner
 		}
 		if isOwner {
-			managed[spec.id()] = k.managedFor(spec)
+			replicas[spec.id()] = k.replicaFor(spec)
 		}
 	}
-	k.managed = managed
+	k.replicas = replicas
 }
 
-func (k *Controller) managedFor(spec replicaSpec) *managedReplica {
-	managed := k.managed[spec.id()]
-	if managed == nil {
-		managed = &managedReplica{reservations: map[string]reservation{}, reports: map[string]engineapi.Report{}}
+func (k *Controller) replicaFor(spec replicaSpec) *managedReplica {
+	replica := k.replicas[spec.id()]
+	if replica == nil {
+		replica = &managedReplica{reservations: map[string]reservation{}, reports: map[string]engineapi.Report{}}
 	}
-	managed.spec = spec
-	return managed
+	replica.spec = spec
+	return replica
 }
 
 // byLastCheck lists the managed replicas, the one with the oldest check first.
 func (k *Controller) byLastCheck() []*managedReplica {
-	return slices.SortedFunc(maps.Values(k.managed), func(a, b *managedReplica) int {
+	return slices.SortedFunc(maps.Values(k.replicas), func(a, b *managedReplica) int {
 		if c := a.checkedAt.Compare(b.checkedAt); c != 0 {
 			return c
 		}
@@ -237,9 +237,9 @@
 
 // reconcile brings one replica towards its best plan. It reports whether the replica has a
 // plan.
-func (k *Controller) reconcile(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica) bool {
-	if err := k.commitPlan(ctx, now, d, managed); err != nil {
-		k.cfg.Log.Warn("plan not written", "model", managed.spec.key.model, "replica", managed.spec.name, "error", err)
+func (k *Controller) reconcile(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) bool {
+	if err := k.commitPlan(ctx, now, d, replica); err != nil {
+		k.cfg.Log.Warn("plan not written", "model", replica.spec.key.model, "replica", replica.spec.name, "error", err)
 		return false
 	}
 	return true
@@ -247,28 +247,28 @@
 
 // commitPlan writes a plan for the replica to the store if the replica has none, or if the
 // document or the measured times require another plan.
-func (k *Controller) commitPlan(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica) error {
-	model, chain := plannerInput(d, managed.spec)
-	stages, reason, changed, err := managed.decide(now, model, chain, k.cfg.Cache)
+func (k *Controller) commitPlan(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) error {
+	model, chain := plannerInput(d, replica.spec)
+	stages, reason, changed, err := replica.decide(now, model, chain, k.cfg.Cache)
 	if err != nil || !changed {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	if allowed, err := k.mayCommit(ctx, now, managed, reason); !allowed {
+	if allowed, err := k.mayCommit(ctx, now, replica, reason); !allowed {
 		return err
 	}
-	key := plan.Key(k.cfg.Environment, managed.spec.key.model, managed.spec.key.domain)
+	key := plan.Key(k.cfg.Environment, replica.spec.key.model, replica.spec.key.domain)
 	record, err := plan.Agree(ctx, k.cfg.Store, key, k.cfg.Node, func(r *plan.Record) bool {
-		return putPlan(r, managed.spec, stages, reason)
+		return putPlan(r, replica.spec, stages, reason)
 	})
 	if err != nil {
 		return err
 	}
-	k.cfg.Cache.update(managed.spec.key, record)
-	managed.adopt(now, model, chain, record.Replicas[managed.spec.name])
-	managed.state = placement.Loading
-	k.recordPlan(now, managed, record.Version, reason)
+	k.cfg.Cache.update(replica.spec.key, record)
+	replica.adopt(now, model, chain, record.Replicas[replica.spec.name])
+	replica.state = placement.Loading
+	k.recordPlan(now, replica, record.Version, reason)
 	return nil
 }
 
@@ -295,8 +295,8 @@
 	return len(replicaPlan.Stages) > 0 && usesOnly(documentStages(replicaPlan), declared)
 }
 
-func (k *Controller) recordPlan(now time.Time, managed *managedReplica, version int64, reason string) {
-	partition := managed.planner.Plan().Partition
+func (k *Controller) recordPlan(now time.Time, replica *managedReplica, version int64, reason string) {
+	partition := replica.planner.Plan().Partition
 	figures := map[string]float64{
 		"version":       float64(version),
 		"stages":        float64(len(partition.Stages)),
@@ -304,7 +304,7 @@
 		"total_us":      partition.Total,
 	}
 	if reason == reasonVersion {
-		rollout := k.rollouts[managed.spec.key]
+		rollout := k.rollouts[replica.spec.key]
 		figures["out"] = float64(rollout.Unavailable)
 		figures["may_be_out"] = float64(rollout.MaxUnavailable)
 		figures["behind"] = float64(rollout.Outdated)
@@ -312,8 +312,8 @@
 	k.cfg.Recorder.Record(decisionlog.Decision{
 		At:      now,
 		Kind:    decisionlog.Place,
-		Service: managed.spec.key.model,
-		Chosen:  managed.spec.name,
+		Service: replica.spec.key.model,
+		Chosen:  replica.spec.name,
 		Reason:  reason,
 		Figures: figures,
 	})
--- a/route/layerplans/controller_test.go
+++ b/route/layerplans/controller_test.go
@@ -31,17 +31,17 @@
 // fakeEngines are engines by address. The address of an engine is its name.
 type fakeEngines struct {
 	now         time.Time
-	holds       map[string]engineapi.Holding
+	holdings    map[string]engineapi.Holding
 	orderedAt   map[string]time.Duration // time of an engine's last order for other layers
 	unreachable map[string]bool
 	// loadTime is the duration of a load. During a load, an engine reports its old layers.
 	loadTime time.Duration
 	loading  map[string]pendingLoad
-	// running is the number of streams of each engine. interrupted counts orders for other
-	// weights while streams run. Loads of brokenVersion always fail.
-	running       map[string]int
-	interrupted   int
-	brokenVersion string
+	// runningStreams is the number of streams of each engine. interrupted counts orders for
+	// other weights while streams run. Loads of brokenVersion always fail.
+	runningStreams map[string]int
+	interrupted    int
+	brokenVersion  string
 	// adapters has the last adapter order of each engine, and adapterOrderTimes the times of
 	// all adapter orders.
 	adapters          map[string]engineapi.AdapterOrder
@@ -59,10 +59,10 @@
 		return engineapi.Report{}, errors.New("no answer")
 	}
 	if l, ok := f.loading[address]; ok && !f.now.Before(l.ready) {
-		f.holds[address] = engineapi.Holding(l.order)
+		f.holdings[address] = engineapi.Holding(l.order)
 	}
 	return engineapi.Report{
-		Holding: f.holds[address], Running: f.running[address], Uses: f.uses,
+		Holding: f.holdings[address], Running: f.runningStreams[address], Uses: f.uses,
 		Adapters: f.adapters[address].Adapters, AdapterVersion: f.adapters[address].Version,
 	}, nil
 }
@@ -79,15 +79,15 @@
 func (f *fakeEngines) Order(_ context.Context, address string, order engineapi.Order) error {
 	if order.Role == engineapi.RoleDrain {
 		delete(f.loading, address)
-		f.holds[address] = engineapi.Holding(order)
+		f.holdings[address] = engineapi.Holding(order)
 		return nil
 	}
-	if f.holds[address].Weights != "" && f.holds[address].Weights != order.Weights && f.running[address] > 0 {
+	if f.holdings[address].Weights != "" && f.holdings[address].Weights != order.Weights && f.runningStreams[address] > 0 {
 		f.interrupted++
 	}
 	if order.Weights == f.brokenVersion && order.Weights != "" {
 		delete(f.loading, address)
-		f.holds[address] = engineapi.Holding{Last: -1, PlacementVersion: order.PlacementVersion}
+		f.holdings[address] = engineapi.Holding{Last: -1, PlacementVersion: order.PlacementVersion}
 		return nil
 	}
 	if f.loading[address].order != order || f.loadTime == 0 {
@@ -95,7 +95,7 @@
 		f.orderedAt[address] = f.now.Sub(startTime)
 	}
 	if f.loadTime == 0 {
-		f.holds[address] = engineapi.Holding(order)
+		f.holdings[address] = engineapi.Holding(order)
 	}
 	return nil
 }
@@ -118,7 +118,7 @@
 	memory := storetest.NewMemory()
 	t.Cleanup(memory.Close)
 	d := docindex.Build(doc, 1, "digest")
-	s := &cluster{fakeEngines: &fakeEngines{now: startTime, holds: map[string]engineapi.Holding{}, orderedAt: map[string]time.Duration{}, unreachable: map[string]bool{}, loading: map[string]pendingLoad{}, running: map[string]int{}, adapters: map[string]engineapi.AdapterOrder{}}}
+	s := &cluster{fakeEngines: &fakeEngines{now: startTime, holdings: map[string]engineapi.Holding{}, orderedAt: map[string]time.Duration{}, unreachable: map[string]bool{}, loading: map[string]pendingLoad{}, runningStreams: map[string]int{}, adapters: map[string]engineapi.AdapterOrder{}}}
 	for i := range domains {
 		client := storetest.NewClient(memory)
 		cache := NewCache(client, "java", hclog.NewNullLogger())
@@ -173,11 +173,11 @@
 func (s *cluster) notReady() int {
 	n := 0
 	for _, k := range s.controllers {
-		for name := range k.managed {
+		for name := range k.replicas {
 			stages, version, _ := k.cfg.Cache.Plan(name.model, name.replica)
 			if slices.ContainsFunc(stages, func(st document.Stage) bool {
 				want := engineapi.Holding{Model: model, First: st.Layers[0], Last: st.Layers[1], PlacementVersion: version}
-				return s.holds[st.Endpoint] != want
+				return s.holdings[st.Endpoint] != want
 			}) {
 				n++
 			}
@@ -209,7 +209,7 @@
 		loaded += s.shortestLoad() // no load takes less time
 	}
 	loadCount := len(s.orderedAt)
-	clear(s.holds) // all engines restart without layers
+	clear(s.holdings) // all engines restart without layers
 	clear(s.loading)
 	clear(s.orderedAt)
 	returnedAt := s.now.Sub(startTime)
@@ -223,7 +223,7 @@
 // shortestLoad returns the duration of the shortest load.
 func (s *cluster) shortestLoad() time.Duration {
 	fewestLayers := layers
-	for _, h := range s.holds {
+	for _, h := range s.holdings {
 		fewestLayers = min(fewestLayers, h.Last-h.First+1)
 	}
 	return time.Duration(fewestLayers) * time.Second
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -15,8 +15,8 @@
 
 // reservation is an order with the reserved start of its load at the weight store.
 type reservation struct {
-	order engineapi.Order
-	start time.Time
+	order    engineapi.Order
+	startsAt time.Time
 }
 
 // pendingOrder is an order that is due because the engine's report differs from the plan.
@@ -29,60 +29,60 @@
 // orderLayers sends orders to the engines whose layers differ from the plan, once their
 // reserved load time has come. Engines that restart without layers are found the same
 // way, so the loads of a restarted rack are scheduled too.
-func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica) {
-	replicaPlan, ok := k.cfg.Cache.Agreed(managed.spec.key.model, managed.spec.name)
+func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) {
+	replicaPlan, ok := k.cfg.Cache.Agreed(replica.spec.key.model, replica.spec.name)
 	if !ok {
 		return
 	}
-	pending := k.pendingOrders(ctx, d, managed, replicaPlan)
-	managed.updateUseRates(now, replicaPlan.Stages[0].Endpoint)
+	pending := k.pendingOrders(ctx, d, replica, replicaPlan)
+	replica.updateUseRates(now, replicaPlan.Stages[0].Endpoint)
 	if len(pending) == 0 {
-		managed.drainStartedAt = time.Time{}
-		if managed.state == placement.Ready {
-			k.orderAdapters(ctx, now, d, managed, replicaPlan)
+		replica.drainStartedAt = time.Time{}
+		if replica.state == placement.Ready {
+			k.orderAdapters(ctx, now, d, replica, replicaPlan)
 		}
 		return
 	}
-	managed.state = placement.Loading
-	if !k.drain(ctx, now, managed, pending) {
-		managed.checkedAt = time.Time{} // check this replica first in the next round
+	replica.state = placement.Loading
+	if !k.drain(ctx, now, replica, pending) {
+		replica.checkedAt = time.Time{} // check this replica first in the next round
 		return
 	}
-	if err := k.reserveLayerLoads(ctx, now, d, managed, pending); err != nil {
-		k.cfg.Log.Warn("loads not reserved", "model", managed.spec.key.model, "replica", managed.spec.name, "error", err)
+	if err := k.reserveLayerLoads(ctx, now, d, replica, pending); err != nil {
+		k.cfg.Log.Warn("loads not reserved", "model", replica.spec.key.model, "replica", replica.spec.name, "error", err)
 		return
 	}
 	for _, each := range pending {
-		if !now.Before(managed.reservations[each.endpoint.Name].start) {
-			k.sendOrder(ctx, managed.spec, each)
+		if !now.Before(replica.reservations[each.endpoint.Name].startsAt) {
+			k.sendOrder(ctx, replica.spec, each)
 		}
 	}
 }
 
 // pendingOrders fetches the reports of a replica's engines and updates the replica's
 // state. It returns the orders for the engines that differ from the plan.
-func (k *Controller) pendingOrders(ctx context.Context, d *docindex.Directory, managed *managedReplica, replicaPlan plan.Replica) []pendingOrder {
+func (k *Controller) pendingOrders(ctx context.Context, d *docindex.Directory, replica *managedReplica, replicaPlan plan.Replica) []pendingOrder {
 	var pending []pendingOrder
-	managed.state = placement.Ready
+	replica.state = placement.Ready
 	for _, s := range replicaPlan.Stages {
 		e, known := d.Endpoint(s.Endpoint)
 		if !known {
-			managed.state = placement.Unknown
+			replica.state = placement.Unknown
 			continue
 		}
 		report, err := k.fetchReport(ctx, e)
 		if err != nil {
-			managed.state = placement.Unknown // fetched again in the next round
-			delete(managed.reports, e.Name)
+			replica.state = placement.Unknown // fetched again in the next round
+			delete(replica.reports, e.Name)
 			continue
 		}
-		managed.reports[e.Name] = report
+		replica.reports[e.Name] = report
 		order := engineapi.Order{
-			Model: managed.spec.key.model, Weights: replicaPlan.Weights, First: s.First, Last: s.Last,
+			Model: replica.spec.key.model, Weights: replicaPlan.Weights, First: s.First, Last: s.Last,
 			PlacementVersion: replicaPlan.Version,
 		}
 		if report.Holding == engineapi.Holding(order) {
-			delete(managed.reservations, e.Name)
+			delete(replica.reservations, e.Name)
 			continue
 		}
 		pending = append(pending, pendingOrder{e, order, report})
@@ -98,14 +98,14 @@
 
 // reserveLayerLoads reserves load time at the weight store for the orders that have none
 // yet, all in one write.
-func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Directory, managed *managedReplica, pending []pendingOrder) error {
-	model, _ := plannerInput(d, managed.spec)
+func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, pending []pendingOrder) error {
+	model, _ := plannerInput(d, replica.spec)
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
 	var unreserved []pendingOrder
 	var fetchTimes []time.Duration
 	longest := time.Duration(0)
 	for _, each := range pending {
-		if managed.reservations[each.endpoint.Name].order == each.order {
+		if replica.reservations[each.endpoint.Name].order == each.order {
 			continue
 		}
 		unreserved = append(unreserved, each)
@@ -121,7 +121,7 @@
 		}
 	}
 	for i, each := range unreserved {
-		managed.reservations[each.endpoint.Name] = reservation{each.order, starts[i]}
+		replica.reservations[each.endpoint.Name] = reservation{each.order, starts[i]}
 		if starts[i].After(now) {
 			k.cfg.Log.Info("load waits for the weight store", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", starts[i].Sub(now).Milliseconds())
 		}
@@ -136,28 +136,28 @@
 }
 
 // heldStage returns the layers of the ordered model and weights that an engine holds.
-func heldStage(d pendingOrder) placement.Stage {
-	if d.report.Model != d.order.Model || d.report.Weights != d.order.Weights {
+func heldStage(pending pendingOrder) placement.Stage {
+	if pending.report.Model != pending.order.Model || pending.report.Weights != pending.order.Weights {
 		return placement.Stage{First: 0, Last: -1}
 	}
-	return placement.Stage{First: d.report.First, Last: d.report.Last}
+	return placement.Stage{First: pending.report.First, Last: pending.report.Last}
 }
 
 func orderedStage(o engineapi.Order) placement.Stage {
 	return placement.Stage{First: o.First, Last: o.Last}
 }
 
-func (k *Controller) sendOrder(ctx context.Context, spec replicaSpec, d pendingOrder) {
+func (k *Controller) sendOrder(ctx context.Context, spec replicaSpec, pending pendingOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if err := k.cfg.EngineClient.Order(ctx, d.endpoint.Address, d.order); err != nil {
-		k.cfg.Log.Warn("order not accepted", "endpoint", d.endpoint.Name, "version", d.order.PlacementVersion, "error", err)
+	if err := k.cfg.EngineClient.Order(ctx, pending.endpoint.Address, pending.order); err != nil {
+		k.cfg.Log.Warn("order not accepted", "endpoint", pending.endpoint.Name, "version", pending.order.PlacementVersion, "error", err)
 		if engineclient.Status(err) == http.StatusConflict {
-			k.raiseVersion(spec, d.report.PlacementVersion)
+			k.raiseVersion(spec, pending.report.PlacementVersion)
 		}
 		return
 	}
-	k.cfg.Log.Info("order", "endpoint", d.endpoint.Name, "model", d.order.Model, "weights", d.order.Weights, "first", d.order.First, "last", d.order.Last, "role", d.order.Role, "version", d.order.PlacementVersion)
+	k.cfg.Log.Info("order", "endpoint", pending.endpoint.Name, "model", pending.order.Model, "weights", pending.order.Weights, "first", pending.order.First, "last", pending.order.Last, "role", pending.order.Role, "version", pending.order.PlacementVersion)
 }
 
 // raiseVersion raises the plan's version above a version that an engine accepted from
@@ -182,10 +182,10 @@
 // mayReload reports whether a replica may stop serving for a better plan. The other
 // replicas of its model and failure domain must serve its requests meanwhile. The weight
 // store must be free, or the replica would be out of service until its reserved time.
-func (k *Controller) mayReload(ctx context.Context, now time.Time, managed *managedReplica) (bool, error) {
+func (k *Controller) mayReload(ctx context.Context, now time.Time, replica *managedReplica) (bool, error) {
 	var others []placement.ReplicaState
-	for _, other := range k.managed {
-		if other != managed && other.spec.key == managed.spec.key {
+	for _, other := range k.replicas {
+		if other != replica && other.spec.key == replica.spec.key {
 			others = append(others, other.state)
 		}
 	}
--- a/route/layerplans/planning.go
+++ b/route/layerplans/planning.go
@@ -79,26 +79,26 @@
 
 // decide reports whether the replica needs another plan than the cached one. It returns the
 // stages and the reason of the new plan.
-func (managed *managedReplica) decide(now time.Time, model placement.Model, chain placement.Chain, cache *Cache) ([]plan.Stage, string, bool, error) {
-	replicaPlan, ok := cache.Agreed(managed.spec.key.model, managed.spec.name)
+func (replica *managedReplica) decide(now time.Time, model placement.Model, chain placement.Chain, cache *Cache) ([]plan.Stage, string, bool, error) {
+	replicaPlan, ok := cache.Agreed(replica.spec.key.model, replica.spec.name)
 	stages, version := documentStages(replicaPlan), replicaPlan.Version
 	switch {
-	case !ok || !usesOnly(stages, managed.spec.stages):
+	case !ok || !usesOnly(stages, replica.spec.stages):
 		reason := reasonFirst
 		if ok {
 			reason = reasonEndpoints
 		}
 		partition, err := placement.BestPartition(model, chain)
 		return planStages(partition), reason, true, err
-	case replicaPlan.Weights != managed.spec.model.Version:
+	case replicaPlan.Weights != replica.spec.model.Version:
 		return replicaPlan.Stages, reasonVersion, true, nil
-	case managed.planner == nil:
-		managed.planner = placement.NewPlanner(model, chain, placement.Plan{Version: version, Partition: evaluatedPartition(stages, chain)}, placement.Policy{})
+	case replica.planner == nil:
+		replica.planner = placement.NewPlanner(model, chain, placement.Plan{Version: version, Partition: evaluatedPartition(stages, chain)}, placement.Policy{})
 	default:
-		managed.planner.SetChain(chain)
-		managed.planner.Adopt(now, placement.Plan{Version: version, Partition: evaluatedPartition(stages, chain)})
+		replica.planner.SetChain(chain)
+		replica.planner.Adopt(now, placement.Plan{Version: version, Partition: evaluatedPartition(stages, chain)})
 	}
-	next, changed := managed.planner.Decide(now)
+	next, changed := replica.planner.Decide(now)
 	return planStages(next.Partition), reasonMeasured, changed, nil
 }
 
@@ -132,7 +132,7 @@
 }
 
 // adopt passes a plan that was written to the store to the planner.
-func (managed *managedReplica) adopt(now time.Time, model placement.Model, chain placement.Chain, replicaPlan plan.Replica) {
+func (replica *managedReplica) adopt(now time.Time, model placement.Model, chain placement.Chain, replicaPlan plan.Replica) {
 	next := placement.Partition{}
 	for _, s := range replicaPlan.Stages {
 		next.Stages = append(next.Stages, placement.Stage{Endpoint: s.Endpoint, First: s.First, Last: s.Last})
@@ -141,9 +141,9 @@
 		next = evaluated
 	}
 	adopted := placement.Plan{Version: replicaPlan.Version, Partition: next}
-	if managed.planner == nil {
-		managed.planner = placement.NewPlanner(model, chain, adopted, placement.Policy{})
+	if replica.planner == nil {
+		replica.planner = placement.NewPlanner(model, chain, adopted, placement.Policy{})
 		return
 	}
-	managed.planner.Adopt(now, adopted)
+	replica.planner.Adopt(now, adopted)
 }
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -16,12 +16,12 @@
 const drainTimeout = 150 * time.Second
 
 // mayCommit reports whether a plan that was decided for a reason may be written now.
-func (k *Controller) mayCommit(ctx context.Context, now time.Time, managed *managedReplica, reason string) (bool, error) {
+func (k *Controller) mayCommit(ctx context.Context, now time.Time, replica *managedReplica, reason string) (bool, error) {
 	switch reason {
 	case reasonMeasured:
-		return k.mayReload(ctx, now, managed)
+		return k.mayReload(ctx, now, replica)
 	case reasonVersion:
-		return k.mayRollOut(ctx, now, managed)
+		return k.mayRollOut(ctx, now, replica)
 	default:
 		return true, nil // the replica is not serving
 	}
@@ -30,16 +30,16 @@
 // mayRollOut reports whether a replica may take the document's version of the weights now.
 // A replica that is serving also waits until the weight store is free. Otherwise it would
 // be out of service until its reserved load time.
-func (k *Controller) mayRollOut(ctx context.Context, now time.Time, managed *managedReplica) (bool, error) {
-	rollout, known := k.rollouts[managed.spec.key]
+func (k *Controller) mayRollOut(ctx context.Context, now time.Time, replica *managedReplica) (bool, error) {
+	rollout, known := k.rollouts[replica.spec.key]
 	if !known {
-		rollout = k.rollout(managed.spec)
-		k.rollouts[managed.spec.key] = rollout
+		rollout = k.rollout(replica.spec)
+		k.rollouts[replica.spec.key] = rollout
 	}
-	if !contains(rollout.Start, managed.spec.name) {
+	if !contains(rollout.Start, replica.spec.name) {
 		return false, nil
 	}
-	if managed.state != placement.Ready {
+	if replica.state != placement.Ready {
 		return true, nil
 	}
 	schedule, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
@@ -48,7 +48,7 @@
 
 func (k *Controller) rollout(spec replicaSpec) placement.Rollout {
 	var candidates []placement.RolloutReplica
-	for _, other := range k.managed {
+	for _, other := range k.replicas {
 		if other.spec.key != spec.key {
 			continue
 		}
@@ -70,9 +70,9 @@
 }
 
 // runningStreams returns the number of running streams at the engine with the most.
-func (managed *managedReplica) runningStreams() int {
+func (replica *managedReplica) runningStreams() int {
 	most := 0
-	for _, r := range managed.reports {
+	for _, r := range replica.reports {
 		most = max(most, r.Running)
 	}
 	return most
@@ -87,26 +87,26 @@
 // prompt again. The drain order carries the plan's new version. Every node checks the
 // version before it uses an engine, so no node starts new streams at the engine,
 // whichever plan the node has cached.
-func (k *Controller) drain(ctx context.Context, now time.Time, managed *managedReplica, pending []pendingOrder) bool {
+func (k *Controller) drain(ctx context.Context, now time.Time, replica *managedReplica, pending []pendingOrder) bool {
 	drained := true
 	for _, each := range pending {
 		held := each.report.Holding
 		if held.Model != each.order.Model || held.Weights == each.order.Weights {
 			continue
 		}
-		if managed.drainStartedAt.IsZero() {
-			managed.drainStartedAt = now
+		if replica.drainStartedAt.IsZero() {
+			replica.drainStartedAt = now
 		}
 		drain := engineapi.Order(held)
 		drain.PlacementVersion = each.order.PlacementVersion
 		drain.Role = engineapi.RoleDrain
 		if held != engineapi.Holding(drain) {
-			k.sendOrder(ctx, managed.spec, pendingOrder{each.endpoint, drain, each.report})
+			k.sendOrder(ctx, replica.spec, pendingOrder{each.endpoint, drain, each.report})
 			drained = false
 		}
 		if each.report.Running > 0 {
 			drained = false
 		}
 	}
-	return drained || now.Sub(managed.drainStartedAt) >= drainTimeout
+	return drained || now.Sub(replica.drainStartedAt) >= drainTimeout
 }
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -36,7 +36,7 @@
 	for i := range replicas {
 		ready := true
 		for _, st := range s.replicaPlan(i).Stages {
-			h := s.holds[st.Endpoint]
+			h := s.holdings[st.Endpoint]
 			ready = ready && h.Weights == version && h.Role == engineapi.RoleBoth && h.Last == st.Last
 		}
 		if ready {
@@ -64,19 +64,19 @@
 		t.Fatalf("%d of %d replicas serve", n, replicas)
 	}
 	for i := range replicas {
-		s.running[s.replicaPlan(i).Stages[0].Endpoint] = 1
+		s.runningStreams[s.replicaPlan(i).Stages[0].Endpoint] = 1
 	}
 	s.applyDocument(withVersion(documentOf(replicas, 1, rate), "v2"))
 	clear(s.orderedAt)
 	drainOrderedAt := map[string]time.Time{}
 	minServing := replicas
 	s.runRounds(60, 0, func() {
-		for name, h := range s.holds {
+		for name, h := range s.holdings {
 			if h.Role == engineapi.RoleDrain && drainOrderedAt[name].IsZero() {
 				drainOrderedAt[name] = s.now
 			}
 			if at := drainOrderedAt[name]; !at.IsZero() && s.now.Sub(at) >= 5*time.Second {
-				s.running[name] = 0
+				s.runningStreams[name] = 0
 			}
 		}
 		minServing = min(minServing, s.serving(replicas, "v1")+s.serving(replicas, "v2"))
@@ -121,7 +121,7 @@
 func TestDrainTimesOut(t *testing.T) {
 	s := clusterOf(t, withVersion(documentOf(2, 1, 0), "v1"), 1)
 	s.runRounds(10, 0, noAction)
-	s.running["engine-0a"] = 1
+	s.runningStreams["engine-0a"] = 1
 	s.runRounds(2, 0, noAction) // the engines report the running stream
 	s.applyDocument(withVersion(documentOf(2, 1, 0), "v2"))
 	s.runRounds(int(drainTimeout/time.Second)-5, 0, noAction)
@@ -214,7 +214,7 @@
 	}
 	for i := range 4 {
 		if len(s.replicaPlan(i).Adapters) > 0 {
-			s.running[s.replicaPlan(i).Stages[0].Endpoint] = assumedSlots
+			s.runningStreams[s.replicaPlan(i).Stages[0].Endpoint] = assumedSlots
 		}
 	}
 	s.runRounds(30, 0, func() { s.uses = map[string]uint64{"notes@1": uint64(s.now.Sub(startTime) / time.Second)} })
@@ -288,12 +288,12 @@
 	s := newCluster(t, 1, 1, 0)
 	s.runRounds(5, 0, noAction)
 	name := s.replicaPlan(0).Stages[0].Endpoint
-	other := s.holds[name]
+	other := s.holdings[name]
 	other.Role = engineapi.RolePrefill
-	s.holds[name] = other
+	s.holdings[name] = other
 	delete(s.loading, name)
 	s.runRounds(5, 0, noAction)
-	if got := s.holds[name].Role; got != engineapi.RoleBoth {
+	if got := s.holdings[name].Role; got != engineapi.RoleBoth {
 		t.Errorf("the engine kept the foreign role %q", got)
 	}
 }
