--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -53,7 +53,7 @@
 func (k *Controller) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
 	groups := map[recordKey][]*managedReplica{}
 	for _, replica := range k.replicas {
-		// Most models have no adapters, and this runs each second.
+		// Skip the many models without adapters, because placeAdapters runs every second.
 		if len(replica.spec.model.Adapters) > 0 || k.cfg.Cache.hasAdapters(replica.spec.key) {
 			groups[replica.spec.key] = append(groups[replica.spec.key], replica)
 		}
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -31,9 +31,9 @@
 )
 
 const (
-	// minReadInterval is the minimum time between two reads of one record. While a
-	// replica's engines are loading, every stream that would use the replica requests a
-	// read.
+	// minReadInterval is the minimum time between two reads of one record. Without the
+	// limit, every stream that would use a replica causes a read while the replica's
+	// engines are loading.
 	minReadInterval = 500 * time.Millisecond
 	readTimeout     = 2 * time.Second
 	// adapterRefresh is the maximum age of a record with adapters. A lost adapter shows
