--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -93,7 +93,7 @@
 	}
 	if len(req.mayHaveRunOn)+1 < req.Route.MaxReplicas {
 		m.filter.Exclude = slices.Clone(req.failedReplicas)
-		m.mayReplace, m.mayMigrate = true, req.attemptCount < maxAttempts
+		m.mayReplace, m.mayMigrate = true, req.attemptCount < attemptLimit
 		return
 	}
 	m.filter.FirstReplicas = slices.Clone(req.mayHaveRunOn)
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one request, including those that did not run.
-	maxAttempts = 5
+	// attemptLimit bounds the attempts of one request, including those that did not run.
+	attemptLimit = 5
 	// defaultAnswerTokens is the assumed length of the answer if the caller gave neither an
 	// estimate nor a limit.
 	defaultAnswerTokens = 200
@@ -238,7 +238,7 @@
 	switch {
 	case res.migrateTo != nil:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
-	case req.attemptCount >= maxAttempts, len(req.mayHaveRunOn) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
+	case req.attemptCount >= attemptLimit, len(req.mayHaveRunOn) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
 		return retry.Decision{Reason: retry.TooManyAttempts}
 	case res.kind == resultNotSent:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
