--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -48,9 +48,9 @@
 	// and Target the number of holders that it should have. Both are zero for a change
 	// without Loads.
 	Holders, Target int
-	// Alternatives is the number of other replicas that could have taken the adapter in
+	// AlternativeReplicaCount is the number of other replicas that could have taken the adapter in
 	// Loads.
-	Alternatives int
+	AlternativeReplicaCount int
 }
 
 // Result holds the changes to make.
@@ -220,7 +220,7 @@
 // addHolder adds an adapter to the plan of the best eligible replica (betterHolder), and
 // reports whether there is an eligible replica with enough memory.
 func (d *decision) addHolder(want Desired, target int, reason string) bool {
-	best, alternatives := -1, 0
+	best, alternativeReplicaCount := -1, 0
 	var drops []Adapter
 	for i := range d.replicas {
 		if !d.eligible(i, want, reason) {
@@ -231,7 +231,7 @@
 			continue
 		}
 		if best >= 0 {
-			alternatives++
+			alternativeReplicaCount++
 		}
 		if best < 0 || d.betterHolder(want, i, len(evictions), best, len(drops)) {
 			best, drops = i, evictions
@@ -240,7 +240,7 @@
 	if best < 0 {
 		return false
 	}
-	d.addChange(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.plannedHolders[want.Adapter], Target: target, Alternatives: alternatives})
+	d.addChange(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.plannedHolders[want.Adapter], Target: target, AlternativeReplicaCount: alternativeReplicaCount})
 	return true
 }
 
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -10,7 +10,7 @@
 
 var notes1, notes2, plans1 = Adapter{"notes", "1"}, Adapter{"notes", "2"}, Adapter{"plans", "1"}
 
-func desired(a Adapter, replicas int) Desired { return Desired{a, 10, replicas} }
+func desired(a Adapter, replicaCount int) Desired { return Desired{a, 10, replicaCount} }
 
 func servingReplica(name string, memoryBytes int64, planned ...Adapter) Replica {
 	return Replica{Name: name, MemoryBytes: memoryBytes, Planned: planned, Held: planned, Serving: true}
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -67,9 +67,9 @@
 	}
 	// With only 70 cases in a run, the mean ratio of the plan's capacity to the best capacity
 	// differs by a tenth between runs.
-	const casesPerCheck = 3
+	const casesPerIteration = 3
 	rapid.Check(t, func(t *rapid.T) {
-		for range casesPerCheck {
+		for range casesPerIteration {
 			compare(t)
 		}
 	})
@@ -79,10 +79,10 @@
 	}
 }
 
-// consecutiveSpans gives each replica the span that follows the span of the replica before.
+// assignConsecutiveSpans gives each replica the span that follows the span of the replica before.
 // A span has the length that MaxLayers returns for the fraction, but ends at the last layer
 // at the latest. The span after the last layer begins at the first layer again.
-func consecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
+func assignConsecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
 	nextLayer := 0
 	for i := range replicas {
 		n := min(m.MaxLayers(replicas[i].MemoryMB, fraction), m.Layers-nextLayer)
@@ -100,7 +100,7 @@
 		slices.SortStableFunc(replicas, func(a, b Replica) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
 		return replicas
 	}
-	spansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
+	assignSpansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
 		nextLayer := 0
 		for i := range replicas {
 			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-nextLayer)
@@ -114,10 +114,10 @@
 		replicas []Replica
 	}{
 		{"the plan", applyOrders(typicalDomain(), Plan(model, typicalDomain()))},
-		{"fast cards only, filled", consecutiveSpans(model, sortedByMemory(typicalDomain())[:5], 1)},
-		{"one after the other, 0.9 of each", consecutiveSpans(model, sortedByMemory(typicalDomain()), 0.9)},
-		{"spans on a grid of 5", spansOnGrid(sortedByMemory(typicalDomain()), 5)},
-		{"spans on a grid of 7", spansOnGrid(sortedByMemory(typicalDomain()), 7)},
+		{"fast cards only, filled", assignConsecutiveSpans(model, sortedByMemory(typicalDomain())[:5], 1)},
+		{"one after the other, 0.9 of each", assignConsecutiveSpans(model, sortedByMemory(typicalDomain()), 0.9)},
+		{"spans on a grid of 5", assignSpansOnGrid(sortedByMemory(typicalDomain()), 5)},
+		{"spans on a grid of 7", assignSpansOnGrid(sortedByMemory(typicalDomain()), 7)},
 	}
 	capacities := map[string]float64{}
 	for _, p := range plans {
--- a/decide/paths/prefill.go
+++ b/decide/paths/prefill.go
@@ -44,12 +44,12 @@
 // comes from the previous path. The time includes the prefill backlog from this node.
 // tokens is the number of tokens to prefill. nodes is the number of nodes that send the
 // same amount of prefill: a lost replica affects the streams of all nodes alike.
-func (s *Selector) PrefillWait(now time.Time, path, previous Path, tokens float64, nodes int) time.Duration {
+func (s *Selector) PrefillWait(now time.Time, path, previous Path, tokens float64, nodeCount int) time.Duration {
 	slowestMillis := 0.0
 	for _, stage := range newStages(path, previous) {
 		if r, ok := s.replicas[stage.Replica]; ok {
 			requestMillis := tokens * float64(stage.Layers.Len()) * r.PrefillMillis
-			slowestMillis = max(slowestMillis, r.prefill.remaining(now)+requestMillis*float64(max(1, nodes)))
+			slowestMillis = max(slowestMillis, r.prefill.remaining(now)+requestMillis*float64(max(1, nodeCount)))
 		}
 	}
 	return time.Duration(slowestMillis * float64(time.Millisecond))
@@ -57,10 +57,10 @@
 
 // AddPrefill adds the prefill of a request to the backlogs of the replicas that run the new
 // stages of its path. The parameters are those of PrefillWait.
-func (s *Selector) AddPrefill(now time.Time, path, previous Path, tokens float64, nodes int) {
+func (s *Selector) AddPrefill(now time.Time, path, previous Path, tokens float64, nodeCount int) {
 	for _, stage := range newStages(path, previous) {
 		if r, ok := s.replicas[stage.Replica]; ok {
-			r.prefill.add(now, tokens*float64(stage.Layers.Len())*r.PrefillMillis*float64(max(1, nodes)))
+			r.prefill.add(now, tokens*float64(stage.Layers.Len())*r.PrefillMillis*float64(max(1, nodeCount)))
 		}
 	}
 }
--- a/decide/paths/prefill_test.go
+++ b/decide/paths/prefill_test.go
@@ -83,11 +83,11 @@
 	}
 }
 
-// simulateReturningCallers simulates two domains with one replica each. For a quarter of a
+// longestBacklogInBurst simulates two domains with one replica each. For a quarter of a
 // second, a prompt of a thousand tokens arrives each millisecond in the domain "near". With
 // countPrefill, each prompt is added to the backlogs that the Selector counts. The function
 // returns the longest prefill backlog that a replica had.
-func simulateReturningCallers(countPrefill bool) time.Duration {
+func longestBacklogInBurst(countPrefill bool) time.Duration {
 	s := New(1)
 	near, far := replica("near", "near", 0, 80), replica("far", "far", 0, 80)
 	near.PrefillMillis, far.PrefillMillis = 0.00005, 0.00005
@@ -113,7 +113,7 @@
 // queue for prefill in their own domain, and the first events of the answers would be late.
 // Because the prefill backlog is part of the cost, some prompts go to another domain.
 func TestReturningCallersSpreadByPrefillBacklog(t *testing.T) {
-	longestWithBacklogCost, longestWithoutBacklogCost := simulateReturningCallers(true), simulateReturningCallers(false)
+	longestWithBacklogCost, longestWithoutBacklogCost := longestBacklogInBurst(true), longestBacklogInBurst(false)
 	t.Logf("longest backlog %v, %v without the cost of the backlog", longestWithBacklogCost, longestWithoutBacklogCost)
 	if longestWithBacklogCost > longestWithoutBacklogCost*7/10 {
 		t.Errorf("longest backlog %v, %v without the cost of the backlog", longestWithBacklogCost, longestWithoutBacklogCost)
--- a/decide/placement/loads.go
+++ b/decide/placement/loads.go
@@ -5,9 +5,9 @@
 // FetchBytes returns the number of bytes that an engine must fetch from the weight store to
 // hold the layers of want, if it holds the layers of held now. A stage with Last below First
 // has no layers.
-func FetchBytes(model Model, held, want Stage) int64 {
-	commonLayers := min(held.Last, want.Last) - max(held.First, want.First) + 1
-	missingLayers := want.Last - want.First + 1 - max(commonLayers, 0)
+func FetchBytes(model Model, heldStage, wantedStage Stage) int64 {
+	commonLayers := min(heldStage.Last, wantedStage.Last) - max(heldStage.First, wantedStage.First) + 1
+	missingLayers := wantedStage.Last - wantedStage.First + 1 - max(commonLayers, 0)
 	return int64(missingLayers) * model.LayerBytes
 }
 
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -121,9 +121,9 @@
 		return
 	}
 	accelerator := s.chain.Accelerators[state.accelerator]
-	for layers := 1; layers <= s.maxLayers(state); layers++ {
-		computeMicros := float64(layers) * accelerator.LayerMicros
-		end := state.layer + layers
+	for layerCount := 1; layerCount <= s.maxLayers(state); layerCount++ {
+		computeMicros := float64(layerCount) * accelerator.LayerMicros
+		end := state.layer + layerCount
 		if end == s.model.Layers {
 			s.recordLastStage(state, costSoFar, computeMicros)
 			return
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -144,12 +144,12 @@
 		return
 	}
 	stage := p.plan.Partition.Stages[i]
-	layers := float64(stage.Last - stage.First + 1)
+	layerCount := float64(stage.Last - stage.First + 1)
 	stepMicros := min(m.StepMicros, m.HopMicros)
 	if stepMicros <= 0 {
-		stepMicros = m.HopMicros * p.computeFraction(accelerator, layers, m.Next)
+		stepMicros = m.HopMicros * p.computeFraction(accelerator, layerCount, m.Next)
 	}
-	p.layerMicros[m.Endpoint] = p.layerMicros[m.Endpoint].withMeasurement(now, stepMicros/layers)
+	p.layerMicros[m.Endpoint] = p.layerMicros[m.Endpoint].withMeasurement(now, stepMicros/layerCount)
 	if m.Next != "" {
 		key := link{m.Endpoint, m.Next}
 		p.linkMicros[key] = p.linkMicros[key].withMeasurement(now, m.HopMicros-stepMicros)
@@ -158,8 +158,8 @@
 
 // computeFraction returns the fraction of a hop's time that its computation takes according
 // to the declared times.
-func (p *Planner) computeFraction(accelerator int, layers float64, next string) float64 {
-	computeMicros := layers * p.declaredChain.Accelerators[accelerator].LayerMicros
+func (p *Planner) computeFraction(accelerator int, layerCount float64, next string) float64 {
+	computeMicros := layerCount * p.declaredChain.Accelerators[accelerator].LayerMicros
 	nextAccelerator := p.declaredChain.acceleratorIndex(next)
 	if nextAccelerator <= accelerator || computeMicros <= 0 {
 		return 1
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -16,8 +16,8 @@
 	RunningStreams int
 }
 
-// Rollout is the next step of a roll-out in a failure domain.
-type Rollout struct {
+// RolloutStep is the next step of a roll-out in a failure domain.
+type RolloutStep struct {
 	// Start names the replicas that are to change to the new version now. A replica that
 	// serves finishes its streams before it changes.
 	Start []string
@@ -51,8 +51,8 @@
 // for Start. A node that has just become responsible for the plans has no answer from any
 // replica yet. Without this rule such a node would choose all replicas. A replica in the
 // state Loading serves no requests, so NextRollout chooses it for Start in any case.
-func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) Rollout {
-	r := Rollout{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
+func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) RolloutStep {
+	r := RolloutStep{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
 	loadingCount := 0
 	for _, replica := range replicas {
 		if replica.State != Ready {
--- a/decide/reroute/reroute_test.go
+++ b/decide/reroute/reroute_test.go
@@ -9,8 +9,8 @@
 
 // crossingEstimate returns the estimate for a request of 900 tokens whose bypass crosses
 // twice: a transfer of 53 MB at 1.4 GB a second.
-func crossingEstimate(nodes int) Estimate {
-	return Estimate{Bytes: 53e6, BytesPerSecond: 1.4e9, Nodes: nodes, MaxWait: maxWait}
+func crossingEstimate(nodeCount int) Estimate {
+	return Estimate{Bytes: 53e6, BytesPerSecond: 1.4e9, Nodes: nodeCount, MaxWait: maxWait}
 }
 
 // maxWait is the part of an allowed pause of 0.3 s that is left when the loss has been
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -189,7 +189,7 @@
 		Figures: map[string]float64{
 			"holders":   float64(c.Holders),
 			"target":    float64(c.Target),
-			"with_room": float64(c.Alternatives),
+			"with_room": float64(c.AlternativeReplicaCount),
 			"unplaced":  float64(unplaced),
 			"adapters":  float64(len(c.Adapters)),
 			"loads":     float64(len(c.Loads)),
--- a/route/layerplans/keeper.go
+++ b/route/layerplans/keeper.go
@@ -72,7 +72,7 @@
 	followed *docindex.Directory
 	stamp    any
 	// rollouts are this round's, by place.
-	rollouts map[place]placement.Rollout
+	rollouts map[place]placement.RolloutStep
 }
 
 // keptReplica is one replica that this node plans for.
@@ -158,7 +158,7 @@
 		return
 	}
 	k.follow(d)
-	k.rollouts = map[place]placement.Rollout{}
+	k.rollouts = map[place]placement.RolloutStep{}
 	for _, m := range measures {
 		if kept := k.kept[m.name]; kept != nil && kept.planner != nil {
 			kept.planner.Observe(now, m.measure)
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -46,7 +46,7 @@
 	return err == nil && pace.Free(now), err
 }
 
-func (k *Keeper) rollout(open openReplica) placement.Rollout {
+func (k *Keeper) rollout(open openReplica) placement.RolloutStep {
 	var candidates []placement.RolloutReplica
 	for _, other := range k.kept {
 		if other.open.place != open.place {
