--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -48,8 +48,8 @@
 	// and Target the number of holders that it should have. Both are zero for a change
 	// without Loads.
 	Holders, Target int
-	// AlternativeReplicaCount is the number of other replicas that could have taken the adapter in
-	// Loads.
+	// AlternativeReplicaCount is the number of other replicas that could have taken the
+	// adapter in Loads.
 	AlternativeReplicaCount int
 }
 
@@ -69,10 +69,9 @@
 )
 
 const (
-	// busyUtilization is the utilization from which a replica counts as busy. If more than
-	// three quarters of 16 slots are in use, new streams begin to wait in a queue, because
-	// from time to time all slots are taken. At a lower utilization, another holder of an
-	// adapter would cost a load without need.
+	// busyUtilization is the utilization from which a replica counts as busy. Above three
+	// quarters, a queue begins to form in front of a batch of 16 slots. Below three quarters,
+	// another holder of an adapter would cost a load without need.
 	busyUtilization = 0.75
 )
 
--- a/decide/adapters/doc.go
+++ b/decide/adapters/doc.go
@@ -24,13 +24,14 @@
 //   - More adapters than fit in memory are requested in turn. If an adapter were dropped
 //     as soon as it is idle, it would be fetched again and again from the weight store,
 //     whose rate all loads share. So Decide drops an adapter only to make room for
-//     another adapter with too few holders or only busy ones. It then drops the least
-//     used adapter among those with more holders than desired.
+//     another adapter that has too few holders, or whose holders are all busy. Decide then
+//     drops the least used of the adapters with more holders than desired.
 //   - A new version of an adapter is loaded beside the old version. The old version stays
 //     on a replica until that replica holds the new version, so that callers always find
 //     a holder. If memory has no room for both versions, the old version is dropped
 //     first, but only if another replica plans the old version or holds the new version.
 //
 // All functions are pure: reports are arguments and changes are return values. The plan
-// doesn't guarantee that an engine holds an adapter. This is checked when a stream is sent.
+// doesn't guarantee that an engine holds an adapter. Whether the engine holds the adapter is
+// checked when a stream is sent.
 package adapters
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -18,7 +18,12 @@
 // lasts. A node whose machine was suspended serves the requests queued at its sockets
 // before it reads the store again.
 //
-// # Grounds for the rules
+// # Rule
+//
+// A node may serve requests only while the age of its newest confirmation is below a limit
+// (Lease.MaxAge).
+//
+// # Grounds for the rule
 //
 // All times are readings of one clock that continues while the machine is suspended. With
 // a monotonic clock that stops during suspension, an old confirmation would look recent.
@@ -26,7 +31,8 @@
 // The age of a confirmation counts from the start of its read, because the store may have
 // produced the answer at any time after the start. A newer configuration that the node
 // doesn't know can't have been in force for longer than this age, however long the answer
-// or the node was delayed. So nodes need not agree with each other.
+// or the node was delayed. So each node can apply the rule by itself, without an agreement
+// with other nodes.
 package freshness
 
 import "time"
--- a/decide/freshness/freshness_test.go
+++ b/decide/freshness/freshness_test.go
@@ -6,7 +6,7 @@
 )
 
 // Without a limit on the age of its confirmation, a node that can't reach the store accepts a
-// revoked API key for the whole outage. The age counts from the start of the read. If it
+// revoked API key for the whole outage. The age counts from the start of the read. If the age
 // counted from the arrival of the answer, a node that was stalled before the arrival would
 // accept the key for longer than MaxAge.
 func TestLeaseExpiresAtMaxAge(t *testing.T) {
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -24,9 +24,9 @@
 	return lowestCapacity
 }
 
-// bestCapacity tries all possible plans and returns the highest minCapacity of them. A plan
-// gives each replica from index on a span that fits in its memory, or no layers. The replicas
-// before index keep their spans.
+// bestCapacity tries all possible plans and returns the highest result of minCapacity. In each
+// plan, a replica at index or later holds a span that fits in its memory, or no layers. The
+// replicas before index keep their spans.
 func bestCapacity(m Model, replicas []Replica, index int) float64 {
 	if index == len(replicas) {
 		return minCapacity(m, replicas)
@@ -43,9 +43,9 @@
 }
 
 // On small domains the lowest token capacity of the layers (minCapacity) is compared between
-// the plan and the best of all possible plans. Plan prefers second holders of layers to
-// capacity, so the plan may have less capacity than the best. On average over the cases it
-// must have at least half of the best capacity.
+// the plan and the best of all possible plans. Plan gives layers a second holder even if that
+// lowers the capacity, so the plan may have less capacity than the best plan. On average over
+// the cases, the plan's capacity must be at least half of the best capacity.
 func TestPlanAgainstAllPlans(t *testing.T) {
 	smallModel := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
 	capacityRatioSum, caseCount := 0.0, 0
@@ -79,9 +79,10 @@
 	}
 }
 
-// assignConsecutiveSpans gives each replica the span that follows the span of the replica before.
-// A span has the length that MaxLayers returns for the fraction, but ends at the last layer
-// at the latest. The span after the last layer begins at the first layer again.
+// assignConsecutiveSpans changes the spans of replicas and returns the replicas. The span of
+// each replica begins where the previous replica's span ends, or at the first layer if the
+// previous span ends with the last layer. A span has the length that MaxLayers returns for the
+// fraction, but ends at the last layer at the latest.
 func assignConsecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
 	nextLayer := 0
 	for i := range replicas {
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -17,8 +17,9 @@
 
 // bestSpan returns the span of layerCount layers with the highest sum of gains (layerGain)
 // from one more holder with the given memory. Several spans may have the highest sum. If
-// these contain a layer without a holder, bestSpan returns the first of them: so spans adjoin,
-// without small gaps between them. Otherwise bestSpan returns the last of them.
+// these spans contain a layer without a holder, bestSpan returns the first of these spans, so
+// that the spans of replicas adjoin without small gaps. Otherwise bestSpan returns the last of
+// these spans.
 func (c *coverage) bestSpan(layerCount int, memoryMB float64) Span {
 	addedCapacity := c.model.TokenCapacity(memoryMB, layerCount)
 	best, bestGain := Span{0, layerCount}, -1.0
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -1,9 +1,9 @@
 // Package layers decides which layers of a model each replica of a failure domain
 // holds, where no replica holds them all.
 //
-// Use: call Plan with the present replicas; Plan returns the orders to give. It keeps no
+// Use: call Plan with the present replicas; Plan returns the orders to give. Plan keeps no
 // state, so any node can continue from what replicas report. If Plan is called again before
-// the orders have been carried out, it returns no further orders, provided that the caller
+// the orders have been carried out, Plan returns no further orders, provided that the caller
 // passes the ordered spans in Replica.Held.
 //
 // # Terms
@@ -12,11 +12,12 @@
 //     cache of requests.
 //   - A span is a range of consecutive layers. A replica holds one span, or none.
 //   - A replica is a holder of each layer of its span, unless it is excluded.
-//   - An excluded replica takes no part in the plan: it is draining, lost, or of a kind of
-//     card with unknown memory. It may still serve.
+//   - An excluded replica takes no part in the plan: it is draining, is lost, or runs on a
+//     kind of card whose memory is unknown. An excluded replica may still serve.
 //   - A gap is a span of layers without a holder. The neighbours of a gap are the replicas
 //     whose spans end where the gap begins, or begin where the gap ends.
 //   - A redundant replica is one whose layers all have another holder.
+//   - A load is the fetch of layers from the weight store.
 //   - The token capacity of a replica is the number of tokens whose KV cache fits beside
 //     the weights of its layers. The token capacity of a layer is the sum of the token
 //     capacities of its holders.
@@ -40,19 +41,20 @@
 //
 //   - Plan gives each replica the same fraction of the layers that fit on its card
 //     (TargetFill), so the token capacity is about the same on all replicas. Thus no
-//     replica is the bottleneck, which limits the number of tokens in its whole domain.
-//     Once all layers have a holder, the remaining replicas become second holders.
+//     replica becomes the bottleneck of its domain: a replica that alone limits the number
+//     of tokens in the domain. Once all layers have a holder, the remaining replicas become
+//     second holders.
 //   - An empty replica takes the span with the highest sum of gains: layers without a
 //     holder have the highest gain, then layers with the least token capacity.
 //   - If there is a gap and no empty replica, a redundant replica moves to the gap. The
 //     neighbours take the rest of the gap: they load only the missing layers and go on
 //     serving the layers that they hold. A neighbour that takes over many layers becomes
 //     the bottleneck of its domain. So neighbours take layers of a large gap
-//     (largeGapLayers) only after redundant replicas have moved there. The neighbours give
-//     the layers back once another replica holds them.
-//   - If several spans are equally good for a second holder, Plan gives it the last of them.
-//     Requests can't be rerouted away from their first replica, so a replica that holds
-//     the first layers takes long to move.
+//     (largeGapLayers) only after redundant replicas have moved to the gap. The neighbours
+//     give the layers back once another replica holds these layers.
+//   - If several spans are equally good for a second holder, the second holder gets the last
+//     of these spans. Requests can't be rerouted away from their first replica, so a replica
+//     that holds the first layers takes long to move.
 //
 // Plan moves no layers for balance alone, because a load occupies the weight store for
 // seconds and interrupts the prompts that run through the replica.
@@ -116,7 +118,7 @@
 	// some hundred requests of usual size on any card, so that two of three domains can carry
 	// the load of all three. At this fraction the replicas of a domain together hold more
 	// than one copy of the model. Half of the replicas may be lost, one at a time, without a
-	// gap that remains.
+	// gap: no layer is left without a holder.
 	TargetFill = 0.74
 	// MaxFill is the highest fraction of a card that Plan fills with layers when the replica
 	// on the card takes over layers of a gap. The rest of the memory holds 26,000 tokens, about 30
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// repair closes gaps. Redundant replicas move to a gap while it has at least largeGapLayers
+// repair closes gaps. Redundant replicas move to a gap while the gap has at least largeGapLayers
 // layers, and the neighbours take the rest of the gap. If the neighbours can't take all of
 // the rest, another redundant replica moves to the layers that remain.
 func (c *coverage) repair(gaps []Span) []Order {
@@ -28,7 +28,7 @@
 }
 
 // largeGapLayers is the minimum number of layers of a gap to which redundant replicas move
-// before the neighbours take layers of it. From a smaller gap each of the two neighbours
+// before the neighbours take layers of the gap. From a smaller gap each of the two neighbours
 // takes about two layers, which doesn't make the neighbours the bottleneck.
 const largeGapLayers = 4
 
--- a/decide/paths/doc.go
+++ b/decide/paths/doc.go
@@ -4,8 +4,8 @@
 // Use: keep one Selector for each model and node. Pass it the listed replicas with
 // Update, ask Choose for a path, reserve capacity on that path with Reserve and give
 // it back with Release. Suspect, MarkAlive, MarkLayersMissing, RecordRefusal and
-// Avoid record what answers and probes have shown. A Selector is not safe for
-// concurrent use; the caller locks.
+// Avoid record what answers and probes have shown about a replica. A Selector is not
+// safe for concurrent use; the caller locks.
 //
 // # Terms
 //
@@ -15,13 +15,19 @@
 //   - The capacity of a replica is its KV cache memory for requests, in tokens times
 //     layers: a request of 100 tokens that runs 20 layers there takes 2,000.
 //   - Utilization is the reserved fraction of a capacity.
+//   - The usable fraction of a capacity is the fraction that this node counts as
+//     available. Refusals for lack of capacity lower the usable fraction for some seconds.
 //   - A node's share is the fraction of a failure domain's capacity that the node gets if
 //     the capacity is divided equally among all nodes that send requests to the domain
 //     (SetShare).
 //   - Peers are the other nodes that reserve capacity on the same replicas.
 //   - Listed replicas are those that the last call of Update passed.
 //   - A try is one attempt to send a request to the first replica of a path. A refusal is
-//     the answer of a replica that doesn't accept the request; it ends the try.
+//     the answer of a replica that doesn't accept the request; a refusal ends the try.
+//   - The slowdown of a replica is its step time divided by the usual step time of its
+//     kind of card.
+//   - The prefill backlog of a replica is the prefill work that this node has sent to the
+//     replica and that the replica has not done yet.
 //
 // # Load pattern
 //
@@ -40,9 +46,9 @@
 // A stage of a path may run any part of the span that its replica holds. Choose
 // computes a shortest path through the layers. The cost of a stage is the time of its
 // layers on that card, a price that rises with the utilization of the replica, and a
-// fixed cost for the hop. A hop to another failure domain costs far more. Capacity is
-// reserved before the request is sent, because the replicas' reports of free capacity
-// lag by some hundred requests.
+// fixed cost for the hop. A hop to another failure domain costs far more than a hop
+// inside a domain. Capacity is reserved before the request is sent, because the
+// replicas' reports of free capacity lag by some hundred requests.
 //
 // A replica may refuse a request although it has capacity. Such a replica is about to
 // leave, gives up its layers, or waits for another replica that was lost, and the list of
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -209,21 +209,22 @@
 }
 
 const (
-	// maxSharesPerReport limits how much of a replica's capacity a node reserves between two
-	// reports of its peers. At the last report some capacity was free, and the node may
-	// reserve this many times its share of that free capacity. With a limit of one share,
-	// capacity stays unused when some nodes have more load than others. Without a limit, all
-	// nodes reserve the same free capacity.
+	// maxSharesPerReport limits how much of a replica's capacity a node reserves until its
+	// peers next report their reservations: at most maxSharesPerReport times the node's share
+	// of the capacity that was free at the last reports. With a limit of one share, capacity
+	// stays unused when some nodes have more load than others. Without a limit, all nodes
+	// reserve the same free capacity.
 	maxSharesPerReport = 2
-	// singleRequestFraction applies if this node's reservations have not grown since the last
-	// report of its peers. A single request may then reserve this fraction of the capacity
-	// that was free at that report. Without this exception, a request larger than the share
-	// of a node would be refused while most of the capacity is free.
+	// singleRequestFraction applies if this node's reservations on a replica have not grown
+	// since its peers last reported. A single request may then reserve up to this fraction of
+	// the capacity that was free at these reports. Without this exception, a request larger
+	// than the limit of maxSharesPerReport would be refused while most of the capacity is free.
 	singleRequestFraction = 0.5
 )
 
 // mayReserve reports whether this node may reserve extraTokenLayers more on a replica before
-// the next report of its peers (maxSharesPerReport, singleRequestFraction).
+// its peers next report their reservations. The limits are maxSharesPerReport and
+// singleRequestFraction.
 func (s *Selector) mayReserve(now time.Time, r *replicaState, extraTokenLayers, utilizationLimit float64) bool {
 	if s.reportingPeerCount[r.Domain] == 0 {
 		return true
@@ -236,7 +237,8 @@
 	return r.reserved <= r.reservedAtReport && extraTokenLayers <= freeAtReport*singleRequestFraction
 }
 
-// Choose returns the cheapest path for a query, or no path and why there is none.
+// Choose returns the cheapest path for a query, or no path and an Outcome that says why no
+// path was found.
 func (s *Selector) Choose(now time.Time, q Query) (Path, Outcome) {
 	usable := s.usableReplicas(q)
 	path := s.search(now, q, notBackedOff(now, usable), maxUtilization)
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -65,7 +65,8 @@
 	}
 }
 
-// If some layers of a domain have no holder, its requests run completely in another domain.
+// If some layers of a domain have no holder, the requests of this domain run completely in
+// another domain.
 // Otherwise every token would cross to the other domain and back.
 func TestLostLayersMoveWholePathToOtherDomain(t *testing.T) {
 	s := twoDomains()
@@ -212,7 +213,7 @@
 
 // A replica has restarted under its address and holds no layers, while the list still shows
 // its former layers. The replica refuses requests but answers probes. A successful probe
-// must not make the replica usable again. Only its next report makes it usable.
+// must not make the replica usable again. Only the next report of the replica does.
 func TestReplicaMissingListedLayersIsSkipped(t *testing.T) {
 	s := New(1)
 	r := replica("r", "d", 0, 80)
@@ -229,9 +230,9 @@
 }
 
 // A path that skips or repeats a layer, or gives a replica layers that it doesn't hold,
-// produces a wrong answer, and engines don't detect it. For any set of replicas, a chosen
-// path runs every layer once and in order, contains no replica twice, and gives each replica
-// only layers that it holds.
+// produces a wrong answer, and engines don't detect such a path. For any set of replicas, a
+// chosen path runs every layer once and in order, contains no replica twice, and gives each
+// replica only layers that it holds.
 func TestEveryPathIsValid(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(7)
--- a/decide/paths/prefill.go
+++ b/decide/paths/prefill.go
@@ -42,7 +42,7 @@
 
 // PrefillWait returns the time until all new stages of a path have prefilled a request that
 // comes from the previous path. The time includes the prefill backlog from this node.
-// tokens is the number of tokens to prefill. nodes is the number of nodes that send the
+// tokens is the number of tokens to prefill. nodeCount is the number of nodes that send the
 // same amount of prefill: a lost replica affects the streams of all nodes alike.
 func (s *Selector) PrefillWait(now time.Time, path, previous Path, tokens float64, nodeCount int) time.Duration {
 	slowestMillis := 0.0
--- a/decide/paths/prefill_test.go
+++ b/decide/paths/prefill_test.go
@@ -44,8 +44,8 @@
 	if requestsByReplica["m1"] < 15 || requestsByReplica["m2"] < 15 {
 		t.Errorf("requests by replica %v, want about half on each of m1 and m2", requestsByReplica)
 	}
-	// The replica "last" prefills too, because the previous path didn't run on it: 30 ms a
-	// request.
+	// The previous path didn't run on the replica "last". So besides m1 or m2, this replica must
+	// prefill every request, and needs 30 ms for each.
 	if waits[0] != 30*time.Millisecond || waits[39] != 40*30*time.Millisecond {
 		t.Errorf("the first request waits %v, the last %v", waits[0], waits[39])
 	}
@@ -83,10 +83,10 @@
 	}
 }
 
-// longestBacklogInBurst simulates two domains with one replica each. For a quarter of a
-// second, a prompt of a thousand tokens arrives each millisecond in the domain "near". With
-// countPrefill, each prompt is added to the backlogs that the Selector counts. The function
-// returns the longest prefill backlog that a replica had.
+// longestBacklogInBurst simulates a burst of prompts and returns the longest prefill backlog
+// that a replica had. There are two domains with one replica each. For a quarter of a second,
+// a prompt of a thousand tokens arrives each millisecond in the domain "near". With
+// countPrefill, each prompt is added to the backlogs that the Selector counts.
 func longestBacklogInBurst(countPrefill bool) time.Duration {
 	s := New(1)
 	near, far := replica("near", "near", 0, 80), replica("far", "far", 0, 80)
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -18,8 +18,8 @@
 	recoveryPerSecond = 0.1
 	// minUsableFraction is the lower bound of the usable fraction of the capacity.
 	minUsableFraction = 0.1
-	// lowUtilization is the highest utilization of a replica at which its refusal of a request
-	// is assumed to have another reason than lack of capacity.
+	// A replica with a utilization of at most lowUtilization is assumed to refuse a request for
+	// another reason than lack of capacity.
 	lowUtilization = 0.6
 )
 
@@ -173,8 +173,8 @@
 	return 1
 }
 
-// SlowThreshold is the slowdown from which a replica counts as slow. The node asks a slow
-// replica for its slowdown again until the replica has recovered.
+// SlowThreshold is the lowest slowdown at which a replica counts as slow. The node asks a slow
+// replica for its slowdown repeatedly, until the slowdown is below SlowThreshold.
 const SlowThreshold = 1.5
 
 // Slow returns the slow replicas that are not suspected.
--- a/decide/placement/doc.go
+++ b/decide/placement/doc.go
@@ -13,8 +13,11 @@
 //   - A stage is one engine of a chain with the layers that it holds. A partition divides
 //     all layers of a model into stages. A replica is a chain of engines that together
 //     hold all layers, divided among the engines by a partition.
-//   - A hop is the work of one stage for one token: the computation of its layers and the
-//     transfer to the next stage. The longest hop of a partition is its bottleneck.
+//   - A hop is the work of one stage for one token: the computation of the stage's layers
+//     and the transfer to the next stage. The longest hop of a partition is its bottleneck.
+//   - The declared times of a chain are the times of its layers and links that the caller
+//     passes with the chain. Planner uses a declared time where it has no recent
+//     measurement.
 //   - A plan is a partition with a version. The version is the fencing number of the
 //     orders that carry the plan out. A move is the change of a replica to another plan.
 //   - The gain of a move is the fraction by which the move shortens the bottleneck.
--- a/decide/placement/loads.go
+++ b/decide/placement/loads.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// FetchBytes returns the number of bytes that an engine must fetch from the weight store to
-// hold the layers of want, if it holds the layers of held now. A stage with Last below First
-// has no layers.
+// FetchBytes returns the number of bytes that an engine which holds the layers of heldStage
+// must fetch from the weight store to hold the layers of wantedStage. A stage with Last below
+// First has no layers.
 func FetchBytes(model Model, heldStage, wantedStage Stage) int64 {
 	commonLayers := min(heldStage.Last, wantedStage.Last) - max(heldStage.First, wantedStage.First) + 1
 	missingLayers := wantedStage.Last - wantedStage.First + 1 - max(commonLayers, 0)
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -32,8 +32,8 @@
 // Defaults of Policy.
 const (
 	// DefaultMinGain is the default of Policy.MinGain: a move must shorten the bottleneck by
-	// 20%. A move stops a chain until its engines have loaded their new layers, which takes
-	// seconds, and other chains carry the streams of this chain meanwhile. A gain of 20%
+	// at least 20%. A move stops a chain until its engines have loaded their new layers, which
+	// takes seconds, and other chains carry the streams of this chain meanwhile. A gain of 20%
 	// outweighs this cost within minutes.
 	DefaultMinGain = 0.2
 	// DefaultStabilizationWindow is longer than a traffic burst or a garbage collection
@@ -121,8 +121,8 @@
 // Plan returns the plan in force.
 func (p *Planner) Plan() Plan { return p.plan }
 
-// Adopt puts a plan that the nodes have agreed on in force, if this plan has a higher version
-// than the plan in force. Any node may have proposed the new plan.
+// Adopt puts a plan in force if the plan has a higher version than the plan in force. The nodes
+// must have agreed on the new plan before. Any node may have proposed it.
 func (p *Planner) Adopt(now time.Time, plan Plan) {
 	if plan.Version <= p.plan.Version {
 		return
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -16,7 +16,8 @@
 	RunningStreams int
 }
 
-// RolloutStep is the next step of a roll-out in a failure domain.
+// RolloutStep is the next step of a roll-out in a failure domain: the replicas that change to
+// the new version now.
 type RolloutStep struct {
 	// Start names the replicas that are to change to the new version now. A replica that
 	// serves finishes its streams before it changes.
--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -3,11 +3,11 @@
 //
 // # Terms
 //
-//   - The request bypasses the lost replica if it keeps its first replica and runs the
+//   - A request bypasses the lost replica if it keeps its first replica and runs the
 //     lost layers on other replicas.
-//   - The request migrates if another first replica continues the request after the last
+//   - A request migrates if another first replica continues the request after the last
 //     event that the caller has received.
-//   - The request crosses if its path leads from one failure domain to another. A
+//   - A request crosses if its path leads from one failure domain to another. A
 //     transfer is the data of one request that crosses the links between failure
 //     domains.
 //
@@ -26,17 +26,17 @@
 //
 // # Rules
 //
-//   - A request bypasses the lost replica if its next event comes in time on the bypass.
-//     For this, earlier transfers on the links must end soon enough. The replica that
-//     takes over must not have too much prefill for other streams that lost the same
-//     stage.
+//   - A request bypasses the lost replica if the request's next event comes in time on the
+//     bypass (Estimate.MaxWait). For this, earlier transfers on the links must end soon
+//     enough, and the replica that takes over must not have too much prefill for other
+//     streams that lost the same stage.
 //   - Otherwise the request migrates to another failure domain if its next event comes
 //     sooner there. Only its text is sent to the other domain, and the many replicas of
 //     that domain share the prefill of such requests.
 //   - If the request can't migrate, it crosses and waits for its transfer.
 //   - A replica that is only draining continues to serve for seconds. Requests that must
-//     cross to leave this replica do so one at a time (Idle). Each of them stays on its
-//     path until its turn.
+//     cross to leave this replica do so one at a time (Idle). Each of these requests stays
+//     on its path until its turn.
 //
 // A node knows only its own transfers. A lost replica affects the streams of all nodes
 // of the domain alike, so a node multiplies its own transfers by the number of nodes.
