--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -24,9 +24,9 @@
 	return lowestCapacity
 }
 
-// bestCapacity tries all possible plans and returns the highest minCapacity of them. A plan
-// gives each replica from index on a span that fits in its memory, or no layers. The replicas
-// before index keep their spans.
+// bestCapacity tries all possible plans and returns the highest result of minCapacity. In each
+// plan, a replica at index or later holds a span that fits in its memory, or no layers. The
+// replicas before index keep their spans.
 func bestCapacity(m Model, replicas []Replica, index int) float64 {
 	if index == len(replicas) {
 		return minCapacity(m, replicas)
@@ -43,9 +43,9 @@
 }
 
 // On small domains the lowest token capacity of the layers (minCapacity) is compared between
-// the plan and the best of all possible plans. Plan prefers second holders of layers to
-// capacity, so the plan may have less capacity than the best. On average over the cases it
-// must have at least half of the best capacity.
+// the plan and the best of all possible plans. Plan gives layers a second holder even if that
+// lowers the capacity, so the plan may have less capacity than the best plan. On average over
+// the cases, the plan's capacity must be at least half of the best capacity.
 func TestPlanAgainstAllPlans(t *testing.T) {
 	smallModel := Model{Layers: 5, LayerMB: 100, TokenLayerMB: 0.01}
 	capacityRatioSum, caseCount := 0.0, 0
@@ -67,9 +67,9 @@
 	}
 	// With only 70 cases in a run, the mean ratio of the plan's capacity to the best capacity
 	// differs by a tenth between runs.
-	const casesPerCheck = 3
+	const casesPerIteration = 3
 	rapid.Check(t, func(t *rapid.T) {
-		for range casesPerCheck {
+		for range casesPerIteration {
 			compare(t)
 		}
 	})
@@ -79,10 +79,11 @@
 	}
 }
 
-// consecutiveSpans gives each replica the span that follows the span of the replica before.
-// A span has the length that MaxLayers returns for the fraction, but ends at the last layer
-// at the latest. The span after the last layer begins at the first layer again.
-func consecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
+// assignConsecutiveSpans changes the spans of replicas and returns the replicas. The span of
+// each replica begins where the previous replica's span ends, or at the first layer if the
+// previous span ends with the last layer. A span has the length that MaxLayers returns for the
+// fraction, but ends at the last layer at the latest.
+func assignConsecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
 	nextLayer := 0
 	for i := range replicas {
 		n := min(m.MaxLayers(replicas[i].MemoryMB, fraction), m.Layers-nextLayer)
@@ -100,7 +101,7 @@
 		slices.SortStableFunc(replicas, func(a, b Replica) int { return cmp.Compare(b.MemoryMB, a.MemoryMB) })
 		return replicas
 	}
-	spansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
+	assignSpansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
 		nextLayer := 0
 		for i := range replicas {
 			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-nextLayer)
@@ -114,10 +115,10 @@
 		replicas []Replica
 	}{
 		{"the plan", applyOrders(typicalDomain(), Plan(model, typicalDomain()))},
-		{"fast cards only, filled", consecutiveSpans(model, sortedByMemory(typicalDomain())[:5], 1)},
-		{"one after the other, 0.9 of each", consecutiveSpans(model, sortedByMemory(typicalDomain()), 0.9)},
-		{"spans on a grid of 5", spansOnGrid(sortedByMemory(typicalDomain()), 5)},
-		{"spans on a grid of 7", spansOnGrid(sortedByMemory(typicalDomain()), 7)},
+		{"fast cards only, filled", assignConsecutiveSpans(model, sortedByMemory(typicalDomain())[:5], 1)},
+		{"one after the other, 0.9 of each", assignConsecutiveSpans(model, sortedByMemory(typicalDomain()), 0.9)},
+		{"spans on a grid of 5", assignSpansOnGrid(sortedByMemory(typicalDomain()), 5)},
+		{"spans on a grid of 7", assignSpansOnGrid(sortedByMemory(typicalDomain()), 7)},
 	}
 	capacities := map[string]float64{}
 	for _, p := range plans {
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -32,8 +32,8 @@
 // Defaults of Policy.
 const (
 	// DefaultMinGain is the default of Policy.MinGain: a move must shorten the bottleneck by
-	// 20%. A move stops a chain until its engines have loaded their new layers, which takes
-	// seconds, and other chains carry the streams of this chain meanwhile. A gain of 20%
+	// at least 20%. A move stops a chain until its engines have loaded their new layers, which
+	// takes seconds, and other chains carry the streams of this chain meanwhile. A gain of 20%
 	// outweighs this cost within minutes.
 	DefaultMinGain = 0.2
 	// DefaultStabilizationWindow is longer than a traffic burst or a garbage collection
@@ -121,8 +121,8 @@
 // Plan returns the plan in force.
 func (p *Planner) Plan() Plan { return p.plan }
 
-// Adopt puts a plan that the nodes have agreed on in force, if this plan has a higher version
-// than the plan in force. Any node may have proposed the new plan.
+// Adopt puts a plan in force if the plan has a higher version than the plan in force. The nodes
+// must have agreed on the new plan before. Any node may have proposed it.
 func (p *Planner) Adopt(now time.Time, plan Plan) {
 	if plan.Version <= p.plan.Version {
 		return
@@ -144,12 +144,12 @@
 		return
 	}
 	stage := p.plan.Partition.Stages[i]
-	layers := float64(stage.Last - stage.First + 1)
+	layerCount := float64(stage.Last - stage.First + 1)
 	stepMicros := min(m.StepMicros, m.HopMicros)
 	if stepMicros <= 0 {
-		stepMicros = m.HopMicros * p.computeFraction(accelerator, layers, m.Next)
+		stepMicros = m.HopMicros * p.computeFraction(accelerator, layerCount, m.Next)
 	}
-	p.layerMicros[m.Endpoint] = p.layerMicros[m.Endpoint].withMeasurement(now, stepMicros/layers)
+	p.layerMicros[m.Endpoint] = p.layerMicros[m.Endpoint].withMeasurement(now, stepMicros/layerCount)
 	if m.Next != "" {
 		key := link{m.Endpoint, m.Next}
 		p.linkMicros[key] = p.linkMicros[key].withMeasurement(now, m.HopMicros-stepMicros)
@@ -158,8 +158,8 @@
 
 // computeFraction returns the fraction of a hop's time that its computation takes according
 // to the declared times.
-func (p *Planner) computeFraction(accelerator int, layers float64, next string) float64 {
-	computeMicros := layers * p.declaredChain.Accelerators[accelerator].LayerMicros
+func (p *Planner) computeFraction(accelerator int, layerCount float64, next string) float64 {
+	computeMicros := layerCount * p.declaredChain.Accelerators[accelerator].LayerMicros
 	nextAccelerator := p.declaredChain.acceleratorIndex(next)
 	if nextAccelerator <= accelerator || computeMicros <= 0 {
 		return 1
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -190,7 +190,7 @@
 		Figures: map[string]float64{
 			"holders":   float64(c.Holders),
 			"target":    float64(c.Target),
-			"with_room": float64(c.Alternatives),
+			"with_room": float64(c.AlternativeReplicaCount),
 			"unplaced":  float64(unplaced),
 			"adapters":  float64(len(c.Adapters)),
 			"loads":     float64(len(c.Loads)),
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -73,7 +73,7 @@
 	refreshedFor        *docindex.Directory
 	refreshedMembership any
 	// rollouts are the roll-outs decided in this round.
-	rollouts map[recordKey]placement.Rollout
+	rollouts map[recordKey]placement.RolloutStep
 }
 
 // managedReplica is a replica whose plan this node manages.
@@ -161,7 +161,7 @@
 		return
 	}
 	k.refreshReplicas(d)
-	k.rollouts = map[recordKey]placement.Rollout{}
+	k.rollouts = map[recordKey]placement.RolloutStep{}
 	for _, m := range measurements {
 		if replica := k.replicas[m.replica]; replica != nil && replica.planner != nil {
 			replica.planner.Observe(now, m.measurement)
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -46,7 +46,7 @@
 	return err == nil && schedule.Free(now), err
 }
 
-func (k *Controller) rollout(spec replicaSpec) placement.Rollout {
+func (k *Controller) rollout(spec replicaSpec) placement.RolloutStep {
 	var candidates []placement.RolloutReplica
 	for _, other := range k.replicas {
 		if other.spec.key != spec.key {
