--- a/route/layerplans/keeper.go
+++ b/route/layerplans/keeper.go
@@ -123,7 +123,7 @@
 		if len(k.measures) >= maxMeasures {
 			return
 		}
-		m := placement.Measurement{Endpoint: h.Endpoint, HopMicros: h.Micros, StepMicros: h.StepMicros}
+		m := placement.Measurement{Endpoint: h.Endpoint, HopMicros: h.MeanMicros, StepMicros: h.StepMicros}
 		if i+1 < len(hops) {
 			m.Next = hops[i+1].Endpoint
 		}
--- a/route/layerplans/keeper_test.go
+++ b/route/layerplans/keeper_test.go
@@ -265,7 +265,7 @@
 			if j+1 < len(stages) && st.Endpoint == fmt.Sprint("engine-", i, "a") && stages[j+1].Endpoint == fmt.Sprint("engine-", i, "b") {
 				micros += 50_000
 			}
-			hops = append(hops, stream.Hop{Endpoint: st.Endpoint, Micros: micros})
+			hops = append(hops, stream.Hop{Endpoint: st.Endpoint, MeanMicros: micros})
 		}
 		k.Observe(model, name, hops)
 	}
@@ -318,7 +318,7 @@
 			if i+1 < len(stages) && stages[i+1].Endpoint == "engine-0b" {
 				link = 500_000
 			}
-			hops = append(hops, stream.Hop{Endpoint: st.Endpoint, Micros: step + link, StepMicros: step})
+			hops = append(hops, stream.Hop{Endpoint: st.Endpoint, MeanMicros: step + link, StepMicros: step})
 		}
 		k.Observe(model, "replica-0", hops)
 	})
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -17,8 +17,8 @@
 	check     TokenCheck
 	startedAt time.Time
 
-	delivered          []string
-	exclude            []string
+	deliveredTokens    []string
+	excludedReplicas   []string
 	executions         int    // chains that may have run part of the answer
 	nextChain          *Chain // already chosen by leaveSlowChain, or nil
 	leftSlowChain      bool
@@ -49,7 +49,7 @@
 		case EndDeadline:
 			return ErrDeadline
 		}
-		a.exclude = append(a.exclude, chain.Replica)
+		a.excludedReplicas = append(a.excludedReplicas, chain.Replica)
 		a.prepareResume(ctx, chain, result)
 	}
 	return errors.Join(ErrAttemptsExhausted, a.summary.LastResult.Err)
@@ -72,7 +72,7 @@
 // chooser.
 func (a *answer) choose(ctx context.Context) (Chain, error) {
 	if a.nextChain == nil {
-		return a.chooser().Choose(ctx, a.exclude)
+		return a.chooser().Choose(ctx, a.excludedReplicas)
 	}
 	chain := *a.nextChain
 	a.nextChain = nil
@@ -109,7 +109,7 @@
 	a.check.RequireArtifact(chain.Artifact)
 	a.summary.Epochs = int(number)
 	e := &epoch{answer: a, chain: chain, number: number, gap: a.runner.gaps.get(chain.Replica)}
-	e.slowness.baseline = time.Duration(e.gap.mean)
+	e.slowness.baselineGap = time.Duration(e.gap.meanNanos)
 	a.lastTokenAt = time.Now()
 	e.run(ctx)
 	e.result.Epoch = number
@@ -125,7 +125,7 @@
 func (a *answer) recordDelivered(token string, artifact engineapi.Artifact) {
 	now := time.Now()
 	a.artifact = artifact
-	a.delivered = append(a.delivered, token)
+	a.deliveredTokens = append(a.deliveredTokens, token)
 	a.lastTokenAt = now
 	if a.summary.FirstToken == 0 {
 		a.summary.FirstToken = now.Sub(a.startedAt)
@@ -146,7 +146,7 @@
 	for _, m := range a.req.Chat.Messages {
 		bytes += len(m.Content)
 	}
-	return bytes/bytesPerToken + len(a.delivered)
+	return bytes/bytesPerToken + len(a.deliveredTokens)
 }
 
 const bytesPerToken = 4
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -114,10 +114,10 @@
 func TestAdapterIsLost(t *testing.T) {
 	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notesAdapter.String()}
 	cases := []struct {
-		name   string
-		checks bool
-		cached bool // the engine's report is cached
-		end    End
+		name          string
+		checksFencing bool
+		reportCached  bool // the engine's report is cached
+		end           End
 	}{
 		{"engine asked before use", false, false, EndMismatch},
 		{"an engine that checks", true, true, EndRefused},
@@ -126,10 +126,10 @@
 	for _, c := range cases {
 		Convey(c.name, t, func() {
 			cfg := fastEngine
-			cfg.CheckFencing = c.checks
+			cfg.CheckFencing = c.checksFencing
 			v := newVersionedFleet(t, cfg, withNotes, withNotes)
 			defer v.stop()
-			if c.cached {
+			if c.reportCached {
 				before := v.request("before")
 				answer, _, err := v.collect(context.Background(), before, nil)
 				So(err, ShouldBeNil)
--- a/route/stream/cancel.go
+++ b/route/stream/cancel.go
@@ -24,11 +24,11 @@
 type canceller struct {
 	client *engineclient.Client
 
-	mu      sync.Mutex
-	idle    *sync.Cond
-	queue   []cancelTask
-	workers int
-	dropped int64
+	mu             sync.Mutex
+	idle           *sync.Cond
+	queue          []cancelTask
+	workers        int
+	droppedCancels int64
 }
 
 type cancelTask struct {
@@ -48,7 +48,7 @@
 	defer c.mu.Unlock()
 	for _, stage := range chain.Stages {
 		if len(c.queue) >= maxCancels {
-			c.dropped++
+			c.droppedCancels++
 			continue
 		}
 		c.queue = append(c.queue, cancelTask{stage.Address, stream, epoch})
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -22,8 +22,8 @@
 	RepeatedLayer
 	// BadSpan tokens name layers that the model does not have.
 	BadSpan
-	// TooLong tokens exceed the maximum number of tokens of an answer.
-	TooLong
+	// AnswerTooLong tokens exceed the maximum number of tokens of an answer.
+	AnswerTooLong
 	// WrongArtifact tokens were computed, on at least one stage, with other weights
 	// or another adapter than the chain's.
 	WrongArtifact
@@ -80,7 +80,7 @@
 		return reason
 	}
 	if c.nextPosition >= c.maxTokens {
-		return TooLong
+		return AnswerTooLong
 	}
 	if reason := c.verifySpans(t.Spans); reason != Accepted {
 		return reason
@@ -110,22 +110,22 @@
 
 // verifySpans checks that spans cover layers 0 to layers-1 once and in order.
 func (c *TokenCheck) verifySpans(spans []engineapi.Span) Reason {
-	expected := 0
+	nextLayer := 0
 	for i := range spans {
 		s := &spans[i]
 		switch {
 		case s.First < 0 || s.Last < s.First || s.Last >= c.layers:
 			return BadSpan
-		case s.First > expected:
+		case s.First > nextLayer:
 			return SkippedLayer
-		case s.First < expected:
+		case s.First < nextLayer:
 			return RepeatedLayer
 		case s.Artifact != c.artifact:
 			return WrongArtifact
 		}
-		expected = s.Last + 1
+		nextLayer = s.Last + 1
 	}
-	if expected != c.layers {
+	if nextLayer != c.layers {
 		return SkippedLayer
 	}
 	return Accepted
--- a/route/stream/check_test.go
+++ b/route/stream/check_test.go
@@ -63,7 +63,7 @@
 	Convey("A token beyond the maximum length is rejected", t, func() {
 		check := NewTokenCheck("s", 8, 0)
 		check.StartEpoch(2)
-		So(check.Verify(&valid), ShouldEqual, TooLong)
+		So(check.Verify(&valid), ShouldEqual, AnswerTooLong)
 	})
 }
 
@@ -77,32 +77,32 @@
 		check := NewTokenCheck("s", layers, 10)
 		check.StartEpoch(1)
 		accepted := check.Verify(&trace) == Accepted
-		if accepted != runsAllInOrder(trace.Spans, layers) {
+		if accepted != coversLayersInOrder(trace.Spans, layers) {
 			t.Fatalf("accepted=%v for %+v of %d layers", accepted, trace.Spans, layers)
 		}
 	})
 }
 
-func runsAllInOrder(spans []engineapi.Span, layers int) bool {
-	expected := 0
+func coversLayersInOrder(spans []engineapi.Span, layers int) bool {
+	nextLayer := 0
 	for _, s := range spans {
 		if s.Last < s.First {
 			return false
 		}
 		for layer := s.First; layer <= s.Last; layer++ {
-			if layer != expected {
+			if layer != nextLayer {
 				return false
 			}
-			expected++
+			nextLayer++
 		}
 	}
-	return expected == layers
+	return nextLayer == layers
 }
 
 func BenchmarkCheck(b *testing.B) { benchCheck(b, engineapi.Artifact{}) }
 
-// BenchmarkCheckNamed runs the check with weights and an adapter named in each span.
-func BenchmarkCheckNamed(b *testing.B) {
+// BenchmarkCheckWithArtifact runs the check with weights and an adapter named in each span.
+func BenchmarkCheckWithArtifact(b *testing.B) {
 	benchCheck(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
 
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -49,8 +49,8 @@
 	defer e.watchdog.disarm()
 	e.sentAt = time.Now()
 	e.openedAt = e.answer.runner.reports.now()
-	e.watchdog.armFirstToken(e.answer.runner.prober.checkInterval(), e.answer.req.FirstTokenTimeout, func(since time.Time) bool {
-		return e.answer.runner.prober.unresponsive(e.answer.req.Chat.Model, e.chain, since, e.answer.unresponsiveChains)
+	e.watchdog.armFirstToken(e.answer.runner.prober.checkInterval(), e.answer.req.FirstTokenTimeout, func(silentSince time.Time) bool {
+		return e.answer.runner.prober.unresponsive(e.answer.req.Chat.Model, e.chain, silentSince, e.answer.unresponsiveChains)
 	})
 	stream, err := e.answer.runner.client.Open(epochCtx, e.chain.Stages[0].Address, e.chat())
 	if err != nil {
@@ -69,7 +69,7 @@
 // end of another, both plausible. Nothing has been sent at this point, so another
 // chain may be tried.
 func (e *epoch) verify(ctx context.Context) error {
-	if len(e.answer.delivered) > 0 && e.chain.Artifact != e.answer.artifact {
+	if len(e.answer.deliveredTokens) > 0 && e.chain.Artifact != e.answer.artifact {
 		return fmt.Errorf("%w: got %+v, want %+v", errWrongArtifact, e.chain.Artifact, e.answer.artifact)
 	}
 	return e.answer.runner.reports.verify(ctx, e.answer.req.Chat.Model, e.answer.req.Layers, e.chain, time.Time{})
@@ -84,7 +84,7 @@
 		Epoch:            e.number,
 		PlacementVersion: e.chain.PlacementVersion,
 		Chain:            e.chain.Stages,
-		ResumeTokens:     e.answer.delivered,
+		ResumeTokens:     e.answer.deliveredTokens,
 		KVHandle:         e.answer.kvHandle,
 		Artifact:         e.chain.Artifact,
 	}
@@ -273,7 +273,7 @@
 func (e *epoch) finish() {
 	e.result.Hops = e.hops.means()
 	if e.result.Tokens > 1 {
-		e.result.MeanGap = time.Duration(e.gap.mean)
+		e.result.MeanGap = time.Duration(e.gap.meanNanos)
 	}
 	if e.result.End == EndStalled {
 		e.answer.stalls++
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -22,18 +22,18 @@
 // gapEstimate is the moving average and mean deviation of the time between a
 // chain's tokens, in nanoseconds.
 type gapEstimate struct {
-	mean, dev float64
-	known     bool
+	meanNanos, devNanos float64
+	known               bool
 }
 
 func (g *gapEstimate) sample(gap time.Duration) {
 	nanos := float64(gap)
 	if !g.known {
-		*g = gapEstimate{mean: nanos, dev: nanos / 2, known: true}
+		*g = gapEstimate{meanNanos: nanos, devNanos: nanos / 2, known: true}
 		return
 	}
-	g.dev += devWeight * (abs(nanos-g.mean) - g.dev)
-	g.mean += meanWeight * (nanos - g.mean)
+	g.devNanos += devWeight * (abs(nanos-g.meanNanos) - g.devNanos)
+	g.meanNanos += meanWeight * (nanos - g.meanNanos)
 }
 
 // timeout returns the wait after which a chain counts as stalled. It adapts to the
@@ -42,7 +42,7 @@
 	if !g.known {
 		return maxTimeout
 	}
-	estimate := time.Duration(gapFactor*g.mean + devFactor*g.dev)
+	estimate := time.Duration(gapFactor*g.meanNanos + devFactor*g.devNanos)
 	return min(max(estimate, minTimeout), max(maxTimeout, minTimeout))
 }
 
--- a/route/stream/hops.go
+++ b/route/stream/hops.go
@@ -8,34 +8,34 @@
 
 // hopTimes sums the span times of each stage over an epoch.
 type hopTimes struct {
-	names []string
-	sums  []int64
-	count int64
+	endpoints   []string
+	totalMicros []int64
+	tokens      int64
 }
 
 func (h *hopTimes) add(spans []engineapi.Span) {
-	if h.names == nil {
+	if h.endpoints == nil {
 		for i := range spans {
-			h.names = append(h.names, spans[i].Endpoint)
+			h.endpoints = append(h.endpoints, spans[i].Endpoint)
 		}
-		h.sums = make([]int64, len(spans))
+		h.totalMicros = make([]int64, len(spans))
 	}
-	if len(spans) != len(h.sums) {
+	if len(spans) != len(h.totalMicros) {
 		return
 	}
 	for i := range spans {
-		h.sums[i] += spans[i].Micros
+		h.totalMicros[i] += spans[i].Micros
 	}
-	h.count++
+	h.tokens++
 }
 
 func (h *hopTimes) means() []Hop {
-	if h.count == 0 {
+	if h.tokens == 0 {
 		return nil
 	}
-	hops := make([]Hop, len(h.names))
-	for i, name := range h.names {
-		hops[i] = Hop{Endpoint: name, Micros: float64(h.sums[i]) / float64(h.count)}
+	hops := make([]Hop, len(h.endpoints))
+	for i, name := range h.endpoints {
+		hops[i] = Hop{Endpoint: name, MeanMicros: float64(h.totalMicros[i]) / float64(h.tokens)}
 	}
 	return slices.Clip(hops)
 }
--- a/route/stream/leave_test.go
+++ b/route/stream/leave_test.go
@@ -40,7 +40,7 @@
 			stats := srv.Engine.Stats()
 			So(stats.Opened, ShouldEqual, stats.Ended)
 		}
-		So(f.runner.cancels.dropped, ShouldEqual, 0)
+		So(f.runner.cancels.droppedCancels, ShouldEqual, 0)
 	})
 }
 
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -65,9 +65,9 @@
 }
 
 type chainKey struct {
-	replica      string
-	version      int64
-	firstAddress string // address of the first stage
+	replica          string
+	placementVersion int64
+	firstAddress     string // address of the first stage
 }
 
 // probeState is the state of one chain. chainProber.mu guards it.
@@ -100,16 +100,16 @@
 // counted from since at the earliest. doublings is the number of chains that the
 // answer has abandoned as unresponsive. Each doubles the timeout: if all chains are
 // slow to reply, changing chains adds load.
-func (c *chainProber) unresponsive(model string, chain Chain, since time.Time, doublings int) bool {
+func (c *chainProber) unresponsive(model string, chain Chain, silentSince time.Time, doublings int) bool {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.state(chain)
-	if now.Sub(laterOf(since, laterOf(s.probedAt, s.activeAt))) >= c.probeInterval() {
+	if now.Sub(laterOf(silentSince, laterOf(s.probedAt, s.activeAt))) >= c.probeInterval() {
 		s.probedAt = now
 		go c.probe(model, chain, s, now, now.Before(s.directUntil))
 	}
-	return now.Sub(laterOf(since, s.activeAt)) >= s.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
+	return now.Sub(laterOf(silentSince, s.activeAt)) >= s.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
 }
 
 // recordActivity records that a token arrived from a chain. If a stage or link then
--- a/route/stream/probe_test.go
+++ b/route/stream/probe_test.go
@@ -37,13 +37,13 @@
 			}()
 		},
 	}
-	for name, lose := range cases {
+	for name, loseLink := range cases {
 		Convey(name, t, func() {
 			f := newFleet(t, 2, fastEngine, Options{})
 			defer f.stop()
 			_, _, err := f.collect(context.Background(), request("before"), nil)
 			So(err, ShouldBeNil)
-			lose(f)
+			loseLink(f)
 			req := request("lost")
 			answer, summary, err := f.collect(context.Background(), req, nil)
 			So(err, ShouldBeNil)
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -87,7 +87,7 @@
 // recomputing, by importing, and by the method that the runner chooses from its
 // measurements.
 func BenchmarkResume(b *testing.B) {
-	fixCosts := map[string]func(*resumeCosts){
+	forceMethod := map[string]func(*resumeCosts){
 		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
 		"import":    func(c *resumeCosts) { c.setAll(methodRecompute, time.Hour) },
 		"chosen":    func(c *resumeCosts) {},
@@ -102,20 +102,20 @@
 				f := newFleet(b, 2, cfg, Options{})
 				defer f.stop()
 				var all []Recovery
-				imports := 0
+				importCount := 0
 				for i := range b.N + 2 {
-					fixCosts[method](f.runner.costs)
+					forceMethod[method](f.runner.costs)
 					recovery := f.resumeOnce(b, words, i)
 					if i < 2 { // the runner measures both methods
 						continue
 					}
 					all = append(all, recovery)
 					if recovery.Imported {
-						imports++
+						importCount++
 					}
 				}
 				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
-				b.ReportMetric(float64(imports)/float64(len(all)), "imported")
+				b.ReportMetric(float64(importCount)/float64(len(all)), "imported")
 			})
 		}
 	}
@@ -124,7 +124,7 @@
 // setAll sets the cost of a method in all buckets.
 func (r *resumeCosts) setAll(method int, elapsed time.Duration) {
 	for i := range r.buckets[method] {
-		r.buckets[method][i] = cost{nanos: float64(elapsed), known: true}
+		r.buckets[method][i] = cost{meanNanos: float64(elapsed), known: true}
 	}
 }
 
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -59,7 +59,7 @@
 // cachedReport is an engine's report, or a call for one that is in progress.
 type cachedReport struct {
 	requestedAt time.Time
-	ready       chan struct{} // closed when the fields below are set
+	fetched     chan struct{} // closed when the fields below are set
 	report      engineapi.Report
 	err         error
 	// validAt is the last time for which the report is confirmed, by the engine
@@ -82,13 +82,13 @@
 
 // verify returns nil if every stage of chain holds what the plan says, according to
 // reports that were requested no earlier than since.
-func (c *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, since time.Time) error {
+func (c *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, notBefore time.Time) error {
 	if !covers(chain.Stages, layers) {
 		return errIncompleteChain
 	}
 	reports := make([]*cachedReport, len(chain.Stages))
 	for i, stage := range chain.Stages {
-		reports[i] = c.report(expectedFrom(model, stage, chain), stage.Address, since)
+		reports[i] = c.report(expectedFrom(model, stage, chain), stage.Address, notBefore)
 	}
 	for i, report := range reports {
 		want := expectedFrom(model, chain.Stages[i], chain)
@@ -132,20 +132,20 @@
 
 // covers reports whether stages hold layers 0 to layers-1 once and in order.
 func covers(stages []engineapi.Stage, layers int) bool {
-	expected := 0
+	nextLayer := 0
 	for _, s := range stages {
-		if s.First != expected || s.Last < s.First {
+		if s.First != nextLayer || s.Last < s.First {
 			return false
 		}
-		expected = s.Last + 1
+		nextLayer = s.Last + 1
 	}
-	return expected == layers && layers > 0
+	return nextLayer == layers && layers > 0
 }
 
 // awaitMatch waits for the report and compares it with want.
 func (r *cachedReport) awaitMatch(ctx context.Context, want expectedReport) error {
 	select {
-	case <-r.ready:
+	case <-r.fetched:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -160,16 +160,16 @@
 
 // report returns a usable cached report or starts a call for a new one, which all
 // streams that need it share.
-func (c *reportChecker) report(want expectedReport, address string, since time.Time) *cachedReport {
+func (c *reportChecker) report(want expectedReport, address string, notBefore time.Time) *cachedReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if r, ok := c.reports[address]; ok && r.usable(c.now(), want, c.ttl, since) {
+	if r, ok := c.reports[address]; ok && r.usable(c.now(), want, c.ttl, notBefore) {
 		return r
 	}
 	if len(c.reports) >= maxReports {
 		clear(c.reports)
 	}
-	r := &cachedReport{ready: make(chan struct{}), requestedAt: c.now()}
+	r := &cachedReport{fetched: make(chan struct{}), requestedAt: c.now()}
 	c.reports[address] = r
 	go c.fetch(want, address, r)
 	return r
@@ -177,12 +177,12 @@
 
 // usable reports whether a report was requested no earlier than since, and is still
 // being fetched or not yet expired.
-func (r *cachedReport) usable(now time.Time, want expectedReport, ttl time.Duration, since time.Time) bool {
-	if r.requestedAt.Before(since) {
+func (r *cachedReport) usable(now time.Time, want expectedReport, ttl time.Duration, notBefore time.Time) bool {
+	if r.requestedAt.Before(notBefore) {
 		return false
 	}
 	select {
-	case <-r.ready:
+	case <-r.fetched:
 	default:
 		return true
 	}
@@ -203,7 +203,7 @@
 	}
 	r.validAt = c.now()
 	r.reportedAt = r.validAt
-	close(r.ready)
+	close(r.fetched)
 }
 
 // recordCache records an engine's prefix cache and calls onCacheLost if the engine
@@ -252,7 +252,7 @@
 			continue
 		}
 		if validAt.Sub(r.reportedAt) < renewalTTLs*c.ttl {
-			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: r.report, validAt: validAt, reportedAt: r.reportedAt}
+			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, fetched: r.fetched, report: r.report, validAt: validAt, reportedAt: r.reportedAt}
 		}
 	}
 }
@@ -264,7 +264,7 @@
 // work. It does not show other adapters, so a report that lists any is not renewed:
 // the engine is asked again after the TTL.
 func (r *cachedReport) renewable(want expectedReport, validAt time.Time) bool {
-	if !r.isReady() || r.err != nil || !want.matches(r.report) || !r.validAt.Before(validAt) {
+	if !r.isFetched() || r.err != nil || !want.matches(r.report) || !r.validAt.Before(validAt) {
 		return false
 	}
 	otherAdapters := len(r.report.Adapters)
@@ -280,8 +280,8 @@
 	for i, stage := range chain.Stages {
 		c.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
 		c.mu.Lock()
-		if r, ok := c.reports[stage.Address]; ok && r.isReady() && r.validAt.Before(validAt) {
-			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, ready: r.ready, report: reports[i], validAt: validAt, reportedAt: validAt}
+		if r, ok := c.reports[stage.Address]; ok && r.isFetched() && r.validAt.Before(validAt) {
+			c.reports[stage.Address] = &cachedReport{requestedAt: validAt, fetched: r.fetched, report: reports[i], validAt: validAt, reportedAt: validAt}
 		}
 		c.mu.Unlock()
 	}
@@ -292,15 +292,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, stage := range chain.Stages {
-		if r, ok := c.reports[stage.Address]; ok && r.isReady() {
+		if r, ok := c.reports[stage.Address]; ok && r.isFetched() {
 			delete(c.reports, stage.Address)
 		}
 	}
 }
 
-func (r *cachedReport) isReady() bool {
+func (r *cachedReport) isFetched() bool {
 	select {
-	case <-r.ready:
+	case <-r.fetched:
 		return true
 	default:
 		return false
--- a/route/stream/reports_test.go
+++ b/route/stream/reports_test.go
@@ -20,18 +20,18 @@
 // callCounter counts the calls for engine reports and the probes along a chain. It calls
 // onOpen, if set, after an engine has accepted a stream.
 type callCounter struct {
-	next     http.RoundTripper
-	holdings atomic.Int64
-	probes   atomic.Int64
-	onOpen   func()
+	next        http.RoundTripper
+	reportCalls atomic.Int64
+	probeCalls  atomic.Int64
+	onOpen      func()
 }
 
 func (h *callCounter) RoundTrip(r *http.Request) (*http.Response, error) {
 	if r.URL.Path == engineapi.PathHolding {
-		h.holdings.Add(1)
+		h.reportCalls.Add(1)
 	}
 	if r.URL.Path == engineapi.PathWay {
-		h.probes.Add(1)
+		h.probeCalls.Add(1)
 	}
 	response, err := h.next.RoundTrip(r)
 	if err == nil && h.onOpen != nil && r.URL.Path == engineapi.PathChat {
@@ -65,7 +65,7 @@
 // A node with many streams makes too many report calls. Streams renew the reports of
 // their engines, so only engines without recent streams are asked. Renewal is bounded,
 // because tokens do not name the placement version.
-func TestBusyEnginesAreNotAsked(t *testing.T) {
+func TestBusyEnginesAreNotAskedForReports(t *testing.T) {
 	Convey("One stream per second on one chain of two stages", t, func() {
 		f, calls, advance := newFleetWithClock(t, 1)
 		defer f.stop()
@@ -73,21 +73,21 @@
 			f.mustAnswer(fmt.Sprint("busy-", i))
 			advance(DefaultReportTTL / 2)
 		}
-		So(calls.holdings.Load(), ShouldEqual, 2)
+		So(calls.reportCalls.Load(), ShouldEqual, 2)
 		for i := range 6 {
 			f.mustAnswer(fmt.Sprint("longer-", i))
 			advance(DefaultReportTTL / 2)
 		}
-		So(calls.holdings.Load(), ShouldEqual, 4)
+		So(calls.reportCalls.Load(), ShouldEqual, 4)
 		advance(DefaultReportTTL)
 		f.mustAnswer("after an idle period")
-		So(calls.holdings.Load(), ShouldEqual, 6)
+		So(calls.reportCalls.Load(), ShouldEqual, 6)
 		for i := range 30 {
 			advance(DefaultReportTTL / 2)
 			f.runner.reports.recordReports(testModel, f.chain(0), f.runner.reports.now(), f.reports(0))
 			f.mustAnswer(fmt.Sprint("told-", i))
 		}
-		So(calls.holdings.Load(), ShouldEqual, 6)
+		So(calls.reportCalls.Load(), ShouldEqual, 6)
 	})
 }
 
@@ -135,11 +135,11 @@
 		checker.invalidate(chain)
 		checker.renew(testModel, chain, sent)
 		f.mustAnswer("second")
-		So(calls.holdings.Load(), ShouldEqual, 4)
+		So(calls.reportCalls.Load(), ShouldEqual, 4)
 		checker.renew(testModel, chain, sent)
 		advance(DefaultReportTTL - time.Millisecond/2)
 		f.mustAnswer("third")
-		So(calls.holdings.Load(), ShouldEqual, 4)
+		So(calls.reportCalls.Load(), ShouldEqual, 4)
 	})
 }
 
@@ -173,60 +173,62 @@
 		before := checker.reports[chain.Stages[1].Address]
 		checker.renew(testModel, chain, checker.now().Add(3))
 		So(checker.reports[chain.Stages[1].Address], ShouldEqual, before)
-		So(calls.holdings.Load(), ShouldEqual, 2)
+		So(calls.reportCalls.Load(), ShouldEqual, 2)
 	})
 }
 
-// BenchmarkHoldingCalls measures the report calls and probes of a node with 50 streams a
+// BenchmarkReportCalls measures the report calls and probes of a node with 50 streams a
 // second over 35 chains of two stages, at the default settings and for several times of
 // the first token and of the following ones:
 //
 //	go test -run '^$' -bench HoldingCalls -benchtime 1x ./route/stream
-func BenchmarkHoldingCalls(b *testing.B) {
+func BenchmarkReportCalls(b *testing.B) {
 	const short, long = 20 * time.Millisecond, 100 * time.Millisecond
 	for _, load := range []streamLoad{
-		{first: short, step: short, tokens: 24},
-		{first: time.Second, step: short, tokens: 24},
-		{first: time.Second, step: long, tokens: 81},
+		{firstTokenTime: short, tokenGap: short, tokens: 24},
+		{firstTokenTime: time.Second, tokenGap: short, tokens: 24},
+		{firstTokenTime: time.Second, tokenGap: long, tokens: 81},
 	} {
-		name := fmt.Sprintf("first token %v, then %d each %v", load.first, load.tokens-1, load.step)
-		b.Run(name, func(b *testing.B) { countHoldingCalls(b, load) })
+		name := fmt.Sprintf("first token %v, then %d each %v", load.firstTokenTime, load.tokens-1, load.tokenGap)
+		b.Run(name, func(b *testing.B) { countReportCalls(b, load) })
 	}
 }
 
 // streamLoad is the token times and length of a benchmark's streams.
 type streamLoad struct {
-	first, step time.Duration
-	tokens      int
+	firstTokenTime, tokenGap time.Duration
+	tokens                   int
 }
 
-func (l streamLoad) duration() time.Duration { return l.first + time.Duration(l.tokens-1)*l.step }
+func (l streamLoad) duration() time.Duration {
+	return l.firstTokenTime + time.Duration(l.tokens-1)*l.tokenGap
+}
 
-func countHoldingCalls(b *testing.B, load streamLoad) {
+func countReportCalls(b *testing.B, load streamLoad) {
 	const (
-		chains      = 35
-		stages      = 2
-		rate        = 50 // a second
-		length      = 20 * time.Second
-		promptWords = 3 // in the prompt; each stage computes all of them
+		chains           = 35
+		stages           = 2
+		streamsPerSecond = 50 // a second
+		measuredTime     = 20 * time.Second
+		promptWords      = 3 // in the prompt; each stage computes all of them
 	)
 	warmUp := load.duration() + 2*time.Second
-	cfg := standin.Config{Step: load.step, Slots: 256, PrefillToken: (load.first - load.step) / (stages * promptWords)}
+	cfg := standin.Config{Step: load.tokenGap, Slots: 256, PrefillToken: (load.firstTokenTime - load.tokenGap) / (stages * promptWords)}
 	f := newFleet(b, chains, cfg, Options{})
 	defer f.stop()
-	transport := &http.Transport{MaxIdleConnsPerHost: rate}
+	transport := &http.Transport{MaxIdleConnsPerHost: streamsPerSecond}
 	defer transport.CloseIdleConnections()
 	calls := &callCounter{next: transport}
 	f.runner.reports.client = engineclient.New(calls)
 	f.runner.prober.client = f.runner.reports.client
 	var running sync.WaitGroup
-	holdingsBefore, probesBefore := int64(0), int64(0)
-	ticker := time.NewTicker(time.Second / rate)
+	reportCallsBefore, probeCallsBefore := int64(0), int64(0)
+	ticker := time.NewTicker(time.Second / streamsPerSecond)
 	defer ticker.Stop()
-	for i := range int((warmUp + length).Seconds() * rate) {
+	for i := range int((warmUp + measuredTime).Seconds() * streamsPerSecond) {
 		<-ticker.C
-		if i == int(warmUp.Seconds()*rate) {
-			holdingsBefore, probesBefore = calls.holdings.Load(), calls.probes.Load()
+		if i == int(warmUp.Seconds()*streamsPerSecond) {
+			reportCallsBefore, probeCallsBefore = calls.reportCalls.Load(), calls.probeCalls.Load()
 		}
 		running.Go(func() {
 			req := request(fmt.Sprint("stream-", i))
@@ -238,15 +240,17 @@
 		})
 	}
 	running.Wait()
-	b.ReportMetric(float64(calls.holdings.Load()-holdingsBefore)/length.Seconds(), "holding-calls/s")
-	b.ReportMetric(float64(calls.probes.Load()-probesBefore)/length.Seconds(), "way-calls/s")
+	b.ReportMetric(float64(calls.reportCalls.Load()-reportCallsBefore)/measuredTime.Seconds(), "holding-calls/s")
+	b.ReportMetric(float64(calls.probeCalls.Load()-probeCallsBefore)/measuredTime.Seconds(), "way-calls/s")
 	b.ReportMetric(0, "ns/op")
 }
 
 // fixedChain is a chooser that always returns the same chain of a fleet.
 type fixedChain struct {
 	*fleet
-	i int
+	chainIndex int
 }
 
-func (o fixedChain) Choose(context.Context, []string) (Chain, error) { return o.chain(o.i), nil }
+func (o fixedChain) Choose(context.Context, []string) (Chain, error) {
+	return o.chain(o.chainIndex), nil
+}
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -17,15 +17,15 @@
 }
 
 type cost struct {
-	nanos float64
-	known bool
+	meanNanos float64
+	known     bool
 }
 
 const (
-	costBuckets     = 24
-	costWeight      = 1.0 / 4
-	methodRecompute = 0
-	methodImport    = 1
+	costBuckets      = 24
+	costSampleWeight = 1.0 / 4
+	methodRecompute  = 0
+	methodImport     = 1
 )
 
 func bucketOf(tokens int) int { return min(bits.Len(uint(max(tokens, 0))), costBuckets-1) }
@@ -39,10 +39,10 @@
 	defer r.mu.Unlock()
 	c := &r.buckets[method][bucketOf(tokens)]
 	if !c.known {
-		*c = cost{nanos: float64(elapsed), known: true}
+		*c = cost{meanNanos: float64(elapsed), known: true}
 		return
 	}
-	c.nanos += costWeight * (float64(elapsed) - c.nanos)
+	c.meanNanos += costSampleWeight * (float64(elapsed) - c.meanNanos)
 }
 
 const (
@@ -59,9 +59,9 @@
 	exportTimeoutDivisor = 4
 )
 
-// importPays reports whether importing is expected to be faster than recomputing, and
+// preferImport reports whether importing is expected to be faster than recomputing, and
 // returns the timeout of the export.
-func (r *resumeCosts) importPays(tokens int) (bool, time.Duration) {
+func (r *resumeCosts) preferImport(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	recomputeTime, known := r.estimate(methodRecompute, tokens)
@@ -82,10 +82,10 @@
 	bucket := bucketOf(tokens)
 	for distance := range costBuckets {
 		if lower := bucket - distance; lower >= 0 && r.buckets[method][lower].known {
-			return time.Duration(r.buckets[method][lower].nanos * float64(int(1)<<distance)), true
+			return time.Duration(r.buckets[method][lower].meanNanos * float64(int(1)<<distance)), true
 		}
 		if higher := bucket + distance; higher < costBuckets && r.buckets[method][higher].known {
-			return time.Duration(r.buckets[method][higher].nanos), true
+			return time.Duration(r.buckets[method][higher].meanNanos), true
 		}
 	}
 	return 0, false
@@ -101,8 +101,8 @@
 	if result.NotRun || result.Tokens == 0 {
 		return
 	}
-	pays, timeout := a.runner.costs.importPays(a.contextTokens())
-	if !pays {
+	preferred, timeout := a.runner.costs.preferImport(a.contextTokens())
+	if !preferred {
 		return
 	}
 	start := time.Now()
--- a/route/stream/resume_test.go
+++ b/route/stream/resume_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-func TestImportPays(t *testing.T) {
-	second, half := cost{nanos: 1e9, known: true}, cost{nanos: 5e8, known: true}
+func TestPreferImport(t *testing.T) {
+	second, half := cost{meanNanos: 1e9, known: true}, cost{meanNanos: 5e8, known: true}
 	cases := []struct {
 		name                string
 		recompute, imported map[int]cost // by tokens
@@ -56,7 +56,7 @@
 		{"nothing measured", nil, nil, 1000, false},
 		{"import not tried", map[int]cost{1000: second}, nil, 1000, true},
 		{"import not tried, recompute taken from longer", map[int]cost{1000: second}, nil, 100, true},
-		{"recompute short", map[int]cost{100: {nanos: 1e7, known: true}}, map[int]cost{100: {nanos: 1, known: true}}, 100, false},
+		{"recompute short", map[int]cost{100: {meanNanos: 1e7, known: true}}, map[int]cost{100: {meanNanos: 1, known: true}}, 100, false},
 		{"import quicker", map[int]cost{1000: second}, map[int]cost{1000: half}, 1000, true},
 		{"import slower", map[int]cost{1000: half}, map[int]cost{1000: second}, 1000, false},
 		{"scaled from shorter", map[int]cost{1000: half}, map[int]cost{8000: second}, 8000, true},
@@ -70,8 +70,8 @@
 			for tokens, measured := range c.imported {
 				costs.buckets[methodImport][bucketOf(tokens)] = measured
 			}
-			pays, timeout := costs.importPays(c.tokens)
-			So(fmt.Sprint(c.name, pays), ShouldEqual, fmt.Sprint(c.name, c.want))
+			preferred, timeout := costs.preferImport(c.tokens)
+			So(fmt.Sprint(c.name, preferred), ShouldEqual, fmt.Sprint(c.name, c.want))
 			So(timeout, ShouldBeLessThanOrEqualTo, time.Second)
 		}
 	})
--- a/route/stream/runner.go
+++ b/route/stream/runner.go
@@ -65,7 +65,7 @@
 		startedAt: time.Now(),
 	}
 	err := a.run(runCtx)
-	a.summary.Tokens = len(a.delivered)
+	a.summary.Tokens = len(a.deliveredTokens)
 	a.summary.Outcome = a.outcome(err)
 	if err != nil {
 		err = Error.Wrap(err)
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -192,8 +192,8 @@
 	Convey("The cancel of the old epoch does not end the new one", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
 		defer f.stop()
-		own := f.chains[1][0]
-		defer own.Close()
+		replacedStage := f.chains[1][0]
+		defer replacedStage.Close()
 		f.chains[1][0] = f.chains[0][0]
 		req := request("shared")
 		req.Chat.MaxTokens = 100
@@ -210,7 +210,7 @@
 
 // An answer stays slow to its end because a stage has turned slow without exceeding the
 // stall timeout. The stream must change chains once, and stay if there is no other chain.
-func TestSlowChainIsLeft(t *testing.T) {
+func TestStreamLeavesSlowChain(t *testing.T) {
 	for _, chains := range []int{1, 2} {
 		Convey(fmt.Sprint("Number of chains: ", chains), t, func() {
 			f := newFleet(t, chains, fastEngine, Options{})
@@ -260,20 +260,20 @@
 
 // After a pause of the node all its timers fire late and at once, while tokens are still
 // unread. Without the excuse every stream would abandon its chain.
-func TestWatchdogExcusesItsOwnPause(t *testing.T) {
+func TestWatchdogWaitsAgainAfterNodePause(t *testing.T) {
 	Convey("A late timer is excused once", t, func() {
 		w := newWatchdog(func(error) {})
 		defer w.disarm()
 		w.arm(time.Hour)
-		_, over := w.expired(w.expiresAt.Add(-time.Second))
-		So(over, ShouldBeFalse)
-		_, over = w.expired(w.expiresAt.Add(2 * maxTimerDelay))
-		So(over, ShouldBeFalse)
-		_, over = w.expired(w.expiresAt.Add(2 * maxTimerDelay))
-		So(over, ShouldBeTrue)
+		_, timedOut := w.expired(w.expiresAt.Add(-time.Second))
+		So(timedOut, ShouldBeFalse)
+		_, timedOut = w.expired(w.expiresAt.Add(2 * maxTimerDelay))
+		So(timedOut, ShouldBeFalse)
+		_, timedOut = w.expired(w.expiresAt.Add(2 * maxTimerDelay))
+		So(timedOut, ShouldBeTrue)
 		w.arm(time.Hour)
-		_, over = w.expired(w.expiresAt.Add(maxTimerDelay / 2))
-		So(over, ShouldBeTrue)
+		_, timedOut = w.expired(w.expiresAt.Add(maxTimerDelay / 2))
+		So(timedOut, ShouldBeTrue)
 	})
 }
 
--- a/route/stream/slow.go
+++ b/route/stream/slow.go
@@ -23,25 +23,25 @@
 // timeout, and without the detector an answer of hundreds of tokens would stay slow
 // to its end.
 type slowDetector struct {
-	baseline time.Duration
-	sum      time.Duration
-	count    int
-	slow     bool
+	baselineGap time.Duration
+	gapSum      time.Duration
+	gapCount    int
+	slow        bool
 }
 
 // add adds the gap of one token. It updates slow at the end of each window.
 func (d *slowDetector) add(gap time.Duration) {
-	d.sum += gap
-	d.count++
-	if d.count < slowWindowTokens {
+	d.gapSum += gap
+	d.gapCount++
+	if d.gapCount < slowWindowTokens {
 		return
 	}
-	mean := d.sum / slowWindowTokens
-	d.sum, d.count = 0, 0
-	if d.baseline == 0 {
-		d.baseline = mean
+	mean := d.gapSum / slowWindowTokens
+	d.gapSum, d.gapCount = 0, 0
+	if d.baselineGap == 0 {
+		d.baselineGap = mean
 	}
-	d.slow = mean > max(slowFactor*d.baseline, minSlowGap)
+	d.slow = mean > max(slowFactor*d.baselineGap, minSlowGap)
 }
 
 // leaveSlowChain ends the epoch of a chain that has turned slow if the chooser has
@@ -52,7 +52,7 @@
 		return false
 	}
 	e.answer.leftSlowChain = true
-	nextChain, err := e.answer.chooser().Choose(ctx, append(slices.Clone(e.answer.exclude), e.chain.Replica))
+	nextChain, err := e.answer.chooser().Choose(ctx, append(slices.Clone(e.answer.excludedReplicas), e.chain.Replica))
 	if err != nil {
 		return false
 	}
--- a/route/stream/token_bench_test.go
+++ b/route/stream/token_bench_test.go
@@ -17,16 +17,16 @@
 // decoding, token check, measurements and watchdog.
 func BenchmarkRunnerToken(b *testing.B) { benchToken(b, engineapi.Artifact{}) }
 
-// BenchmarkRunnerTokenNamed does the same with weights and an adapter named in each span.
-func BenchmarkRunnerTokenNamed(b *testing.B) {
+// BenchmarkRunnerTokenWithArtifact does the same with weights and an adapter named in each span.
+func BenchmarkRunnerTokenWithArtifact(b *testing.B) {
 	benchToken(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
 
 func benchToken(b *testing.B, artifact engineapi.Artifact) {
 	stages := []engineapi.Stage{{Endpoint: "a", Address: "a:1", Last: 3}, {Endpoint: "b", Address: "b:1", First: 4, Last: 7}}
 	canned := &cannedEngine{stages: stages, tokens: b.N, artifact: artifact}
-	f := oneChain{Chain{Replica: "r", Stages: stages, PlacementVersion: 1, Artifact: artifact}}
-	runner := New(engineclient.New(canned), f, Options{MaxTokens: b.N + 1})
+	chooser := oneChain{Chain{Replica: "r", Stages: stages, PlacementVersion: 1, Artifact: artifact}}
+	runner := New(engineclient.New(canned), chooser, Options{MaxTokens: b.N + 1})
 	b.ReportAllocs()
 	b.ResetTimer()
 	summary, err := runner.Run(context.Background(), request("canned"), func(string, engineapi.TokenTrace) error { return nil })
@@ -52,7 +52,7 @@
 func (c *cannedEngine) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Request: r}
 	if r.URL.Path != engineapi.PathHolding {
-		resp.Body = io.NopCloser(&cannedAnswer{tokens: c.tokens, event: cannedWith(c.artifact)})
+		resp.Body = io.NopCloser(&cannedAnswer{tokens: c.tokens, eventFormat: cannedEventWith(c.artifact)})
 		return resp, nil
 	}
 	for _, s := range c.stages {
@@ -73,13 +73,13 @@
 
 // cannedAnswer is the body of an answer.
 type cannedAnswer struct {
-	tokens, at int
-	event      string
-	rest       []byte
+	tokens, position int
+	eventFormat      string
+	unread           []byte
 }
 
-// cannedWith returns the event of a token whose spans name an artifact.
-func cannedWith(a engineapi.Artifact) string {
+// cannedEventWith returns the event of a token whose spans name an artifact.
+func cannedEventWith(a engineapi.Artifact) string {
 	if a == (engineapi.Artifact{}) {
 		return cannedEvent
 	}
@@ -92,18 +92,18 @@
 
 // Read generates the events as they are read.
 func (a *cannedAnswer) Read(p []byte) (int, error) {
-	for len(a.rest) == 0 {
+	for len(a.unread) == 0 {
 		switch {
-		case a.at < a.tokens:
-			a.rest = fmt.Appendf(a.rest[:0], a.event, "null", a.at)
-		case a.at == a.tokens:
-			a.rest = fmt.Appendf(a.rest[:0], a.event, `"stop"`, a.at)
+		case a.position < a.tokens:
+			a.unread = fmt.Appendf(a.unread[:0], a.eventFormat, "null", a.position)
+		case a.position == a.tokens:
+			a.unread = fmt.Appendf(a.unread[:0], a.eventFormat, `"stop"`, a.position)
 		default:
 			return 0, io.EOF
 		}
-		a.at++
+		a.position++
 	}
-	n := copy(p, a.rest)
-	a.rest = a.rest[n:]
+	n := copy(p, a.unread)
+	a.unread = a.unread[n:]
 	return n, nil
 }
--- a/route/stream/types.go
+++ b/route/stream/types.go
@@ -155,8 +155,8 @@
 
 // Hop is the mean time that a token spent on a stage and its outgoing link.
 type Hop struct {
-	Endpoint string
-	Micros   float64
+	Endpoint   string
+	MeanMicros float64
 	// StepMicros is the time of the layers alone, as the engine reports it, or zero
 	// if unknown. The Chooser fills it in.
 	StepMicros float64
--- a/route/stream/watchdog.go
+++ b/route/stream/watchdog.go
@@ -27,12 +27,12 @@
 type watchdog struct {
 	cancel context.CancelCauseFunc
 
-	mu           sync.Mutex
-	timer        *time.Timer
-	expiresAt    time.Time // zero while disarmed
-	timeout      time.Duration
-	firstToken   *firstTokenWait // not nil until the first token
-	delayExcused bool            // a late timer has been excused since arm
+	mu                 sync.Mutex
+	timer              *time.Timer
+	expiresAt          time.Time // zero while disarmed
+	timeout            time.Duration
+	firstToken         *firstTokenWait // not nil until the first token
+	extendedAfterDelay bool            // a late timer has been excused since arm
 }
 
 // firstTokenWait is the wait for a first token. The time of prefill and of the
@@ -53,7 +53,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.firstToken = nil
-	w.delayExcused = false
+	w.extendedAfterDelay = false
 	w.restart(timeout)
 }
 
@@ -135,8 +135,8 @@
 		w.restart(w.timeout)
 		return nil, false
 	}
-	if delayed && !w.delayExcused {
-		w.delayExcused = true
+	if delayed && !w.extendedAfterDelay {
+		w.extendedAfterDelay = true
 		w.restart(w.timeout)
 		return nil, false
 	}
