--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -1,6 +1,9 @@
 // Package chains resolves a replica of a model to the chain of engines that runs its
-// streams. The layers of each engine come from the document, or from the plan in force
-// if the document leaves them out.
+// streams.
+//
+// The document is the configuration of services, replicas and endpoints. It names the
+// engines of each replica and may give the layers of each engine. If it gives no layers,
+// they come from the plan that the nodes have agreed on for the replica.
 package chains
 
 import (
@@ -20,25 +23,25 @@
 // Error is the class of this package's errors.
 var Error = errs.Class("chains")
 
-// ErrNoPlan reports a replica whose layers are neither in the document nor planned yet.
+// ErrNoPlan reports a replica whose layers are neither in the document nor in a plan.
 var ErrNoPlan = errors.New("no plan for the replica yet")
 
 // ErrNoAdapter reports a replica whose plan does not include the requested adapter.
 var ErrNoAdapter = errors.New("the replica's plan does not include the adapter")
 
-// Plans returns the plans of replicas whose layers are not in the document.
+// Plans holds the plans of replicas whose layers are not in the document.
 type Plans interface {
-	// Agreed returns the plan in force, as far as this node knows.
+	// Agreed returns the latest agreed plan that this node knows.
 	Agreed(model, replica string) (agreed plan.Replica, ok bool)
 }
 
-// Resolver resolves replicas to chains. Plans may be nil; the document must then give
-// the layers. It is safe for concurrent use.
+// Resolver resolves replicas to chains. If Plans is nil, the document must give the
+// layers of every replica. A Resolver is safe for concurrent use.
 type Resolver struct {
 	Plans Plans
 }
 
-// Chain returns the chain of a replica of c's service.
+// Chain returns the chain of a replica of the service that c calls.
 func (r *Resolver) Chain(c *callparser.Call, replica string) (stream.Chain, error) {
 	spec := findReplica(c.Service.Model, replica)
 	if spec == nil {
@@ -56,8 +59,8 @@
 }
 
 // artifactOf returns the weights and adapter that a call runs on a replica. If the plan
-// lists two versions of the adapter, it is the first: the other one may still be
-// loading, and the plan lists it alone once it is loaded.
+// lists two versions of the adapter, artifactOf returns the first, because the second may
+// still be loading. Once the second is loaded, the plan lists only that one.
 func artifactOf(c *callparser.Call, replicaPlan plan.Replica) (engineapi.Artifact, error) {
 	artifact := engineapi.Artifact{Weights: replicaPlan.Weights}
 	if c.Adapter == "" {
@@ -73,8 +76,8 @@
 }
 
 // DocumentVersion is the placement version of chains whose layers are in the document.
-// No plan decides their layers, so there is no version for the engines to agree on. The
-// layers that engines report are still compared with the document.
+// There is no plan for these chains, and so no plan version. The layers that engines
+// report are still compared with the document.
 const DocumentVersion = 0
 
 func (r *Resolver) replicaPlan(c *callparser.Call, spec *document.Replica) (plan.Replica, error) {
--- a/route/chains/chains_test.go
+++ b/route/chains/chains_test.go
@@ -20,9 +20,9 @@
 	}, replica == "planned"
 }
 
-// A chain's layers come from the document, or from the plan if the document leaves them
-// out, together with the plan's placement version. Without a plan, or with an engine
-// that the document does not name, resolving fails instead of guessing layers.
+// A chain's layers come from the document. If the document gives none, the layers and the
+// placement version come from the plan. If there is no plan either, or the plan names an
+// engine that is not in the document, Chain must return an error and not guess layers.
 func TestChain(t *testing.T) {
 	doc := &document.Document{
 		Endpoints: []document.Endpoint{{Name: "a", Address: "127.0.0.1:1"}, {Name: "b", Address: "127.0.0.1:2"}},
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -19,13 +19,13 @@
 
 	deliveredTokens    []string
 	excludedReplicas   []string
-	executions         int    // chains that may have run part of the answer
+	executions         int    // number of chains that may have run part of the answer
 	nextChain          *Chain // already chosen by leaveSlowChain, or nil
 	leftSlowChain      bool
 	stalls             int
-	unresponsiveChains int                // chains that stopped answering probes before their first token
-	lastTokenAt        time.Time          // last delivered token, or start of the epoch
-	failedAt           time.Time          // failure not yet followed by a token, or zero
+	unresponsiveChains int                // number of chains that became unresponsive before their first token
+	lastTokenAt        time.Time          // time of the epoch's last delivered token, or start of the epoch
+	failedAt           time.Time          // time of a failure that no delivered token has followed yet, or zero
 	kvHandle           string             // exported KV cache for the next epoch, or empty
 	artifact           engineapi.Artifact // artifact of the delivered tokens, if any
 	exportTime         time.Duration
@@ -55,7 +55,8 @@
 	return errors.Join(ErrAttemptsExhausted, a.summary.LastResult.Err)
 }
 
-// mayAttempt reports whether an epoch with this number is within the bounds.
+// mayAttempt reports whether MaxExecutions and MaxAttempts allow an epoch with this
+// number.
 func (a *answer) mayAttempt(epoch uint32) bool {
 	return a.executions < a.runner.options.MaxExecutions && int(epoch) <= a.runner.options.MaxAttempts
 }
@@ -90,8 +91,8 @@
 	return errors.Join(ErrNoChain, err, a.summary.LastResult.Err)
 }
 
-// outcome derives the outcome from AttemptResult.NotRun of each epoch, never from
-// the error's text. OutcomeNotRun requires that every chain provably ran nothing.
+// outcome returns OutcomeNotRun for a failed request only if every chain provably ran
+// nothing. It uses AttemptResult.NotRun of each epoch, never the error's text.
 func (a *answer) outcome(err error) Outcome {
 	switch {
 	case err == nil:
@@ -139,8 +140,8 @@
 	a.failedAt = time.Time{}
 }
 
-// contextTokens estimates the tokens of the prompt and of the answer so far, which
-// a chain needs in its KV cache to continue.
+// contextTokens estimates the number of tokens of the prompt and of the answer so far.
+// A chain needs all of them in its KV cache to continue the answer.
 func (a *answer) contextTokens() int {
 	bytes := 0
 	for _, m := range a.req.Chat.Messages {
@@ -151,7 +152,8 @@
 
 const bytesPerToken = 4
 
-// recordFailure starts measuring a recovery.
+// recordFailure adds a Recovery to the summary. recordDelivered completes it when the
+// next token is delivered.
 func (a *answer) recordFailure(result AttemptResult) {
 	now := time.Now()
 	a.summary.Recoveries = append(a.summary.Recoveries, Recovery{
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -13,8 +13,8 @@
 
 var notesAdapter = engineapi.Adapter{Name: "notes", Version: "1"}
 
-// versionedFleet is a fleet whose chains have different artifacts, and the chooser over
-// them.
+// versionedFleet is a fleet whose chains have different artifacts. It is also the chooser
+// that returns these chains.
 type versionedFleet struct {
 	*fleet
 	artifacts []engineapi.Artifact
@@ -30,7 +30,7 @@
 	return chain, err
 }
 
-// newVersionedFleet starts a chain for each artifact. Its engines hold the artifact.
+// newVersionedFleet starts one chain for each artifact, whose engines hold that artifact.
 func newVersionedFleet(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versionedFleet {
 	f := newFleet(t, 0, cfg, Options{})
 	for _, a := range artifacts {
@@ -58,9 +58,9 @@
 	return strings.Join(standin.AnswerBy(a, req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
-// Without the artifact check, a resumed answer mixes two versions of the weights. The
-// chain fails during a rollout: the second replica is healthy but already has the new
-// weights, only the third has those that the answer began with.
+// Without the artifact check, a resumed answer could mix two versions of the weights. The
+// first chain fails during a rollout. The second chain is healthy but already has the new
+// weights. Only the third chain has the weights that the answer began with.
 func TestAnswerStaysWithItsVersion(t *testing.T) {
 	old, next := engineapi.Artifact{Weights: "v1"}, engineapi.Artifact{Weights: "v2"}
 	Convey("The resume skips the chain with the other version", t, func() {
@@ -80,9 +80,9 @@
 	})
 }
 
-// An engine loads other weights in the middle of an answer. A later stage ignores
-// fencing numbers and accepts the order while its earlier report is still cached. Its
-// next span names the new weights, and the token must not be delivered.
+// A later stage ignores fencing numbers and loads other weights in the middle of an
+// answer, while its earlier engine report is still cached. The stage's next span names the
+// new weights, and the token must not be delivered.
 func TestWeightsChangeMidAnswer(t *testing.T) {
 	old := engineapi.Artifact{Weights: "v1"}
 	Convey("The span shows the change", t, func() {
@@ -106,17 +106,17 @@
 	})
 }
 
-// An engine drops an adapter for lack of memory without reporting it. If the engine is
-// asked, its report shows the loss and nothing is sent. While an older report is
-// cached, an engine that checks fencing refuses the stream; one that does not runs the
-// base model, which its first span shows. In each case the caller must get the
-// adapter's answer.
+// An engine drops an adapter for lack of memory without reporting it. In each of three
+// cases the caller must get the answer that the adapter generates. If the engine is asked
+// for a report, the report shows the loss and nothing is sent. If an older report is
+// cached and the engine checks fencing numbers, the engine refuses the stream. If it does
+// not check them, it runs the model without the adapter, and its first span shows that.
 func TestAdapterIsLost(t *testing.T) {
 	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notesAdapter.String()}
 	cases := []struct {
 		name          string
 		checksFencing bool
-		reportCached  bool // the engine's report is cached
+		reportCached  bool // the engine's report from before the loss is cached
 		end           End
 	}{
 		{"engine asked before use", false, false, EndMismatch},
@@ -152,9 +152,10 @@
 	}
 }
 
-// A prompt is routed to a chain for its cache and computed again: a later stage has
-// lost its cache, and the first stage, whose cache events are read, has not. The later
-// stage's next report names another cache, which must be reported through OnCacheLost.
+// OnCacheLost must be called once if a later stage loses its prefix cache. Otherwise
+// prompts would still be routed to the chain for that cache and be recomputed, because
+// cache events are read only from the first stage, which has lost nothing. The later
+// stage's next engine report names another cache.
 func TestLaterStageLosesItsCache(t *testing.T) {
 	Convey("Each loss is reported once", t, func() {
 		var mu sync.Mutex
@@ -179,8 +180,8 @@
 	})
 }
 
-// A stream is sent to an engine that was ordered to the prefill role. Its report names
-// the role, so another chain must be used.
+// An engine with the prefill role cannot run a whole answer. The engine's report names the
+// role, so the stream must be sent to another chain.
 func TestOtherRoleIsNotUsed(t *testing.T) {
 	Convey("Another chain is used", t, func() {
 		v := newVersionedFleet(t, fastEngine, engineapi.Artifact{}, engineapi.Artifact{})
--- a/route/stream/cancel.go
+++ b/route/stream/cancel.go
@@ -11,16 +11,16 @@
 const (
 	// cancelWorkers bounds the concurrent cancel calls.
 	cancelWorkers = 32
-	// maxCancels bounds the queue. It allows one entry for each stage of all
-	// streams that a node can have open.
+	// maxCancels bounds the number of queued cancels. It allows one cancel for each
+	// stage of all streams that a node can have open.
 	maxCancels    = 1 << 16
 	cancelTimeout = 1 * time.Second
 )
 
 // canceller cancels an ended epoch on every stage of its chain. Closing the
-// connection informs only the first stage, and a frozen or crashed first stage does
-// not inform the others: they would keep their slots for a stream without a caller.
-// Workers run only while the queue is not empty.
+// connection informs only the first stage. If that stage is frozen or has crashed, it
+// does not inform the other stages, which would keep their slots for a stream without a
+// caller. Workers run only while the queue is not empty.
 type canceller struct {
 	client *engineclient.Client
 
@@ -42,7 +42,8 @@
 	return c
 }
 
-// cancel queues the cancel of a stream's epochs up to the given one, for every stage.
+// cancel queues one cancel for every stage of chain. Each cancel ends the stream's epochs
+// up to and including the given epoch.
 func (c *canceller) cancel(chain Chain, stream string, epoch uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,8 +67,8 @@
 			return
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
-		// The error is ignored: an engine that cannot be reached frees the slot
-		// by its own timeout.
+		// The error is ignored, because an engine that cannot be reached frees the
+		// stream's slot by its own timeout.
 		c.client.Cancel(ctx, task.address, task.stream, task.epoch)
 		cancel()
 	}
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -14,9 +14,9 @@
 	OldEpoch
 	// FutureEpoch tokens name an epoch that was never started.
 	FutureEpoch
-	// WrongPosition tokens repeat a position or skip one.
+	// WrongPosition tokens have another position than the next one.
 	WrongPosition
-	// SkippedLayer tokens were computed without one of the layers.
+	// SkippedLayer tokens were computed without some layer of the model.
 	SkippedLayer
 	// RepeatedLayer tokens were computed with a layer twice or out of order.
 	RepeatedLayer
@@ -38,23 +38,23 @@
 // String returns the text used in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Stray reports whether the token belongs to another stream or an earlier epoch. It
-// is dropped and does not count as a fault of the chain.
+// Stray reports whether the token belongs to another stream or an earlier epoch. Such a
+// token is dropped and does not count as a fault of the chain.
 func (r Reason) Stray() bool { return r == ForeignStream || r == OldEpoch }
 
-// TokenCheck decides which tokens of a stream may reach the caller. It is a pure
-// state machine for use by one goroutine, and neither allocates nor blocks.
+// TokenCheck decides which tokens of a stream may reach the caller. It is for use by one
+// goroutine, and neither allocates memory nor blocks.
 type TokenCheck struct {
 	stream       string
 	layers       int
 	maxTokens    int
 	epoch        uint32
 	nextPosition int
-	// artifact is the artifact that each span of the current epoch must report. An
-	// engine that ignores fencing numbers may load other weights in the middle of an
-	// answer. Its layers are still complete and in order, so only the artifact in
-	// the span shows the change; without this check the answer would mix two
-	// versions. An engine that reports a false artifact is not detected.
+	// artifact is the artifact that each span of the current epoch must report.
+	// Without this check an answer could mix two versions of the weights: an engine
+	// that ignores fencing numbers may load other weights in the middle of an answer.
+	// The spans still cover every layer in order, so only their artifact shows the
+	// change. An engine that reports a false artifact is not detected.
 	artifact engineapi.Artifact
 }
 
@@ -89,8 +89,8 @@
 	return Accepted
 }
 
-// VerifyEnd checks the event that closes the answer. Its position must follow the
-// last accepted token; otherwise tokens before it were lost.
+// VerifyEnd checks the event that closes the answer. Its position must be the one after
+// the last accepted token. A higher position means that tokens were lost.
 func (c *TokenCheck) VerifyEnd(t *engineapi.TokenTrace) Reason { return c.verifyPosition(t) }
 
 // verifyPosition checks a token's stream, epoch and position.
--- a/route/stream/check_test.go
+++ b/route/stream/check_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestCheckMatchesReference draws spans at random and compares the decision with a
-// reference: the layers run, listed one by one, must be 0, 1, ..., n-1.
+// TestCheckMatchesReference draws spans at random and compares TokenCheck with a simple
+// reference, which lists the layers of all spans and requires 0, 1, ..., layers-1.
 func TestCheckMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 6).Draw(t, "layers")
@@ -101,7 +101,7 @@
 
 func BenchmarkCheck(b *testing.B) { benchCheck(b, engineapi.Artifact{}) }
 
-// BenchmarkCheckWithArtifact runs the check with weights and an adapter named in each span.
+// BenchmarkCheckWithArtifact measures the check if each span names weights and an adapter.
 func BenchmarkCheckWithArtifact(b *testing.B) {
 	benchCheck(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
--- a/route/stream/doc.go
+++ b/route/stream/doc.go
@@ -17,11 +17,32 @@
 // Each attempt on a chain is an epoch of the stream. TokenCheck accepts a token
 // only if its spans cover every layer once, in order, for this stream, epoch and
 // position. When an epoch fails, the next epoch runs on another chain and resumes
-// after the last delivered token, so the caller receives one complete answer, byte
-// for byte the same as without the failure. The Runner uses no membership or
-// health state: it acts on the responses it receives, and reports the outcome as
-// unknown when it cannot prove what an engine did.
+// after the last delivered token. The caller receives one complete answer, byte for
+// byte the same as without the failure. The Runner uses no membership or health
+// state and acts only on the responses that it receives. If it cannot prove what an
+// engine did, it reports the outcome as unknown.
 //
 // One Runner serves the replicas of one model. The token gaps and resume times
 // that it measures are shared by all streams.
+//
+// # Terms
+//
+// A chain is the engines that together run a replica of the model. Each engine is a
+// stage, which holds a range of the layers. The plan says which layers, weights and
+// adapters the engines of a replica hold. Its placement version grows with each
+// change.
+//
+// An order tells an engine what to hold. Orders and streams carry the plan's version
+// as a fencing number. An engine that checks this number refuses outdated orders and
+// streams, but some engines ignore it.
+//
+// An engine report is an engine's reply to the question what it holds. A span in the
+// event of a token says which layers a stage ran for the token, with which artifact
+// (weights and adapter), and how long that took. The position of a token is its
+// number in the answer, counted from zero over all epochs.
+//
+// The gap of a token is the time since the token before it. A chain is stalled if no
+// token arrives within the stall timeout, which adapts to the chain's gaps. Before
+// the first token, probes are sent along the chain. A chain that shows neither a
+// probe reply nor a token for too long is unresponsive.
 package stream
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -22,7 +22,8 @@
 	gap      gapEstimate
 	slowness slowDetector
 	sentAt   time.Time
-	// openedAt is sentAt on the clock of the report checker.
+	// openedAt is the same time as sentAt, read from the report checker's clock, which
+	// tests replace.
 	openedAt time.Time
 	// activityReportedAt is when a token was last reported to the chain prober.
 	activityReportedAt time.Time
@@ -31,8 +32,8 @@
 	result             AttemptResult
 }
 
-// maxStrayTokens bounds the tokens of earlier epochs or other streams in one epoch.
-// They never reach the caller, but a chain that sends more than this is abandoned.
+// maxStrayTokens is how many tokens of earlier epochs or other streams a chain may send
+// in one epoch. Such tokens never reach the caller. A chain that sends more is abandoned.
 const maxStrayTokens = 64
 
 func (e *epoch) run(ctx context.Context) {
@@ -62,12 +63,13 @@
 	}
 }
 
-// verify checks before sending that the chain's engines hold what the plan says.
+// verify checks, before the request is sent, that the chain's engines hold what the plan
+// says.
 //
-// It also rejects a chain with other weights or another adapter than those of the
-// tokens delivered so far: the caller would get the beginning of one answer and the
-// end of another, both plausible. Nothing has been sent at this point, so another
-// chain may be tried.
+// It also rejects a chain whose weights or adapter differ from those that made the
+// delivered tokens. Otherwise the caller would get the beginning of one answer and the
+// end of another, and could not notice the change. Nothing has been sent to the chain
+// yet, so another chain may be tried.
 func (e *epoch) verify(ctx context.Context) error {
 	if len(e.answer.deliveredTokens) > 0 && e.chain.Artifact != e.answer.artifact {
 		return fmt.Errorf("%w: got %+v, want %+v", errWrongArtifact, e.chain.Artifact, e.answer.artifact)
@@ -157,13 +159,13 @@
 }
 
 // drainTimeout bounds the wait for the end of the body after the closing event.
-// Engines send both together. If the end does not arrive in time, the connection is
-// closed and cannot be reused.
+// Engines send the closing event and the end of the body together. If the end of the body
+// does not arrive in time, the connection is closed and cannot be reused.
 const drainTimeout = 20 * time.Millisecond
 
-// dropStray drops and counts a token of another stream or an earlier epoch. It does
-// not reset the watchdog: the token does not show that the chain works on this
-// stream.
+// dropStray drops and counts a token of another stream or an earlier epoch, and reports
+// whether the epoch has ended. It does not reset the watchdog, because such a token does
+// not show that the chain works on this stream.
 func (e *epoch) dropStray(reason Reason) bool {
 	e.answer.summary.StrayTokens++
 	e.answer.runner.strayTokens.Add(1)
@@ -198,8 +200,9 @@
 	e.preferCallerCause(ctx)
 }
 
-// preferCallerCause replaces the epoch's end if the caller disconnected or the
-// deadline passed, because the error that was seen follows from that.
+// preferCallerCause sets the epoch's end to EndCallerGone if the caller disconnected, or
+// to EndDeadline if the deadline passed. Either cancels the epoch's calls, so the error
+// that was recorded before is only a consequence.
 func (e *epoch) preferCallerCause(ctx context.Context) {
 	if e.answer.callerCtx.Err() != nil {
 		e.setEnd(EndCallerGone, e.answer.callerCtx.Err())
@@ -230,15 +233,15 @@
 	e.renewReports(spans)
 	e.answer.runner.costs.record(e.answer.kvHandle != "", e.answer.contextTokens(), e.result.FirstToken+e.answer.exportTime)
 	if !e.gap.known {
-		// The first token's time is the only sample for the next gap. It
-		// includes prefill, so the stall timeout is too long rather than too
-		// short.
+		// No gap of this chain has been measured yet, so the sum of the first
+		// token's span times is the first sample. It includes prefill, so the
+		// stall timeout is too long rather than too short.
 		e.gap.sample(gapOf(0, spans))
 	}
 }
 
-// reportActivity reports a token to the chain prober, at most twice per probe
-// interval, because all streams share the prober's lock.
+// reportActivity tells the chain prober that a token has arrived. It does so at most
+// twice per probe interval, because all streams share the prober's lock.
 func (e *epoch) reportActivity(now time.Time) {
 	if now.Sub(e.activityReportedAt) >= e.answer.runner.prober.probeInterval()/2 {
 		e.activityReportedAt = now
@@ -246,9 +249,9 @@
 	}
 }
 
-// renewReports renews the cached engine reports if the first token's spans show that
-// each stage ran the layers of the plan. The reports are renewed as of the time when
-// the stream was opened.
+// renewReports extends the validity of the cached engine reports if the first token's
+// spans show that each stage ran the layers of the plan. The reports are then valid for
+// another ReportTTL, counted from the time when the stream was opened.
 func (e *epoch) renewReports(spans []engineapi.Span) {
 	matchesPlan := slices.EqualFunc(spans, e.chain.Stages, func(span engineapi.Span, stage engineapi.Stage) bool {
 		return span.Endpoint == stage.Endpoint && span.First == stage.First && span.Last == stage.Last
@@ -258,8 +261,9 @@
 	}
 }
 
-// stallTimeout returns how long to wait for the next token. It doubles with each
-// earlier stall of this answer: if every chain is slow, changing chains adds load.
+// stallTimeout returns how long to wait for the next token. The timeout doubles with
+// each earlier stall of this answer, because changing chains adds load and does not
+// help if every chain is slow.
 func (e *epoch) stallTimeout() time.Duration {
 	timeout := e.gap.timeout(e.answer.runner.options.MinStallTimeout, e.answer.req.MaxStallTimeout)
 	return min(timeout<<min(e.answer.stalls, maxStallDoublings), max(e.answer.req.MaxStallTimeout, e.answer.runner.options.MinStallTimeout))
@@ -267,9 +271,9 @@
 
 const maxStallDoublings = 6
 
-// finish updates the gap estimate, the cached reports and the recovery times from
-// the epoch's result, and cancels the stream on the chain's stages if the answer is
-// not complete.
+// finish updates the gap estimate, the cached engine reports and the recovery times from
+// the epoch's result. If the answer is not complete and the chain may have run part of
+// it, finish also cancels the stream on the chain's stages.
 func (e *epoch) finish() {
 	e.result.Hops = e.hops.means()
 	if e.result.Tokens > 1 {
@@ -277,8 +281,9 @@
 	}
 	if e.result.End == EndStalled {
 		e.answer.stalls++
-		// The real gap is at least the time waited. If the chain was only
-		// slow, its next stall timeout is longer.
+		// The gap before the missing token is at least the time waited. Adding
+		// that time to the estimate makes the chain's next stall timeout longer,
+		// in case the chain was only slow.
 		e.gap.sample(time.Since(e.answer.lastTokenAt))
 	}
 	if e.result.Unresponsive {
@@ -294,8 +299,8 @@
 		e.answer.recordFailure(e.result)
 	}
 	if e.result.End == EndRefused {
-		// The engine may have refused because it no longer holds what it last
-		// reported.
+		// The engine may have refused the request because it no longer holds what
+		// its cached report says.
 		e.answer.runner.reports.invalidate(e.chain)
 	}
 	if e.result.NotRun {
--- a/route/stream/fleet_test.go
+++ b/route/stream/fleet_test.go
@@ -21,7 +21,8 @@
 	testTokens = 24
 )
 
-// fleet is a set of two-stage chains of stand-in engines, and the chooser over them.
+// fleet is a set of two-stage chains of stand-in engines. It is also the chooser that
+// returns these chains.
 type fleet struct {
 	t      testing.TB
 	client *engineclient.Client
@@ -32,10 +33,10 @@
 	results []AttemptResult
 }
 
-// testTimeouts are the timeouts of tests that set none. The defaults assume an otherwise
-// idle machine. When all packages are tested in parallel, a healthy engine sometimes
-// gets no CPU for 250 ms, and a test's last chain would be taken for frozen. Benchmarks
-// use the defaults.
+// testTimeouts are the timeouts of tests that set none. The default timeouts assume an
+// otherwise idle machine. When all packages are tested in parallel, a healthy engine
+// sometimes gets no CPU for 250 ms. With the default timeouts its chain would count as
+// stalled, and the test might have no other chain. Benchmarks use the defaults.
 var testTimeouts = Options{MinStallTimeout: time.Second, ReportTimeout: time.Second}
 
 // newFleet starts n chains. Each of the two stages has half of the layers.
@@ -126,8 +127,8 @@
 	return strings.Join(standin.Answer(req.Layers, req.Chat.Messages, req.Chat.MaxTokens), "")
 }
 
-// collect runs a request. It calls onToken, if not nil, with the position of each token
-// before it adds the token to the answer.
+// collect runs a request and returns the delivered tokens as one answer. Before it adds a
+// token to the answer, it calls onToken, if not nil, with the token's position.
 func (f *fleet) collect(ctx context.Context, req Request, onToken func(position int)) (string, Summary, error) {
 	var answer strings.Builder
 	summary, err := f.runner.Run(ctx, req, func(token string, trace engineapi.TokenTrace) error {
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	// The stall timeout is gapFactor times the mean gap plus devFactor times its
-	// mean deviation, far above the gaps of a chain with steady load.
+	// The stall timeout is gapFactor times the mean gap plus devFactor times the mean
+	// deviation of the gaps. This sum is far above the gaps of a chain with steady load.
 	gapFactor = 4
 	devFactor = 8
-	// Weights of a new sample in the moving averages, as in TCP's retransmission
-	// timer (RFC 6298).
+	// meanWeight and devWeight are the weights of a new sample in the moving averages,
+	// the same as in TCP's retransmission timer (RFC 6298).
 	meanWeight = 1.0 / 8
 	devWeight  = 1.0 / 4
 )
 
-// gapEstimate is the moving average and mean deviation of the time between a
-// chain's tokens, in nanoseconds.
+// gapEstimate is the moving average of a chain's token gaps and of their deviation from
+// it. chainProber uses the same estimate for the time of a chain's probe replies.
 type gapEstimate struct {
 	meanNanos, devNanos float64
 	known               bool
@@ -36,8 +36,9 @@
 	g.meanNanos += meanWeight * (nanos - g.meanNanos)
 }
 
-// timeout returns the wait after which a chain counts as stalled. It adapts to the
-// measured gaps, so that a slow accelerator is not taken for a stalled one.
+// timeout returns how long a chain may send nothing before it counts as stalled. The
+// timeout adapts to the measured gaps, so that a slow accelerator does not count as
+// stalled.
 func (g *gapEstimate) timeout(minTimeout, maxTimeout time.Duration) time.Duration {
 	if !g.known {
 		return maxTimeout
@@ -53,9 +54,9 @@
 	return x
 }
 
-// gapOf returns the gap before a token: the wait for it, or the sum of the stages'
-// times if that is longer. The wait alone is too short when the caller reads slowly
-// and tokens queue up in the connection.
+// gapOf returns the gap of a token, which is the longer of two times: the wait for the
+// token, and the sum of the times in its spans. The wait alone is too short if the caller
+// reads slowly, because tokens then queue up in the connection.
 func gapOf(wait time.Duration, spans []engineapi.Span) time.Duration {
 	micros := int64(0)
 	for i := range spans {
--- a/route/stream/hops.go
+++ b/route/stream/hops.go
@@ -6,7 +6,7 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// hopTimes sums the span times of each stage over an epoch.
+// hopTimes adds up the span times of each stage over the tokens of an epoch.
 type hopTimes struct {
 	endpoints   []string
 	totalMicros []int64
--- a/route/stream/leave_test.go
+++ b/route/stream/leave_test.go
@@ -13,13 +13,13 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Callers disconnect while tokens arrive. Every stage must be informed and free its
-// slot: 10,000 such streams must leak neither slots nor goroutines.
+// When a caller disconnects while tokens arrive, every stage must be told and must free
+// the stream's slot. 10,000 such streams must leak neither slots nor goroutines.
 func TestCallersLeave(t *testing.T) {
 	const streams, concurrency = 10_000, 64
-	// With the usual timeouts, the only chain would sometimes be taken for stalled on
-	// a busy machine, which this test is not about. Engines with a step time of zero
-	// would keep all processors busy.
+	// With the usual timeouts, the only chain would sometimes count as stalled on a busy
+	// machine, and the test would fail although no slot leaked. Engines with a step time of
+	// zero would keep all processors busy.
 	longTimeouts := Options{MinStallTimeout: time.Minute, ReportTimeout: time.Minute}
 	engines := standin.Config{Step: time.Millisecond, Slots: 2 * concurrency, Queue: streams}
 	Convey("10,000 cancelled streams leave nothing behind", t, func() {
@@ -44,9 +44,9 @@
 	})
 }
 
-// The caller disconnects while the first stage is frozen. Closing the connection
-// informs only the first stage, which does not inform the second, so the second would
-// keep its slot.
+// If the caller disconnects while the first stage is frozen, the second stage must also
+// free its slot. Closing the connection informs only the first stage, and a frozen stage
+// does not inform the next one. The node must cancel the stream on the second stage.
 func TestCallerLeavesFrozenStage(t *testing.T) {
 	Convey("The node cancels the stream on the later stage itself", t, func() {
 		f := newFleet(t, 1, fastEngine, Options{})
@@ -67,9 +67,9 @@
 
 var errDisconnected = errors.New("caller's connection closed")
 
-// runAndDisconnect runs a stream whose caller disconnects at the token with position at:
-// either the context is cancelled, or writing the token fails.
-func (f *fleet) runAndDisconnect(stream string, at int, byContext bool) {
+// runAndDisconnect runs a stream whose caller disconnects when the token with position
+// disconnectPosition arrives: either the context is cancelled, or writing the token fails.
+func (f *fleet) runAndDisconnect(stream string, disconnectPosition int, cancelContext bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f.t.Cleanup(cancel) // not when Run returns: Run must clean up by itself
 	req := request(stream)
@@ -77,10 +77,10 @@
 	req.FirstTokenTimeout = time.Minute
 	req.MaxStallTimeout = time.Minute
 	_, err := f.runner.Run(ctx, req, func(_ string, trace engineapi.TokenTrace) error {
-		if trace.Position < at {
+		if trace.Position < disconnectPosition {
 			return nil
 		}
-		if byContext {
+		if cancelContext {
 			cancel()
 			return nil
 		}
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -11,50 +11,51 @@
 )
 
 const (
-	// probesPerTimeout is the number of probes sent within minTimeout. With 2.5, at
-	// least two probes are unanswered when a chain is abandoned, so one late reply
-	// from an engine short of CPU time does no harm.
+	// probesPerTimeout is the number of probes sent within minTimeout. With 2.5, a
+	// chain is abandoned only after at least two probes without a reply. One late reply
+	// from an engine short of CPU time is not enough.
 	probesPerTimeout = 2.5
-	// checksPerTimeout is how often within minTimeout the last activity is checked. A
-	// check makes no call. Detection is late by at most one check interval.
+	// checksPerTimeout is how often within minTimeout the stream checks when the chain
+	// was last active. A check makes no call. An unresponsive chain is detected at most
+	// one check interval late.
 	checksPerTimeout = 10
-	// probeTimeoutFactor times minTimeout bounds one probe. It is longer than the time
-	// after which a chain counts as unresponsive, because a late reply still shows
-	// that the chain works.
+	// probeTimeoutFactor times minTimeout is the timeout of one probe. It is longer
+	// than minTimeout, after which a chain counts as unresponsive, because a late reply
+	// still shows that the chain works.
 	probeTimeoutFactor = 4
-	// maxTimeoutFactor times minTimeout bounds the timeout of a chain whose replies
-	// are slow.
+	// maxTimeoutFactor times minTimeout bounds the timeout of a chain whose probe replies
+	// are slow. The doublings of an answer are applied after this bound.
 	maxTimeoutFactor = 4
 	// maxTimeoutDoublings bounds how often one answer doubles the timeout.
 	maxTimeoutDoublings = 4
-	// directProbeDuration is how long the stages are probed directly after the first
-	// stage did not know the probe call. Then the call is tried again, because the
-	// engine may have been replaced by one that knows it.
+	// directProbeDuration is how long the node calls each stage directly if the first
+	// stage does not support probes along the chain. After that time such a probe is
+	// sent again, because the engine may have been replaced by one that supports it.
 	directProbeDuration = time.Minute
-	// maxProbedChains bounds the chains whose state is kept.
+	// maxProbedChains bounds the number of chains whose probeState is kept.
 	maxProbedChains = 4096
 )
 
 // chainProber detects unresponsive chains while streams wait for their first token.
 //
-// # Failure without it
+// # Failure without probes
 //
-// Before the first token a link between two stages fails without a reset. Each stage
-// still answers when the node calls it directly, so the failure looks like a long
-// prompt and the caller waits for the whole first-token timeout. A probe therefore
-// takes the path of the activations: to the first stage, and from each stage to the
-// next over the link between them. Neither a running prompt nor a queue delays the
-// reply, so a missing reply means that a stage or a link has failed.
+// Without probes along the chain, a caller waits for the whole first-token timeout if a
+// link between two stages fails without a reset before the first token. Each stage still
+// answers when the node calls it directly, so the failure looks like a long prefill. A
+// probe therefore takes the path of the activations: to the first stage, and from each
+// stage to the next over the link between them. Neither a running prefill nor a queue
+// delays the reply, so a missing reply means that a stage or a link has failed.
 //
-// Probes use other connections than the streams, so the loss of a single connection
-// is not detected.
+// Probes use other connections than the streams, so they do not detect the loss of a
+// stream's own connection.
 //
 // # Load pattern
 //
 // With a first-token time of one second, 50 streams a second over 35 chains made 330
-// probe calls a second, some 200 KB. All streams of a chain therefore share its
-// probes, and no probe is sent while any of them receives tokens, which take the same
-// path.
+// probe calls a second, with some 200 KB a second. All streams of a chain therefore share
+// its probes. No probe is sent while any of the streams receives tokens, because tokens
+// show that the same path works.
 type chainProber struct {
 	client     *engineclient.Client
 	reports    *reportChecker
@@ -72,14 +73,14 @@
 
 // probeState is the state of one chain. chainProber.mu guards it.
 type probeState struct {
-	probedAt time.Time // last probe sent
-	activeAt time.Time // last probe reply or token
-	// responseTime is the time of a probe reply. An engine with slow replies gets a
-	// longer timeout.
+	probedAt time.Time // when the last probe was sent
+	activeAt time.Time // when the last probe reply or token arrived
+	// responseTime estimates the time from a probe to its reply. A chain with slow
+	// replies gets a longer timeout.
 	responseTime gapEstimate
-	// directUntil is set when the first stage does not know the probe call. Until
-	// then the node calls each stage directly, which does not detect a failed link
-	// between stages.
+	// directUntil is set when the first stage does not support probes along the chain.
+	// Until that time the node calls each stage directly, which does not detect a
+	// failed link between stages.
 	directUntil time.Time
 }
 
@@ -90,16 +91,20 @@
 // checkInterval is the time between two calls of unresponsive.
 func (c *chainProber) checkInterval() time.Duration { return c.minTimeout / checksPerTimeout }
 
-// probeInterval is the time between two probes of a chain.
+// probeInterval is the minimum time between two probes of a chain.
 func (c *chainProber) probeInterval() time.Duration {
 	return time.Duration(float64(c.minTimeout) / probesPerTimeout)
 }
 
-// unresponsive starts a probe if the last one or the last activity is at least a probe
-// interval ago. It reports whether the chain has shown no activity for its timeout,
-// counted from since at the earliest. doublings is the number of chains that the
-// answer has abandoned as unresponsive. Each doubles the timeout: if all chains are
-// slow to reply, changing chains adds load.
+// unresponsive reports whether the chain has sent neither a probe reply nor a token for
+// its timeout. The time is counted from silentSince at the earliest.
+//
+// unresponsive also starts a probe if a probe interval has passed since the latest of
+// silentSince, the last probe, and the last probe reply or token.
+//
+// doublings is the number of chains that the answer has already abandoned as
+// unresponsive. Each of them doubles the timeout, because changing chains adds load and
+// does not help if all chains reply slowly.
 func (c *chainProber) unresponsive(model string, chain Chain, silentSince time.Time, doublings int) bool {
 	now := time.Now()
 	c.mu.Lock()
@@ -112,9 +117,9 @@
 	return now.Sub(laterOf(silentSince, s.activeAt)) >= s.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
 }
 
-// recordActivity records that a token arrived from a chain. If a stage or link then
-// fails, tokens stop and probes start one interval later, which leaves time for two
-// probes within minTimeout.
+// recordActivity records that a token arrived from a chain. If a stage or link fails
+// after that, the tokens stop and probes start one probe interval later. Two probes still
+// fit into minTimeout.
 func (c *chainProber) recordActivity(chain Chain, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -129,7 +134,8 @@
 	return a
 }
 
-// timeout returns how long the chain may show no activity.
+// timeout returns how long a chain may send neither a probe reply nor a token before it
+// counts as unresponsive.
 func (s *probeState) timeout(minTimeout time.Duration) time.Duration {
 	if !s.responseTime.known {
 		return minTimeout
@@ -151,9 +157,10 @@
 	return s
 }
 
-// probe probes a chain and records the reply. With direct set it calls each stage
-// itself. The call has its own timeout, because the stream that started it may end
-// while others wait for the result.
+// probe probes a chain and records the reply. If direct is set, or the first stage does
+// not support probes along the chain, the node calls each stage directly. The probe has
+// its own timeout, because the stream that started it may end while other streams wait
+// for the result.
 func (c *chainProber) probe(model string, chain Chain, s *probeState, start time.Time, direct bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeoutFactor*c.minTimeout)
 	defer cancel()
@@ -182,8 +189,8 @@
 	s.responseTime.sample(now.Sub(start))
 }
 
-// probeChain sends a probe along the chain. It returns the reports of the stages, or
-// nil if the probe failed, and whether the first stage supports the probe call.
+// probeChain sends a probe along the chain. It returns the engine reports of the stages,
+// or nil if the probe failed, and whether the first stage supports such probes.
 func (c *chainProber) probeChain(ctx context.Context, chain Chain) (reports []engineapi.Report, supported bool) {
 	reports, err := c.client.Way(ctx, chain.Stages)
 	if err != nil {
--- a/route/stream/probe_test.go
+++ b/route/stream/probe_test.go
@@ -22,9 +22,9 @@
 	}
 }
 
-// The link between two stages drops all packets without a reset, before the stream is
-// opened or during the prompt. Both stages answer the node's direct calls, so without a
-// probe along the chain the caller waits for the whole first-token timeout.
+// Without probes along the chain, the caller waits for the whole first-token timeout if
+// the link between two stages drops all packets without a reset. Both stages still answer
+// the node's direct calls. The link fails before the stream is opened, or during prefill.
 func TestLinkLostBeforeFirstToken(t *testing.T) {
 	lost := standin.Faults{CutNext: true}
 	cases := map[string]func(f *fleet){
@@ -54,9 +54,9 @@
 	}
 }
 
-// A healthy but busy chain is taken for unresponsive. One engine works on a long prompt,
-// the other queues the stream for a slot. Both answer more probes than fit into the
-// timeout, so the stream must stay.
+// A stream must stay on a healthy chain that is busy. In one case the first engine works
+// on a long prompt, in the other the stream waits for a slot. Both engines answer probes
+// for longer than the timeout, so the chain must not count as unresponsive.
 func TestBusyChainIsKept(t *testing.T) {
 	const minTimeout, probes = time.Second, 6
 	busy := standin.Faults{Busy: true}
@@ -86,8 +86,8 @@
 	}
 }
 
-// Engines that do not support the probe along the chain are probed one by one, which must
-// still detect a frozen stage.
+// If engines do not support probes along the chain, the node calls each stage directly.
+// These calls must still detect a frozen stage.
 func TestEnginesWithoutChainProbe(t *testing.T) {
 	Convey("A frozen stage is detected by a direct call", t, func() {
 		cfg := fastEngine
@@ -123,7 +123,8 @@
 	})
 }
 
-// probeTransport answers the n-th probe if it returns true for n, and loses it otherwise.
+// probeTransport decides for the n-th probe, counted from one, whether it is answered
+// (true) or lost.
 type probeTransport func(probe int) bool
 
 func (a probeTransport) client() *engineclient.Client {
@@ -143,12 +144,12 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A stage that is too busy to answer one probe is taken for unresponsive. Only a whole
-// timeout without replies may count, and each reply must restart it.
+// A chain must not count as unresponsive because a busy stage does not answer one probe,
+// but only after a whole timeout without a reply. Each reply must restart the timeout.
 func TestProbeTimeout(t *testing.T) {
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
-	// unresponsiveAfter checks the chain each interval until it counts as unresponsive,
-	// and returns the time that took.
+	// unresponsiveAfter checks the chain at each check interval until the chain counts as
+	// unresponsive, or for a minute. It returns the time from the start.
 	unresponsiveAfter := func(t *testing.T, lost func(probe int) bool, doublings int) time.Duration {
 		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
@@ -178,9 +179,9 @@
 	})
 }
 
-// Detection is late because no probes are sent while tokens of other streams arrive from
-// the chain. When the chain fails these tokens stop too, and two probes must be
-// unanswered before the chain counts as unresponsive.
+// While tokens of other streams arrive from a chain, no probes are sent. When the chain
+// fails, these tokens stop too, and the failure must still be detected within the timeout:
+// exactly two probes are sent without a reply before the chain counts as unresponsive.
 func TestTokensCountAsProbeReplies(t *testing.T) {
 	const gap, tokens = 40 * time.Millisecond, 50
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -12,13 +12,13 @@
 	standin "github.com/cicadatack/cicadatack/standin/engine"
 )
 
-// steadyEngine is a stage with a step of 10 ms, so a two-stage chain produces a token
-// about every 21 ms.
+// steadyEngine is a stage that takes 10 ms for each token. A chain of two such stages
+// produces a token about every 21 ms.
 var steadyEngine = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
 
-// BenchmarkRecovery makes the second stage of a chain fail when each of its streams has
-// delivered five tokens. It reports the times of detection and resume as percentiles and
-// maxima in milliseconds over all runs.
+// BenchmarkRecovery makes the second stage of a chain fail when each of the chain's streams
+// has delivered five tokens. It reports percentiles and the maximum of the recoveries'
+// DetectionTime and ResumeTime, in milliseconds over all runs.
 func BenchmarkRecovery(b *testing.B) {
 	faults := map[string]func(*standin.Server){
 		"killed": func(srv *standin.Server) { srv.Kill() },
@@ -27,12 +27,12 @@
 	for _, name := range []string{"killed", "frozen"} {
 		for _, streams := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("%s/streams=%d", name, streams), func(b *testing.B) {
-				var all []Recovery
+				var recoveries []Recovery
 				for b.Loop() {
-					all = append(all, failDuringStreams(b, streams, faults[name])...)
+					recoveries = append(recoveries, failDuringStreams(b, streams, faults[name])...)
 				}
-				reportPercentiles(b, "detect", all, func(r Recovery) time.Duration { return r.DetectionTime })
-				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
+				reportPercentiles(b, "detect", recoveries, func(r Recovery) time.Duration { return r.DetectionTime })
+				reportPercentiles(b, "resume", recoveries, func(r Recovery) time.Duration { return r.ResumeTime })
 			})
 		}
 	}
@@ -46,7 +46,7 @@
 	var running, finished sync.WaitGroup
 	running.Add(streams)
 	var mu sync.Mutex
-	var all []Recovery
+	var recoveries []Recovery
 	for i := range streams {
 		finished.Go(func() {
 			req := request(fmt.Sprint("stream-", i))
@@ -60,21 +60,21 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, summary.Recoveries...)
+			recoveries = append(recoveries, summary.Recoveries...)
 		})
 	}
 	running.Wait()
 	fail(f.chains[0][1])
 	finished.Wait()
-	return all
+	return recoveries
 }
 
-func reportPercentiles(b *testing.B, name string, all []Recovery, of func(Recovery) time.Duration) {
-	if len(all) == 0 {
+func reportPercentiles(b *testing.B, name string, recoveries []Recovery, of func(Recovery) time.Duration) {
+	if len(recoveries) == 0 {
 		return
 	}
-	times := make([]float64, 0, len(all))
-	for _, r := range all {
+	times := make([]float64, 0, len(recoveries))
+	for _, r := range recoveries {
 		times = append(times, float64(of(r))/float64(time.Millisecond))
 	}
 	slices.Sort(times)
@@ -83,9 +83,9 @@
 	b.ReportMetric(times[len(times)-1], name+"-max-ms")
 }
 
-// BenchmarkResume moves one stream from a chain with healthy stages to another one, by
-// recomputing, by importing, and by the method that the runner chooses from its
-// measurements.
+// BenchmarkResume moves one stream from a chain with healthy stages to another chain. The
+// second chain recomputes the context, imports the KV cache, or does what the runner
+// chooses from its measurements.
 func BenchmarkResume(b *testing.B) {
 	forceMethod := map[string]func(*resumeCosts){
 		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
@@ -101,35 +101,36 @@
 			b.Run(fmt.Sprintf("tokens=%d/%s", words, method), func(b *testing.B) {
 				f := newFleet(b, 2, cfg, Options{})
 				defer f.stop()
-				var all []Recovery
+				var recoveries []Recovery
 				importCount := 0
 				for i := range b.N + 2 {
 					forceMethod[method](f.runner.costs)
 					recovery := f.resumeOnce(b, words, i)
-					if i < 2 { // the runner measures both methods
+					if i < 2 { // warm-up: the runner measures both methods
 						continue
 					}
-					all = append(all, recovery)
+					recoveries = append(recoveries, recovery)
 					if recovery.Imported {
 						importCount++
 					}
 				}
-				reportPercentiles(b, "resume", all, func(r Recovery) time.Duration { return r.ResumeTime })
-				b.ReportMetric(float64(importCount)/float64(len(all)), "imported")
+				reportPercentiles(b, "resume", recoveries, func(r Recovery) time.Duration { return r.ResumeTime })
+				b.ReportMetric(float64(importCount)/float64(len(recoveries)), "imported")
 			})
 		}
 	}
 }
 
-// setAll sets the cost of a method in all buckets.
+// setAll sets the measured time of a method in all buckets.
 func (r *resumeCosts) setAll(method int, elapsed time.Duration) {
 	for i := range r.buckets[method] {
 		r.buckets[method][i] = cost{meanNanos: float64(elapsed), known: true}
 	}
 }
 
-// resumeOnce closes a stream's connection after a few tokens. The prompt's first word is
-// unique, so that no chain has a prefix of the prompt cached.
+// resumeOnce runs a stream, closes its connection after a few tokens, and returns the
+// recovery. The prompt's first word is unique, so that no chain has a prefix of the prompt
+// cached.
 func (f *fleet) resumeOnce(b *testing.B, words, run int) Recovery {
 	req := request(fmt.Sprint("moved-", run))
 	req.Chat.Messages = question(fmt.Sprint("run", run, " ") + strings.Repeat("oat ", words-1))
@@ -144,8 +145,9 @@
 	return summary.Recoveries[0]
 }
 
-// BenchmarkFirstTokenLost opens streams on a chain that produces no token, with a healthy
-// chain to move to. It reports how long detection takes, in milliseconds over all runs.
+// BenchmarkFirstTokenLost opens streams on a chain that produces no token, while another
+// chain is healthy. It reports percentiles and the maximum of the recoveries'
+// DetectionTime, in milliseconds over all runs.
 func BenchmarkFirstTokenLost(b *testing.B) {
 	faults := map[string]func(f *fleet){
 		"link":   func(f *fleet) { f.chains[0][0].Engine.SetFaults(standin.Faults{CutNext: true}) },
@@ -154,18 +156,18 @@
 	for _, name := range []string{"link", "frozen"} {
 		for _, streams := range []int{1, 10, 100} {
 			b.Run(fmt.Sprintf("%s/streams=%d", name, streams), func(b *testing.B) {
-				var all []Recovery
+				var recoveries []Recovery
 				for b.Loop() {
-					all = append(all, openOnLostChain(b, streams, faults[name])...)
+					recoveries = append(recoveries, openOnLostChain(b, streams, faults[name])...)
 				}
-				reportPercentiles(b, "detect", all, func(r Recovery) time.Duration { return r.DetectionTime })
+				reportPercentiles(b, "detect", recoveries, func(r Recovery) time.Duration { return r.DetectionTime })
 			})
 		}
 	}
 }
 
-// openOnLostChain opens streams on a chain right after fail is applied to it, and returns
-// the recoveries.
+// openOnLostChain makes a chain fail, then opens streams on it and returns the streams'
+// recoveries.
 func openOnLostChain(b *testing.B, streams int, fail func(*fleet)) []Recovery {
 	f := newFleet(b, 2, steadyEngine, Options{})
 	defer f.stop()
@@ -175,7 +177,7 @@
 	fail(f)
 	var finished sync.WaitGroup
 	var mu sync.Mutex
-	var all []Recovery
+	var recoveries []Recovery
 	for i := range streams {
 		finished.Go(func() {
 			req := request(fmt.Sprint("stream-", i))
@@ -185,9 +187,9 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, summary.Recoveries...)
+			recoveries = append(recoveries, summary.Recoveries...)
 		})
 	}
 	finished.Wait()
-	return all
+	return recoveries
 }
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -13,36 +13,37 @@
 
 var (
 	errMismatch = errors.New("engine report does not match the plan")
-	// errWrongArtifact ends an epoch before anything is sent.
+	// errWrongArtifact ends an epoch before the request is sent to the chain.
 	errWrongArtifact   = errors.New("weights or adapter of the chain differ from those of the delivered tokens")
 	errIncompleteChain = errors.New("stages of the chain do not cover the model's layers")
 )
 
 const (
-	// mismatchTTL is how long a report that does not match is cached. It is short
-	// because the engine may be loading the layers of a new plan, but long enough
-	// that a burst of streams makes one call.
+	// mismatchTTL is how long an engine report that does not match the plan is cached.
+	// It is short because the engine may be loading the layers of a new plan, but long
+	// enough that a burst of streams makes one call.
 	mismatchTTL = 100 * time.Millisecond
-	// maxReports bounds the cached reports.
+	// maxReports bounds the number of cached engine reports.
 	maxReports = 4096
-	// renewalTTLs times the TTL is how long tokens may renew a report before the
-	// engine is asked again. Spans name the layers but not the placement version, so
-	// renewal is bounded; one call in 20 s is a tenth of the calls of one in 2 s.
+	// renewalTTLs times ReportTTL is how long tokens may renew an engine report before
+	// the engine is asked again. Renewal is bounded because spans name the layers but
+	// not the placement version. With one call in 20 s instead of one in 2 s, a busy
+	// engine gets a tenth of the calls.
 	renewalTTLs = 10
 )
 
 // reportChecker checks, before a request is sent to a chain, that the engines report
-// what the plan says. Orders carry a fencing number, but some engines ignore it and
-// some accept orders from anyone, so the plan alone does not show what an engine
-// runs. Without the check the request is sent, and its work is discarded when
+// what the plan says. The plan alone does not show what an engine runs: some engines
+// ignore the fencing number of an order, and some accept orders from anyone. Without the
+// check, requests would be sent to such an engine, and its work would be discarded when
 // TokenCheck rejects the spans.
 //
 // # Load pattern
 //
 // Asking each stage of each replica in use every two seconds costs a busy node some
-// 70 calls and 20 KB a second at 35 replicas of four stages. Streams renew the
-// reports of their engines, so that only engines without recent streams are asked
-// (see renew).
+// 70 calls and 20 KB a second at 35 replicas of four stages. To save these calls, the
+// first token of a stream renews the cached reports of the stream's engines (see renew).
+// Only engines without recent streams are asked each time their report expires.
 type reportChecker struct {
 	client      *engineclient.Client
 	ttl         time.Duration
@@ -52,19 +53,20 @@
 
 	mu      sync.Mutex
 	reports map[string]*cachedReport
-	// cacheIDs are the prefix caches that engines reported last, by address.
+	// cacheIDs are the IDs of the prefix caches that engines reported last, by the
+	// engine's address.
 	cacheIDs map[string]string
 }
 
-// cachedReport is an engine's report, or a call for one that is in progress.
+// cachedReport is an engine report, or a call that is fetching an engine report.
 type cachedReport struct {
 	requestedAt time.Time
 	fetched     chan struct{} // closed when the fields below are set
 	report      engineapi.Report
 	err         error
-	// validAt is the last time for which the report is confirmed, by the engine
-	// itself or by a stream's tokens. reportedAt is the last time for which the
-	// engine itself confirmed it.
+	// validAt is the latest time at which the report is known to have been true. It
+	// comes from the engine's reply or from a stream's first token. reportedAt is the
+	// same for the engine's replies alone.
 	validAt, reportedAt time.Time
 }
 
@@ -80,8 +82,8 @@
 	}
 }
 
-// verify returns nil if every stage of chain holds what the plan says, according to
-// reports that were requested no earlier than since.
+// verify returns nil if every stage of chain holds what the plan says. It uses only
+// reports that were requested at notBefore or later.
 func (c *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, notBefore time.Time) error {
 	if !covers(chain.Stages, layers) {
 		return errIncompleteChain
@@ -99,11 +101,11 @@
 	return nil
 }
 
-// MismatchesPlan reports whether an engine of a chain reports other contents than the
-// chain needs. A chooser calls it before it returns a chain, so that the chain does
-// not count as an attempt. During a rollout many replicas differ from their plan for
-// a short time; an answer that used its attempts on them would fail although other
-// replicas could serve it.
+// MismatchesPlan reports whether an engine of a chain reports other layers, another
+// placement version or another artifact than the chain needs. A chooser calls it before
+// it returns a chain, so that such a chain does not count as an attempt. During a rollout
+// many replicas differ from their plan for a short time. An answer that used up its
+// attempts on them would fail although other replicas could serve it.
 func (r *Runner) MismatchesPlan(ctx context.Context, model string, layers int, chain Chain) bool {
 	return errors.Is(r.reports.verify(ctx, model, layers, chain, time.Time{}), errMismatch)
 }
@@ -158,8 +160,8 @@
 	return nil
 }
 
-// report returns a usable cached report or starts a call for a new one, which all
-// streams that need it share.
+// report returns a usable cached report. If there is none, it starts a call that fetches
+// a new report. All streams that need the report share the call.
 func (c *reportChecker) report(want expectedReport, address string, notBefore time.Time) *cachedReport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -175,8 +177,8 @@
 	return r
 }
 
-// usable reports whether a report was requested no earlier than since, and is still
-// being fetched or not yet expired.
+// usable reports whether a report was requested at notBefore or later, and either is
+// still being fetched or has not expired.
 func (r *cachedReport) usable(now time.Time, want expectedReport, ttl time.Duration, notBefore time.Time) bool {
 	if r.requestedAt.Before(notBefore) {
 		return false
@@ -192,8 +194,8 @@
 	return now.Sub(r.validAt) < ttl
 }
 
-// fetch calls the engine and fills in the report. The call has its own timeout,
-// because the stream that started it may end while others wait for it.
+// fetch calls the engine and sets the fields of r. The call has its own timeout, because
+// the stream that started it may end while other streams wait for the report.
 func (c *reportChecker) fetch(want expectedReport, address string, r *cachedReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
@@ -206,20 +208,21 @@
 	close(r.fetched)
 }
 
-// recordCache records an engine's prefix cache and calls onCacheLost if the engine
-// reported another one before.
+// recordCache records the ID of an engine's prefix cache, and calls onCacheLost if the
+// engine reported another ID before.
 func (c *reportChecker) recordCache(want expectedReport, address, cacheID string) {
 	if c.updateCacheID(address, cacheID) {
 		c.onCacheLost(want.holding.Model, want.replica)
 	}
 }
 
-// updateCacheID stores an engine's cache ID and reports whether it has changed.
+// updateCacheID stores the ID of an engine's prefix cache and reports whether the ID has
+// changed.
 //
-// If only a later stage restarts, it loses its part of every cached prompt. The
-// cache events are read from the first stage, which still has its part, so without
-// this check requests would be routed to the chain for a cache that it has lost,
-// in preference to replicas that have it.
+// If only a later stage restarts, it loses its part of every cached prompt. The first
+// stage still has its part, and cache events are read only from the first stage. Without
+// this check, requests would still be routed to the chain for a cached prompt that it
+// must recompute, in preference to replicas that have the prompt cached.
 func (c *reportChecker) updateCacheID(address, cacheID string) bool {
 	if c.onCacheLost == nil || cacheID == "" {
 		return false
@@ -234,15 +237,16 @@
 	return previous != "" && previous != cacheID
 }
 
-// renew records that a chain's engines held at validAt what the plan says, as a
-// stream's first token has shown.
+// renew records that a chain's engines held what the plan says at the time validAt, as
+// the first token of a stream has shown. Their reports are then valid for another TTL
+// from validAt.
 //
 // validAt is the time when the stream was sent, not when the token arrived. An engine
-// that has been ordered to hold other layers may finish its running streams with the
-// old ones. With the token's time its report would stay valid as long as those
-// streams last, and new requests would be sent to it whose work is discarded. For the
-// same reason a stream that was sent before the chain failed, or before the engine's
-// latest report, renews nothing.
+// that was ordered to hold other layers may finish its running streams with the old
+// layers. If reports were renewed from the arrival of tokens, such streams would keep
+// the old report valid. New requests would then be sent to the engine and their work
+// discarded. For the same reason, a stream renews no report if it was sent before the
+// chain failed, or before the engine's latest report.
 func (c *reportChecker) renew(model string, chain Chain, validAt time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -257,12 +261,13 @@
 	}
 }
 
-// renewable reports whether the report is ready, matches the plan and is older than
-// validAt.
+// renewable reports whether the report has been fetched, matches the plan, is older than
+// validAt, and lists no adapter besides the one that the stream uses.
 //
-// A stream shows the weights and its own adapter, and that the engines accept new
-// work. It does not show other adapters, so a report that lists any is not renewed:
-// the engine is asked again after the TTL.
+// The tokens of a stream show the weights, the stream's own adapter, and that the
+// engines accept new work. They do not show whether other adapters are still loaded. A
+// report that lists other adapters is therefore not renewed, and the engine is asked
+// again when the report expires.
 func (r *cachedReport) renewable(want expectedReport, validAt time.Time) bool {
 	if !r.isFetched() || r.err != nil || !want.matches(r.report) || !r.validAt.Before(validAt) {
 		return false
@@ -274,8 +279,8 @@
 	return otherAdapters == 0
 }
 
-// recordReports stores the reports that a probe along the chain returned. They match
-// the plan. A newer cached report is kept.
+// recordReports stores the reports that a probe along the chain returned, and that match
+// the plan. A report replaces a cached one only if the cached one is older.
 func (c *reportChecker) recordReports(model string, chain Chain, validAt time.Time, reports []engineapi.Report) {
 	for i, stage := range chain.Stages {
 		c.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
--- a/route/stream/reports_test.go
+++ b/route/stream/reports_test.go
@@ -17,8 +17,9 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// callCounter counts the calls for engine reports and the probes along a chain. It calls
-// onOpen, if set, after an engine has accepted a stream.
+// callCounter is a transport that counts the calls for engine reports and the probes along
+// a chain. It calls onOpen, if set, after an engine has replied to the call that opens a
+// stream.
 type callCounter struct {
 	next        http.RoundTripper
 	reportCalls atomic.Int64
@@ -40,8 +41,8 @@
 	return response, err
 }
 
-// newFleetWithClock returns a fleet whose report checker uses a fake clock, which advance
-// moves.
+// newFleetWithClock returns a fleet whose report checker uses a fake clock. advance moves
+// that clock forward.
 func newFleetWithClock(t *testing.T, chains int) (f *fleet, calls *callCounter, advance func(time.Duration)) {
 	f = newFleet(t, chains, fastEngine, Options{})
 	transport := &http.Transport{}
@@ -62,9 +63,10 @@
 	So(answer, ShouldEqual, expectedAnswer(req))
 }
 
-// A node with many streams makes too many report calls. Streams renew the reports of
-// their engines, so only engines without recent streams are asked. Renewal is bounded,
-// because tokens do not name the placement version.
+// Without renewal, a node with many streams asks its engines for reports too often. The
+// first token of a stream renews the cached reports of the stream's engines, so only
+// engines without recent streams are asked. Renewal is bounded, because tokens do not name
+// the placement version.
 func TestBusyEnginesAreNotAskedForReports(t *testing.T) {
 	Convey("One stream per second on one chain of two stages", t, func() {
 		f, calls, advance := newFleetWithClock(t, 1)
@@ -91,15 +93,15 @@
 	})
 }
 
-// New requests are sent to an engine that no longer holds the layers of the plan. An
-// engine that accepts orders from anyone is ordered to hold other layers and finishes
-// its running streams with the old ones. The tokens of a long stream must not renew the
-// engine's report.
+// If the tokens of a long stream renewed an engine's report, new requests would be sent to
+// an engine that no longer holds the layers of the plan. The engine accepts orders from
+// anyone. It is ordered to hold other layers, and finishes its running streams with the
+// old layers.
 func TestLongStreamsDoNotHideNewLayers(t *testing.T) {
 	other := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 2}
 	for _, c := range []struct {
 		name     string
-		position int // token before which the engine changes
+		position int // position of the token before which the engine is ordered to hold other layers
 	}{{"before the first token", -1}, {"later", failAt}} {
 		Convey("A stream sent before the engine changed renews no report: "+c.name, t, func() {
 			f, calls, advance := newFleetWithClock(t, 2)
@@ -150,9 +152,10 @@
 	return all
 }
 
-// A request is routed to a chain for a cache or an adapter that a later stage has lost.
-// While streams renew an engine's report, no report call is made, so the reports in a
-// probe reply must replace the cached ones completely, with cache and adapters.
+// While streams renew an engine's cached report, the engine is not asked for a new one. A
+// probe reply also contains engine reports. They must replace the cached reports
+// completely, or requests would be routed to a chain for a prefix cache or an adapter that
+// a later stage has lost.
 func TestChainProbeUpdatesWholeReport(t *testing.T) {
 	Convey("Reports of a probe along the chain", t, func() {
 		f, calls, _ := newFleetWithClock(t, 1)
@@ -177,11 +180,11 @@
 	})
 }
 
-// BenchmarkReportCalls measures the report calls and probes of a node with 50 streams a
-// second over 35 chains of two stages, at the default settings and for several times of
-// the first token and of the following ones:
+// BenchmarkReportCalls measures how many report calls and probes a node makes per second.
+// The node opens 50 streams a second over 35 chains of two stages, with the default
+// settings. Each case has another time to the first token or another gap between tokens:
 //
-//	go test -run '^$' -bench HoldingCalls -benchtime 1x ./route/stream
+//	go test -run '^$' -bench ReportCalls -benchtime 1x ./route/stream
 func BenchmarkReportCalls(b *testing.B) {
 	const short, long = 20 * time.Millisecond, 100 * time.Millisecond
 	for _, load := range []streamLoad{
@@ -194,7 +197,7 @@
 	}
 }
 
-// streamLoad is the token times and length of a benchmark's streams.
+// streamLoad describes the streams of a benchmark.
 type streamLoad struct {
 	firstTokenTime, tokenGap time.Duration
 	tokens                   int
@@ -208,9 +211,9 @@
 	const (
 		chains           = 35
 		stages           = 2
-		streamsPerSecond = 50 // a second
+		streamsPerSecond = 50
 		measuredTime     = 20 * time.Second
-		promptWords      = 3 // in the prompt; each stage computes all of them
+		promptWords      = 3 // number of words in the prompt; each stage computes all of them
 	)
 	warmUp := load.duration() + 2*time.Second
 	cfg := standin.Config{Step: load.tokenGap, Slots: 256, PrefillToken: (load.firstTokenTime - load.tokenGap) / (stages * promptWords)}
@@ -245,7 +248,7 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// fixedChain is a chooser that always returns the same chain of a fleet.
+// fixedChain is a chooser that always returns the chain of the fleet with chainIndex.
 type fixedChain struct {
 	*fleet
 	chainIndex int
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -7,15 +7,18 @@
 	"time"
 )
 
-// resumeCosts estimates the time to the first token of a chain, by the number of
-// context tokens and by the method: recompute the context, or import exported KV
-// cache. Which one is faster depends on accelerators and links, so both are measured,
-// in buckets of doubling length.
+// resumeCosts estimates how long a chain needs until its first token. The context of the
+// stream, which is the prompt and the answer so far, must first be in the chain's KV
+// cache. There are two methods: the chain recomputes the context, or it imports the KV
+// cache that the failed chain has exported. Which method is faster depends on
+// accelerators and links, so both are measured, by the number of context tokens in
+// buckets of doubling size.
 type resumeCosts struct {
 	mu      sync.Mutex
 	buckets [2][costBuckets]cost
 }
 
+// cost is the moving average of the times to the first token measured for one bucket.
 type cost struct {
 	meanNanos float64
 	known     bool
@@ -47,20 +50,21 @@
 
 const (
 	// minExportRecompute is the shortest recompute time for which an export is
-	// requested. Shorter recomputes finish before an export could.
+	// requested. A shorter recompute finishes before an export could.
 	minExportRecompute = 20 * time.Millisecond
 	// minTrialRecompute is the shortest recompute time for which an import is tried
-	// without a measurement. If the first import proves slower, the caller should not
-	// notice it.
+	// before any import was measured. Such a recompute takes so long that the caller
+	// should not notice if the first import takes longer.
 	minTrialRecompute = 50 * time.Millisecond
-	// exportTimeoutDivisor: the export may take the recompute time divided by it. A
-	// frozen or unreachable stage does not answer, and a longer wait would lose more
-	// time than an import could save.
+	// The timeout of an export is the recompute time divided by exportTimeoutDivisor. A
+	// frozen or unreachable stage does not answer, and a longer wait for it would lose
+	// more time than an import could save.
 	exportTimeoutDivisor = 4
 )
 
-// preferImport reports whether importing is expected to be faster than recomputing, and
-// returns the timeout of the export.
+// preferImport reports whether importing a context of the given number of tokens is
+// expected to be faster than recomputing it, or should be tried for a first measurement.
+// It also returns the timeout of the export.
 func (r *resumeCosts) preferImport(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,9 +79,9 @@
 	return importTime < recomputeTime, recomputeTime / exportTimeoutDivisor
 }
 
-// estimate returns the cost in the nearest measured bucket. The cost of a bucket of
-// shorter contexts is scaled up; that of a longer one is used unchanged. The caller
-// holds mu.
+// estimate returns the expected time of a method from the nearest measured bucket. The
+// time measured for shorter contexts is scaled up to the given number of tokens. The time
+// measured for longer contexts is used unchanged. The caller holds mu.
 func (r *resumeCosts) estimate(method, tokens int) (time.Duration, bool) {
 	bucket := bucketOf(tokens)
 	for distance := range costBuckets {
@@ -91,10 +95,10 @@
 	return 0, false
 }
 
-// prepareResume requests an export of the KV cache from the failed chain if importing
-// it is expected to be faster than recomputing. Engines keep the KV cache of an ended
-// stream for a while. If a stage is unavailable the export fails and the next chain
-// recomputes the context.
+// prepareResume asks the failed chain to export the stream's KV cache, if the next chain
+// should import it rather than recompute the context. Engines keep the KV cache of an
+// ended stream for a while. If a stage is unavailable, the export fails and the next
+// chain recomputes the context.
 func (a *answer) prepareResume(ctx context.Context, failed Chain, result AttemptResult) {
 	a.kvHandle = ""
 	a.exportTime = 0
--- a/route/stream/resume_test.go
+++ b/route/stream/resume_test.go
@@ -9,9 +9,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A resumed answer imports the KV cache if the failed chain can still export it and
-// importing was measured to be faster. A chain with a failed stage or a lost cache cannot
-// export, and the next chain must recompute. The answer is unchanged in each case.
+// After a failure, the next chain must import the KV cache if the failed chain can still
+// export it and an import is expected to be faster. A chain with a failed stage or a lost
+// cache cannot export, so the next chain must recompute. The answer must be the same in
+// each case.
 func TestResumeByImport(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -49,7 +50,7 @@
 	second, half := cost{meanNanos: 1e9, known: true}, cost{meanNanos: 5e8, known: true}
 	cases := []struct {
 		name                string
-		recompute, imported map[int]cost // by tokens
+		recompute, imported map[int]cost // measured times by number of context tokens
 		tokens              int
 		want                bool
 	}{
--- a/route/stream/reuse_test.go
+++ b/route/stream/reuse_test.go
@@ -13,9 +13,9 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// A node runs out of local ports at some hundred answers a second because each stream
-// opens a connection. A connection can be reused only if the done marker and the end of
-// the body are read after the closing event.
+// If each stream opened a new connection, a node would run out of local ports at some
+// hundred answers a second. A connection can be reused only if the node reads the done
+// marker and the end of the body after the closing event.
 func TestWholeAnswersShareAConnection(t *testing.T) {
 	var connections atomic.Int64
 	mux := http.NewServeMux()
--- a/route/stream/runner.go
+++ b/route/stream/runner.go
@@ -9,7 +9,7 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// Deliver sends a token to the caller. An error means that the caller has
+// Deliver sends a token to the caller. It returns an error if the caller has
 // disconnected. The trace's spans are valid until Deliver returns.
 type Deliver func(token string, trace engineapi.TokenTrace) error
 
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -26,10 +26,10 @@
 
 func layer(n int) *int { return &n }
 
-// A chain fails in the middle of an answer. The runner detects it by the connection, by
-// the stall timeout or by the token check, and resumes on the second chain after the
-// last delivered token. A token that is delivered twice, missing or computed with the
-// wrong layers would change the answer's bytes.
+// A chain fails in the middle of an answer. The runner detects the failure by the
+// connection, by the stall timeout or by the token check. It resumes on the second chain
+// after the last delivered token. A token that is delivered twice, missing or computed
+// with the wrong layers would change the answer's bytes.
 func TestChainFailsPartway(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -71,10 +71,10 @@
 	}
 }
 
-// Requests are routed to an engine by an outdated load report. Reports come with some
-// tokens and give their age at the time of sending, so at the end of a failed epoch the
-// last one would be taken for newer than it is. An epoch must report only the load in
-// its closing event.
+// An epoch must report to the Chooser only the load report in its closing event. Load
+// reports also come with some tokens and give their age at the time of sending. At the end
+// of a failed epoch, such a report would be taken for newer than it is, and requests would
+// be routed by outdated load.
 func TestFailedEpochReportsNoLoad(t *testing.T) {
 	Convey("One chain is killed during the answer, the other completes it", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
@@ -91,9 +91,10 @@
 	})
 }
 
-// Two of three chains fail during one answer. Fault, stage and position are drawn at
-// random, so that faults occur together, one after the other, before the first token
-// and at the last one. The answer must be complete and unchanged.
+// Two of three chains get a fault during one answer, and the answer must be complete and
+// unchanged. Each trial draws the fault, the stage and the position at random. In some
+// trials both faults occur at the same time, in others one after the other, before the
+// first token or at the last token.
 func TestTwoChainsFailAtRandom(t *testing.T) {
 	faults := []func(*standin.Server){
 		func(srv *standin.Server) { srv.Kill() },
@@ -150,9 +151,9 @@
 	}
 }
 
-// Tokens of an old epoch are delivered in the new one. The first chain fails at token 5,
-// and the second chain's engine mixes tokens of the old epoch into the stream, at the
-// expected position. Only the epoch number distinguishes them.
+// Tokens of an old epoch must not be delivered in a new epoch. The first chain fails at
+// token 5. The second chain's engine then mixes tokens of the old epoch into the stream, at
+// the expected position, so only their epoch number shows that they are old.
 func TestLateTokensOfAnOldEpoch(t *testing.T) {
 	Convey("Late tokens are dropped and counted", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
@@ -185,9 +186,9 @@
 	})
 }
 
-// A cancel of the old epoch ends the new one. Both chains share their first engine, and
-// the second stage of the first chain fails. The cancel reaches the shared engine while
-// the new epoch runs there.
+// The cancel of an old epoch must not end the new epoch if both chains share their first
+// engine. The second stage of the first chain fails, and the cancel reaches the shared
+// engine while the new epoch runs there.
 func TestChainsShareAStage(t *testing.T) {
 	Convey("The cancel of the old epoch does not end the new one", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
@@ -208,8 +209,9 @@
 	})
 }
 
-// An answer stays slow to its end because a stage has turned slow without exceeding the
-// stall timeout. The stream must change chains once, and stay if there is no other chain.
+// If a stage turns slow but never exceeds the stall timeout, the stream must move to
+// another chain once. Without that, the answer would stay slow to its end. If there is no
+// other chain, the stream must stay.
 func TestStreamLeavesSlowChain(t *testing.T) {
 	for _, chains := range []int{1, 2} {
 		Convey(fmt.Sprint("Number of chains: ", chains), t, func() {
@@ -225,7 +227,7 @@
 					startedAt = time.Now()
 				case slowWindowTokens:
 					// On a busy machine the baseline gap is long, and only gaps
-					// above slowFactor times the baseline are slow.
+					// above slowFactor times the baseline count as slow.
 					slow = max(slow, 3*slowFactor*time.Since(startedAt)/slowWindowTokens)
 				case 2 * slowWindowTokens:
 					f.chains[0][1].Engine.SetFaults(standin.Faults{SlowPerToken: slow})
@@ -241,8 +243,9 @@
 	}
 }
 
-// A request fails during a rollout because the first chains do not match the plan. An
-// attempt on such a chain runs nothing, so it must not count against MaxExecutions.
+// During a rollout the first chains do not match the plan. An attempt on such a chain runs
+// nothing and must not count against MaxExecutions. Otherwise the request would fail
+// before it reaches a chain that matches.
 func TestMismatchesDoNotUseUpExecutions(t *testing.T) {
 	Convey("Chains that ran nothing count against MaxAttempts only", t, func() {
 		f := newFleet(t, 4, fastEngine, Options{MaxExecutions: 1, MaxAttempts: 4})
@@ -258,10 +261,11 @@
 	})
 }
 
-// After a pause of the node all its timers fire late and at once, while tokens are still
-// unread. Without the excuse every stream would abandon its chain.
+// After a pause of the node, all its timers fire late and at once, while tokens are still
+// unread. If the watchdog did not wait for one more timeout, every stream would abandon
+// its chain.
 func TestWatchdogWaitsAgainAfterNodePause(t *testing.T) {
-	Convey("A late timer is excused once", t, func() {
+	Convey("A late timer extends the wait once", t, func() {
 		w := newWatchdog(func(error) {})
 		defer w.disarm()
 		w.arm(time.Hour)
@@ -277,9 +281,10 @@
 	})
 }
 
-// A request runs on an engine that holds other layers than the plan says, because the
-// engine ignores fencing numbers and accepted an old order. Its report shows this
-// before anything is sent.
+// A request must not be answered by an engine that holds other layers than the plan says.
+// The engine ignores fencing numbers and has accepted an old order. Its report shows the
+// other layers before the request is sent. If an earlier report is cached, the spans show
+// them.
 func TestEngineHoldsOtherLayers(t *testing.T) {
 	old := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 0}
 	Convey("Before the first use the report does not match", t, func() {
@@ -319,8 +324,9 @@
 	})
 }
 
-// A stage that is frozen before the first token looks like a long prefill, so the caller
-// waits for the whole first-token timeout. Probes tell the two apart.
+// Without probes, a stage that is frozen before the first token looks like a long prefill,
+// and the caller waits for the whole first-token timeout. A stage in prefill answers
+// probes, a frozen stage does not.
 func TestFrozenBeforeFirstToken(t *testing.T) {
 	Convey("A frozen stage is detected long before the first-token timeout", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{})
@@ -348,8 +354,8 @@
 	})
 }
 
-// An answer of a slow accelerator is taken for stalled because its steady gap exceeds
-// MinStallTimeout. The stall timeout must adapt to the measured gaps.
+// A slow accelerator whose steady token gap exceeds MinStallTimeout must not count as
+// stalled. The stall timeout must adapt to the measured gaps.
 func TestSlowAcceleratorIsNotStalled(t *testing.T) {
 	Convey("A steady gap above MinStallTimeout is no stall", t, func() {
 		f := newFleet(t, 1, standin.Config{Step: 30 * time.Millisecond}, Options{MinStallTimeout: 20 * time.Millisecond})
@@ -362,8 +368,9 @@
 	})
 }
 
-// The reported outcome must be true when all chains fail. Nothing can have run if they
-// failed before the request was sent; part of it has run if they fail during the answer.
+// When all chains fail, the reported outcome must be true. If the chains fail before the
+// request is sent, no engine has run any part of it. If they fail during the answer, the
+// engines have run a part of it.
 func TestAllChainsDead(t *testing.T) {
 	kill := func(f *fleet) {
 		for _, chain := range f.chains {
@@ -386,9 +393,9 @@
 		_, _, err := f.collect(context.Background(), request("before"), nil)
 		So(err, ShouldBeNil)
 		kill(f)
-		// A request that is written to a closed connection before the client
-		// notices the close has the outcome unknown, so the idle connections
-		// are closed first.
+		// The client's idle connections are closed first. A request that the
+		// client writes to such a connection, before it notices that the engine
+		// has closed it, would have the outcome unknown.
 		f.client.CloseIdle()
 		_, summary, err := f.collect(context.Background(), request("dead"), nil)
 		So(err, ShouldNotBeNil)
@@ -410,8 +417,8 @@
 	})
 }
 
-// A request to a full chain must be served by another one. The full engine refuses before
-// any work, so its attempt is known not to have run.
+// A request that a full chain refuses must be served by another chain. The full engine
+// refuses before any work, so the attempt provably ran nothing.
 func TestRefusals(t *testing.T) {
 	Convey("Full and draining chains refuse new streams and finish the running ones", t, func() {
 		f := newFleet(t, 2, standin.Config{Step: time.Millisecond, Slots: 1}, Options{})
@@ -446,7 +453,8 @@
 	})
 }
 
-// The request's deadline passes while tokens arrive. The chain must not continue.
+// If the request's deadline passes while tokens arrive, the answer must end, and the chain
+// must stop and free its slots.
 func TestDeadline(t *testing.T) {
 	Convey("The deadline ends the answer and frees the chain", t, func() {
 		f := newFleet(t, 1, fastEngine, Options{})
@@ -461,8 +469,8 @@
 	})
 }
 
-// The first chain continues after its epoch was cancelled. Its connection is closed and
-// its epoch is old, so its tokens must not reach the caller.
+// If the first chain ignores the cancel of its epoch and continues, its tokens must not
+// reach the caller. Its connection is closed, and its epoch is older than the current one.
 func TestEngineIgnoresCancel(t *testing.T) {
 	Convey("A chain that ignores the cancel does not affect the answer", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{MinStallTimeout: 30 * time.Millisecond})
--- a/route/stream/slow.go
+++ b/route/stream/slow.go
@@ -7,21 +7,24 @@
 )
 
 const (
-	// slowWindowTokens is the number of tokens over which the mean gap is taken.
+	// slowWindowTokens is the number of tokens in a window, whose mean gap is compared
+	// with the baseline.
 	slowWindowTokens = 16
-	// slowFactor times the baseline gap is far above the gaps of a growing batch, so
+	// A chain is slow only if the mean gap is above slowFactor times the baseline. Gaps
+	// also grow when an engine runs more streams in a batch, but far less than this, so
 	// a burst of requests does not make streams change chains.
 	slowFactor = 8
-	// minSlowGap is the largest gap that never counts as slow. A reader does not
-	// notice it, and it is about the 95th percentile of token gaps that callers are
-	// promised.
+	// minSlowGap is the longest mean gap that never counts as slow. A person who reads
+	// the answer does not notice such a gap. The value is close to the 95th percentile of
+	// token gaps that callers are promised.
 	minSlowGap = 40 * time.Millisecond
 )
 
-// slowDetector compares the mean gap of the last tokens with the chain's baseline.
-// A stage or link that turns slow but does not stop never exceeds the stall
-// timeout, and without the detector an answer of hundreds of tokens would stay slow
-// to its end.
+// slowDetector compares the mean gap of each window of tokens with the chain's baseline.
+// The baseline is the chain's mean gap at the start of the epoch, or the mean gap of the
+// first window if none was known. Without the detector, an answer of hundreds of tokens
+// would stay slow to its end if a stage or link turns slow but never exceeds the stall
+// timeout.
 type slowDetector struct {
 	baselineGap time.Duration
 	gapSum      time.Duration
@@ -29,7 +32,7 @@
 	slow        bool
 }
 
-// add adds the gap of one token. It updates slow at the end of each window.
+// add adds the gap of one token. After each window it sets the field slow.
 func (d *slowDetector) add(gap time.Duration) {
 	d.gapSum += gap
 	d.gapCount++
@@ -44,9 +47,9 @@
 	d.slow = mean > max(slowFactor*d.baselineGap, minSlowGap)
 }
 
-// leaveSlowChain ends the epoch of a chain that has turned slow if the chooser has
-// another chain. It does so at most once per answer: if every chain is slow, each
-// change costs a prefill and gains nothing.
+// leaveSlowChain ends the epoch if its chain has turned slow and the chooser returns
+// another chain, and reports whether it did. It asks the chooser at most once per answer,
+// because each change costs a prefill and gains nothing if every chain is slow.
 func (e *epoch) leaveSlowChain(ctx context.Context) bool {
 	if !e.slowness.slow || e.answer.leftSlowChain || !e.mayLeaveChain() {
 		return false
@@ -61,8 +64,8 @@
 	return true
 }
 
-// mayLeaveChain reports whether another epoch is allowed after this one. The
-// chooser must not be asked for a chain that is then not used, because it expects
+// mayLeaveChain reports whether another epoch is allowed after this one. Without this
+// check, the chooser could return a chain that is never used, and it expects a call of
 // Ended for each chain that it returns.
 func (e *epoch) mayLeaveChain() bool {
 	o := e.answer.runner.options
--- a/route/stream/token_bench_test.go
+++ b/route/stream/token_bench_test.go
@@ -13,11 +13,12 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// BenchmarkRunnerToken measures the node's work per token without network and engine:
-// decoding, token check, measurements and watchdog.
+// BenchmarkRunnerToken measures the node's time per token, without network and engine: for
+// decoding, the token check, gap measurements and the watchdog.
 func BenchmarkRunnerToken(b *testing.B) { benchToken(b, engineapi.Artifact{}) }
 
-// BenchmarkRunnerTokenWithArtifact does the same with weights and an adapter named in each span.
+// BenchmarkRunnerTokenWithArtifact is BenchmarkRunnerToken with weights and an adapter
+// named in each span.
 func BenchmarkRunnerTokenWithArtifact(b *testing.B) {
 	benchToken(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
@@ -35,7 +36,7 @@
 	}
 }
 
-// oneChain is a chooser with one chain.
+// oneChain is a chooser that always returns the same chain.
 type oneChain struct{ chain Chain }
 
 func (o oneChain) Choose(context.Context, []string) (Chain, error) { return o.chain, nil }
@@ -48,7 +49,7 @@
 	artifact engineapi.Artifact
 }
 
-// RoundTrip answers report calls and chats.
+// RoundTrip answers calls for engine reports, and chat requests.
 func (c *cannedEngine) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Request: r}
 	if r.URL.Path != engineapi.PathHolding {
@@ -71,14 +72,14 @@
 	return nil, io.ErrUnexpectedEOF
 }
 
-// cannedAnswer is the body of an answer.
+// cannedAnswer is the response body of an answer. Each event is generated when it is read.
 type cannedAnswer struct {
 	tokens, position int
 	eventFormat      string
 	unread           []byte
 }
 
-// cannedEventWith returns the event of a token whose spans name an artifact.
+// cannedEventWith returns a format like cannedEvent whose spans name an artifact.
 func cannedEventWith(a engineapi.Artifact) string {
 	if a == (engineapi.Artifact{}) {
 		return cannedEvent
@@ -90,7 +91,6 @@
 
 const cannedEvent = `data: {"id":"canned","object":"chat.completion.chunk","model":"toy","choices":[{"index":0,"delta":{"content":" tide.1234"},"finish_reason":%s}],"cicadatack":{"stream":"canned","epoch":1,"position":%d,"spans":[{"endpoint":"127.0.0.1:41267","first":0,"last":3,"micros":1893},{"endpoint":"127.0.0.1:36809","first":4,"last":7,"micros":1145}]}}` + "\n\n"
 
-// Read generates the events as they are read.
 func (a *cannedAnswer) Read(p []byte) (int, error) {
 	for len(a.unread) == 0 {
 		switch {
--- a/route/stream/types.go
+++ b/route/stream/types.go
@@ -29,10 +29,10 @@
 	Replica string
 	// Stages are the engines in the order of their layers.
 	Stages []engineapi.Stage
-	// PlacementVersion is the plan's version. Every engine must report the same one.
+	// PlacementVersion is the plan's version, which every engine must report.
 	PlacementVersion int64
 	// Artifact is the weights and adapter that every stage must hold and run. All
-	// tokens of an answer come from the artifact that made its first token.
+	// tokens of an answer must come from the same artifact.
 	Artifact engineapi.Artifact
 }
 
@@ -40,9 +40,10 @@
 // called from many goroutines.
 type Chooser interface {
 	// Choose returns a chain whose replica is not in exclude. An error ends the
-	// stream: no chain should be tried now.
+	// stream, because no other chain should be tried.
 	Choose(ctx context.Context, exclude []string) (Chain, error)
-	// Ended reports the end of an epoch, once for each chain chosen.
+	// Ended receives the result of an epoch on chain. It is called once for each chain
+	// that Choose returned.
 	Ended(chain Chain, result AttemptResult)
 }
 
@@ -54,13 +55,13 @@
 	Layers int
 	// Chat is the caller's request. The Runner sets Chat.Pipeline.
 	Chat engineapi.ChatRequest
-	// FirstTokenTimeout bounds the time from sending to a chain until its
-	// first token, prefill included. Zero means DefaultFirstTokenTimeout.
+	// FirstTokenTimeout bounds the time from sending the request to a chain until the
+	// chain's first token, prefill included. Zero means DefaultFirstTokenTimeout.
 	FirstTokenTimeout time.Duration
 	// MaxStallTimeout is the upper bound of the adaptive stall timeout. Zero means
 	// DefaultMaxStallTimeout.
 	MaxStallTimeout time.Duration
-	// Deadline ends the answer. Zero means none.
+	// Deadline is the time at which the answer is ended. Zero means no deadline.
 	Deadline time.Time
 	// Chooser, if set, replaces the Runner's Chooser for this answer. It can use
 	// the request's team and prompt prefix for its choice.
@@ -71,7 +72,7 @@
 type Outcome uint8
 
 const (
-	// OutcomeUnknown requests may have run in part.
+	// OutcomeUnknown requests may have been run in part by an engine.
 	OutcomeUnknown Outcome = iota
 	// OutcomeNotRun requests provably were not run by any engine.
 	OutcomeNotRun
@@ -94,25 +95,26 @@
 	EndCallerGone
 	// EndDeadline epochs exceeded the request's deadline.
 	EndDeadline
-	// EndMismatch chains were sent nothing: an engine does not hold what the
-	// plan says, or did not answer when asked.
+	// EndMismatch epochs sent nothing, because an engine does not hold what the plan
+	// says or returned no engine report.
 	EndMismatch
-	// EndRefused chains refused the request before any work.
+	// EndRefused epochs ended when an engine refused the request before any work.
 	EndRefused
-	// EndUnreachable chains could not be connected to.
+	// EndUnreachable epochs could not connect to the first stage.
 	EndUnreachable
 	// EndNoFirstToken epochs produced no token within FirstTokenTimeout, or their
-	// chain stopped answering probes before that.
+	// chain became unresponsive before the first token.
 	EndNoFirstToken
-	// EndStalled epochs stopped producing tokens.
+	// EndStalled epochs produced at least one token, and then none within the stall
+	// timeout.
 	EndStalled
 	// EndConnectionLost epochs lost the connection to the first stage, or the
 	// first stage closed the stream because a later stage failed.
 	EndConnectionLost
 	// EndInvalidToken epochs produced a token that TokenCheck rejected.
 	EndInvalidToken
-	// EndSlow epochs were moved to another chain because their token gaps were far
-	// above the chain's baseline.
+	// EndSlow epochs were ended because their token gaps were far above the chain's
+	// usual gap. The answer continues on another chain.
 	EndSlow
 )
 
@@ -130,10 +132,10 @@
 	End   End
 	// NotRun is set if the chain provably did no work.
 	NotRun bool
-	// Reason is why the token was rejected, if End is EndInvalidToken.
+	// Reason is why TokenCheck rejected a token, if End is EndInvalidToken.
 	Reason Reason
-	// Unresponsive is set if End is EndNoFirstToken because the chain answered no
-	// probe, before FirstTokenTimeout passed.
+	// Unresponsive is set if End is EndNoFirstToken because the chain became
+	// unresponsive, not because FirstTokenTimeout passed.
 	Unresponsive bool
 	// Err is the underlying error, or nil.
 	Err error
@@ -141,15 +143,18 @@
 	Status int
 	// Tokens is how many tokens the epoch delivered.
 	Tokens int
-	// FirstToken is the time from sending to the first token, or zero without one.
+	// FirstToken is the time from sending the request to the epoch's first token, or
+	// zero without a token.
 	FirstToken time.Duration
-	// MeanGap is the mean time between tokens, or zero with fewer than two.
+	// MeanGap is the moving average of the chain's token gaps, or zero if the epoch
+	// delivered fewer than two tokens.
 	MeanGap time.Duration
-	// Load is the load report in the answer's closing event, or nil. Reports in
-	// earlier events are not kept: AgeMillis is a report's age when it was sent, so
-	// a report of a minute ago would be taken for a new one at the epoch's end.
+	// Load is the load report in the answer's closing event, or nil. Load reports in
+	// earlier events are not kept. AgeMillis is a load report's age when it was sent,
+	// so at the epoch's end a load report from a minute before would be taken for a
+	// new one.
 	Load *engineapi.Load
-	// Hops are the mean times of the stages and their outgoing links.
+	// Hops are the mean times that a token spent on each stage and its outgoing link.
 	Hops []Hop
 }
 
@@ -157,23 +162,26 @@
 type Hop struct {
 	Endpoint   string
 	MeanMicros float64
-	// StepMicros is the time of the layers alone, as the engine reports it, or zero
-	// if unknown. The Chooser fills it in.
+	// StepMicros is the time to compute the stage's layers for a token, without the
+	// link, as the engine reports it, or zero if unknown. The Chooser sets it.
 	StepMicros float64
 }
 
 // Recovery is one change of chain during an answer.
 type Recovery struct {
-	// Cause is how the previous epoch ended, Reason why if its token was rejected.
+	// Cause is how the previous epoch ended. Reason is why TokenCheck rejected its
+	// token, if Cause is EndInvalidToken.
 	Cause  End
 	Reason Reason
-	// DetectionTime is the time from the old chain's last token, or from the start
-	// of the epoch, until the failure was detected.
+	// DetectionTime is the time from the old chain's last token until the failure was
+	// detected. If the old chain sent no token, the time counts from the start of its
+	// epoch.
 	DetectionTime time.Duration
-	// ResumeTime is the time from the detection to the next token, or zero without
-	// one.
+	// ResumeTime is the time from the detection to the next delivered token, or zero
+	// if no token was delivered after it.
 	ResumeTime time.Duration
-	// Imported is set if the new chain imported exported KV cache.
+	// Imported is set if the new chain imported the KV cache that the old chain had
+	// exported.
 	Imported bool
 }
 
@@ -186,7 +194,8 @@
 	Tokens int
 	// Epochs is how many chains were tried.
 	Epochs int
-	// StrayTokens is how many tokens of earlier epochs or other streams were dropped.
+	// StrayTokens is the number of dropped tokens, which belonged to earlier epochs or
+	// to other streams.
 	StrayTokens int
 	// FirstToken is the time from Run to the first token.
 	FirstToken time.Duration
@@ -199,14 +208,15 @@
 const (
 	DefaultFirstTokenTimeout = 10 * time.Second
 	DefaultMaxStallTimeout   = 10 * time.Second
-	// DefaultMinStallTimeout is well above the pauses of a busy but healthy chain
+	// DefaultMinStallTimeout is well above the token gaps of a busy but healthy chain
 	// on a local network, and below the target of 300 ms for detecting a stall.
 	DefaultMinStallTimeout = 250 * time.Millisecond
-	// DefaultMaxExecutions allows for several chains that fail together, or one
-	// after the other.
+	// DefaultMaxExecutions lets an answer survive the failure of several chains, at the
+	// same time or one after the other.
 	DefaultMaxExecutions = 4
-	// DefaultMaxAttempts allows for chains that a new plan is being rolled out to.
-	// An attempt that runs nothing costs one round trip.
+	// DefaultMaxAttempts is higher than DefaultMaxExecutions, because during the
+	// rollout of a new plan many chains do not match their plan. An attempt on such a
+	// chain runs nothing and costs one round trip.
 	DefaultMaxAttempts   = 8
 	DefaultReportTTL     = 2 * time.Second
 	DefaultReportTimeout = 300 * time.Millisecond
@@ -218,17 +228,19 @@
 	// MinStallTimeout is the lower bound of the adaptive stall timeout, and of the
 	// time without a probe reply after which a chain counts as unresponsive.
 	MinStallTimeout time.Duration
-	// MaxExecutions bounds the chains that may have run part of a request.
-	// MaxAttempts bounds the chains tried, including those that provably ran nothing.
+	// MaxExecutions bounds the number of chains that may have run part of a request.
+	// MaxAttempts bounds the number of chains tried, including those that provably ran
+	// nothing.
 	MaxExecutions, MaxAttempts int
-	// ReportTTL is how long a matching engine report is cached. ReportTimeout bounds
-	// the call that fetches one.
+	// ReportTTL is how long an engine report that matches the plan is cached.
+	// ReportTimeout bounds the call that fetches an engine report.
 	ReportTTL, ReportTimeout time.Duration
-	// MaxTokens bounds an answer, and with it the tokens kept for resuming.
+	// MaxTokens is the maximum number of tokens of an answer. The tokens are kept in
+	// memory, because a resume sends them to the next chain.
 	MaxTokens int
-	// OnCacheLost, if set, is called when a stage of a replica reports a different
-	// prefix cache than before. The chain then recomputes every prompt from that
-	// stage on.
+	// OnCacheLost, if set, is called when a stage of a replica reports the ID of a
+	// different prefix cache than before. The stage has then lost its part of every
+	// cached prompt, and the chain recomputes prompts from that stage on.
 	OnCacheLost func(model, replica string)
 }
 
--- a/route/stream/watchdog.go
+++ b/route/stream/watchdog.go
@@ -13,33 +13,33 @@
 	errUnresponsive = fmt.Errorf("%w: the chain answers no probe", errStalled)
 )
 
-// maxTimerDelay is how late the timer may fire before the watchdog assumes that this
-// node was paused, and not the chain.
+// maxTimerDelay is how late the timer may fire. If it fires later, the watchdog assumes
+// that this node was paused, and not the chain.
 const maxTimerDelay = 50 * time.Millisecond
 
 // watchdog cancels an epoch that produces no token in time.
 //
 // When this node resumes after a pause, all its timers fire at once, while tokens that
-// arrived during the pause are still unread. Cancelling then would move every stream
-// to another chain without need. A watchdog whose timer fires late therefore waits
-// for one more timeout. It does so only once, because otherwise a node whose timers
-// are always late would never detect a stall.
+// arrived during the pause are still unread. If each watchdog cancelled its epoch, every
+// stream would move to another chain without need. A watchdog whose timer fires late
+// therefore waits for one more timeout. It does so only once per token, because otherwise
+// a node whose timers are always late would never detect a stall.
 type watchdog struct {
 	cancel context.CancelCauseFunc
 
 	mu                 sync.Mutex
 	timer              *time.Timer
-	expiresAt          time.Time // zero while disarmed
+	expiresAt          time.Time // when the timer is due, or zero while disarmed
 	timeout            time.Duration
-	firstToken         *firstTokenWait // not nil until the first token
-	extendedAfterDelay bool            // a late timer has been excused since arm
+	firstToken         *firstTokenWait // the wait for the first token, or nil after that token
+	extendedAfterDelay bool            // the wait was extended since arm, because the timer fired late
 }
 
-// firstTokenWait is the wait for a first token. The time of prefill and of the
-// engine's queue is not known, so the deadline is late. chainProber detects a frozen
-// stage or a failed link sooner.
+// firstTokenWait is the wait for an epoch's first token. The time for prefill and in the
+// engine's queue is not known beforehand, so the deadline must be long. chainProber
+// detects a frozen stage or a failed link sooner.
 type firstTokenWait struct {
-	silentSince  time.Time // the chain's silence is counted from this time at the earliest
+	silentSince  time.Time // the earliest time from which the chain counts as not replying
 	deadline     time.Time
 	unresponsive func(since time.Time) bool
 }
@@ -48,7 +48,7 @@
 	return &watchdog{cancel: cancel}
 }
 
-// arm restarts the wait for the next token.
+// arm starts the wait for the next token, which ends after timeout.
 func (w *watchdog) arm(timeout time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,8 +57,8 @@
 	w.restart(timeout)
 }
 
-// armFirstToken starts the wait for the first token. It ends after limit, or when
-// unresponsive returns true, which is called each interval and must not block.
+// armFirstToken starts the wait for the first token. The wait ends after limit, or when
+// unresponsive returns true. unresponsive is called each interval and must not block.
 func (w *watchdog) armFirstToken(interval, limit time.Duration, unresponsive func(since time.Time) bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,20 +105,22 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.firstToken != firstToken {
-		return // the token arrived in the meantime
+		return // the token arrived while unresponsive ran
 	}
 	if unresponsive {
 		w.cancel(errUnresponsive)
 		return
 	}
-	// The next check is scheduled from the time when this one was due. Otherwise the
-	// small delays of ten checks would add up to a tenth of the timeout.
+	// The interval to the next check counts from the time when this check was due, not
+	// from now. Otherwise the small delays of ten checks would add up to a tenth of the
+	// timeout.
 	delay := min(time.Until(w.expiresAt)+w.timeout, time.Until(firstToken.deadline))
 	w.schedule(max(delay, 0))
 }
 
-// expired reports whether the wait has timed out. While a first token is awaited it
-// returns the wait for which unresponsive has to be called.
+// expired reports whether the wait has timed out. If it has not, but a check of the wait
+// for a first token is due, expired returns that wait. The caller then calls unresponsive
+// of the returned wait.
 func (w *watchdog) expired(now time.Time) (*firstTokenWait, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,9 +130,9 @@
 	delayed := now.Sub(w.expiresAt) > maxTimerDelay
 	waiting := w.firstToken != nil && now.Before(w.firstToken.deadline)
 	if delayed && waiting {
-		// Replies that this node has not read yet must not count against the
-		// chain, so the silence is counted from now. This may happen any number
-		// of times, because the deadline still ends the wait.
+		// Probe replies may have arrived that this node has not read yet, so the
+		// chain's time without replies is counted from now. This branch may run
+		// any number of times, because the deadline still ends the wait.
 		w.firstToken.silentSince = now
 		w.restart(w.timeout)
 		return nil, false
