--- a/route/stream/token_bench_test.go
+++ b/route/stream/token_bench_test.go
@@ -13,20 +13,21 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// BenchmarkRunnerToken measures the node's work per token without network and engine:
-// decoding, token check, measurements and watchdog.
+// BenchmarkRunnerToken measures the node's time per token, without network and engine: for
+// decoding, the token check, gap measurements and the watchdog.
 func BenchmarkRunnerToken(b *testing.B) { benchToken(b, engineapi.Artifact{}) }
 
-// BenchmarkRunnerTokenNamed does the same with weights and an adapter named in each span.
-func BenchmarkRunnerTokenNamed(b *testing.B) {
+// BenchmarkRunnerTokenWithArtifact is BenchmarkRunnerToken with weights and an adapter
+// named in each span.
+func BenchmarkRunnerTokenWithArtifact(b *testing.B) {
 	benchToken(b, engineapi.Artifact{Weights: "2026-12", Adapter: "reorder-notes@3"})
 }
 
 func benchToken(b *testing.B, artifact engineapi.Artifact) {
 	stages := []engineapi.Stage{{Endpoint: "a", Address: "a:1", Last: 3}, {Endpoint: "b", Address: "b:1", First: 4, Last: 7}}
 	canned := &cannedEngine{stages: stages, tokens: b.N, artifact: artifact}
-	f := oneChain{Chain{Replica: "r", Stages: stages, PlacementVersion: 1, Artifact: artifact}}
-	runner := New(engineclient.New(canned), f, Options{MaxTokens: b.N + 1})
+	chooser := oneChain{Chain{Replica: "r", Stages: stages, PlacementVersion: 1, Artifact: artifact}}
+	runner := New(engineclient.New(canned), chooser, Options{MaxTokens: b.N + 1})
 	b.ReportAllocs()
 	b.ResetTimer()
 	summary, err := runner.Run(context.Background(), request("canned"), func(string, engineapi.TokenTrace) error { return nil })
@@ -35,7 +36,7 @@
 	}
 }
 
-// oneChain is a chooser with one chain.
+// oneChain is a chooser that always returns the same chain.
 type oneChain struct{ chain Chain }
 
 func (o oneChain) Choose(context.Context, []string) (Chain, error) { return o.chain, nil }
@@ -48,11 +49,11 @@
 	artifact engineapi.Artifact
 }
 
-// RoundTrip answers report calls and chats.
+// RoundTrip answers calls for engine reports, and chat requests.
 func (c *cannedEngine) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Request: r}
 	if r.URL.Path != engineapi.PathHolding {
-		resp.Body = io.NopCloser(&cannedAnswer{tokens: c.tokens, event: cannedWith(c.artifact)})
+		resp.Body = io.NopCloser(&cannedAnswer{tokens: c.tokens, eventFormat: cannedEventWith(c.artifact)})
 		return resp, nil
 	}
 	for _, s := range c.stages {
@@ -71,15 +72,15 @@
 	return nil, io.ErrUnexpectedEOF
 }
 
-// cannedAnswer is the body of an answer.
+// cannedAnswer is the response body of an answer. Each event is generated when it is read.
 type cannedAnswer struct {
-	tokens, at int
-	event      string
-	rest       []byte
+	tokens, position int
+	eventFormat      string
+	unread           []byte
 }
 
-// cannedWith returns the event of a token whose spans name an artifact.
-func cannedWith(a engineapi.Artifact) string {
+// cannedEventWith returns a format like cannedEvent whose spans name an artifact.
+func cannedEventWith(a engineapi.Artifact) string {
 	if a == (engineapi.Artifact{}) {
 		return cannedEvent
 	}
@@ -90,20 +91,19 @@
 
 const cannedEvent = `data: {"id":"canned","object":"chat.completion.chunk","model":"toy","choices":[{"index":0,"delta":{"content":" tide.1234"},"finish_reason":%s}],"cicadatack":{"stream":"canned","epoch":1,"position":%d,"spans":[{"endpoint":"127.0.0.1:41267","first":0,"last":3,"micros":1893},{"endpoint":"127.0.0.1:36809","first":4,"last":7,"micros":1145}]}}` + "\n\n"
 
-// Read generates the events as they are read.
 func (a *cannedAnswer) Read(p []byte) (int, error) {
-	for len(a.rest) == 0 {
+	for len(a.unread) == 0 {
 		switch {
-		case a.at < a.tokens:
-			a.rest = fmt.Appendf(a.rest[:0], a.event, "null", a.at)
-		case a.at == a.tokens:
-			a.rest = fmt.Appendf(a.rest[:0], a.event, `"stop"`, a.at)
+		case a.position < a.tokens:
+			a.unread = fmt.Appendf(a.unread[:0], a.eventFormat, "null", a.position)
+		case a.position == a.tokens:
+			a.unread = fmt.Appendf(a.unread[:0], a.eventFormat, `"stop"`, a.position)
 		default:
 			return 0, io.EOF
 		}
-		a.at++
+		a.position++
 	}
-	n := copy(p, a.rest)
-	a.rest = a.rest[n:]
+	n := copy(p, a.unread)
+	a.unread = a.unread[n:]
 	return n, nil
 }
