--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -108,8 +108,8 @@
 	}
 }
 
-// Clear drops the entries of a replica and keeps its sequence number. It is for a replica
-// in which one stage has lost its cache, but not the stage that publishes the events.
+// Clear drops the entries of a replica and keeps its sequence number. Call Clear when a
+// stage of the replica has lost its cache, but not the stage that publishes the events.
 func (x *Index) Clear(replica string) {
 	if s := x.states[replica]; s != nil {
 		s.lru.Init()
@@ -166,8 +166,9 @@
 	return max(page.Events[0].Sequence, 1) - 1
 }
 
-// applyEvents applies a page's events. It returns how many events were lost: before the
-// first event of the page, between two events, and after the last event.
+// applyEvents applies a page's events. It returns how many events are missing before the
+// first event of the page, between two of its events, and from the last of its events up
+// to Page.Last.
 func (x *Index) applyEvents(s *replicaState, page Page) uint64 {
 	lost := uint64(0)
 	for _, e := range page.Events {
--- a/decide/cacheindex/cacheindex_test.go
+++ b/decide/cacheindex/cacheindex_test.go
@@ -16,8 +16,8 @@
 	return Page{Instance: instance, Last: events[len(events)-1].Sequence, Events: events}
 }
 
-// Guards against callers that wait because a request is sent to a replica for a cached
-// prompt that the engine no longer has. Each case is one way in which entries of the
+// Guards against callers that wait because a request is sent to a replica whose engine no
+// longer has the prompt cached. Each case is one way in which entries of the
 // index become wrong, and checks which entries are dropped.
 func TestStaleEntriesAreDropped(t *testing.T) {
 	prompt := []uint64{11, 12, 13}
--- a/decide/cacheindex/doc.go
+++ b/decide/cacheindex/doc.go
@@ -10,16 +10,16 @@
 //
 // # Load pattern
 //
-// A popular prefix needs more capacity than the one replica has that its hash
-// selects. The balancer sends the requests beyond that capacity to less loaded
-// replicas.
+// The hash of a prefix selects one replica, but a popular prefix needs more
+// capacity than this replica has. The balancer sends the requests beyond that
+// capacity to less loaded replicas.
 //
 // # Failure without this package
 //
 // After a while several replicas have the popular prefix cached, but a node
 // does not know which ones. Callers wait while a replica computes a prompt that
-// another replica has cached. The same happens after a change of a
-// configuration document by which prefixes hash to other replicas.
+// another replica has cached. Callers also wait after a change of a
+// configuration document that makes prefixes hash to other replicas.
 //
 // # Terms
 //
@@ -33,7 +33,7 @@
 // # Wrong and stale entries
 //
 // The index is only a hint. The balancer prefers a holder only if the holder's
-// load is within the balancer's bound. A wrong hint costs one computation of a
+// load is within the balancer's bound on load. A wrong hint costs one computation of a
 // prompt, after which the replica does have the prompt cached. To keep wrong
 // hints rare, entries that the engine may have evicted are dropped:
 //   - A new instance, or a sequence number lower than before, clears the replica's
--- a/decide/entrypoints/doc.go
+++ b/decide/entrypoints/doc.go
@@ -21,11 +21,11 @@
 // # Draining
 //
 // A node that is going to shut down tells its peers and continues to serve,
-// including new connections, for DrainDuration(propagation). Within the time
-// propagation, all peers know that the node is draining and no longer name it.
-// ValidFor later, the last answer that named the node has expired. After that,
-// no caller that respects its answer connects to the node. Streams in progress
-// are finished in any case.
+// including new connections, for DrainDuration(propagationTime). Within
+// propagationTime, all peers learn that the node is draining, and their answers
+// no longer name the node. ValidFor later, the last answer that named the node
+// has expired. After that, no caller that respects its answer connects to the
+// node. Streams in progress are finished in any case.
 //
 // # Reasons for the values
 //
--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -20,8 +20,8 @@
 )
 
 // minCapacity is the lowest free capacity that preference uses for a node, also if the
-// node reports being full. If it were zero, a team whose homes are all full would get no
-// address.
+// node reports being full. If minCapacity were zero, a team whose homes are all full
+// would get no address.
 const minCapacity = 0.02
 
 // Member is an entry VM as known to this node.
@@ -77,12 +77,13 @@
 }
 
 // DrainDuration returns how long a draining node continues to serve new connections if
-// its peers learn of the drain within propagation.
-func DrainDuration(propagation time.Duration) time.Duration {
-	return propagation + ValidFor
+// its peers learn of the drain within propagationTime.
+func DrainDuration(propagationTime time.Duration) time.Duration {
+	return propagationTime + ValidFor
 }
 
-// Homes returns the IDs of the k nodes that share the team's limit, highest score first.
+// Homes returns the IDs of the k nodes that share the team's limit. The score of a node
+// is a hash of team and node; Homes returns the node with the highest score first.
 // Draining and suspected nodes are skipped. When members join or leave, the remaining
 // homes stay, except for those that a new member displaces.
 func Homes(team string, members []Member, k int) []string {
@@ -197,7 +198,8 @@
 	return true
 }
 
-// scored is the index of a member and its score.
+// scored is the index of a member in a list and the member's score. Members with higher
+// scores are chosen first.
 type scored struct {
 	index int
 	score float64
--- a/decide/entrypoints/entrypoints_test.go
+++ b/decide/entrypoints/entrypoints_test.go
@@ -30,8 +30,8 @@
 }
 
 // Guards against team limits that move from node to node. A team's limit is split over
-// its homes, so a change of the member list must change few of them. A team must also
-// need few homes, however many nodes there are.
+// the team's homes, so a change of the member list must change few of the homes. A team
+// must also need few homes, however many nodes there are.
 func TestHomes(t *testing.T) {
 	Convey("Given 2,200 nodes and a team with 1/200 of the load", t, func() {
 		all := members(2200, 23)
@@ -136,9 +136,9 @@
 }
 
 // peakLoadRatio simulates the callers of 240 teams, of which a few teams are large. In
-// each step a tenth of the callers ask again. It returns the load of the busiest node
-// divided by the mean load of all nodes. With ignoreLoad, the answers do not depend on
-// the nodes' loads.
+// each step a tenth of the callers ask again. peakLoadRatio returns the load of the
+// busiest node divided by the mean load of all nodes. With ignoreLoad, the answers do not
+// depend on the nodes' loads.
 func peakLoadRatio(nodes, callers int, headroom float64, ignoreLoad bool) float64 {
 	const teams, domains, steps, meanLoad = 240, 23, 40, 0.5
 	random := rand.New(rand.NewPCG(1, 2))
@@ -197,7 +197,7 @@
 	})
 }
 
-// BenchmarkLoadSpread reports the peak load ratio at the target size.
+// BenchmarkLoadSpread reports the peak load ratio at the target size of 2,200 nodes.
 func BenchmarkLoadSpread(b *testing.B) {
 	for _, headroom := range []float64{1, 2, HomeHeadroom, 8} {
 		b.Run(fmt.Sprint("headroom ", headroom), func(b *testing.B) {
--- a/decide/entrypoints/local.go
+++ b/decide/entrypoints/local.go
@@ -7,8 +7,8 @@
 
 const (
 	// MinLocal is the smallest number of usable members in the caller's own failure
-	// domain with which an answer names only these: if one of them is lost, another
-	// remains.
+	// domain with which an answer names only these members: if one of them is lost,
+	// another remains.
 	MinLocal = 2
 )
 
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -13,9 +13,11 @@
 	// this rate, failures are attributed to the requests or to a shared dependency, and
 	// no endpoint is ejected for them.
 	commonFailureRate = 0.25
-	// minGroupSize is the smallest group that is compared with its own median.
-	minGroupSize = 3
-	maxSlowness  = 4.0
+	// minEndpointsForGroupMedian is the number of endpoints with enough samples that a
+	// group needs for a median delay of its own. The endpoints of a smaller group are
+	// compared with the median delay of all endpoints.
+	minEndpointsForGroupMedian = 3
+	maxSlowness                = 4.0
 	// ejectionJitter is the fraction by which the duration of an ejection varies at
 	// random. Without jitter, nodes that ejected an endpoint at the same time would probe
 	// it at the same time.
@@ -85,11 +87,11 @@
 }
 
 // FirstResponse records that the first part of a response arrived, or that a request
-// ended without a response. The parameter after is the time since the request was sent.
-func (d *Detector) FirstResponse(now time.Time, e *Endpoint, after time.Duration) {
+// ended without a response. The parameter elapsed is the time since the request was sent.
+func (d *Detector) FirstResponse(now time.Time, e *Endpoint, elapsed time.Duration) {
 	e.unanswered = max(0, e.unanswered-1)
 	e.lastHeard = now
-	e.responseTime = movingAverage(e.responseTime, after.Seconds(), delayGain)
+	e.responseTime = movingAverage(e.responseTime, elapsed.Seconds(), delayGain)
 }
 
 // ObserveDelay records the delay of a response that is still in progress. When the
@@ -238,7 +240,7 @@
 	if e.samples < d.cfg.MinSamples {
 		return
 	}
-	median := d.medianFor(e)
+	median := d.medianDelayFor(e)
 	e.slowness = relativeDelay(e.delay, median)
 	switch {
 	case e.failureRate > d.cfg.ErrorShare && !d.commonFailure:
@@ -282,9 +284,9 @@
 	return max(1, min(maxSlowness, delay/median))
 }
 
-// medianFor returns the median delay of the endpoint's group, or of all endpoints if the
-// group is smaller than minGroupSize.
-func (d *Detector) medianFor(e *Endpoint) float64 {
+// medianDelayFor returns the median delay of the endpoint's group, or of all endpoints if
+// the group has fewer than minEndpointsForGroupMedian endpoints with enough samples.
+func (d *Detector) medianDelayFor(e *Endpoint) float64 {
 	m, known := d.groupMedians[e.group]
 	if !known {
 		m = d.medianOf(e.group, (*Endpoint).typicalDelay)
@@ -297,8 +299,8 @@
 }
 
 // medianOf returns the lower median of a value over the endpoints of the group that have
-// enough samples. It returns 0 if the group is too small. An empty group name stands for
-// all endpoints, for which there is no minimum size.
+// enough samples. It returns 0 if these are fewer than minEndpointsForGroupMedian. An
+// empty group name stands for all endpoints, for which there is no minimum number.
 func (d *Detector) medianOf(group string, value func(*Endpoint) (float64, bool)) float64 {
 	d.scratch = d.scratch[:0]
 	for _, e := range d.endpoints {
@@ -310,7 +312,7 @@
 		}
 	}
 	n := len(d.scratch)
-	if n == 0 || (group != "" && n < minGroupSize) {
+	if n == 0 || (group != "" && n < minEndpointsForGroupMedian) {
 		return 0
 	}
 	slices.Sort(d.scratch)
--- a/decide/health/doc.go
+++ b/decide/health/doc.go
@@ -4,12 +4,14 @@
 // # Use
 //
 // Keep one Detector per set of endpoints that serve the same requests. Track
-// each endpoint. Call Sent when a request is sent, FirstResponse when the first
-// part of its response arrives, and Observe when its outcome is known. Call
-// Evaluate when Due returns true. Read State before sending a request; Version
-// changes whenever the state of an endpoint does. An endpoint in state Probing
-// takes one request at a time, and only when NeedsProbe is true. A Detector is
-// not safe for concurrent use; the caller locks.
+// each endpoint and name its group, for example its failure domain. The delays
+// of an endpoint are compared with those of its group. Call Sent when a request
+// is sent, FirstResponse when the first part of its response arrives, and
+// Observe when its outcome is known. Call Evaluate when Due returns true. Read
+// State before sending a request; Version changes whenever the state of an
+// endpoint does. An endpoint in state Probing takes one request at a time, and
+// only when NeedsProbe is true. A Detector is not safe for concurrent use; the
+// caller locks.
 //
 // # Load pattern
 //
@@ -42,8 +44,8 @@
 //     delays are exponentially distributed, the standard deviation of this
 //     average is a third of the mean delay. Three times the mean delay is then
 //     six standard deviations above the mean. Differences below the floor are
-//     not noticeable. Delays are multiplied by the endpoint's weight, so a
-//     slower kind of accelerator is not an outlier.
+//     not noticeable. The balancer multiplies the delays that it records by the
+//     endpoint's weight, so a slower kind of accelerator is not an outlier.
 //   - SilenceFactor 5 and SilenceFloor 1 s: an endpoint that sends nothing for
 //     this long while requests are outstanding has frozen. An endpoint that is
 //     still sending a long response is not silent for this long.
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -69,8 +69,8 @@
 	samples             int
 	consecutiveFailures int
 
-	unanswered int // number of outstanding requests without a first response
-	lastHeard  time.Time
+	unanswered int       // number of outstanding requests without a first response
+	lastHeard  time.Time // start of the present silence, see Detector.Sent and FirstResponse
 }
 
 // State returns the endpoint's state.
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -147,9 +147,9 @@
 	})
 }
 
-// Guards against probes that fail too many requests, because each probe is a request of a
-// caller. A dead endpoint is probed after 5 s, then after 10 s, 20 s and so on. A good
-// endpoint must still return to rotation.
+// Guards against frequent probes of a dead endpoint: each probe is a request of a caller,
+// which fails there. A dead endpoint is probed after 5 s, then after 10 s, 20 s and so on.
+// An endpoint that has recovered must still return to rotation.
 func TestRecovery(t *testing.T) {
 	dead := outcomes{0: {Age: time.Millisecond, Failure: Unreachable}}
 	Convey("Given an endpoint dead for five minutes", t, func() {
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -31,13 +31,13 @@
 }
 
 // nextLoanEnd returns the end of the first loan, lent or borrowed, that ends between
-// after and now, or now if no loan ends in between.
-func (t *team) nextLoanEnd(after, now time.Time) time.Time {
+// start and now. It returns now if there is no such loan.
+func (t *team) nextLoanEnd(start, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
-		next = p.borrowedLoan.endBetween(after, next)
+		next = p.borrowedLoan.endBetween(start, next)
 		for _, l := range p.lentLoans {
-			next = l.endBetween(after, next)
+			next = l.endBetween(start, next)
 		}
 	}
 	return next
--- a/decide/limits/doc.go
+++ b/decide/limits/doc.go
@@ -69,7 +69,7 @@
 // three of four exchanges, so each additional home takes the node more than a
 // second. Assume 37 homes of which one gets most of the demand. With a fixed
 // lease of 20 s, loans expire while this home still looks for other lenders,
-// and it gets 0.39 of the limit. With a lease of 61 s it gets 0.81. Headroom
-// reserves capacity for the growth of a node's demand until the next exchange.
-// Burst admits the requests of one second at once.
+// and the home gets 0.39 of the limit. With a lease of 61 s the home gets 0.81.
+// Headroom reserves capacity for the growth of a node's demand until the next
+// exchange. Burst admits the requests of one second at once.
 package limits
--- a/decide/limits/exchangepeers.go
+++ b/decide/limits/exchangepeers.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// renewAfterShare is the part of its lease after which a loan in use is requested again.
-// Renewal has priority over requests to new lenders. Otherwise existing loans would
-// expire while the node looks for more, and the node would never borrow as much as it
-// needs.
+// renewAfterShare is a part of the lease: a loan in use is requested again when this part
+// of its lease has passed. Renewal has priority over requests to new lenders. Otherwise
+// existing loans would expire while the node looks for more lenders, and the node would
+// never borrow as much as it needs.
 const renewAfterShare = 0.7
 
 // candidate is a peer with which this node should exchange because of a team's limit.
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -14,8 +14,9 @@
 // a second, and only some of these are with another home of the team.
 type largeFleet struct {
 	homes
-	// nextPeer returns the home that a node exchanges with in a second, or -1.
-	nextPeer func(now time.Time, second, node int) int
+	// nextPeer returns the index of the home with which a node makes the exchange of the
+	// given index, or -1 if this exchange is not with a home of the team.
+	nextPeer func(now time.Time, exchangeIndex, node int) int
 }
 
 // roundRobin is the baseline in which nodes exchange whether or not they need loans. A
@@ -23,12 +24,12 @@
 // for one team after the other, so one exchange of 16 is with a home of this team.
 func roundRobin(n int) func(time.Time, int, int) int {
 	const teams, turns = 4, 4
-	return func(_ time.Time, second, node int) int {
-		second += node
-		if second%(teams*turns) != 0 {
+	return func(_ time.Time, exchangeIndex, node int) int {
+		exchangeIndex += node
+		if exchangeIndex%(teams*turns) != 0 {
 			return -1
 		}
-		return (node + 1 + second/(teams*turns)%(n-1)) % n
+		return (node + 1 + exchangeIndex/(teams*turns)%(n-1)) % n
 	}
 }
 
@@ -36,9 +37,9 @@
 // node uses one for limits, two if ExchangePeers returns more than two peers, and three
 // if it returns more than nine.
 func onDemand(h homes) func(time.Time, int, int) int {
-	return func(now time.Time, second, node int) int {
+	return func(now time.Time, exchangeIndex, node int) int {
 		names := h[node].ExchangePeers(now)
-		minPeers := [4]int{3, len(h), 10, 1}[(second+node)%4]
+		minPeers := [4]int{3, len(h), 10, 1}[(exchangeIndex+node)%4]
 		if len(names) < minPeers {
 			return -1
 		}
@@ -52,13 +53,13 @@
 }
 
 // run simulates 300 s in which callers send the given demand to the nodes. It returns
-// three results: the part of the limit that was admitted from 120 s to 300 s, the highest
+// three values: the part of the limit that was admitted from 120 s to 300 s, the highest
 // sum of all homes' rates as a part of the limit, and the number of exchanges per second
 // and node.
-func (f largeFleet) run(demand func(at float64, node int) float64) (through, highest, requests float64) {
+func (f largeFleet) run(demand func(at float64, node int) float64) (through, highestSum, exchangesPerSecond float64) {
 	const step, end, from = 50 * time.Millisecond, 300 * time.Second, 120 * time.Second
 	rng := rand.New(rand.NewPCG(3, 4))
-	sent := 0
+	exchanges := 0
 	for at := time.Duration(0); at < end; at += step {
 		now := sim.Start.Add(at)
 		tick := int(at / step)
@@ -66,7 +67,7 @@
 			if (tick+node)%20 == 0 {
 				if peer := f.nextPeer(now, tick/20, node); peer >= 0 {
 					f.exchange(now, node, peer)
-					sent++
+					exchanges++
 				}
 			}
 			for calls := demand(at.Seconds(), node) * step.Seconds() / cost; rng.Float64() < calls; calls-- {
@@ -81,15 +82,15 @@
 				share, _ := h.Share(now, team)
 				sum += share.Rate
 			}
-			highest = max(highest, sum/limit)
+			highestSum = max(highestSum, sum/limit)
 		}
 	}
-	return through / (end - from).Seconds() / limit, highest, float64(sent) / end.Seconds() / float64(len(f.homes))
+	return through / (end - from).Seconds() / limit, highestSum, float64(exchanges) / end.Seconds() / float64(len(f.homes))
 }
 
 // hotDemand distributes 90% of the limit evenly over the hot homes and the other 10% over
-// the remaining homes. If movePeriod is not zero, other homes become the hot ones every
-// movePeriod seconds.
+// the remaining homes. If movePeriod is not zero, the hot homes change every movePeriod
+// seconds.
 func hotDemand(n, hotHomes int, movePeriod float64) func(float64, int) float64 {
 	return func(at float64, node int) float64 {
 		if movePeriod > 0 {
@@ -112,8 +113,8 @@
 	leasePerHome := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
 	for _, c := range []struct {
 		homes, hot int
-		// movePeriod is the time in seconds after which other homes become the hot ones;
-		// zero means never.
+		// movePeriod is the time in seconds after which the hot homes change; zero means
+		// never.
 		movePeriod, minThrough float64
 	}{{3, 1, 0, 0.95}, {9, 1, 0, 0.84}, {9, 2, 0, 0.93}, {37, 1, 0, 0.78}, {37, 9, 0, 0.85}, {37, 18, 0, 0.83}, {9, 2, 60, 0}, {37, 9, 60, 0}} {
 		roundRobinFleet := largeFleet{homes: newLeasedHomes(c.homes, limit, fixedLease)}
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -20,7 +20,7 @@
 // peer is what this node knows about the same team on another node.
 type peer struct {
 	node          string
-	demand        float64
+	demand        float64 // reported by the peer, tokens per second
 	lastHeard     time.Time
 	lentLoans     []loan // loans to the peer that may be in force
 	borrowedLoan  loan   // loan from the peer
@@ -41,13 +41,13 @@
 	return 0
 }
 
-// endBetween returns the end of the loan if the loan ends between from and to. Otherwise
-// it returns to.
-func (l loan) endBetween(from, to time.Time) time.Time {
-	if l.until.After(from) && l.until.Before(to) {
+// endBetween returns the time at which the loan ends if this time is between start and
+// end. Otherwise endBetween returns the parameter end.
+func (l loan) endBetween(start, end time.Time) time.Time {
+	if l.until.After(start) && l.until.Before(end) {
 		return l.until
 	}
-	return to
+	return end
 }
 
 func (t *team) findPeer(node string) *peer {
@@ -68,11 +68,11 @@
 	return p
 }
 
-// lentRate returns the rate of the highest loan to the peer that is in force. Two loans
-// to one peer may be in force at the lender: the borrower replaces the older loan when it
-// receives the newer response, but that response may be lost. The lender therefore counts
-// the larger of the two loans until the loan has expired or the borrower has reported how
-// much of it is in use.
+// lentRate returns the highest rate of the loans to this peer that are in force. Two
+// loans to one peer may be in force at the lender: the borrower replaces the older loan
+// when it receives the response with the newer loan, but that response may be lost. The
+// lender therefore counts the larger of the two loans until the larger loan has expired
+// or the borrower has reported how much of this loan is in use.
 func (p *peer) lentRate(now time.Time) float64 {
 	highest := 0.0
 	for _, l := range p.lentLoans {
@@ -81,10 +81,10 @@
 	return highest
 }
 
-// releaseUnused reduces the loans granted for earlier requests to the rate that the
-// borrower still uses. The unused rate can be lent again at once, also if the borrower
-// never received the response with the loan. A request that arrives late or twice does
-// not reduce loans granted for later requests.
+// releaseUnused reduces the loans that were granted for requests sent before this one to
+// the rate that the borrower still uses. The unused rate can be lent again at once, also
+// if the borrower never received the response with the loan. A request that arrives late
+// or twice does not reduce loans granted for later requests.
 func (p *peer) releaseUnused(request LoanRequest) {
 	for i := range p.lentLoans {
 		if p.lentLoans[i].requestSentAt < request.SentAt {
@@ -94,7 +94,8 @@
 }
 
 // addLoan adds the new loan and drops the loans that have expired. It also drops each
-// loan that is no larger and was granted for the same or an earlier request.
+// loan that is no larger than the new loan and was granted for the same or an earlier
+// request.
 //
 // A loan A that was granted for a later request is kept even if the new loan B is larger,
 // because the borrower may use A and ignore B. If B replaced A, a repeat of the request
--- a/decide/limits/splitter.go
+++ b/decide/limits/splitter.go
@@ -38,7 +38,7 @@
 	baseLeaseHomes = 4
 	// homeCountSlack is added to the number of homes when the lender computes its lease.
 	// Lender and borrower may use lists of homes whose lengths differ by up to this
-	// number. Also in this case the loan must not end at the lender before it ends at the
+	// number. In this case too, the loan must not end at the lender before it ends at the
 	// borrower.
 	homeCountSlack = 2
 
@@ -98,8 +98,9 @@
 	Rate   float64 // lent to the borrower, tokens per second
 }
 
-// Splitter counts the teams' tokens on one node. It is not safe for concurrent use; the
-// caller locks.
+// Splitter enforces the teams' limits on one node. It admits or refuses the node's
+// requests, lends rates to other nodes and borrows rates from them. It is not safe for
+// concurrent use; the caller locks.
 type Splitter struct {
 	cfg   Config
 	teams map[string]*team
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -19,8 +19,8 @@
 	cost  = 100.0   // tokens per request
 )
 
-// policy decides which requests each node admits. It is either a set of splitters or a
-// baseline.
+// policy decides which requests each node admits. The tests compare the Splitters of this
+// package with baselines.
 type policy interface {
 	allow(now time.Time, node int) bool
 	exchange(now time.Time, from, to int)
@@ -32,9 +32,9 @@
 
 func name(i int) string { return fmt.Sprintf("node-%d", i) }
 
-func newHomes(n int, rate float64) homes { return newLeasedHomes(n, rate, limits.Config{}) }
+func newHomes(n int, teamLimit float64) homes { return newLeasedHomes(n, teamLimit, limits.Config{}) }
 
-func newLeasedHomes(n int, rate float64, cfg limits.Config) homes {
+func newLeasedHomes(n int, teamLimit float64, cfg limits.Config) homes {
 	var names []string
 	for i := range n {
 		names = append(names, name(i))
@@ -43,7 +43,7 @@
 	for i := range h {
 		cfg.Self = name(i)
 		h[i] = limits.New(cfg)
-		h[i].SetTeam(team, rate, names)
+		h[i].SetTeam(team, teamLimit, names)
 	}
 	return h
 }
@@ -76,8 +76,8 @@
 	return b
 }
 
-func (b *lastKnownDemand) demand(_ time.Time, node int, rate float64) {
-	b.knownDemands[node][node] = rate
+func (b *lastKnownDemand) demand(_ time.Time, node int, tokensPerSecond float64) {
+	b.knownDemands[node][node] = tokensPerSecond
 }
 
 func (b *lastKnownDemand) exchange(_ time.Time, from, to int) {
@@ -94,7 +94,7 @@
 }
 
 // simulate sends the given demand to the nodes for a minute. Nodes that are connected
-// exchange once a second. It returns the mean number of tokens per second admitted
+// exchange once a second. simulate returns the mean number of tokens per second admitted
 // between fromSecond and toSecond.
 func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, fromSecond, toSecond float64) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -135,13 +135,17 @@
 func TestTeamLimitAcrossHomes(t *testing.T) {
 	Convey("Three homes", t, func() {
 		for _, c := range []struct {
-			name                       string
-			demand                     func(float64, int) float64
-			connected                  func(float64, int, int) bool
-			fromSecond, toSecond       float64
-			minThrough                 float64 // minimum part of the limit that the splitters admit
-			minWholeEach, minLastKnown float64 // minimum part that these baselines admit
-			maxEven                    float64 // maximum part that even shares admit
+			name                 string
+			demand               func(float64, int) float64
+			connected            func(float64, int, int) bool
+			fromSecond, toSecond float64
+			// Each of these bounds is a part of the limit. minThrough is the minimum that
+			// the Splitters admit. minWholeEach is the minimum that nodes admit if each
+			// allows the whole limit, minLastKnown the minimum with lastKnownDemand.
+			// maxEven is the maximum with disconnectedHomes.
+			minThrough                 float64
+			minWholeEach, minLastKnown float64
+			maxEven                    float64
 		}{
 			{"demand above the limit everywhere", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
 			{"most callers at one home", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
@@ -273,7 +277,7 @@
 // request 2 first, and then grants a loan for request 1. This loan must not replace the
 // loan for request 2. Otherwise a repeat of request 2, which states that no earlier loan
 // is in use, releases the only loan that the lender counts.
-func TestLateRequestKeepsLaterLoan(t *testing.T) {
+func TestDelayedRequestDoesNotEndNewerLoan(t *testing.T) {
 	Convey("The lender still counts the loan after a delayed and a repeated request", t, func() {
 		h := newHomes(2, limit)
 		now := sim.Start
@@ -295,7 +299,7 @@
 func TestLoansAreCountedOnce(t *testing.T) {
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
 	Convey("A rate lent to one home is not lent to another home", t, func() {
-		// Otherwise the second borrower would get a rate that the first borrower uses
+		// If it were, the second borrower would get a rate that the first borrower uses
 		// already.
 		h := newHomes(3, limit)
 		sum := 0.0
@@ -310,9 +314,9 @@
 		So(sum, ShouldAlmostEqual, limit, 1e-6)
 	})
 	Convey("A loan counts until its end, not until the next request", t, func() {
-		// The home has overdrawn its bucket. After the loan has ended, it pays off the
-		// debt at its own rate alone. If it still used the rate of the loan, borrower and
-		// lender would both use that rate.
+		// The home has overdrawn its bucket. After the loan has ended, the home pays off
+		// the debt at its own rate alone. If the home still used the rate of the loan,
+		// borrower and lender would both use that rate.
 		h := newHomes(2, limit)
 		h[0].Allow(at(0), team, 5*limit)
 		h.exchange(at(0), 0, 1)
--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -21,10 +21,10 @@
 //     that a replica reports about itself. An observation has an age and is valid for
 //     ValidFor.
 //   - A node accepts an observation that at least Quorum nodes have made independently. If
-//     fewer nodes have made it, a few nodes, the Verifiers, check the replica themselves.
-//     All nodes agree on which nodes are the Verifiers of a replica. So a single wrong
-//     observation convinces no other node, and not all nodes contact the same replica
-//     because of it.
+//     fewer nodes have made the observation, a few nodes, the Verifiers, check the replica
+//     themselves. All nodes agree on which nodes are the Verifiers of a replica. So a
+//     single wrong observation convinces no other node, and not all nodes contact the same
+//     replica because of it.
 //   - At most the share MaxExcludedShare of a service's replicas is excluded because of
 //     reports from other nodes, because a network fault can make many replicas look lost.
 //   - A message holds at most MaxPerMessage observations, the most recent first.
@@ -55,8 +55,8 @@
 	MaxExcludedShare = 0.25
 	// MaxPerMessage is the maximum number of observations in a message.
 	MaxPerMessage = 128
-	// maxObservers is the largest number of observers in a valid observation, maxSlowdown
-	// the largest slowdown.
+	// maxObservers and maxSlowdown are the largest number of observers and the largest
+	// slowdown in a valid observation.
 	maxObservers = 1 << 16
 	maxSlowdown  = 1e4
 )
@@ -87,7 +87,7 @@
 
 // message is the last message received from a node.
 type message struct {
-	received     time.Time
+	receivedAt   time.Time
 	fromHub      bool
 	observations []Observation
 }
@@ -105,7 +105,7 @@
 		a.latest = map[string]message{}
 	}
 	for name, m := range a.latest {
-		if now.Sub(m.received) >= ValidFor {
+		if now.Sub(m.receivedAt) >= ValidFor {
 			delete(a.latest, name)
 		}
 	}
@@ -117,7 +117,7 @@
 		}
 		kept = append(kept, o)
 	}
-	a.latest[node] = message{received: now, fromHub: hub, observations: kept}
+	a.latest[node] = message{receivedAt: now, fromHub: hub, observations: kept}
 	return dropped
 }
 
@@ -181,7 +181,7 @@
 			continue
 		}
 		for _, o := range m.observations {
-			o.Age += now.Sub(m.received)
+			o.Age += now.Sub(m.receivedAt)
 			add(o)
 		}
 	}
--- a/decide/peerreports/peerreports_test.go
+++ b/decide/peerreports/peerreports_test.go
@@ -25,8 +25,8 @@
 }
 
 // Guards against a dead replica that costs each node one stream. Of forty nodes that use
-// the replica, three have a stream through it and report it. The others accept these
-// reports and lose no stream.
+// the replica, three have a stream through it and report that it is unreachable. The
+// other nodes accept these reports and lose no stream.
 func TestQuorumIsAccepted(t *testing.T) {
 	nodes := names(40)
 	var hub Aggregator
@@ -107,8 +107,8 @@
 }
 
 // Guards against useless checks of a replica that refuses requests: the replica answers
-// everything that a check could send. If fewer than Quorum nodes report it, no node
-// checks it. If Quorum nodes report such replicas, the reports are accepted for at most
+// everything that a check could send. If fewer than Quorum nodes report the replica, no
+// node checks it. If Quorum nodes report such replicas, the reports are accepted for at most
 // the share MaxExcludedShare of all replicas.
 func TestRefusingIsNotVerified(t *testing.T) {
 	nodes := names(40)
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -56,9 +56,9 @@
 
 // report is the last report of a node.
 type report struct {
-	received time.Time
-	fromHub  bool
-	totals   Totals
+	receivedAt time.Time
+	fromHub    bool
+	totals     Totals
 }
 
 // Aggregator holds the reports that a node has received. The zero value is ready to use.
@@ -74,11 +74,11 @@
 		a.latest = map[string]report{}
 	}
 	for name, r := range a.latest {
-		if now.Sub(r.received) >= ValidFor {
+		if now.Sub(r.receivedAt) >= ValidFor {
 			delete(a.latest, name)
 		}
 	}
-	a.latest[node] = report{received: now, fromHub: hub, totals: totals}
+	a.latest[node] = report{receivedAt: now, fromHub: hub, totals: totals}
 }
 
 // KeepOnly drops the reports of all nodes except the given hub. The totals of this hub
@@ -110,7 +110,7 @@
 func (a *Aggregator) sum(now time.Time, include func(node string, r report) bool) Totals {
 	sum := Totals{ReservedByReplica: map[string]float64{}}
 	for node, r := range a.latest {
-		if now.Sub(r.received) >= ValidFor || !include(node, r) {
+		if now.Sub(r.receivedAt) >= ValidFor || !include(node, r) {
 			continue
 		}
 		sum.Nodes += r.totals.Nodes
--- a/decide/shardowner/shardowner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -64,7 +64,7 @@
 		second := p.Pick(start, "7")
 		So(second, ShouldNotEqual, first)
 
-		Convey("one operation tries it after each backoff, which doubles", func() {
+		Convey("one operation tries the owner after each backoff, which doubles", func() {
 			at := start
 			for _, backoff := range []time.Duration{1, 2, 4, 8, 16, 16} {
 				at = at.Add(backoff * time.Second)
@@ -73,12 +73,12 @@
 				So(p.RecordFailure(at, first), ShouldEqual, min(2*backoff*time.Second, MaxBackoff))
 			}
 		})
-		Convey("it is used again once it has answered", func() {
+		Convey("the owner is used again once it has answered", func() {
 			p.RecordAnswer(first)
 			So(p.Pick(start, "7"), ShouldEqual, first)
 			So(p.Pick(start, "7"), ShouldEqual, first)
 		})
-		Convey("a new list of members keeps its backoff", func() {
+		Convey("a new list of live nodes keeps the owner's backoff", func() {
 			p.SetLive(names(4))
 			So(p.Pick(start, "7"), ShouldNotEqual, first)
 		})
--- a/decide/stall/stall.go
+++ b/decide/stall/stall.go
@@ -40,10 +40,10 @@
 )
 
 const (
-	// meanWeight is the weight of a new gap in the moving mean of the gaps.
-	// varianceWeight is the weight of the gap's squared deviation in the moving variance.
-	meanWeight     = 1.0 / 8
-	varianceWeight = 1.0 / 4
+	// meanGain is the weight of a new gap in the moving mean of the gaps. varianceGain is
+	// the weight of the gap's squared deviation in the moving variance.
+	meanGain     = 1.0 / 8
+	varianceGain = 1.0 / 4
 	// timeoutDeviations is the number of standard deviations by which the timeout exceeds
 	// the mean gap. If gaps are normally distributed, one in a hundred million is longer
 	// than that.
@@ -79,18 +79,19 @@
 	}
 	difference := value - d.mean
 	variance := d.stdDev * d.stdDev
-	d.stdDev = math.Sqrt(variance + varianceWeight*(difference*difference-variance))
-	d.mean += meanWeight * difference
+	d.stdDev = math.Sqrt(variance + varianceGain*(difference*difference-variance))
+	d.mean += meanGain * difference
 }
 
 // FalseAlarm records that the path was checked after a silence and no loss was found.
 // This raises the timeout. When the stream's gaps are regular again, the timeout falls to
 // its previous value.
-func (d *Detector) FalseAlarm(silent time.Duration) {
-	d.stdDev = max(d.stdDev, (float64(silent)*falseAlarmFactor-d.mean)/timeoutDeviations)
+func (d *Detector) FalseAlarm(silence time.Duration) {
+	d.stdDev = max(d.stdDev, (float64(silence)*falseAlarmFactor-d.mean)/timeoutDeviations)
 }
 
-// falseAlarmFactor times the silence of a false alarm is the lowest timeout after it.
+// falseAlarmFactor sets the timeout after a false alarm: unless a maximum of Timeout is
+// lower, the timeout is at least this factor times the silence that caused the alarm.
 const falseAlarmFactor = 1.5
 
 // Timeout returns the silence after which the path of the stream is checked. maxPause is
@@ -111,6 +112,6 @@
 // exceeds maxPause if that is earlier. More frequent checks would find little, because
 // replicas rarely die after the silence has begun. In a fleet with slow replicas, all
 // streams would make these checks.
-func RecheckAfter(silent, maxPause time.Duration) time.Duration {
-	return max(minTimeout/2, min(silent, maxPause-silent))
+func RecheckAfter(silence, maxPause time.Duration) time.Duration {
+	return max(minTimeout/2, min(silence, maxPause-silence))
 }
--- a/decide/stall/stall_test.go
+++ b/decide/stall/stall_test.go
@@ -18,11 +18,12 @@
 }
 
 // Guards against late detection of a dead replica. A stream has an event about every 40
-// ms. Its path is checked well before the silence has lasted for half of maxPause.
+// ms. When the stream becomes silent, its path must be checked well before half of
+// maxPause has passed.
 func TestSteadyStreamIsCheckedEarly(t *testing.T) {
-	d := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
-	if d > 70*time.Millisecond {
-		t.Errorf("timeout %v, want at most 70 ms", d)
+	timeout := steadyDetector(40*time.Millisecond, 8*time.Millisecond, 50).Timeout(maxPause)
+	if timeout > 70*time.Millisecond {
+		t.Errorf("timeout %v, want at most 70 ms", timeout)
 	}
 }
 
@@ -47,7 +48,8 @@
 
 // Guards against checks caused by prefills. One gap in ten is four times as long as
 // usual, because replicas prefill a prompt. At most half of these long gaps may trigger a
-// check. With a timeout of the mean gap plus four mean deviations, two in three did.
+// check. With a timeout of the mean gap plus four mean deviations, two in three long gaps
+// did.
 func TestPrefillGapsAreNotStalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 3))
 	d := &Detector{}
--- a/decide/storereaders/storereaders.go
+++ b/decide/storereaders/storereaders.go
@@ -17,14 +17,17 @@
 //   - PerDomain nodes of each failure domain are its readers. Each reader has an entry of
 //     its own in the store, in which it lists other nodes (decide/nodelist). With three
 //     readers, two can be lost or cut off at the same time.
-//   - The readers of a domain are ordered. Before a reader reads the store, it asks the
-//     readers that precede it. So in normal operation only the first reader reads the
-//     store. The next reader reads the store as soon as the data that it gets from the
-//     preceding readers is too old.
+//   - The readers of a domain are ordered by bandwidth, the highest first. Before a reader
+//     reads the store, it asks the readers that precede it. So in normal operation only the
+//     first reader reads the store. The next reader reads the store as soon as the data
+//     that it gets from the preceding readers is too old.
 //   - A reader stays a reader unless a node with much more bandwidth replaces it. If a
 //     reader is missing, the listed node with the most bandwidth becomes a reader.
-//   - A node that no reader has received a request from writes an entry of its own. Callers
-//     are then told to connect to it, but it is not a reader.
+//   - If no reader has received a request from a node, this node writes an entry of its
+//     own. Callers are then told to connect to the node, but the node is not a reader.
+//   - A node that failed to read the store tries again after its retry interval. Nodes that
+//     reached a reader without recent data share their retries: the interval of each node is
+//     multiplied by the number of nodes in the domain. RetryInterval states the exceptions.
 //
 // All data from other nodes is a hint with an age. A node without recent data reads the
 // store itself, so a wrong choice costs only calls.
@@ -55,7 +58,8 @@
 // eligible reports whether a member can be one of its domain's readers.
 func (m Member) eligible() bool { return m.HasEntry && m.Address != "" }
 
-// ForDomain returns the readers of a failure domain, in order.
+// ForDomain returns the readers of a failure domain in their order, the one with the most
+// bandwidth first.
 func ForDomain(domain string, members []Member) []Member {
 	list := selectSorted(members, func(m Member) bool { return m.Domain == domain && m.eligible() })
 	return list[:min(len(list), PerDomain)]
@@ -101,9 +105,10 @@
 	return position < PerDomain-len(list) || weakestLink > 0 && others[position].LinkMbps >= replaceLinkFactor*weakestLink
 }
 
-// replaceLinkFactor: a node replaces the last reader in the order if it has at least this
-// many times the bandwidth of that reader. Bandwidth matters because all nodes of the
-// domain ask the first reader.
+// replaceLinkFactor: a node replaces the last reader in the order, which has the least
+// bandwidth, if the node has at least this many times the bandwidth of that reader. Since
+// readers are ordered by bandwidth, the new reader precedes those with less. Bandwidth
+// matters because all nodes of the domain ask the first reader.
 const replaceLinkFactor = 2
 
 // RetryState is the state of a node that failed to read the store.
--- a/decide/storereaders/storereaders_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -187,9 +187,9 @@
 }
 
 // Guards against a starting node that serves no callers for half a minute. A hundred
-// nodes of a failure domain start at once. One node fails to read the store for the first
-// time while its readers have no data yet. Its retry interval must not be multiplied by
-// the number of nodes.
+// nodes of a failure domain start at once. The first attempt of one node to read the store
+// fails, and its readers have no data yet. If the node shared its retries with the other
+// nodes, its retry interval would be multiplied by their number.
 func TestStartingNodeRetriesOnItsOwn(t *testing.T) {
 	const retryBaseInterval = 300 * time.Millisecond
 	state := RetryState{BaseInterval: retryBaseInterval, DomainSize: 100, ReaderReached: true, Failures: 1}
