--- a/decide/admission/dispatch.go
+++ b/decide/admission/dispatch.go
@@ -12,8 +12,9 @@
 	// maxOrderVirtualTimeDiff limits the rule that orders start before batch jobs. An order
 	// of one team starts before a batch job of another team only if the virtual time of the
 	// order's team exceeds that of the other team by at most this difference, in tokens at
-	// weight 1. Orders are small. Without the limit, a team could send all its work as
-	// orders and block the batch jobs of all other teams.
+	// weight 1. Orders are small, so each order adds little to the virtual time of its team.
+	// Without the limit, a team could send all its work as orders and block the batch jobs
+	// of all other teams.
 	maxOrderVirtualTimeDiff = 8192
 )
 
--- a/decide/admission/doc.go
+++ b/decide/admission/doc.go
@@ -22,8 +22,8 @@
 //     that this node may use. Nodes that share replicas divide the slots of these replicas.
 //   - The cost of a request is measured in tokens. The work of several requests is the
 //     sum of their expected costs.
-//   - The class of a request is Order, Interactive or Batch. An order is a request that
-//     must not run twice, such as a purchase.
+//   - The class of a request is Order, Interactive or Batch. An order is a call of a
+//     plain service (a service that is not a model) that must not run twice.
 //   - A long job is a request, other than an order, whose expected cost is at least
 //     Config.LongCost. All other requests are short. The job length of a request is
 //     short or long.
@@ -42,7 +42,8 @@
 //     time in which its requests could not start.
 //   - The elapsed ratio is the time that the running requests have taken so far, divided
 //     by their expected duration. Both times are summed over the running requests. The
-//     service is stalled if this ratio is far above its normal maximum.
+//     service is stalled if this ratio is more than stalledElapsedOverMax times its normal
+//     maximum.
 //
 // # Use
 //
@@ -77,12 +78,13 @@
 // # Grounds for the wait prediction
 //
 // Waits are predicted from the drain rate. The drain rate is the tokens per second of one
-// slot, averaged over rateWindow, times the number of the node's slots, averaged over
-// meanSlotsWindow. The number of slots is averaged because it changes quickly where nodes
-// share replicas. Its mean restarts when the first request has to wait: before a rush each
-// node sees nearly all slots as free, but in the rush all nodes use them. A loss of
-// replicas lowers the predicted rate at once, before any request has finished late. The
-// reasons for the other constants stand beside them.
+// slot, averaged with the time constant rateTimeConstant, times the number of the node's
+// slots, averaged with the time constant meanSlotsTimeConstant. The number of slots is
+// averaged because it changes quickly where nodes share replicas. The mean number of slots
+// restarts when the first request has to wait: before a rush each node sees nearly all
+// slots as free, but in the rush all nodes use these slots. A loss of replicas lowers the
+// drain rate at once, before any request has finished late. The reasons for the other
+// constants stand beside them.
 //
 // # Limits
 //
--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -56,24 +56,24 @@
 	longJobsAllocation allocation // assigns the rate of longJobSlots to teams, from the demand of their long jobs
 }
 
-// allocation divides a rate between the teams by weighted max-min fairness: each team gets
-// its demand, up to its weight times ratePerWeight. All rates are in expected tokens per
-// second.
+// allocation divides a capacity between the teams by weighted max-min fairness: each team
+// gets its demand, up to its weight times ratePerWeight. The capacity and all rates are in
+// expected tokens per second.
 //
 // The demand is the measured demand of all teams, also of teams that have no waiting
 // request now. Such a team may send its next request within the predicted wait. If these
 // teams were left out, requests would be admitted and refused seconds later.
 type allocation struct {
-	ratePerWeight    float64
-	spareRate        float64 // part of the rate that exceeds the total demand; zero if a team gets less than its demand
-	minRatePerWeight float64 // rate divided by the weight of all teams with demand
+	ratePerWeight      float64
+	spareRate          float64 // part of the capacity that exceeds the total demand; zero if a team gets less than its demand
+	equalRatePerWeight float64 // capacity divided by the total weight of the teams with demand
 }
 
 // rate returns the rate that a team with the given demand and weight gets if it always has
 // a request waiting.
 func (a allocation) rate(demand, weight float64) float64 {
 	if a.spareRate > 0 {
-		return max(demand+a.spareRate, weight*a.minRatePerWeight)
+		return max(demand+a.spareRate, weight*a.equalRatePerWeight)
 	}
 	return weight * a.ratePerWeight
 }
@@ -88,9 +88,9 @@
 		}
 	}
 	if totalWeight == 0 {
-		return allocation{spareRate: capacity, minRatePerWeight: capacity}
+		return allocation{spareRate: capacity, equalRatePerWeight: capacity}
 	}
-	a := allocation{minRatePerWeight: capacity / totalWeight, ratePerWeight: capacity / totalWeight}
+	a := allocation{equalRatePerWeight: capacity / totalWeight, ratePerWeight: capacity / totalWeight}
 	for {
 		remainingCapacity, unsatisfiedWeight := capacity, 0.0
 		for _, t := range teams {
@@ -146,9 +146,9 @@
 	}
 }
 
-// measureDemand updates the demand of each team. If the total demand has just risen, it
-// multiplies the demand of each team by the factor of this rise, because the rate of a team
-// depends on the demand of the other teams.
+// measureDemand updates the demand of each team. The measured demand lags behind a sudden
+// rise. After a rise of the total demand, each team's demand is therefore multiplied by the
+// same factor: a team's forecast rate also depends on the other teams' demand.
 //
 // measureDemand also removes the teams that have no demand any more and for which SetTeam
 // was not called. Otherwise team names that are used only once would accumulate.
@@ -204,8 +204,8 @@
 
 // rushHeadroom returns the number of slots to keep for teams below their share at the start
 // of a rush, while the demand of these teams is not yet measured. It starts at
-// rushHeadroomFraction of the slots and falls to zero over rateWindow. The slots that these
-// teams already use are subtracted.
+// rushHeadroomFraction of the slots and falls to zero over rateTimeConstant. The slots that
+// these teams already use are subtracted.
 //
 // Without this headroom, a node that starts in a rush gives every slot to the team with the
 // highest load before the other teams have sent their requests. The other teams then get no
@@ -220,7 +220,7 @@
 	if f.busySince.IsZero() {
 		f.busySince = now
 	}
-	remainingFraction := 1 - now.Sub(f.busySince).Seconds()/rateWindow.Seconds()
+	remainingFraction := 1 - now.Sub(f.busySince).Seconds()/rateTimeConstant.Seconds()
 	if remainingFraction <= 0 {
 		return 0
 	}
@@ -252,7 +252,7 @@
 		if demand <= t.forecastRate {
 			neededSlots += demand / slotRate
 		}
-		anyHot = anyHot || demand > hotDemandRatio*q.forecast.allJobsAllocation.minRatePerWeight*t.flow.Weight()
+		anyHot = anyHot || demand > hotDemandRatio*q.forecast.allJobsAllocation.equalRatePerWeight*t.flow.Weight()
 	}
 	if !anyHot {
 		return 0
--- a/decide/admission/list.go
+++ b/decide/admission/list.go
@@ -37,8 +37,9 @@
 // block is a sequence of adjacent requests in a list. From the values of the block, a
 // review recognizes that no request of the block will be late.
 //
-// A review that looked at every request took 0.8 ms with 10,000 waiting requests. It ran
-// ten times a second under the service's lock, and all calls on this service waited for it.
+// A review that looked at every request took 0.8 ms with 10,000 waiting requests. This
+// review ran ten times a second under the service's lock, and all calls on this service
+// waited for the review.
 type block struct {
 	next         *block
 	prev         *block
@@ -46,8 +47,8 @@
 	waitingCount int
 	addedCount   int     // requests ever added, including those that have left the block
 	cost         float64 // sum of the expected costs of the waiting requests, tokens
-	// earliestDeadline is not after the deadline of any waiting request of the block. It
-	// may be before all of them after a request has left the block.
+	// earliestDeadline is not after the deadline of any waiting request of the block. After
+	// a request has left the block, earliestDeadline may be before all of these deadlines.
 	earliestDeadline time.Time
 }
 
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -45,8 +45,8 @@
 	return l
 }
 
-func newQueue() *admission.Queue { return admission.New(admission.Config{Slots: slots}) }
-func newFIFO() sim.AdmissionPolicy        { return &sim.FIFO{Slots: slots} }
+func newQueue() *admission.Queue   { return admission.New(admission.Config{Slots: slots}) }
+func newFIFO() sim.AdmissionPolicy { return &sim.FIFO{Slots: slots} }
 func newScenario(l ...sim.Load) sim.Scenario {
 	return sim.Scenario{SlotRate: slotRate, Duration: 120 * time.Second, Loads: l, Seed: *seed}
 }
--- a/decide/admission/nodeslots.go
+++ b/decide/admission/nodeslots.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// meanSlotsWindow is the time constant of the mean number of slots that the node may use.
-// With a shorter window, the mean follows the quick changes of this number while nodes
-// share replicas. With a longer window, waits are predicted from slots that other nodes now
-// use.
-const meanSlotsWindow = 2 * time.Second
+// meanSlotsTimeConstant is the time constant of the mean number of slots that the node may
+// use. With a shorter time constant, the mean follows the quick changes of this number
+// while nodes share replicas. With a longer time constant, waits are predicted from slots
+// that other nodes now use.
+const meanSlotsTimeConstant = 2 * time.Second
 
 // nodeSlots tracks the number of the replicas' slots that this node may use. Nodes that
 // share replicas compete for the free slots. The number of slots of one node therefore
 // changes by half within tenths of a second, although the replicas do not change.
 //
 // If waits were predicted from the current number of slots, requests would be admitted for
-// slots that another node uses a moment later. One refused request in a hundred then waited
-// for more than two seconds. Waits are therefore predicted from the mean number of slots. A
-// loss of replicas still lowers the mean at once.
+// slots that another node uses a moment later. One refused request in a hundred would then
+// wait for more than two seconds before its refusal. Waits are therefore predicted from the
+// mean number of slots. A loss of replicas still lowers the mean at once.
 type nodeSlots struct {
 	slots      int // number of slots that the node may use now
 	totalSlots int // number of slots of all usable replicas
@@ -51,12 +51,12 @@
 }
 
 // restartMean restarts the mean from the current number of slots if this number is below
-// the mean. It is called when the first request has to wait: the other nodes are then also
-// filling the free slots. It reports whether the mean has changed.
+// the mean. restartMean is called when the first request has to wait: the other nodes are
+// then also filling the free slots. restartMean reports whether the mean has changed.
 //
 // Before a rush each node sees nearly all slots as free. If this period stayed in the mean,
-// the mean would be too high for seconds. Requests were admitted for up to three times the
-// slots that the node really had, and refused after three seconds.
+// the mean would be too high for seconds. The node would then admit requests for up to
+// three times its real slots, and refuse them three seconds later.
 func (s *nodeSlots) restartMean(now time.Time) bool {
 	mean := s.meanAt(now)
 	if float64(s.slots) >= mean {
@@ -66,7 +66,8 @@
 	return true
 }
 
-// meanAt returns the mean number of slots over the last meanSlotsWindow.
+// meanAt returns the number of slots, averaged with the time constant
+// meanSlotsTimeConstant.
 func (s *nodeSlots) meanAt(now time.Time) float64 {
 	if float64(s.slots) == s.meanSlots {
 		return s.meanSlots
@@ -77,13 +78,13 @@
 
 // meanSlotsWeight returns the weight of the field meanSlots in the mean at the given time.
 // The current number of slots has the rest of the weight. After a restart, the averaging
-// period grows from zero to meanSlotsWindow, and all times since the restart have the same
-// weight.
+// period grows from zero to meanSlotsTimeConstant. While this period grows, all times since
+// the restart have the same weight.
 func (s *nodeSlots) meanSlotsWeight(now time.Time) float64 {
 	age := max(now.Sub(s.updatedAt), 0)
 	coveredTime := max(s.updatedAt.Sub(s.meanSince), 0)
-	growthTime := min(age, max(meanSlotsWindow-coveredTime, 0))
-	weight := math.Exp(-(age - growthTime).Seconds() / meanSlotsWindow.Seconds())
+	growthTime := min(age, max(meanSlotsTimeConstant-coveredTime, 0))
+	weight := math.Exp(-(age - growthTime).Seconds() / meanSlotsTimeConstant.Seconds())
 	if growthTime > 0 {
 		weight *= coveredTime.Seconds() / (coveredTime + growthTime).Seconds()
 	}
--- a/decide/admission/predict.go
+++ b/decide/admission/predict.go
@@ -18,9 +18,9 @@
 	jobLength        jobLength
 }
 
-// advance moves the position behind requests of the same class and job length. cost is the
-// expected cost of these requests.
-func (p *position) advance(cost float64) {
+// addWorkAhead moves the position behind further requests of the same class and job length.
+// cost is the expected cost of these requests, in tokens.
+func (p *position) addWorkAhead(cost float64) {
 	p.sameLengthAhead += cost
 	if p.jobLength == long {
 		p.longAhead += cost
@@ -33,9 +33,9 @@
 // was served in advance of the other teams; see [fairness.Scheduler.Debt].
 //
 // Short requests that arrive later may overtake a long job. Long jobs are therefore
-// expected to get the team's rate minus the demand of its short requests, but at least half
-// of the team's rate. A long job also waits for all long jobs of the team that are ahead of
-// it in any class. These jobs use only a part of the slots.
+// expected to get the team's forecast rate minus the team's demand of short requests, but
+// at least half of the forecast rate. A long job also waits for all long jobs of the team
+// that are ahead of it in any class. These jobs use only a part of the slots.
 func (q *Queue) predictWait(t *team, p position) time.Duration {
 	f := &q.forecast
 	if f.drainRate <= 0 {
--- a/decide/admission/queue.go
+++ b/decide/admission/queue.go
@@ -49,18 +49,18 @@
 		scheduler: fairness.New[*team](laneCount, cfg.credit()),
 		teams:     make(map[string]*team),
 		items:     make(map[uint64]*item),
-		meter:     rateMeter{assumedRate: max(cfg.SlotRate, 0)},
+		meter:     rateMeter{assumedSlotRate: max(cfg.SlotRate, 0)},
 	}
 	q.nodeSlots.setFixed(time.Time{}, cfg.Slots)
 	q.longJobSlots = cfg.Slots
 	return q
 }
 
-// AssumeRate replaces Config.SlotRate, the rate that is used until a rate is measured. Zero
-// means unknown. A node that starts during a rush gets the rate from the endpoints' reports
-// before its first request finishes.
-func (q *Queue) AssumeRate(tokensPerSecond float64) {
-	q.meter.assumedRate = max(tokensPerSecond, 0)
+// AssumeSlotRate replaces Config.SlotRate, the slot rate that is used until a slot rate is
+// measured. Zero means unknown. A node that starts during a rush gets the slot rate from
+// the endpoints' reports before the node's first request finishes.
+func (q *Queue) AssumeSlotRate(tokensPerSecond float64) {
+	q.meter.assumedSlotRate = max(tokensPerSecond, 0)
 }
 
 // SetTeam sets the weight of a team. A team for which SetTeam was not called has weight 1.
@@ -109,9 +109,9 @@
 // if no work was done, for example because the endpoint refused the connection. Unknown IDs
 // are ignored.
 //
-// Requests with zero cost do not count in the measured rate. Otherwise endpoints that
+// Requests with zero cost do not count in the measured slot rate. Otherwise endpoints that
 // refuse connections would look very fast. When these endpoints accept connections again,
-// requests would be admitted at the high rate and miss their deadlines.
+// requests would be admitted at the high slot rate and miss their deadlines.
 func (q *Queue) Finish(now time.Time, id uint64, cost float64) []Verdict {
 	it, ok := q.items[id]
 	if !ok || !it.running {
@@ -129,10 +129,11 @@
 // FinishTruncated frees the slot of a running request whose response ended early, at the
 // deadline of its caller or because of a failure. cost is the actual cost in tokens.
 //
-// Truncated responses do not count in the measured rate. Otherwise each of them would add
-// its whole expected cost for the short time that it ran, and the service would look faster
-// than it is. The queue would then admit more requests, these would start later, and more
-// responses would be truncated at the deadline, until hardly any response is complete.
+// Truncated responses do not count in the measured slot rate. Otherwise each truncated
+// response would add its whole expected cost for the short time that it ran, and the
+// service would look faster than it is. The queue would then admit more requests, these
+// requests would start later, and more responses would be truncated at the deadline, until
+// hardly any response is complete.
 func (q *Queue) FinishTruncated(now time.Time, id uint64, cost float64) []Verdict {
 	it, ok := q.items[id]
 	if !ok || !it.running {
@@ -173,9 +174,9 @@
 
 // SetShare sets the number of slots that this node may use now, and the total number of
 // slots of the replicas that the node shares with other nodes. The number of slots of the
-// node may change with each report of a replica. Waits are therefore predicted from its
-// recent mean. The waiting requests are reviewed only if the total has decreased or the
-// node has no slots.
+// node may change with each report of a replica. Waits are therefore predicted from the
+// recent mean of this number. The waiting requests are reviewed only if the total has
+// decreased or the node has no slots.
 func (q *Queue) SetShare(now time.Time, slots, total int) []Verdict {
 	if q.nodeSlots.update(now, max(slots, 0), max(slots, total, 0)) {
 		q.review(now)
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// rateWindow is the time constant with which older values decay in the measured rates. It
-// spans several responses of a model service. The effect of a slow period ends within half
-// a minute.
-const rateWindow = 10 * time.Second
+// rateTimeConstant is the time constant with which older values decay in the measured slot
+// rate and in the measured demands. It spans several responses of a model service. The
+// effect of a slow period ends within half a minute.
+const rateTimeConstant = 10 * time.Second
 
-// minRateWindow is the shortest time over which a rate is calculated. Over a shorter time,
-// the first request of a team would result in a very high rate.
-const minRateWindow = 2 * time.Second
+// minDemandWindow is the shortest time over which a demand is calculated. Over a shorter
+// time, the first request of a team would result in a very high demand.
+const minDemandWindow = 2 * time.Second
 
 // decayingSum is a sum of added values, usually costs in tokens, that decays exponentially
-// with the time constant rateWindow.
+// with the time constant rateTimeConstant.
 type decayingSum struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
@@ -23,7 +23,7 @@
 }
 
 // negligibleSum is the sum, in tokens, below which a decayingSum restarts. A sum of one
-// token decays to this value in slightly more than 20 times rateWindow.
+// token decays to this value in slightly more than 20 times rateTimeConstant.
 const negligibleSum = 1e-9
 
 func (d *decayingSum) add(now time.Time, x float64) {
@@ -43,19 +43,19 @@
 	return d.sum * decay(age)
 }
 
-// perSecond returns the added values as a rate per second, averaged over rateWindow. If the
-// first value was added less than rateWindow ago, the average is over the time since then,
-// but at least over minRateWindow. If the sum were always divided by rateWindow, the demand
+// perSecond returns the sum of the added values per second, averaged with the time constant
+// rateTimeConstant. The average covers only the time since the first value was added, but
+// at least minDemandWindow. If the sum were always divided by rateTimeConstant, the demand
 // would look low in the first ten seconds of a rush, and too many requests would be
 // admitted.
 func (d *decayingSum) perSecond(now time.Time) float64 {
-	age := max(now.Sub(d.firstAddAt), minRateWindow)
-	return d.valueAt(now) / (rateWindow.Seconds() * (1 - decay(age)))
+	age := max(now.Sub(d.firstAddAt), minDemandWindow)
+	return d.valueAt(now) / (rateTimeConstant.Seconds() * (1 - decay(age)))
 }
 
 // decay returns the factor by which a sum decays in the given time.
 func decay(age time.Duration) float64 {
-	return math.Exp(-age.Seconds() / rateWindow.Seconds())
+	return math.Exp(-age.Seconds() / rateTimeConstant.Seconds())
 }
 
 // rateMeter measures the rate of a slot, in expected tokens per second of slot time. Slot
@@ -67,28 +67,28 @@
 // queue would then refuse the first requests of a rush. The rate of a slot does not depend
 // on the load. Multiplied by the number of slots, it shows a loss of capacity at once.
 type rateMeter struct {
-	assumedRate float64 // used until a rate is measured
+	assumedSlotRate float64 // tokens per second; used until a slot rate is measured
 
 	finishedTokens      float64   // expected tokens of finished requests, decayed
 	finishedSlotSeconds float64   // slot time of finished requests in seconds, decayed
-	measuredAt          time.Time // when a request last finished
+	lastFinishAt        time.Time // when recordFinished was last called
 
-	runningCount         int     // number of running requests
-	runningTokens        float64 // expected tokens of the running requests
-	startOffsetSumMicros int64   // sum over the running requests of the time from startOffsetBase to the start, microseconds
-	startOffsetBase      time.Time
+	runningCount         int       // number of running requests
+	runningTokens        float64   // expected tokens of the running requests
+	startOffsetSumMicros int64     // sum of the times from startOffsetBase to the start of each running request, microseconds
+	startOffsetBase      time.Time // when the first request started
 }
 
 const (
-	// maxElapsedRatio is the elapsed ratio, before elapsedRatioMargin is added, above which
-	// the service is slow. In normal operation the elapsed ratio is 0.5 on average, or 1 if
-	// the costs are distributed exponentially.
+	// maxElapsedRatio is the normal maximum of the elapsed ratio, before elapsedRatioMargin
+	// is added. In normal operation the elapsed ratio is 0.5 on average, or 1 if the costs
+	// are distributed exponentially.
 	maxElapsedRatio = 1.5
 	// elapsedRatioMargin, divided by the square root of the number of running requests, is
 	// added to maxElapsedRatio to allow for random variation.
 	elapsedRatioMargin = 4
 	// stalledElapsedOverMax is the elapsed ratio above which the service is stalled, as a
-	// multiple of the ratio above which the service is slow.
+	// multiple of the normal maximum of the elapsed ratio.
 	stalledElapsedOverMax = 2
 )
 
@@ -101,8 +101,8 @@
 	m.startOffsetSumMicros += now.Sub(m.startOffsetBase).Microseconds()
 }
 
-// removeRunning removes a request from the running requests. This does not change the
-// measured rate.
+// removeRunning removes a request from the running requests. The measured slot rate does
+// not change.
 func (m *rateMeter) removeRunning(startedAt time.Time, cost float64) {
 	m.runningCount--
 	m.runningTokens -= cost
@@ -112,17 +112,17 @@
 	}
 }
 
-// recordFinished adds a finished request to the measured rate.
+// recordFinished adds a finished request to the measured slot rate.
 func (m *rateMeter) recordFinished(now time.Time, cost float64, duration time.Duration) {
-	factor := decay(max(now.Sub(m.measuredAt), 0))
-	m.measuredAt = now
+	factor := decay(max(now.Sub(m.lastFinishAt), 0))
+	m.lastFinishAt = now
 	m.finishedTokens = m.finishedTokens*factor + cost
 	m.finishedSlotSeconds = m.finishedSlotSeconds*factor + duration.Seconds()
 }
 
-// measuredRate returns the rate of a slot over the finished requests, in expected tokens
-// per second. It returns zero if no request has finished.
-func (m *rateMeter) measuredRate() float64 {
+// measuredSlotRate returns the rate of a slot over the finished requests, in expected
+// tokens per second. It returns zero if no request has finished.
+func (m *rateMeter) measuredSlotRate() float64 {
 	if m.finishedSlotSeconds <= 0 {
 		return 0
 	}
@@ -133,26 +133,26 @@
 // the rate is unknown.
 //
 // The finished requests alone do not show that the service has become slow since they
-// finished. Requests would then be admitted at the old rate. Therefore the time that the
-// running requests have taken so far also counts. If this time exceeds its normal maximum,
-// slotRate divides the rate by the ratio of the two.
+// finished. Requests would then be admitted at the old slot rate. Therefore the time that
+// the running requests have taken so far also counts. If the elapsed ratio exceeds its
+// normal maximum, slotRate divides the measured or assumed slot rate by elapsedOverMax.
 func (m *rateMeter) slotRate(now time.Time) float64 {
-	rate := m.measuredRate()
+	rate := m.measuredSlotRate()
 	if rate == 0 {
-		rate = m.assumedRate
+		rate = m.assumedSlotRate
 	}
 	return rate / max(m.elapsedOverMax(now, rate), 1)
 }
 
-// stalled reports whether the service has practically stopped finishing requests. It uses a
-// measured rate only, because an assumed rate may be wrong.
+// stalled reports whether the service has practically stopped finishing requests. It uses
+// only the measured slot rate, because the assumed slot rate may be wrong.
 func (m *rateMeter) stalled(now time.Time) bool {
-	return m.elapsedOverMax(now, m.measuredRate()) > stalledElapsedOverMax
+	return m.elapsedOverMax(now, m.measuredSlotRate()) > stalledElapsedOverMax
 }
 
-// elapsedOverMax returns the elapsed ratio, divided by the ratio above which the service is
-// slow. The expected duration of the running requests is their expected cost divided by the
-// given rate of a slot, in tokens per second.
+// elapsedOverMax returns the elapsed ratio, divided by the normal maximum of this ratio. The
+// expected duration of the running requests is their expected cost divided by rate, the
+// tokens per second of a slot.
 func (m *rateMeter) elapsedOverMax(now time.Time, rate float64) float64 {
 	if m.runningCount == 0 || rate == 0 {
 		return 0
--- a/decide/admission/refuse.go
+++ b/decide/admission/refuse.go
@@ -13,9 +13,9 @@
 	// maxWaitRatioAtOffer, so that a random change of the prediction alone does not cause
 	// the refusal of an admitted request.
 	maxWaitRatioInQueue = 1.25
-	// retryFractionOfRate is the fraction of a team's rate that RetryAfter assumes for
-	// retries. The rest of the rate is for new requests.
-	retryFractionOfRate = 0.5
+	// retryFractionOfForecastRate is the fraction of a team's forecast rate that RetryAfter
+	// assumes for retries. The rest of the forecast rate is for new requests.
+	retryFractionOfForecastRate = 0.5
 	// maxRetryJitterFraction is the largest fraction by which jitter shortens RetryAfter.
 	// Jitter spreads the retries of requests that were refused at the same time.
 	maxRetryJitterFraction = 0.1
@@ -99,13 +99,13 @@
 	return earliestDeadline
 }
 
-// sweepList refuses the late requests of one class and job length. It advances the position
+// sweepList refuses the late requests of one class and job length. It moves the position
 // behind each request that stays. Blocks in which no request can be late are skipped.
 func (q *Queue) sweepList(now time.Time, t *team, c *classQueue, p *position) (earliestDeadline time.Time) {
 	p.sameLengthAhead = 0
 	for b := c.lists[p.jobLength].firstBlock; b != nil; b = b.next {
 		if q.allOnTime(now, t, c, b, *p) {
-			p.advance(b.cost)
+			p.addWorkAhead(b.cost)
 			earliestDeadline = earlier(earliestDeadline, b.earliestDeadline)
 			continue
 		}
@@ -121,7 +121,7 @@
 	if q.forecast.stalled || b.earliestDeadline.Before(now) {
 		return false
 	}
-	p.advance(b.cost)
+	p.addWorkAhead(b.cost)
 	p.otherLengthAhead = c.otherLengthWorkAhead(p.jobLength, p.sameLengthAhead)
 	return !q.missesDeadline(t, p, b.earliestDeadline.Sub(now))
 }
@@ -132,7 +132,7 @@
 		if q.refuseIfLate(now, it, *p) {
 			return
 		}
-		p.advance(it.Cost)
+		p.addWorkAhead(it.Cost)
 		earliestDeadline = earlier(earliestDeadline, it.Deadline)
 	})
 	if b.waitingCount > 0 {
@@ -183,9 +183,9 @@
 //
 // The retry starts from the later of two times: when the queue has drained for the time
 // late, and when the previous refused request of the team was told to retry. To this,
-// retryAfter adds the time in which the team's rate times retryFractionOfRate serves the
-// request. If all refused requests were told the same time, they would return in one burst
-// and be refused again.
+// retryAfter adds the time in which the team's forecast rate times
+// retryFractionOfForecastRate serves the request. If all refused requests were told the
+// same time, they would return in one burst and be refused again.
 func (q *Queue) retryAfter(now time.Time, it *item, late time.Duration) time.Duration {
 	if q.forecast.drainRate <= 0 {
 		return noCapacityRetryAfter
@@ -195,7 +195,7 @@
 	if t.lastRetryAt.After(retryAt) {
 		retryAt = t.lastRetryAt
 	}
-	retryAt = retryAt.Add(toDuration(it.Cost / (retryFractionOfRate * t.forecastRate)))
+	retryAt = retryAt.Add(toDuration(it.Cost / (retryFractionOfForecastRate * t.forecastRate)))
 	if latest := now.Add(q.cfg.MaxRetryAfter); retryAt.After(latest) {
 		retryAt = latest
 	}
--- a/decide/admission/step.go
+++ b/decide/admission/step.go
@@ -6,31 +6,32 @@
 )
 
 const (
-	// stepWindow is the time constant of the recent total demand. A step is a sudden rise
-	// of this demand.
-	stepWindow = time.Second
+	// stepTimeConstant is the time constant of the recent total demand. A step is a sudden
+	// rise of this demand.
+	stepTimeConstant = time.Second
 	// minStepWindow is the shortest time over which the recent total demand is calculated.
-	minStepWindow = stepWindow / 2
+	minStepWindow = stepTimeConstant / 2
 	// stepResetPause is the time without an offered request after which the recent total
 	// demand restarts from zero.
-	stepResetPause = 3 * stepWindow
-	// stepDemandRatio is the ratio of the recent total demand to the total demand over
-	// rateWindow above which a step is detected. At 64 requests a second, random variation
-	// changes the recent total demand by 9% (standard deviation).
+	stepResetPause = 3 * stepTimeConstant
+	// stepDemandRatio is the ratio of the recent total demand to the measured total demand
+	// above which a step is detected. The measured total demand has the time constant
+	// rateTimeConstant. At 64 requests a second, random variation changes the recent total
+	// demand by 9% (standard deviation).
 	stepDemandRatio = 1.5
 )
 
 // stepDetector detects a sudden rise of the total demand of all teams.
 //
-// After a quiet period, the demand over rateWindow takes seconds to show such a rise.
-// Without this detector, a node that was offered twice its capacity after a pause of 8 s
-// predicted waits that were too short. It expected each team to get the rate that the other
-// teams did not seem to need. One refusal in ten then came more than three seconds after
-// the offer.
+// After a quiet period, the demand measured with the time constant rateTimeConstant takes
+// seconds to show such a rise. Without this detector, a node that is offered twice its
+// capacity after a pause of 8 s predicts waits that are too short: the node expects each
+// team to get the part of the drain rate that the other teams do not seem to need. One
+// refusal in ten then comes more than three seconds after the offer.
 type stepDetector struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
-	firstAddAt time.Time // time of the first add after a pause
+	firstAddAt time.Time // time of the first add after the last pause longer than stepResetPause
 }
 
 func (s *stepDetector) add(now time.Time, x float64) {
@@ -42,14 +43,15 @@
 }
 
 func (s *stepDetector) valueAt(now time.Time) float64 {
-	return s.sum * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/stepWindow.Seconds())
+	return s.sum * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/stepTimeConstant.Seconds())
 }
 
 // riseFactor returns the ratio of the recent total demand to measuredDemand, the total
-// demand over rateWindow. It returns 1 if random variation may explain the difference.
+// demand measured with the time constant rateTimeConstant. It returns 1 if random variation
+// may explain the difference.
 func (s *stepDetector) riseFactor(now time.Time, measuredDemand float64) float64 {
-	age := max(now.Sub(s.firstAddAt), minStepWindow).Seconds() / stepWindow.Seconds()
-	recentDemand := s.valueAt(now) / (stepWindow.Seconds() * (1 - math.Exp(-age)))
+	age := max(now.Sub(s.firstAddAt), minStepWindow).Seconds() / stepTimeConstant.Seconds()
+	recentDemand := s.valueAt(now) / (stepTimeConstant.Seconds() * (1 - math.Exp(-age)))
 	if recentDemand <= stepDemandRatio*measuredDemand || measuredDemand == 0 {
 		return 1
 	}
--- a/decide/admission/types.go
+++ b/decide/admission/types.go
@@ -8,7 +8,7 @@
 
 // The classes, in the order in which they are served within a team.
 const (
-	// Order is the class of requests that must not run twice, such as a purchase.
+	// Order is the class of requests that must not run twice.
 	Order Class = iota
 	Interactive
 	Batch
--- a/decide/fairness/doc.go
+++ b/decide/fairness/doc.go
@@ -29,6 +29,8 @@
 //     requests of one lane may have to wait for a slot while those of another lane can
 //     start. A flow has one virtual time for all lanes, so a team can't gain by spreading
 //     its requests over several lanes.
+//   - The virtual time of the scheduler is the largest virtual time that a flow had when
+//     one of its requests started. This virtual time never decreases.
 //   - A flow is active while it waits in at least one lane. Otherwise it is idle.
 //   - Tokens at weight 1 is the unit of virtual time: a request of 10 tokens adds 10 at
 //     weight 1 and 5 at weight 2.
@@ -37,7 +39,8 @@
 //
 // The credit is the most that a team may be behind the virtual time of the scheduler,
 // in tokens at weight 1. Without this bound, a team whose requests could not start for a
-// while would later take every slot until it has caught up, and the other teams would
-// get no slot. The default equals the cost of four long jobs. It leaves room for the refund
-// of an overstated cost, and the other teams have to wait for at most four jobs.
+// while would later take every slot until its virtual time has caught up, and the other
+// teams would get no slot. The default credit equals the cost of four long jobs. This
+// credit leaves room for the refund of an overstated cost, and the other teams have to wait
+// for at most four jobs.
 package fairness
--- a/decide/fairness/scheduler.go
+++ b/decide/fairness/scheduler.go
@@ -47,7 +47,7 @@
 	return s
 }
 
-// Add returns a new flow. It does not wait in any lane yet.
+// Add returns a new flow. The flow does not wait in any lane yet.
 func (s *Scheduler[T]) Add(weight float64, value T) *Flow[T] {
 	f := &Flow[T]{Value: value, weight: sanitizeWeight(weight), virtualTime: s.virtualTime}
 	f.heapIndexes = make([]int, len(s.lanes))
@@ -133,8 +133,8 @@
 }
 
 // Debt returns the work, in tokens, that corresponds to the flow's virtual time above that
-// of the scheduler, or zero if it is not above. The flow is served again when the other
-// flows have caught up.
+// of the scheduler. It is zero if the flow's virtual time is not above that of the
+// scheduler. The flow is served again when the other flows have caught up.
 func (s *Scheduler[T]) Debt(f *Flow[T]) float64 {
 	return max(f.virtualTime-s.virtualTime, 0) * f.weight
 }
--- a/decide/retry/limiter_test.go
+++ b/decide/retry/limiter_test.go
@@ -47,7 +47,7 @@
 // If the nodes restart one by one and each starts with a full burst, all nodes together
 // exceed their retry limit, because the retries of the previous processes still count in
 // the window. A restarted node therefore starts with InitialRetries.
-func TestInitialRetriesLimitRestartedNode(t *testing.T) {
+func TestRestartedNodeGetsOnlyInitialRetries(t *testing.T) {
 	b := New(Config{Burst: 24, InitialRetries: 3, Window: testWindow})
 	if n := retryUntilRefused(b, epoch); n != 3 {
 		t.Errorf("%d retries after the start, want 3", n)
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -36,15 +36,16 @@
 	return attempts, failedCalls
 }
 
-// Without a retry budget, a service that is down receives three attempts per call. This
-// triples the load of the service for the whole outage and keeps it from recovering.
+// Without a retry budget, a service that is down receives three attempts per call. These
+// attempts triple the load of the service for the whole outage and keep the service from
+// recovering.
 func TestBudgetLimitsRetryStorm(t *testing.T) {
 	threeAttempts := func(_ time.Time, a Attempt) bool { return a.AttemptsMade < DefaultMaxAttempts }
 	for _, c := range []struct {
-		name               string
-		failureRatio       float64 // fraction of the attempts that fail
-		maxAttemptsPerCall float64 // largest number of attempts per call
-		maxFailedFraction  float64 // largest fraction of the calls that fail
+		name                   string
+		failureRatio           float64 // fraction of the attempts that fail
+		maxMeanAttemptsPerCall float64 // largest mean number of attempts per call
+		maxFailedFraction      float64 // largest fraction of the calls that fail
 	}{{"down", 1, 1.05, 1}, {"half down", 0.5, 1.12, 0.5}, {"failing one attempt in twenty", 0.05, 1.06, 0}} {
 		Convey("Given a service that is "+c.name, t, func() {
 			const calls = 10000
@@ -53,14 +54,14 @@
 			attempts, failedCalls := countAttempts(calls, c.failureRatio, allowByBudget, b.Success)
 			unbudgetedAttempts, unbudgetedFailedCalls := countAttempts(calls, c.failureRatio, threeAttempts, func(time.Time) {})
 			t.Logf("attempts per call: with budget %.2f, with three attempts each %.2f; failed calls %d, %d", float64(attempts)/calls, float64(unbudgetedAttempts)/calls, failedCalls, unbudgetedFailedCalls)
-			So(float64(attempts)/calls, ShouldBeLessThanOrEqualTo, c.maxAttemptsPerCall)
+			So(float64(attempts)/calls, ShouldBeLessThanOrEqualTo, c.maxMeanAttemptsPerCall)
 			So(float64(failedCalls)/calls, ShouldBeLessThanOrEqualTo, c.maxFailedFraction)
 		})
 	}
 }
 
-// If a request that is not idempotent, such as an order, is retried although it may have
-// run, it may run twice. If a request is retried after an overload, the overload gets
+// If an order, which is a request that is not idempotent, is retried although it may have
+// run, the order may run twice. If a request is retried after an overload, the overload gets
 // worse. Allow must forbid such retries and return the reason.
 func TestAllowReasons(t *testing.T) {
 	allowedAttempt := Attempt{AttemptsMade: 1, Failure: health.BrokenResponse, Idempotent: true, Alternatives: 1, Deadline: epoch.Add(time.Second)}
--- a/route/service/rate.go
+++ b/route/service/rate.go
@@ -64,7 +64,7 @@
 		return
 	}
 	s.Admission.Configure(func(_ time.Time, q *admission.Queue) []admission.Verdict {
-		q.AssumeRate(rate)
+		q.AssumeSlotRate(rate)
 		return nil
 	})
 }
