--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -45,9 +45,9 @@
 	Loads, Drops []Adapter
 	Reason       string
 	// Holders is the number of planned holders of the adapter in Loads before the change,
-	// and Target the number of holders that it should have. Both are zero for a change
+	// and TargetHolders the number of holders that it should have. Both are zero for a change
 	// without Loads.
-	Holders, Target int
+	Holders, TargetHolders int
 	// AlternativeReplicaCount is the number of other replicas that could have taken the
 	// adapter in Loads.
 	AlternativeReplicaCount int
@@ -239,7 +239,7 @@
 	if best < 0 {
 		return false
 	}
-	d.addChange(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.plannedHolders[want.Adapter], Target: target, AlternativeReplicaCount: alternativeReplicaCount})
+	d.addChange(best, []Adapter{want.Adapter}, drops, Change{Reason: reason, Holders: d.plannedHolders[want.Adapter], TargetHolders: target, AlternativeReplicaCount: alternativeReplicaCount})
 	return true
 }
 
@@ -257,10 +257,10 @@
 // The replica that must drop fewer adapters is better. If both must drop equally many, a
 // replica whose plan contains another version of the adapter is better, so that callers stay
 // on their replicas. After that, lower utilization and then fewer planned adapters decide.
-func (d *decision) betterHolder(want Desired, a, dropsA, b, dropsB int) bool {
+func (d *decision) betterHolder(want Desired, a, dropCountA, b, dropCountB int) bool {
 	replicaA, replicaB := &d.replicas[a], &d.replicas[b]
 	return cmp.Or(
-		cmp.Compare(dropsA, dropsB),
+		cmp.Compare(dropCountA, dropCountB),
 		cmp.Compare(otherVersionScore(replicaB, want.Name), otherVersionScore(replicaA, want.Name)),
 		cmp.Compare(replicaA.Utilization, replicaB.Utilization),
 		cmp.Compare(len(replicaA.Planned), len(replicaB.Planned)),
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -16,7 +16,7 @@
 	return Replica{Name: name, MemoryBytes: memoryBytes, Planned: planned, Held: planned, Serving: true}
 }
 
-func (r Replica) withLoad(a Adapter, rate, utilization float64) Replica {
+func (r Replica) withUse(a Adapter, rate, utilization float64) Replica {
 	r.UseRate, r.Utilization = map[Adapter]float64{a: rate}, utilization
 	return r
 }
@@ -35,21 +35,21 @@
 		want     string // replica and adapters of each change
 	}{
 		{"the desired number of holders, idle replicas first", []Desired{desired(notes1, 2)},
-			[]Replica{servingReplica("a", 100).withLoad(notes1, 0, 0.5), servingReplica("b", 100), servingReplica("c", 100)}, "b[notes@1] c[notes@1]"},
+			[]Replica{servingReplica("a", 100).withUse(notes1, 0, 0.5), servingReplica("b", 100), servingReplica("c", 100)}, "b[notes@1] c[notes@1]"},
 		{"no load without memory", []Desired{desired(notes1, 1)}, []Replica{servingReplica("a", 9)}, ""},
 		{"a replica that does not serve takes no adapter", []Desired{desired(notes1, 1)}, []Replica{stoppedReplica}, ""},
 		{"one more holder while all holders are busy", []Desired{desired(notes1, 1)},
-			[]Replica{servingReplica("a", 100, notes1).withLoad(notes1, 3, 0.9), servingReplica("b", 100)}, "b[notes@1]"},
+			[]Replica{servingReplica("a", 100, notes1).withUse(notes1, 3, 0.9), servingReplica("b", 100)}, "b[notes@1]"},
 		{"no further holder while one holder is not busy", []Desired{desired(notes1, 2)},
-			[]Replica{servingReplica("a", 100, notes1).withLoad(notes1, 3, 0.9), servingReplica("b", 100, notes1), servingReplica("c", 100)}, ""},
+			[]Replica{servingReplica("a", 100, notes1).withUse(notes1, 3, 0.9), servingReplica("b", 100, notes1), servingReplica("c", 100)}, ""},
 		{"no further holder while a load is underway", []Desired{desired(notes1, 1)},
-			[]Replica{servingReplica("c", 100, notes1).withLoad(notes1, 3, 0.9), loadingReplica, servingReplica("b", 100)}, ""},
+			[]Replica{servingReplica("c", 100, notes1).withUse(notes1, 3, 0.9), loadingReplica, servingReplica("b", 100)}, ""},
 		{"no further holder on a busy replica", []Desired{desired(notes1, 1)},
-			[]Replica{servingReplica("a", 100, notes1).withLoad(notes1, 3, 0.9), servingReplica("b", 100).withLoad(notes1, 0, 0.9)}, ""},
+			[]Replica{servingReplica("a", 100, notes1).withUse(notes1, 3, 0.9), servingReplica("b", 100).withUse(notes1, 0, 0.9)}, ""},
 		{"an idle adapter is kept", []Desired{desired(notes1, 1)},
 			[]Replica{servingReplica("a", 100, notes1), servingReplica("b", 100, notes1)}, ""},
 		{"an idle adapter is dropped where another needs the memory", []Desired{desired(notes1, 1), desired(plans1, 1)},
-			[]Replica{servingReplica("a", 10, notes1).withLoad(notes1, 1, 0), servingReplica("b", 10, notes1)}, "a[plans@1]"},
+			[]Replica{servingReplica("a", 10, notes1).withUse(notes1, 1, 0), servingReplica("b", 10, notes1)}, "a[plans@1]"},
 		{"the last desired holder keeps its adapter", []Desired{desired(notes1, 1), desired(plans1, 1)},
 			[]Replica{servingReplica("a", 10, notes1)}, ""},
 		{"an adapter that the document no longer names is dropped", nil, []Replica{servingReplica("a", 100, notes1)}, "a[]"},
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -83,10 +83,10 @@
 // each replica begins where the previous replica's span ends, or at the first layer if the
 // previous span ends with the last layer. A span has the length that MaxLayers returns for the
 // fraction, but ends at the last layer at the latest.
-func assignConsecutiveSpans(m Model, replicas []Replica, fraction float64) []Replica {
+func assignConsecutiveSpans(m Model, replicas []Replica, fillFraction float64) []Replica {
 	nextLayer := 0
 	for i := range replicas {
-		n := min(m.MaxLayers(replicas[i].MemoryMB, fraction), m.Layers-nextLayer)
+		n := min(m.MaxLayers(replicas[i].MemoryMB, fillFraction), m.Layers-nextLayer)
 		replicas[i].Held = Span{nextLayer, nextLayer + n}
 		nextLayer = (nextLayer + n) % m.Layers
 	}
@@ -104,7 +104,7 @@
 	assignSpansOnGrid := func(replicas []Replica, gridLayers int) []Replica {
 		nextLayer := 0
 		for i := range replicas {
-			n := min(layersOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-nextLayer)
+			n := min(spanLengthOnGrid(replicas[i].MemoryMB, gridLayers), model.Layers-nextLayer)
 			replicas[i].Held = Span{nextLayer, nextLayer + n}
 			nextLayer = (nextLayer + n) % model.Layers
 		}
@@ -138,9 +138,9 @@
 	}
 }
 
-// layersOnGrid returns the number of layers that a card holds if the length of a span must be
-// a multiple of gridLayers. If fewer than gridLayers fit, layersOnGrid returns the
+// spanLengthOnGrid returns the number of layers that a card holds if the length of a span must be
+// a multiple of gridLayers. If fewer than gridLayers fit, spanLengthOnGrid returns the
 // number of layers that fit.
-func layersOnGrid(memoryMB float64, gridLayers int) int {
+func spanLengthOnGrid(memoryMB float64, gridLayers int) int {
 	return max(1, model.MaxLayers(memoryMB, 1)/gridLayers) * min(gridLayers, model.MaxLayers(memoryMB, 1))
 }
--- a/decide/layers/coverage.go
+++ b/decide/layers/coverage.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// activeHolders returns the number of replicas that hold layers and are not excluded from
+// countHolders returns the number of replicas that hold layers and are not excluded from
 // planning.
-func (c *coverage) activeHolders() int {
+func (c *coverage) countHolders() int {
 	n := 0
 	for _, r := range c.replicas {
 		if !r.Excluded && !r.Held.Empty() {
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -131,7 +131,7 @@
 func Plan(model Model, replicas []Replica) []Order {
 	c := newCoverage(model, replicas)
 	orders := c.fillEmpty()
-	if gaps := c.gaps(); len(gaps) > 0 && c.activeHolders() > 0 {
+	if gaps := c.gaps(); len(gaps) > 0 && c.countHolders() > 0 {
 		orders = append(orders, c.repair(gaps)...)
 	} else {
 		orders = append(orders, c.shrinkOverfilled()...)
@@ -171,9 +171,9 @@
 // MaxLayers returns the given fraction of the number of layers whose weights fit in
 // memoryMB. The result is rounded, and is at least 1 and at most the number of layers of the
 // model.
-func (m Model) MaxLayers(memoryMB, fraction float64) int {
+func (m Model) MaxLayers(memoryMB, fillFraction float64) int {
 	fittingLayers := int(memoryMB / m.LayerMB)
-	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*fraction))))
+	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*fillFraction))))
 }
 
 // TokenCapacity returns the number of tokens whose KV cache for n layers fits in memoryMB
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -189,7 +189,7 @@
 		Reason:  c.Reason + loadsAndDrops(c),
 		Figures: map[string]float64{
 			"holders":   float64(c.Holders),
-			"target":    float64(c.Target),
+			"target":    float64(c.TargetHolders),
 			"with_room": float64(c.AlternativeReplicaCount),
 			"unplaced":  float64(unplaced),
 			"adapters":  float64(len(c.Adapters)),
