--- a/decide/adapters/adapters.go
+++ b/decide/adapters/adapters.go
@@ -45,7 +45,7 @@
 	Loads, Drops []Adapter
 	Reason       string
 	// Holders is the number of planned holders of the adapter in Loads before the change,
-	// and TargetHolders the number of holders that it should have. Both are zero for a change
+	// and TargetHolders the number that the adapter should have. Both are zero for a change
 	// without Loads.
 	Holders, TargetHolders int
 	// AlternativeReplicaCount is the number of other replicas that could have taken the
@@ -243,8 +243,9 @@
 	return true
 }
 
-// eligible reports whether a replica may become a holder of an adapter for the given
-// reason.
+// eligible reports whether a replica may become a holder of an adapter. The replica must serve,
+// must not contain the adapter in its plan, and must have no other change in this call of
+// Decide. If the reason is ReasonAllBusy, the replica must also not be busy.
 func (d *decision) eligible(replicaIndex int, want Desired, reason string) bool {
 	r := &d.replicas[replicaIndex]
 	if !r.Serving || d.replicaChanged[replicaIndex] || slices.Contains(r.Planned, want.Adapter) {
@@ -278,8 +279,8 @@
 }
 
 // evictions returns the adapters that a replica must drop to have memory for another adapter:
-// the least used of its evictable adapters. It returns false if the memory would be too small
-// even after the replica has dropped all its evictable adapters.
+// the least used of its adapters that it may drop (evictable). evictions returns false if the
+// memory would be too small even after the replica has dropped all these adapters.
 func (d *decision) evictions(replicaIndex int, want Desired) ([]Adapter, bool) {
 	r := &d.replicas[replicaIndex]
 	freeBytes := r.MemoryBytes - want.Bytes
@@ -317,7 +318,7 @@
 // much as the version in the document.
 func (d *decision) sizeBytes(a Adapter) int64 { return d.desiredByName[a.Name].Bytes }
 
-// addChange adds a replica's change to the result. It updates plannedHolders for the adapters
+// addChange adds a replica's change to the result, and updates plannedHolders for the adapters
 // that the change loads and drops.
 func (d *decision) addChange(replicaIndex int, loads, drops []Adapter, c Change) {
 	r := &d.replicas[replicaIndex]
--- a/decide/adapters/adapters_test.go
+++ b/decide/adapters/adapters_test.go
@@ -142,7 +142,7 @@
 }
 
 // applyChanges carries out the changes of one round. A replica keeps the held adapters that
-// stay in its plan. It holds the new adapters of its plan only after a round without a
+// stay in its plan. The replica holds the new adapters of its plan only after a round without a
 // change for this replica.
 func applyChanges(t *rapid.T, wanted []Desired, replicas []Replica, result Result) {
 	for i := range replicas {
--- a/decide/adapters/doc.go
+++ b/decide/adapters/doc.go
@@ -9,6 +9,9 @@
 //
 // # Terms
 //
+//   - The plan of a replica lists the adapters that its engines are ordered to hold.
+//   - A load is the fetch of an adapter from the weight store. The rate of this store is
+//     limited, and all loads share it.
 //   - A holder of an adapter is a replica all of whose engines report the adapter. A
 //     planned holder is a replica whose plan contains the adapter.
 //   - The document is the configuration that operators write. It says which adapters a
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -25,8 +25,8 @@
 }
 
 // bestCapacity tries all possible plans and returns the highest result of minCapacity. In each
-// plan, a replica at index or later holds a span that fits in its memory, or no layers. The
-// replicas before index keep their spans.
+// plan, a replica at index or at a higher index holds a span that fits in its memory, or no
+// layers. The replicas before index keep their spans.
 func bestCapacity(m Model, replicas []Replica, index int) float64 {
 	if index == len(replicas) {
 		return minCapacity(m, replicas)
@@ -65,8 +65,9 @@
 		}
 		capacityRatioSum, caseCount = capacityRatioSum+planCapacity/highestCapacity, caseCount+1
 	}
-	// With only 70 cases in a run, the mean ratio of the plan's capacity to the best capacity
-	// differs by a tenth between runs.
+	// The mean ratio of the plan's capacity to the best capacity still differs by a tenth
+	// between runs if a run has only 70 cases. So each iteration of rapid.Check compares
+	// several cases.
 	const casesPerIteration = 3
 	rapid.Check(t, func(t *rapid.T) {
 		for range casesPerIteration {
@@ -82,7 +83,7 @@
 // assignConsecutiveSpans changes the spans of replicas and returns the replicas. The span of
 // each replica begins where the previous replica's span ends, or at the first layer if the
 // previous span ends with the last layer. A span has the length that MaxLayers returns for the
-// fraction, but ends at the last layer at the latest.
+// fillFraction, but ends at the last layer at the latest.
 func assignConsecutiveSpans(m Model, replicas []Replica, fillFraction float64) []Replica {
 	nextLayer := 0
 	for i := range replicas {
--- a/decide/layers/coverage.go
+++ b/decide/layers/coverage.go
@@ -34,7 +34,8 @@
 }
 
 // addContribution adds the replica to the holders of the layers that it holds and its token
-// capacity to the capacity of these layers. It subtracts both if sign is -1.
+// capacity to the capacity of these layers. If sign is -1,
+// addContribution subtracts both.
 func (c *coverage) addContribution(r *Replica, sign int) {
 	if r.Excluded || r.Held.Empty() {
 		return
@@ -46,8 +47,7 @@
 	}
 }
 
-// countHolders returns the number of replicas that hold layers and are not excluded from
-// planning.
+// countHolders returns the number of replicas that hold layers and are not excluded.
 func (c *coverage) countHolders() int {
 	n := 0
 	for _, r := range c.replicas {
--- a/decide/layers/fill.go
+++ b/decide/layers/fill.go
@@ -40,8 +40,8 @@
 const gainTolerance = 1e-9
 
 const (
-	// uncoveredGain is the gain of a layer from its first holder. It outweighs the gain of
-	// any layer that already has a holder.
+	// uncoveredGain is the gain of a layer from its first holder. This gain outweighs the
+	// gain of any layer that already has a holder.
 	uncoveredGain = 100
 	// secondHolderGain is added to the gain of a layer that has only one holder. With a second
 	// holder, the loss of one replica no longer stops the domain.
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -116,7 +116,7 @@
 	// TargetFill is the fraction of a card that Plan fills with layers: the replica on the
 	// card gets this fraction of the number of layers that would fit. The rest of the memory holds
 	// some hundred requests of usual size on any card, so that two of three domains can carry
-	// the load of all three. At this fraction the replicas of a domain together hold more
+	// the requests of all three. At this fraction the replicas of a domain together hold more
 	// than one copy of the model. Half of the replicas may be lost, one at a time, without a
 	// gap: no layer is left without a holder.
 	TargetFill = 0.74
@@ -168,7 +168,7 @@
 	return len(newCoverage(model, replicas).gaps()) == 0
 }
 
-// MaxLayers returns the given fraction of the number of layers whose weights fit in
+// MaxLayers returns fillFraction times the number of layers whose weights fit in
 // memoryMB. The result is rounded, and is at least 1 and at most the number of layers of the
 // model.
 func (m Model) MaxLayers(memoryMB, fillFraction float64) int {
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -54,8 +54,8 @@
 	return otherReplicas
 }
 
-// The first plan of a domain whose replicas hold no layers covers all layers. It leaves
-// memory for at least 80,000 tokens on every replica.
+// The first plan of a domain whose replicas hold no layers covers all layers. The
+// plan leaves memory for at least 80,000 tokens on every replica.
 func TestFirstPlanCoversAllLayers(t *testing.T) {
 	for name, replicas := range map[string][]Replica{
 		"one fast card":            replicasWithMemory(h100MB, a100MB, l4MB, l4MB, l4MB, l4MB, l4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB, t4MB),
@@ -175,9 +175,9 @@
 	})
 }
 
-// The plan is compared with spans of equal length by the lowest token capacity of the layers
-// (minCapacity). Equal spans fill the small replicas and leave most memory of the large
-// replicas unused.
+// If all replicas held spans of equal length, the spans would fill the small replicas and leave
+// most memory of the large replicas unused. The lowest token capacity of the layers
+// (minCapacity) must be at least 1.5 times as high with the plan as with such spans.
 func TestCapacityAgainstEqualSpans(t *testing.T) {
 	replicas := typicalDomain()
 	plannedCapacity := minCapacity(model, applyOrders(replicas, Plan(model, replicas)))
--- a/decide/layers/repair.go
+++ b/decide/layers/repair.go
@@ -73,8 +73,8 @@
 }
 
 // bestNeighbour returns the neighbour that would have the most token capacity left if it took
-// one layer of the gap, and the span that it would then hold. It returns nil if no neighbour
-// may take a layer.
+// one layer of the gap, and the span that it would then hold. bestNeighbour returns nil
+// if no neighbour may take a layer.
 func (c *coverage) bestNeighbour(gap Span) (*Replica, Span) {
 	var best *Replica
 	var bestSpan Span
@@ -112,9 +112,9 @@
 
 // shift adds one layer at one end of a replica's span; span is the result. If span is longer
 // than the replica may hold (MaxFill), the replica gives up the layer at the opposite end.
-// This is allowed only if that layer has another holder, or if a replica adjacent to that layer
-// takes it by a shift of its own span. At most maxFurtherReplicas replicas may shift in
-// addition to the given one. shift reports whether it succeeded.
+// The replica may give up that layer only if the layer has another holder, or if a replica
+// adjacent to the layer takes it by a shift of its own span. At most maxFurtherReplicas replicas
+// may shift in addition to the given one. shift reports whether it succeeded.
 func (c *coverage) shift(r *Replica, span Span, originalSpans map[*Replica]Span, maxFurtherReplicas int) bool {
 	if span.Len() <= c.model.MaxLayers(r.MemoryMB, MaxFill) {
 		c.reassign(r, span, originalSpans)
@@ -145,9 +145,9 @@
 	return false
 }
 
-// extendedSpan returns the span of a replica extended by one layer of a gap. It returns false
-// if the gap is not adjacent to the span, or if the replica holds no layers or gets no order
-// now.
+// extendedSpan returns the span of a replica extended by one layer of a gap. The second
+// result is false if the gap is not adjacent to the span, or if the replica holds no layers or
+// gets no order now.
 func (c *coverage) extendedSpan(r *Replica, gap Span) (Span, bool) {
 	if r.Excluded || r.Fixed || r.Held.Empty() {
 		return Span{}, false
@@ -167,7 +167,7 @@
 	return held, false
 }
 
-// moveRedundant gives the beginning of a gap to a redundant replica. It prefers the replica
+// moveRedundant gives the beginning of a gap to a redundant replica, preferably to the replica
 // with the least memory, which has the fewest requests to finish before it moves. A replica
 // that holds the first layer moves only if there is no other redundant replica.
 func (c *coverage) moveRedundant(gap Span) (Order, bool) {
--- a/decide/paths/backoff.go
+++ b/decide/paths/backoff.go
@@ -20,8 +20,8 @@
 
 // extend records a refusal. A refusal during a backoff period doesn't lengthen the period.
 // A later refusal starts a new period, which is twice as long as the last one. If more time
-// than the length of the last period has passed since its end, the new period has the
-// length backoffBase again.
+// than the length of the last period has passed since the end of that period, the new period
+// has the length backoffBase again.
 func (b *backoff) extend(now time.Time) {
 	switch {
 	case now.Before(b.lastEnd):
--- a/decide/paths/doc.go
+++ b/decide/paths/doc.go
@@ -21,7 +21,12 @@
 //     the capacity is divided equally among all nodes that send requests to the domain
 //     (SetShare).
 //   - Peers are the other nodes that reserve capacity on the same replicas.
-//   - Listed replicas are those that the last call of Update passed.
+//   - Listed replicas are those that the last call of Update passed. A holder of a layer is
+//     a listed replica whose span contains the layer.
+//   - A suspected replica is one that looks dead (Suspect) and has neither answered since
+//     then (MarkAlive) nor restarted.
+//   - A backoff period of a replica is a time in which Choose skips the replica because the
+//     replica refused a request although it has capacity.
 //   - A try is one attempt to send a request to the first replica of a path. A refusal is
 //     the answer of a replica that doesn't accept the request; a refusal ends the try.
 //   - The slowdown of a replica is its step time divided by the usual step time of its
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -97,8 +97,8 @@
 	Replica
 	reserved       float64 // capacity that this node has reserved, in tokens times layers
 	usableFraction usableFraction
-	// suspected is set while the replica looks dead; hostUnreachable is set if the machine
-	// of the suspected replica doesn't answer either.
+	// suspected is set while the replica is suspected to be dead. hostUnreachable is set if
+	// the machine of the suspected replica doesn't answer either.
 	suspected, hostUnreachable bool
 	suspectedSince             time.Time
 	// layersMissing is set if the replica doesn't hold the layers that it is listed with. The
@@ -117,8 +117,8 @@
 	peerReserved, reservedAtReport float64
 }
 
-// Selector tracks the reservations on each replica and chooses paths. It is not safe for
-// concurrent use.
+// Selector tracks the reservations on each replica and chooses paths. A Selector is not
+// safe for concurrent use.
 type Selector struct {
 	replicas   map[string]*replicaState
 	sortedByID []*replicaState    // by ID, so that iteration is deterministic
@@ -209,22 +209,28 @@
 }
 
 const (
-	// maxSharesPerReport limits how much of a replica's capacity a node reserves until its
-	// peers next report their reservations: at most maxSharesPerReport times the node's share
-	// of the capacity that was free at the last reports. With a limit of one share, capacity
+	// maxSharesPerReport limits how much of a replica's capacity a node reserves until the
+	// node's peers next report their reservations: at most maxSharesPerReport times the node's
+	// share of the capacity that was free at the last reports. With a limit of one share, capacity
 	// stays unused when some nodes have more load than others. Without a limit, all nodes
 	// reserve the same free capacity.
 	maxSharesPerReport = 2
 	// singleRequestFraction applies if this node's reservations on a replica have not grown
-	// since its peers last reported. A single request may then reserve up to this fraction of
+	// since the node's peers last reported. A single request may then reserve up to this fraction of
 	// the capacity that was free at these reports. Without this exception, a request larger
 	// than the limit of maxSharesPerReport would be refused while most of the capacity is free.
 	singleRequestFraction = 0.5
 )
 
 // mayReserve reports whether this node may reserve extraTokenLayers more on a replica before
-// its peers next report their reservations. The limits are maxSharesPerReport and
-// singleRequestFraction.
+// the node's peers next report their reservations. extraTokenLayers is a number of tokens
+// times layers. Without reporting peers mayReserve returns true. Otherwise two limits apply to
+// the capacity that was free at the last reports, up to the utilization utilizationLimit:
+//
+//   - All reservations of this node since the last reports take at most maxSharesPerReport
+//     times the node's share of this free capacity.
+//   - Beyond the first limit, a single request may take singleRequestFraction of this free
+//     capacity, if the node's reservations have not grown since the last reports.
 func (s *Selector) mayReserve(now time.Time, r *replicaState, extraTokenLayers, utilizationLimit float64) bool {
 	if s.reportingPeerCount[r.Domain] == 0 {
 		return true
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -66,8 +66,8 @@
 }
 
 // If some layers of a domain have no holder, the requests of this domain run completely in
-// another domain.
-// Otherwise every token would cross to the other domain and back.
+// another domain. If they ran there only for these layers, every token would cross to the other
+// domain and back.
 func TestLostLayersMoveWholePathToOtherDomain(t *testing.T) {
 	s := twoDomains()
 	s.Suspect(start, "n3", false)
@@ -170,7 +170,7 @@
 }
 
 // A rerouted request keeps its first replica, so Choose is asked only for a path through the
-// remaining layers. That path must not use the excluded replicas.
+// remaining layers. That path must not use the replicas in Query.Exclude.
 func TestChooseRemainingLayers(t *testing.T) {
 	s := twoDomains()
 	path, outcome := s.Choose(start, Query{Domain: "near", Layers: layers.Span{From: 30, To: 80}, Tokens: 10, Exclude: []string{"n1", "n2"}})
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -80,9 +80,9 @@
 	return reserved
 }
 
-// Suspect excludes a replica that looks dead from paths until MarkAlive. hostUnreachable
-// means that the machine of the replica doesn't answer either. Suspect reports whether the
-// replica was not suspected before.
+// Suspect records that a replica looks dead. The replica is excluded from paths until MarkAlive
+// is called or the replica restarts. hostUnreachable means that the machine of the replica
+// doesn't answer either. Suspect reports whether the replica was not suspected before.
 func (s *Selector) Suspect(now time.Time, id string, hostUnreachable bool) bool {
 	r, ok := s.replicas[id]
 	if !ok {
@@ -106,7 +106,8 @@
 	}
 }
 
-// MarkAlive records that a replica answers. It reports whether the replica was suspected.
+// MarkAlive records that a replica answers and is no longer suspected to be dead. MarkAlive
+// reports whether the replica was suspected before.
 func (s *Selector) MarkAlive(id string) bool {
 	r, ok := s.replicas[id]
 	if !ok || !r.suspected {
@@ -122,8 +123,8 @@
 	return ok && r.suspected
 }
 
-// HostUnreachable reports whether a replica is suspected and the machine of the replica
-// doesn't answer either.
+// HostUnreachable reports whether a replica is suspected to be dead and the machine of the
+// replica doesn't answer either.
 func (s *Selector) HostUnreachable(id string) bool {
 	r, ok := s.replicas[id]
 	return ok && r.hostUnreachable
@@ -177,7 +178,7 @@
 // replica for its slowdown repeatedly, until the slowdown is below SlowThreshold.
 const SlowThreshold = 1.5
 
-// Slow returns the slow replicas that are not suspected.
+// Slow returns the slow replicas (SlowThreshold) that are not suspected to be dead.
 func (s *Selector) Slow() []Replica {
 	var list []Replica
 	for _, r := range s.sortedByID {
@@ -188,7 +189,7 @@
 	return list
 }
 
-// SuspectedFor reports whether a replica has been suspected for at least minDuration.
+// SuspectedFor reports whether a replica has been suspected to be dead for at least minDuration.
 func (s *Selector) SuspectedFor(now time.Time, id string, minDuration time.Duration) bool {
 	r, ok := s.replicas[id]
 	return ok && r.suspected && now.Sub(r.suspectedSince) >= minDuration
@@ -239,8 +240,8 @@
 	}
 }
 
-// NeedsReroute reports whether requests that run the span on a replica must be rerouted:
-// the replica is listed and is draining or no longer holds all layers of the span.
+// NeedsReroute reports whether requests that run the span on a replica must be rerouted: the
+// replica is listed, and it is draining or doesn't hold all layers of the span.
 func (s *Selector) NeedsReroute(id string, span layers.Span) bool {
 	r, ok := s.replicas[id]
 	return ok && (r.Replica.Draining || !r.Holds.Covers(span))
--- a/decide/paths/search.go
+++ b/decide/paths/search.go
@@ -115,12 +115,12 @@
 	return factors
 }
 
-// avoidFactor is the factor on the cost of a replica that is to be avoided. It makes the
-// replica the last choice in its domain.
+// avoidFactor is the factor on the cost of a replica that is to be avoided. This
+// factor makes the replica the last choice in its domain.
 const avoidFactor = 8
 
 // stageCost returns the cost of a stage that runs layerCount layers on a replica, in
-// milliseconds per decode step. It returns false if the replica has too little free capacity
+// milliseconds per decode step. stageCost returns false if the replica has too little free capacity
 // for the request's tokens.
 func (s *Selector) stageCost(now time.Time, r *replicaState, layerCount int, tokens, utilizationLimit, costFactor float64) (float64, bool) {
 	extraTokenLayers := tokens * float64(layerCount)
@@ -133,8 +133,8 @@
 }
 
 // reconstructPath follows the cheapest partial paths back from the last boundary and merges
-// stages that run on the same replica. It returns nil if no path reaches the last boundary
-// or the path has more than MaxStages stages.
+// stages that run on the same replica. reconstructPath returns nil if no path reaches the last
+// boundary or the path has more than MaxStages stages.
 func reconstructPath(layerBounds []int, domainCount int, cheapestPaths []partialPath) Path {
 	lastBoundary := len(layerBounds) - 1
 	bestDomain := -1
--- a/decide/placement/doc.go
+++ b/decide/placement/doc.go
@@ -18,6 +18,8 @@
 //   - The declared times of a chain are the times of its layers and links that the caller
 //     passes with the chain. Planner uses a declared time where it has no recent
 //     measurement.
+//   - A search state is a step of the search for the best partition: some first layers are
+//     divided into stages, and it is chosen which engine runs the next stage.
 //   - A plan is a partition with a version. The version is the fencing number of the
 //     orders that carry the plan out. A move is the change of a replica to another plan.
 //   - The gain of a move is the fraction by which the move shortens the bottleneck.
--- a/decide/placement/partition.go
+++ b/decide/placement/partition.go
@@ -53,7 +53,7 @@
 }
 
 // BestPartition returns the partition with the shortest bottleneck. If several partitions
-// have this bottleneck, it returns the one with the least total. The running time of
+// have this bottleneck, BestPartition returns the one with the least total. The running time of
 // BestPartition grows with the square of the number of engines times the square of the
 // number of layers.
 func BestPartition(model Model, chain Chain) (Partition, error) {
@@ -68,18 +68,18 @@
 	return Partition{Stages: totalSearch.stages(), Bottleneck: bottleneckSearch.bestCost, Total: totalSearch.bestCost}, nil
 }
 
-// searchState is a state of the search, as two indexes. All layers before layer are divided
-// into stages; the next stage begins at layer and runs on accelerator.
+// searchState is a search state, as two indexes. All layers before layer are divided into
+// stages. The next stage begins at layer and runs on accelerator.
 type searchState struct{ accelerator, layer int }
 
-// transition is the cheapest transition into a state: the previous state, and the combined
-// cost of all hops of the stages before the state's layer.
+// transition is the cheapest transition into a search state: the previous state, and the
+// combined cost of all hops of the stages before the layer of the search state.
 type transition struct {
 	cost     float64
 	previous searchState
 }
 
-// search finds the partition with the least cost by dynamic programming over states. No hop
+// search finds the partition with the least cost by dynamic programming over search states. No hop
 // may take longer than maxHopMicros. combine returns the cost of a partial partition with
 // one more hop: the longest hop in the first search, the sum of all hops in the second.
 type search struct {
@@ -112,9 +112,9 @@
 	return s
 }
 
-// tryStages tries all stages that can begin in a state: one for each number of layers that fit
-// on the state's accelerator. After each of these stages it tries every later accelerator of
-// the chain for the next stage.
+// tryStages tries all stages that can begin at the layer of a search state on the accelerator
+// of the state: one for each number of layers that fit on this accelerator. After each of these
+// stages tryStages tries every later accelerator of the chain for the next stage.
 func (s *search) tryStages(state searchState) {
 	costSoFar := s.bestTransitions[state.accelerator][state.layer].cost
 	if math.IsInf(costSoFar, 1) {
@@ -135,8 +135,9 @@
 	}
 }
 
-// maxLayers returns the maximum number of layers of a stage that begins in a state: all
-// remaining layers, or as many of them as fit on the state's accelerator.
+// maxLayers returns the maximum number of layers of a stage that begins at the layer of a search
+// state and runs on the accelerator of the state: all remaining layers of the model, or as many
+// of them as fit on the accelerator.
 func (s *search) maxLayers(state searchState) int {
 	remaining := s.model.Layers - state.layer
 	if s.model.LayerBytes <= 0 {
@@ -146,7 +147,9 @@
 	return int(min(int64(remaining), max(fittingLayers, 0)))
 }
 
-// relax records a transition between two states if it lowers the cost of its target state.
+// relax records a transition between two search states if the transition lowers the cost at
+// which the search reaches the second state. A transition whose hop is longer than maxHopMicros
+// is not recorded.
 func (s *search) relax(to, from searchState, costSoFar, hopMicros float64) {
 	if hopMicros > s.maxHopMicros {
 		return
@@ -156,8 +159,9 @@
 	}
 }
 
-// recordLastStage records the state in which the last stage of a partition begins, if the
-// partition costs less than the best partition so far.
+// recordLastStage records the search state in which the last stage of a partition begins, if
+// the partition costs less than the best partition so far. A last stage whose hop is longer than
+// maxHopMicros is not recorded.
 func (s *search) recordLastStage(state searchState, costSoFar, hopMicros float64) {
 	if hopMicros > s.maxHopMicros {
 		return
@@ -168,8 +172,8 @@
 	}
 }
 
-// stages returns the stages of the best partition. It follows the cheapest transitions back
-// from the last stage.
+// stages returns the stages of the best partition. The method follows the cheapest transitions
+// back from the last stage.
 func (s *search) stages() []Stage {
 	var reversed []Stage
 	end := s.model.Layers
@@ -185,8 +189,8 @@
 	return stages
 }
 
-// Evaluate returns a partition with its bottleneck and total on a chain. It returns false
-// if the chain lacks an engine of the partition or has the engines in another order.
+// Evaluate returns a partition with its bottleneck and total on a chain. Evaluate returns
+// false if the chain lacks an engine of the partition or has the engines in another order.
 func Evaluate(p Partition, chain Chain) (Partition, bool) {
 	evaluated := Partition{Stages: p.Stages}
 	for i, stage := range p.Stages {
--- a/decide/placement/placement_test.go
+++ b/decide/placement/placement_test.go
@@ -88,8 +88,8 @@
 }
 
 // observeSeconds gives the planner one measurement of each stage per second, with the times
-// of the chain that actualChain returns for the second. It adopts each plan that Decide
-// changes, and returns the number of changes.
+// of the chain that actualChain returns for the second. It adopts each changed plan
+// that Decide returns, and returns the number of these plans.
 func observeSeconds(p *Planner, now *time.Time, seconds int, actualChain func(second int) Chain) int {
 	changes := 0
 	for second := range seconds {
--- a/decide/placement/planner.go
+++ b/decide/placement/planner.go
@@ -82,7 +82,7 @@
 const medianWindow = 5
 
 // Planner follows the measured times of a chain and decides when layers move to other
-// engines. It is not safe for concurrent use.
+// engines. A Planner is not safe for concurrent use.
 type Planner struct {
 	model         Model
 	declaredChain Chain
@@ -135,7 +135,7 @@
 // SetChain replaces the chain and its declared times. The measurements so far are kept.
 func (p *Planner) SetChain(declaredChain Chain) { p.declaredChain = declaredChain }
 
-// Observe records a measurement. It ignores measurements without a hop time and those of
+// Observe records a measurement. Observe ignores measurements without a hop time and those of
 // engines that have no stage in the plan in force.
 func (p *Planner) Observe(now time.Time, m Measurement) {
 	i := slices.IndexFunc(p.plan.Partition.Stages, func(s Stage) bool { return s.Endpoint == m.Endpoint })
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -19,11 +19,12 @@
 // RolloutStep is the next step of a roll-out in a failure domain: the replicas that change to
 // the new version now.
 type RolloutStep struct {
-	// Start names the replicas that are to change to the new version now. A replica that
-	// serves finishes its streams before it changes.
+	// Start names the replicas that begin to change to the new version now. A replica that
+	// serves finishes its streams before it loads the new version.
 	Start []string
-	// Unavailable is the number of replicas that don't serve now, and MaxUnavailable
-	// is the number of replicas that may be out of service during the roll-out.
+	// Unavailable is the number of replicas that don't serve now. NextRollout adds a serving
+	// replica to Start only if Unavailable and the number of serving replicas in Start are
+	// then together at most MaxUnavailable.
 	Unavailable, MaxUnavailable int
 	// Outdated is the number of replicas whose plans name another version than the new
 	// one.
@@ -38,10 +39,10 @@
 const maxConcurrentUpdates = 2
 
 // NextRollout decides which replicas of a failure domain change to a version of the weights
-// now. maxFraction is the fraction of the replicas that may be out of service during the
-// roll-out.
+// now. maxFraction is the largest fraction of the replicas that may be out of service during
+// the roll-out.
 //
-// Load pattern: a new version is released while load is high. If all replicas changed to
+// Load pattern: a new version is released while traffic is high. If all replicas changed to
 // the version at the same time, all would drain, share the rate of the weight store and
 // return to service together minutes later. Callers would find no replica meanwhile. A
 // version that can't be loaded would stop the whole model. NextRollout stops the roll-out of
@@ -50,8 +51,12 @@
 //
 // A replica in the state Unknown counts as unavailable, but NextRollout doesn't choose it
 // for Start. A node that has just become responsible for the plans has no answer from any
-// replica yet. Without this rule such a node would choose all replicas. A replica in the
-// state Loading serves no requests, so NextRollout chooses it for Start in any case.
+// replica yet. Without this rule such a node would choose all replicas.
+//
+// A replica in the state Loading may still load another version than the new one. Such a
+// replica serves no requests, so its change takes no further replica out of service.
+// NextRollout therefore chooses the replica for Start at once, even if MaxUnavailable or
+// maxConcurrentUpdates is reached.
 func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) RolloutStep {
 	r := RolloutStep{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
 	loadingCount := 0
--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -1,10 +1,12 @@
-// Package reroute decides how a request continues when its path has lost a stage, which is
-// a replica with the layers that it runs.
+// Package reroute decides how a request continues when its path has lost a stage.
 //
 // # Terms
 //
-//   - A request bypasses the lost replica if it keeps its first replica and runs the
-//     lost layers on other replicas.
+//   - The path of a request is the list of stages that the request runs through. A stage
+//     is a replica with the layers that it runs.
+//   - An event is one message of the answer that is streamed to the caller.
+//   - A bypass is a path that keeps the first replica of the request and runs the lost
+//     layers on other replicas. A request bypasses the lost replica if it takes this path.
 //   - A request migrates if another first replica continues the request after the last
 //     event that the caller has received.
 //   - A request crosses if its path leads from one failure domain to another. A
@@ -22,18 +24,21 @@
 // All streams bypass the lost replica through another failure domain. The data that passes
 // between two layers is many times the size of the text. The data crosses twice, over links that
 // all domains share, one transfer after another: 25 MB each way for a usual request, at 1.4
-// GB a second. Every stream of the domain pauses for up to a second and more.
+// GB a second. All streams of the domain pause, and the longest pauses exceed a second.
 //
 // # Rules
 //
-//   - A request bypasses the lost replica if the request's next event comes in time on the
-//     bypass (Estimate.MaxWait). For this, earlier transfers on the links must end soon
-//     enough, and the replica that takes over must not have too much prefill for other
-//     streams that lost the same stage.
-//   - Otherwise the request migrates to another failure domain if its next event comes
-//     sooner there. Only its text is sent to the other domain, and the many replicas of
-//     that domain share the prefill of such requests.
-//   - If the request can't migrate, it crosses and waits for its transfer.
+//   - If there is a bypass on which the next event of the request comes in time
+//     (Estimate.MaxWait), the request takes the bypass. For this, earlier transfers on the
+//     links must end soon enough, and the replica that takes over must not have too much
+//     prefill for other streams that lost the same stage.
+//   - Otherwise the request migrates to another failure domain, if it can migrate and if
+//     its next event comes sooner there or there is no bypass. Only the text of the request
+//     is sent to the other domain, and the many replicas of that domain share the prefill
+//     of such requests.
+//   - Otherwise the request takes the bypass, if there is one, and waits for its transfer
+//     and its prefill.
+//   - A request that can neither migrate nor take a bypass stays on its path for now.
 //   - A replica that is only draining continues to serve for seconds. Requests that must
 //     cross to leave this replica do so one at a time (Idle). Each of these requests stays
 //     on its path until its turn.
@@ -48,8 +53,8 @@
 type Action uint8
 
 const (
-	// Stay leaves the request on its path, because the request can neither bypass the lost
-	// replica nor migrate now.
+	// Stay leaves the request on its path for now, because there is no bypass and the request
+	// can't migrate. The request waits, and the caller calls Decide again later.
 	Stay Action = iota
 	// Bypass keeps the first replica of the request and runs the lost layers on other
 	// replicas.
@@ -64,7 +69,7 @@
 }
 
 // LinkBacklog tracks the transfers that rerouted requests of this node have begun on the links
-// between failure domains. It is not safe for concurrent use.
+// between failure domains. A LinkBacklog is not safe for concurrent use.
 type LinkBacklog struct {
 	pendingBytes float64 // not yet transferred at updatedAt
 	updatedAt    time.Time
@@ -72,8 +77,8 @@
 
 // Estimate holds the costs of rerouting a request.
 type Estimate struct {
-	// Bytes is the size of the request's transfer on the bypass. It is zero if the bypass
-	// crosses between failure domains no more often than the present path.
+	// Bytes is the size of the request's transfer on the bypass. Bytes is zero if the
+	// bypass crosses between failure domains no more often than the present path.
 	Bytes float64
 	// BytesPerSecond is the bandwidth that all nodes share on the links between failure
 	// domains. Zero means that the bandwidth has no limit.
@@ -118,16 +123,15 @@
 	l.pendingBytes, l.updatedAt = l.remaining(now, e)+e.Bytes, now
 }
 
-// remaining returns how many bytes of this node's transfers are not transferred yet. It
-// assumes that each node gets an equal share of the bandwidth.
+// remaining returns how many bytes of this node's transfers are not transferred yet.
+// The calculation assumes that each node gets an equal share of the bandwidth.
 func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
 	bytesPerSecond := e.BytesPerSecond / float64(max(1, e.Nodes))
 	return max(0, l.pendingBytes-bytesPerSecond*now.Sub(l.updatedAt).Seconds())
 }
 
 // Decide returns the action for a request by the rules of the package. canBypass says that
-// there is a path which bypasses the lost replica. canMigrate says that the request may
-// continue at another first replica.
+// there is a bypass. canMigrate says that the request can continue at another first replica.
 func (l *LinkBacklog) Decide(now time.Time, canBypass bool, e Estimate, canMigrate bool) Action {
 	switch {
 	case canBypass && l.bypassTime(now, e) <= e.MaxWait:
