--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -116,7 +116,7 @@
 	// TargetFill is the fraction of a card that Plan fills with layers: the replica on the
 	// card gets this fraction of the number of layers that would fit. The rest of the memory holds
 	// some hundred requests of usual size on any card, so that two of three domains can carry
-	// the load of all three. At this fraction the replicas of a domain together hold more
+	// the requests of all three. At this fraction the replicas of a domain together hold more
 	// than one copy of the model. Half of the replicas may be lost, one at a time, without a
 	// gap: no layer is left without a holder.
 	TargetFill = 0.74
@@ -131,7 +131,7 @@
 func Plan(model Model, replicas []Replica) []Order {
 	c := newCoverage(model, replicas)
 	orders := c.fillEmpty()
-	if gaps := c.gaps(); len(gaps) > 0 && c.activeHolders() > 0 {
+	if gaps := c.gaps(); len(gaps) > 0 && c.countHolders() > 0 {
 		orders = append(orders, c.repair(gaps)...)
 	} else {
 		orders = append(orders, c.shrinkOverfilled()...)
@@ -168,12 +168,12 @@
 	return len(newCoverage(model, replicas).gaps()) == 0
 }
 
-// MaxLayers returns the given fraction of the number of layers whose weights fit in
+// MaxLayers returns fillFraction times the number of layers whose weights fit in
 // memoryMB. The result is rounded, and is at least 1 and at most the number of layers of the
 // model.
-func (m Model) MaxLayers(memoryMB, fraction float64) int {
+func (m Model) MaxLayers(memoryMB, fillFraction float64) int {
 	fittingLayers := int(memoryMB / m.LayerMB)
-	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*fraction))))
+	return min(m.Layers, max(1, int(math.Round(float64(fittingLayers)*fillFraction))))
 }
 
 // TokenCapacity returns the number of tokens whose KV cache for n layers fits in memoryMB
