--- a/e2e/bench/decisions.go
+++ b/e2e/bench/decisions.go
@@ -75,7 +75,7 @@
 		before := heap()
 		var doc *document.Document
 		parse := best(func() { doc, _ = document.Parse(text) })
-		var d *docindex.Directory
+		var d *docindex.Index
 		build := best(func() { d = docindex.Build(doc, 1, "") })
 		registry := service.NewRegistry(service.Config{Node: "entry-1", FailureDomain: domains[0], Now: time.Now})
 		apply := best(func() { registry.Apply(d) })
--- a/fleet/fleet.go
+++ b/fleet/fleet.go
@@ -115,7 +115,7 @@
 		},
 		Interval:  f.cfg.Interval,
 		Seed:      seed.Sum64() ^ uint64(now.UnixNano()),
-		Concerned: f.cfg.Limits.Homes,
+		Concerned: f.cfg.Limits.ExchangePeers,
 	}
 }
 
--- a/fleet/limits.go
+++ b/fleet/limits.go
@@ -16,12 +16,12 @@
 // ask each other for what they don't use, on the regular exchange. It is called
 // by several goroutines.
 type Limits interface {
-	// Homes names the peers to exchange with for the teams' limits, the most urgent
+	// ExchangePeers names the peers to exchange with for the teams' limits, the most urgent
 	// first.
-	Homes() []string
-	// Ask returns what to ask a peer now; Borrow gets the same time with the
+	ExchangePeers() []string
+	// RequestLoans returns what to ask a peer now; Borrow gets the same time with the
 	// answer, which tells the last question from those before.
-	Ask(now time.Time, peer string) []limits.LoanRequest
+	RequestLoans(now time.Time, peer string) []limits.LoanRequest
 	// Lend answers a peer's questions.
 	Lend(peer string, asks []limits.LoanRequest) []limits.Loan
 	// Borrow takes a peer's answer to what was asked at a time.
@@ -31,10 +31,10 @@
 // noLimits is a node that splits no limit.
 type noLimits struct{}
 
-func (noLimits) Homes() []string                                 { return nil }
-func (noLimits) Ask(time.Time, string) []limits.LoanRequest      { return nil }
-func (noLimits) Lend(string, []limits.LoanRequest) []limits.Loan { return nil }
-func (noLimits) Borrow(time.Time, string, []limits.Loan)         {}
+func (noLimits) ExchangePeers() []string                             { return nil }
+func (noLimits) RequestLoans(time.Time, string) []limits.LoanRequest { return nil }
+func (noLimits) Lend(string, []limits.LoanRequest) []limits.Loan     { return nil }
+func (noLimits) Borrow(time.Time, string, []limits.Loan)             {}
 
 func asksToWire(asks []limits.LoanRequest) []*exchange.Ask {
 	out := make([]*exchange.Ask, 0, min(len(asks), maxLoans))
--- a/fleet/limits_test.go
+++ b/fleet/limits_test.go
@@ -47,7 +47,7 @@
 	return share
 }
 
-func (l *testLimits) Homes() []string {
+func (l *testLimits) ExchangePeers() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var others []string
@@ -59,7 +59,7 @@
 	return others
 }
 
-func (l *testLimits) Ask(now time.Time, peer string) []limits.LoanRequest {
+func (l *testLimits) RequestLoans(now time.Time, peer string) []limits.LoanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.splitter.RequestLoans(now, peer)
--- a/fleet/peer.go
+++ b/fleet/peer.go
@@ -82,7 +82,7 @@
 	request := f.request(send.Message)
 	// Only here are limits asked for: a question whose answer is not taken
 	// would make the node do without what it was lent.
-	request.Asks = asksToWire(f.cfg.Limits.Ask(asked, send.To.Name))
+	request.Asks = asksToWire(f.cfg.Limits.RequestLoans(asked, send.To.Name))
 	answer, err := f.call(ctx, send.To, request)
 	if err != nil {
 		if f.running.Err() == nil {
--- a/node/server/entries.go
+++ b/node/server/entries.go
@@ -103,7 +103,7 @@
 
 // followed is what followMembers last acted on.
 type followed struct {
-	directory *docindex.Directory
+	directory *docindex.Index
 	members   *fleet.Member
 }
 
--- a/node/server/leaving_test.go
+++ b/node/server/leaving_test.go
@@ -18,7 +18,7 @@
 )
 
 // ofReplicas is a service of replicas gpu-0 and so on, each an endpoint.
-func ofReplicas(n int) *docindex.Directory {
+func ofReplicas(n int) *docindex.Index {
 	doc := &document.Document{Teams: []document.Team{{Name: "menteng", Weight: 1}}}
 	m := &document.Model{Layers: 8}
 	for i := range n {
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -80,7 +80,7 @@
 
 	// parser is used by apply only, which the fleet calls one at a time.
 	parser    document.Parser
-	directory atomic.Pointer[docindex.Directory]
+	directory atomic.Pointer[docindex.Index]
 	draining  atomic.Bool
 	// listed is how many entry VMs the platform's list last had; zero: not read.
 	listed    atomic.Int64
--- a/node/site/figures.go
+++ b/node/site/figures.go
@@ -80,7 +80,7 @@
 
 // tellCounts logs what was done since the last lines, if there was anything.
 func (n *Node) tellCounts(every time.Duration) {
-	for why, made := range n.prober.Made() {
+	for why, made := range n.prober.ProbeCounts() {
 		n.connections.set("probe_"+string(why), made)
 	}
 	n.connections.set("all", n.pool.OpenedConns())
@@ -138,7 +138,7 @@
 		switch {
 		case r.Draining:
 			state = "draining"
-		case r.Kind != "" && r.Holds.Empty():
+		case r.CardKind != "" && r.Holds.Empty():
 			state = "empty"
 		}
 		if counts[r.Service] != nil {
--- a/node/site/peers.go
+++ b/node/site/peers.go
@@ -101,19 +101,19 @@
 		return // it is no longer listed
 	}
 	if c.Unreachable {
-		for _, loss := range n.prober.Lost(ctx, connprobe.Told, []string{r.Address}) {
-			if model.SuspectOnReport(r.ID, loss.Silent) {
-				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.Silent, "told_by", c.Observers)
+		for _, loss := range n.prober.FindUnreachable(ctx, connprobe.ReasonPeerReport, []string{r.Address}) {
+			if model.SuspectOnReport(r.ID, loss.HostUnreachable) {
+				n.log.Info("replica out of reach", "service", service, "replica", r.ID, "address", r.Address, "silent", loss.HostUnreachable, "told_by", c.Observers)
 			}
 		}
 		return
 	}
-	account, _, err := n.reports.Ask(ctx, r.Address, r.ID)
+	account, _, err := n.reports.Get(ctx, r.Address, r.ID)
 	if err != nil {
 		return // the next claim, or a request that meets it, tells
 	}
-	if model.SetSlowdown(r.ID, account.Pace) {
-		n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace, "told_by", c.Observers)
+	if model.SetSlowdown(r.ID, account.Slowdown) {
+		n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Slowdown, "told_by", c.Observers)
 	}
 }
 
--- a/node/site/services.go
+++ b/node/site/services.go
@@ -172,7 +172,7 @@
 		n.noteStill(begun, recheckEvery)
 		for service, model := range n.services.allModels() {
 			for _, r := range model.Suspects() {
-				if !n.prober.Reachable(ctx, connprobe.Again, r.Address) {
+				if !n.prober.Reachable(ctx, connprobe.ReasonRecheck, r.Address) {
 					model.RecordUnreachable(r.ID)
 				} else if model.MarkAlive(r.ID) {
 					n.log.Info("replica reached again", "replica", r.ID, "service", service, "address", r.Address)
@@ -194,12 +194,12 @@
 				if model.HasRecentPeerReport(r.ID) {
 					continue
 				}
-				account, _, err := n.reports.Ask(ctx, r.Address, r.ID)
+				account, _, err := n.reports.Get(ctx, r.Address, r.ID)
 				if err != nil {
 					continue // the next request that meets it, or the list, tells
 				}
-				if model.SetSlowdown(r.ID, account.Pace) {
-					n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace)
+				if model.SetSlowdown(r.ID, account.Slowdown) {
+					n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Slowdown)
 				}
 			}
 		}
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -61,7 +61,7 @@
 	store   *store.Client
 	pool    *upstream.Pool
 	prober  *connprobe.Prober
-	reports *replicareport.Inspector
+	reports *replicareport.Cache
 	engines *engines.Client
 	door    *ingress.Door
 	// decisions are the latest about requests, for the operators.
--- a/node/site/take.go
+++ b/node/site/take.go
@@ -42,13 +42,13 @@
 	if current {
 		n.prove(proof)
 	}
-	n.poll.tracker.AwayAfter = n.pollEvery() + storeTimeout
+	n.poll.tracker.OutageThreshold = n.pollEvery() + storeTimeout
 	list, changes := n.poll.tracker.Update(begun, found)
 	n.tellChanges(changes, len(list))
 	n.poll.mu.Lock()
 	n.poll.list = list
 	n.poll.mu.Unlock()
-	n.members.set(members, n.poll.tracker.Returned(begun, returnWithin))
+	n.members.set(members, n.poll.tracker.RecoveredWithin(begun, returnWithin))
 	n.services.update(list)
 	if n.rules.Load() != nil {
 		n.tookFirst.Do(func() { close(n.first) })
--- a/node/site/told.go
+++ b/node/site/told.go
@@ -12,22 +12,22 @@
 		return
 	}
 	booked := n.services.booked()
-	d := replicalist.Digested(changes, func(r *replicalist.Replica) bool {
+	d := replicalist.Summarize(changes, func(r *replicalist.Replica) bool {
 		return booked[r.ID] > 0 || n.pool.Connected(r.Address)
 	}, mostTold)
 	newest := int64(0)
 	for _, c := range changes {
 		newest = max(newest, c.Replica.Revision)
 	}
-	line := []any{"now", listed, "revision", newest, "not_told", d.Left}
-	for _, what := range []string{replicalist.WhatListed, replicalist.WhatChanged, replicalist.WhatDraining, replicalist.WhatLapsed, replicalist.WhatGone} {
-		if d.Counts[what] > 0 {
-			line = append(line, what, d.Counts[what])
+	line := []any{"now", listed, "revision", newest, "not_told", d.OmittedCount}
+	for _, what := range []string{replicalist.ChangeListed, replicalist.ChangeUpdated, replicalist.ChangeDraining, replicalist.ChangeRetained, replicalist.ChangeRemoved} {
+		if d.CountsByKind[what] > 0 {
+			line = append(line, what, d.CountsByKind[what])
 		}
 	}
 	n.log.Info("replicas changed", line...)
-	for _, c := range d.Own {
-		n.log.Info("replica "+c.What, "replica", c.Replica.ID, "service", c.Replica.Service, "domain", c.Replica.Domain,
-			"kind", c.Replica.Kind, "holds", c.Replica.Holds, "address", c.Replica.Address, "revision", c.Replica.Revision)
+	for _, c := range d.UsedByNode {
+		n.log.Info("replica "+c.Kind, "replica", c.Replica.ID, "service", c.Replica.Service, "domain", c.Replica.Domain,
+			"kind", c.Replica.CardKind, "holds", c.Replica.Holds, "address", c.Replica.Address, "revision", c.Replica.Revision)
 	}
 }
--- a/route/callparser/callparser.go
+++ b/route/callparser/callparser.go
@@ -39,7 +39,7 @@
 	Adapter   string
 	Class     admission.Class
 	Arrived   time.Time
-	Directory *docindex.Directory
+	Directory *docindex.Index
 	// Start is the latest useful start.
 	Start time.Time
 	// Deadline is when the caller stops waiting; zero means no limit.
@@ -47,7 +47,7 @@
 }
 
 // Authenticate returns the team that r's key belongs to.
-func Authenticate(d *docindex.Directory, r *http.Request) (*document.Team, *outcome.Refusal) {
+func Authenticate(d *docindex.Index, r *http.Request) (*document.Team, *outcome.Refusal) {
 	team, ok := d.Team(docindex.BearerKey(r))
 	if !ok {
 		return nil, refuse(http.StatusUnauthorized, "unknown_key", "the key belongs to no team of this environment")
@@ -56,7 +56,7 @@
 }
 
 // New checks r against the document and returns it as a Call of a service.
-func New(d *docindex.Directory, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
+func New(d *docindex.Index, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
 	team, refusal := Authenticate(d, r)
 	if refusal != nil {
 		return nil, refusal
--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -109,7 +109,7 @@
 	return nil
 }
 
-func buildChain(d *docindex.Directory, replica string, replicaPlan plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
+func buildChain(d *docindex.Index, replica string, replicaPlan plan.Replica, artifact engineapi.Artifact) (stream.Chain, error) {
 	chain := stream.Chain{Replica: replica, PlacementVersion: replicaPlan.Version, Artifact: artifact}
 	for _, s := range replicaPlan.Stages {
 		e, ok := d.Endpoint(s.Endpoint)
--- a/route/connprobe/connprobe.go
+++ b/route/connprobe/connprobe.go
@@ -34,12 +34,12 @@
 	Reachable(ctx context.Context, address string, within time.Duration) (accepts, answers bool)
 }
 
-// Loss is an endpoint that accepts no connection.
-type Loss struct {
+// UnreachableEndpoint is an endpoint that accepts no connection.
+type UnreachableEndpoint struct {
 	Address string
-	// Silent says that nothing answered: no process there goes on with anything. One that
+	// HostUnreachable says that nothing answered: no process there goes on with anything. One that
 	// refuses may only be leaving.
-	Silent bool
+	HostUnreachable bool
 }
 
 // Prober asks endpoints. Safe for concurrent use.
@@ -57,14 +57,14 @@
 
 // Reasons.
 const (
-	// Silence is a stream that has gone silent.
-	Silence Reason = "silence"
-	// Named is an endpoint that another one named as at fault.
-	Named Reason = "named"
-	// Told is one that other nodes have seen lost.
-	Told Reason = "told"
-	// Again is one that is suspected.
-	Again Reason = "again"
+	// ReasonStalledStream is a stream that has gone silent.
+	ReasonStalledStream Reason = "silence"
+	// ReasonReportedFault is an endpoint that another one named as at fault.
+	ReasonReportedFault Reason = "named"
+	// ReasonPeerReport is one that other nodes have seen lost.
+	ReasonPeerReport Reason = "told"
+	// ReasonRecheck is one that is suspected.
+	ReasonRecheck Reason = "again"
 )
 
 type probe struct {
@@ -79,18 +79,18 @@
 	return &Prober{dialer: dialer, now: now, known: map[string]*probe{}, made: map[Reason]int64{}}
 }
 
-// Lost returns those of the addresses that accept no connection at any of the tries.
-func (p *Prober) Lost(ctx context.Context, why Reason, addresses []string) []Loss {
+// FindUnreachable returns those of the addresses that accept no connection at any of the tries.
+func (p *Prober) FindUnreachable(ctx context.Context, why Reason, addresses []string) []UnreachableEndpoint {
 	probes := make([]*probe, len(addresses))
 	for i, address := range addresses {
 		probes[i] = p.probe(ctx, why, address)
 	}
-	var lost []Loss
+	var lost []UnreachableEndpoint
 	for i, each := range probes {
 		select {
 		case <-each.done:
 			if !each.reachable {
-				lost = append(lost, Loss{Address: addresses[i], Silent: !each.answers})
+				lost = append(lost, UnreachableEndpoint{Address: addresses[i], HostUnreachable: !each.answers})
 			}
 		case <-ctx.Done():
 			return lost
@@ -101,11 +101,11 @@
 
 // Reachable says whether an address accepts connections.
 func (p *Prober) Reachable(ctx context.Context, why Reason, address string) bool {
-	return len(p.Lost(ctx, why, []string{address})) == 0
+	return len(p.FindUnreachable(ctx, why, []string{address})) == 0
 }
 
-// Made is how many probes were begun, by reason.
-func (p *Prober) Made() map[Reason]int64 {
+// ProbeCounts is how many probes were begun, by reason.
+func (p *Prober) ProbeCounts() map[Reason]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return maps.Clone(p.made)
--- a/route/connprobe/connprobe_test.go
+++ b/route/connprobe/connprobe_test.go
@@ -28,7 +28,7 @@
 	now := time.Unix(0, 0)
 	p := New(d, func() time.Time { return now })
 	for range 50 {
-		if lost := p.Lost(context.Background(), Silence, []string{"a", "b", "c"}); len(lost) != 1 || lost[0] != (Loss{Address: "b"}) {
+		if lost := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"a", "b", "c"}); len(lost) != 1 || lost[0] != (UnreachableEndpoint{Address: "b"}) {
 			t.Fatalf("lost %v", lost)
 		}
 	}
@@ -36,13 +36,13 @@
 		t.Errorf("%d connections for 50 questions, want 4", d.calls)
 	}
 	now = now.Add(aliveFor)
-	p.Lost(context.Background(), Silence, []string{"a", "b"})
+	p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"a", "b"})
 	if d.calls != 5 {
 		t.Errorf("%d connections, want one more to the one that lived", d.calls)
 	}
 	d.dead = nil
 	now = now.Add(validFor)
-	if !p.Reachable(context.Background(), Again, "b") {
+	if !p.Reachable(context.Background(), ReasonRecheck, "b") {
 		t.Error("the old answer outlives its time")
 	}
 }
@@ -74,9 +74,9 @@
 func TestTriesOverlap(t *testing.T) {
 	p := New(&silent{tried: map[string]int{}}, time.Now)
 	begun := time.Now()
-	lost := p.Lost(context.Background(), Silence, []string{"dark", "lossy"})
+	lost := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"dark", "lossy"})
 	took := time.Since(begun)
-	if len(lost) != 1 || lost[0] != (Loss{Address: "dark", Silent: true}) {
+	if len(lost) != 1 || lost[0] != (UnreachableEndpoint{Address: "dark", HostUnreachable: true}) {
 		t.Errorf("lost %v", lost)
 	}
 	if took < within {
@@ -99,7 +99,7 @@
 // Neither of two tries ends before both are underway: one after the other would never end.
 func TestSecondTryDoesNotWaitForTheFirst(t *testing.T) {
 	p := New(&patient{second: make(chan struct{})}, time.Now)
-	if lost := p.Lost(context.Background(), Silence, []string{"dark"}); len(lost) != 1 {
+	if lost := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"dark"}); len(lost) != 1 {
 		t.Errorf("lost %v", lost)
 	}
 }
--- a/route/docindex/docindex.go
+++ b/route/docindex/docindex.go
@@ -14,8 +14,8 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// Directory is one revision of the document. Safe for concurrent use.
-type Directory struct {
+// Index is one revision of the document. Safe for concurrent use.
+type Index struct {
 	Document *document.Document
 	Revision int64
 	Digest   string
@@ -28,8 +28,8 @@
 }
 
 // Build indexes a checked document.
-func Build(doc *document.Document, revision int64, digest string) *Directory {
-	d := &Directory{
+func Build(doc *document.Document, revision int64, digest string) *Index {
+	d := &Index{
 		Document:  doc,
 		Revision:  revision,
 		Digest:    digest,
@@ -49,7 +49,7 @@
 	return d
 }
 
-func (d *Directory) addTeam(t *document.Team) {
+func (d *Index) addTeam(t *document.Team) {
 	for _, key := range t.KeySHA256 {
 		raw, err := hex.DecodeString(key)
 		if err != nil || len(raw) != sha256.Size {
@@ -62,19 +62,19 @@
 // Team returns the team that a caller's key belongs to. Looking up the digest
 // rather than the key leaves nothing to compare byte by byte, so the time
 // taken tells nothing of other keys.
-func (d *Directory) Team(key string) (*document.Team, bool) {
+func (d *Index) Team(key string) (*document.Team, bool) {
 	t, ok := d.teams[sha256.Sum256([]byte(key))]
 	return t, ok
 }
 
 // Service returns a service by name.
-func (d *Directory) Service(name string) (*document.Service, bool) {
+func (d *Index) Service(name string) (*document.Service, bool) {
 	s, ok := d.services[name]
 	return s, ok
 }
 
 // Endpoint returns an endpoint by name.
-func (d *Directory) Endpoint(name string) (document.Endpoint, bool) {
+func (d *Index) Endpoint(name string) (document.Endpoint, bool) {
 	i, ok := d.endpoints[name]
 	if !ok {
 		return document.Endpoint{}, false
--- a/route/httpapi/httpapi.go
+++ b/route/httpapi/httpapi.go
@@ -63,7 +63,7 @@
 
 // Front serves the callers' listener. Safe for concurrent use.
 type Front struct {
-	Directory func() *docindex.Directory
+	Directory func() *docindex.Index
 	Models    ModelServer
 	Plains    PlainServer
 	Entries   EntryAnswerer
@@ -107,7 +107,7 @@
 
 // ready returns the document in force, or refuses: a node that has never seen
 // one would have to guess who may call and what exists.
-func (f *Front) ready(w http.ResponseWriter) *docindex.Directory {
+func (f *Front) ready(w http.ResponseWriter) *docindex.Index {
 	d := f.Directory()
 	if d == nil {
 		r := refusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -53,7 +53,7 @@
 	front     *httpapi.Front
 	url       string
 	document  *document.Document
-	directory atomic.Pointer[docindex.Directory]
+	directory atomic.Pointer[docindex.Index]
 	store     *storetest.Client
 	plains    []*standinplain.Server
 	engines   [][2]*standinengine.Server
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -108,7 +108,7 @@
 	if refusal := e.authorize(); refusal != nil {
 		return refusal
 	}
-	v.Service = v.Route.Pick(rand.Float64())
+	v.Service = v.Route.PickService(rand.Float64())
 	if v.Targets = e.Services.Targets(v.Service); v.Targets == nil {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonNoService, "the route's service has no endpoints yet", retryRules)
 	}
@@ -219,7 +219,7 @@
 // readBody reads the whole body: it may have to be sent more than once, and an
 // endpoint's connection must not wait for a slow caller.
 func (e *entry) readBody() *outcome.Refusal {
-	most := int64(e.rules.Limits.BodyBytes)
+	most := int64(e.rules.Limits.MaxBodyBytes)
 	if e.r.ContentLength > most {
 		return relay.NotRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is longer than the configuration allows", 0)
 	}
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -125,13 +125,13 @@
 		plannerReplicas = append(plannerReplicas, k.plannerReplica(now, model, r, suspected(r.ID)))
 	}
 	layerModel := layers.Model{
-		Layers: model.Layers, LayerMB: model.LayerMB, TokenLayerMB: model.TokenLayerMB(),
+		Layers: model.Layers, LayerMB: model.LayerMB, TokenLayerMB: model.KVMegabytesPerTokenLayer(),
 	}
 	var assignments []assignment
 	for _, o := range layers.Plan(layerModel, plannerReplicas) {
 		r := byID[o.ID]
 		k.pendingOrders[o.ID] = pendingOrder{
-			incarnation: r.Born, span: o.Hold,
+			incarnation: r.Incarnation, span: o.Hold,
 			expiresAt: now.Add(maxLoadTime(model, r.Holds, o.Hold) + maxReportDelay),
 		}
 		assignments = append(assignments, assignment{Order: o, replica: r})
@@ -170,14 +170,14 @@
 // of a pending order, the replica counts as holding the ordered span.
 func (k *Controller) plannerReplica(now time.Time, model *ruleset.Model, r *replicalist.Replica, suspected bool) layers.Replica {
 	c := layers.Replica{
-		ID: r.ID, MemoryMB: model.Cards[r.Kind].MemoryMB, Held: r.Holds,
-		Fixed: r.Busy, Excluded: r.Draining || suspected || model.Cards[r.Kind].MemoryMB == 0,
+		ID: r.ID, MemoryMB: model.Cards[r.CardKind].MemoryMB, Held: r.Holds,
+		Fixed: r.ExecutingOrder, Excluded: r.Draining || suspected || model.Cards[r.CardKind].MemoryMB == 0,
 	}
 	p, ok := k.pendingOrders[r.ID]
 	if !ok {
 		return c
 	}
-	if p.incarnation != r.Born || r.Holds == p.span || now.After(p.expiresAt) {
+	if p.incarnation != r.Incarnation || r.Holds == p.span || now.After(p.expiresAt) {
 		delete(k.pendingOrders, r.ID)
 		return c
 	}
@@ -211,7 +211,7 @@
 	if !ok {
 		return
 	}
-	if report.Orders != expected && report.Holds == r.Holds && !report.Busy && k.sendOrder(ctx, r, revision, report.Orders, o) {
+	if report.AcceptedOrders != expected && report.Holds == r.Holds && !report.ExecutingOrder && k.sendOrder(ctx, r, revision, report.AcceptedOrders, o) {
 		return
 	}
 	k.clearPending(r.ID, report)
@@ -221,8 +221,8 @@
 // have accepted. It reports whether the replica accepted the order.
 func (k *Controller) sendOrder(ctx context.Context, r *replicalist.Replica, revision, expected int64, o layers.Order) bool {
 	err := k.client.Place(ctx, r.Address, r.ID, expected, revision, o.Hold)
-	k.log.Info("layers ordered", "replica", r.ID, "domain", r.Domain, "kind", r.Kind, "held", r.Holds, "hold", o.Hold,
-		"reason", o.Reason, "orders", expected, "born", r.Born, "revision", revision, "error", err)
+	k.log.Info("layers ordered", "replica", r.ID, "domain", r.Domain, "kind", r.CardKind, "held", r.Holds, "hold", o.Hold,
+		"reason", o.Reason, "orders", expected, "born", r.Incarnation, "revision", revision, "error", err)
 	if err == nil {
 		k.setAcceptedOrders(r, expected+1)
 	}
@@ -232,7 +232,7 @@
 func (k *Controller) expectedOrders(r *replicalist.Replica) int64 {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if c := k.acceptedOrders[r.ID]; c.incarnation == r.Born {
+	if c := k.acceptedOrders[r.ID]; c.incarnation == r.Incarnation {
 		return c.accepted
 	}
 	return 0
@@ -241,7 +241,7 @@
 func (k *Controller) setAcceptedOrders(r *replicalist.Replica, accepted int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Born, accepted: accepted}
+	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Incarnation, accepted: accepted}
 }
 
 // fetchReport reads a replica's report and records the number of orders that the replica has
@@ -252,8 +252,8 @@
 		k.log.Warn("replica report not read", "replica", r.ID, "error", err)
 		return report, false
 	}
-	k.log.Info("report", "replica", r.ID, "orders", report.Orders, "holds", report.Holds, "busy", report.Busy, "born", report.Born)
-	k.setAcceptedOrders(r, report.Orders)
+	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedOrders, "holds", report.Holds, "busy", report.ExecutingOrder, "born", report.Incarnation)
+	k.setAcceptedOrders(r, report.AcceptedOrders)
 	return report, true
 }
 
@@ -263,7 +263,7 @@
 func (k *Controller) clearPending(replica string, report replicareport.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.Busy {
+	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.ExecutingOrder {
 		delete(k.pendingOrders, replica)
 	}
 }
--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -18,7 +18,7 @@
 var (
 	start     = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 	testModel = &ruleset.Model{
-		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, LoadTime: time.Second,
+		Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, LoadTime: time.Second,
 		Cards: map[string]ruleset.Card{"l4": {MemoryMB: 700}},
 	}
 )
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.replica(id)
-	return replicareport.Report{Orders: r.orders, Holds: r.holds}, nil
+	return replicareport.Report{AcceptedOrders: r.orders, Holds: r.holds}, nil
 }
 
 func (e *fakeReplicas) list(ids ...string) []*replicalist.Replica {
@@ -75,7 +75,7 @@
 	defer e.mu.Unlock()
 	var list []*replicalist.Replica
 	for _, id := range ids {
-		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: e.replica(id).holds})
+		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", CardKind: "l4", Holds: e.replica(id).holds})
 	}
 	return list
 }
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -50,7 +50,7 @@
 
 // placeAdapters decides which of the managed replicas hold which adapters, and writes the
 // decision into their plans.
-func (k *Controller) placeAdapters(ctx context.Context, now time.Time, d *docindex.Directory) {
+func (k *Controller) placeAdapters(ctx context.Context, now time.Time, d *docindex.Index) {
 	groups := map[recordKey][]*managedReplica{}
 	for _, replica := range k.replicas {
 		// Skip the many models without adapters, because placeAdapters runs every second.
@@ -83,7 +83,7 @@
 	return desired
 }
 
-func (k *Controller) adapterReplicas(d *docindex.Directory, group []*managedReplica) []adapters.Replica {
+func (k *Controller) adapterReplicas(d *docindex.Index, group []*managedReplica) []adapters.Replica {
 	slots := d.Document.Policy.ConcurrentPerReplica
 	if slots <= 0 {
 		slots = assumedSlots
@@ -117,7 +117,7 @@
 // adapterMemory returns the memory for adapters in bytes, for all layers together. Each
 // engine holds the part of an adapter that belongs to its layers, so the engine with the
 // least free memory per layer counts.
-func adapterMemory(d *docindex.Directory, spec replicaSpec, replicaPlan plan.Replica) int64 {
+func adapterMemory(d *docindex.Index, spec replicaSpec, replicaPlan plan.Replica) int64 {
 	model := placementModel(spec)
 	memory := math.Inf(1)
 	for _, s := range replicaPlan.Stages {
@@ -213,7 +213,7 @@
 // orderAdapters orders the engines of a ready replica to hold the adapters of its plan,
 // once the reserved load time for the missing adapters has come. The replica serves
 // meanwhile.
-func (k *Controller) orderAdapters(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, replicaPlan plan.Replica) {
+func (k *Controller) orderAdapters(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica, replicaPlan plan.Replica) {
 	order := engineapi.AdapterOrder{Model: replica.spec.key.model, Version: replicaPlan.AdapterVersion}
 	for _, a := range replicaPlan.Adapters {
 		order.Adapters = append(order.Adapters, engineapi.Adapter(a))
@@ -256,7 +256,7 @@
 
 // reserveAdapterLoad reserves load time at the weight store for an order, unless it is
 // already reserved.
-func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
+func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
 	if replica.adapters.reservedVersion == order.Version {
 		return nil
 	}
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -92,7 +92,7 @@
 
 // Apply replaces the set of replicas by those of a document that leaves their layers to
 // the planner.
-func (c *Cache) Apply(d *docindex.Directory) {
+func (c *Cache) Apply(d *docindex.Index) {
 	keys := map[replicaID]recordKey{}
 	for _, r := range replicaSpecs(d) {
 		keys[r.id()] = r.key
@@ -236,7 +236,7 @@
 	return replicaID{r.key.model, r.name}
 }
 
-func replicaSpecs(d *docindex.Directory) []replicaSpec {
+func replicaSpecs(d *docindex.Index) []replicaSpec {
 	var specs []replicaSpec
 	for i := range d.Document.Services {
 		s := &d.Document.Services[i]
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -64,13 +64,13 @@
 	cfg ControllerConfig
 
 	mu           sync.Mutex
-	directory    *docindex.Directory
+	directory    *docindex.Index
 	measurements []hopMeasurement
 	suspects     map[replicaID]bool
 
 	// Only Run uses the following fields.
 	replicas            map[replicaID]*managedReplica
-	refreshedFor        *docindex.Directory
+	refreshedFor        *docindex.Index
 	refreshedMembership any
 	// rollouts are the roll-outs decided in this round.
 	rollouts map[recordKey]placement.RolloutStep
@@ -111,7 +111,7 @@
 }
 
 // Apply replaces the document.
-func (k *Controller) Apply(d *docindex.Directory) {
+func (k *Controller) Apply(d *docindex.Index) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.directory = d
@@ -183,7 +183,7 @@
 	k.placeAdapters(ctx, now, d)
 }
 
-func (k *Controller) takeInputs() (*docindex.Directory, []hopMeasurement, map[replicaID]bool) {
+func (k *Controller) takeInputs() (*docindex.Index, []hopMeasurement, map[replicaID]bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	measurements, suspects := k.measurements, k.suspects
@@ -195,7 +195,7 @@
 // refreshReplicas updates the set of managed replicas to those that this node owns. It
 // iterates over every replica of the document, so it runs only when the document or the
 // list of nodes has changed.
-func (k *Controller) refreshReplicas(d *docindex.Directory) {
+func (k *Controller) refreshReplicas(d *docindex.Index) {
 	membership := k.cfg.MembershipVersion()
 	if d == k.refreshedFor && membership == k.refreshedMembership {
 		return
@@ -237,7 +237,7 @@
 
 // reconcile brings one replica towards its best plan. It reports whether the replica has a
 // plan.
-func (k *Controller) reconcile(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) bool {
+func (k *Controller) reconcile(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica) bool {
 	if err := k.commitPlan(ctx, now, d, replica); err != nil {
 		k.cfg.Log.Warn("plan not written", "model", replica.spec.key.model, "replica", replica.spec.name, "error", err)
 		return false
@@ -247,7 +247,7 @@
 
 // commitPlan writes a plan for the replica to the store if the replica has none, or if the
 // document or the measured times require another plan.
-func (k *Controller) commitPlan(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) error {
+func (k *Controller) commitPlan(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica) error {
 	model, chain := plannerInput(d, replica.spec)
 	stages, reason, changed, err := replica.decide(now, model, chain, k.cfg.Cache)
 	if err != nil || !changed {
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -29,7 +29,7 @@
 // orderLayers sends orders to the engines whose layers differ from the plan, once their
 // reserved load time has come. Engines that restart without layers are found the same
 // way, so the loads of a restarted rack are scheduled too.
-func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) {
+func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica) {
 	replicaPlan, ok := k.cfg.Cache.Agreed(replica.spec.key.model, replica.spec.name)
 	if !ok {
 		return
@@ -61,7 +61,7 @@
 
 // pendingOrders fetches the reports of a replica's engines and updates the replica's
 // state. It returns the orders for the engines that differ from the plan.
-func (k *Controller) pendingOrders(ctx context.Context, d *docindex.Directory, replica *managedReplica, replicaPlan plan.Replica) []pendingOrder {
+func (k *Controller) pendingOrders(ctx context.Context, d *docindex.Index, replica *managedReplica, replicaPlan plan.Replica) []pendingOrder {
 	var pending []pendingOrder
 	replica.state = placement.Ready
 	for _, s := range replicaPlan.Stages {
@@ -98,7 +98,7 @@
 
 // reserveLayerLoads reserves load time at the weight store for the orders that have none
 // yet, all in one write.
-func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, pending []pendingOrder) error {
+func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica, pending []pendingOrder) error {
 	model, _ := plannerInput(d, replica.spec)
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
 	var unreserved []pendingOrder
--- a/route/layerplans/planning.go
+++ b/route/layerplans/planning.go
@@ -27,7 +27,7 @@
 )
 
 // plannerInput returns a replica's model and chain as input of the planner.
-func plannerInput(d *docindex.Directory, spec replicaSpec) (placement.Model, placement.Chain) {
+func plannerInput(d *docindex.Index, spec replicaSpec) (placement.Model, placement.Chain) {
 	model := placementModel(spec)
 	var chain placement.Chain
 	domains := make([]string, len(spec.stages))
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -110,9 +110,9 @@
 // long as the budget allows, an order only while every one tried so far provably did
 // nothing.
 func (e *exchange) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
-	kind := ruleset.Repeatable
+	kind := ruleset.Idempotent
 	if e.Class == admission.Order {
-		kind = ruleset.Once
+		kind = ruleset.NonIdempotent
 	}
 	deadline := e.Deadline
 	if deadline.IsZero() {
@@ -122,7 +122,7 @@
 	answer, refusal := e.server.Path.Do(ctx, &relay.Request{
 		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
-		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
+		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, LatencyObjective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
 		Targets: endpoints{e.Visit}, Budget: e.At.RetryBudget,
 		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
 		Arrived: e.Arrived, Deadline: deadline,
@@ -135,11 +135,11 @@
 
 // told puts a refusal of the data path into the words of this door. An order whose
 // fate is not known stays in doubt.
-func told(kind ruleset.Kind, r *outcome.Refusal) *outcome.Refusal {
+func told(kind ruleset.RouteKind, r *outcome.Refusal) *outcome.Refusal {
 	switch {
 	case r.Code == relay.ReasonCallerGone || r.Code == relay.ReasonOverloaded:
 		return r
-	case r.Outcome == outcome.Unknown && kind == ruleset.Once:
+	case r.Outcome == outcome.Unknown && kind == ruleset.NonIdempotent:
 		return inDoubt("the order was sent and its result is not known: " + r.Message)
 	}
 	return &outcome.Refusal{
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -21,18 +21,18 @@
 	failed := attemptResult{kind: resultFailed, feedback: targets.Result{Failure: health.Internal}}
 	for _, c := range []struct {
 		name            string
-		kind            ruleset.Kind
+		kind            ruleset.RouteKind
 		mayHaveRunCount int
 		last            attemptResult
 		wantRetry       bool
 	}{
-		{"order, unknown", ruleset.Once, 1, broken, false},
-		{"order, failed", ruleset.Once, 1, failed, false},
-		{"order, refused", ruleset.Once, 0, refused, true},
-		{"order, not sent", ruleset.Once, 0, unsent, true},
-		{"read, unknown", ruleset.Repeatable, 1, broken, true},
-		{"read, failed", ruleset.Repeatable, 2, failed, true},
-		{"read, replica limit reached", ruleset.Repeatable, 3, failed, false},
+		{"order, unknown", ruleset.NonIdempotent, 1, broken, false},
+		{"order, failed", ruleset.NonIdempotent, 1, failed, false},
+		{"order, refused", ruleset.NonIdempotent, 0, refused, true},
+		{"order, not sent", ruleset.NonIdempotent, 0, unsent, true},
+		{"read, unknown", ruleset.Idempotent, 1, broken, true},
+		{"read, failed", ruleset.Idempotent, 2, failed, true},
+		{"read, replica limit reached", ruleset.Idempotent, 3, failed, false},
 	} {
 		now := time.Now()
 		req := &requestState{
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -65,7 +65,7 @@
 func (a *attempt) runBuffered() attemptResult {
 	headTimeout := a.req.Deadline.Sub(a.req.server.Now())
 	if a.req.Route.Idempotent() && a.req.Route.MaxReplicas > 1 {
-		headTimeout = headTimeoutFactor * a.req.Route.Objective
+		headTimeout = headTimeoutFactor * a.req.Route.LatencyObjective
 	}
 	exchange, failed := a.send(a.req.ctx, headTimeout)
 	if failed != nil {
@@ -174,11 +174,11 @@
 // and for the retry budget.
 func (req *requestState) addLateness(figures map[string]float64) {
 	figures["late"] = 1
-	figures["objective_ms"] = millis(req.Route.Objective)
+	figures["objective_ms"] = millis(req.Route.LatencyObjective)
 	figures["waited_room_ms"] = millis(req.capacityWait)
 	figures["waited_budget_ms"] = millis(req.budgetWait)
 	if req.Route.Kind == ruleset.Stream {
-		figures["pause_limit_ms"] = millis(req.Route.MaxPause)
+		figures["pause_limit_ms"] = millis(req.Route.MaxEventGap)
 	}
 	if active := req.lastTarget.Active; active != nil {
 		figures["slowest_pace"] = active.MaxSlowdown()
@@ -188,9 +188,9 @@
 // late reports whether the answer missed an objective of its route.
 func (req *requestState) late() bool {
 	if req.Route.Kind == ruleset.Stream {
-		return req.timeToFirstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
+		return req.timeToFirstEvent > req.Route.LatencyObjective || req.Route.MaxEventGap > 0 && req.longestPause > req.Route.MaxEventGap
 	}
-	return req.server.Now().Sub(req.Arrived) > req.Route.Objective
+	return req.server.Now().Sub(req.Arrived) > req.Route.LatencyObjective
 }
 
 // abort ends an answer that has begun and can't be completed. The connection is closed so that
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -24,7 +24,7 @@
 // on.
 func BenchmarkPassEvent(b *testing.B) {
 	req := &requestState{
-		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
+		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, LatencyObjective: time.Second, MaxEventGap: time.Second}},
 		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, answerStarted: true,
 	}
 	a := &attempt{req: req, startedAt: time.Now()}
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -75,7 +75,7 @@
 		return m
 	}
 	m.setMigrationFilter(a.req)
-	m.timer = time.AfterFunc(a.req.Route.Objective/firstCheckDivisor, m.checkPath)
+	m.timer = time.AfterFunc(a.req.Route.LatencyObjective/firstCheckDivisor, m.checkPath)
 	a.target.Active.SetCallbacks(
 		func(replica string) { m.reroute("a part of the path is lost: "+replica, false) },
 		func(replica string) { m.reroute("a part of the path is draining: "+replica, true) },
@@ -120,7 +120,7 @@
 
 // maxPause is the longest pause between two events that counts as on time.
 func (req *requestState) maxPause() time.Duration {
-	return cmp.Or(req.Route.MaxPause, defaultMaxPause)
+	return cmp.Or(req.Route.MaxEventGap, defaultMaxPause)
 }
 
 // silentFor is the time since the last event of this attempt or, before the first event, since
@@ -157,7 +157,7 @@
 		addresses[i] = stage.Address
 		replicas[stage.Address] = stage.Replica
 	}
-	lost := m.attempt.req.server.Prober.Lost(m.ctx, connprobe.Silence, addresses)
+	lost := m.attempt.req.server.Prober.FindUnreachable(m.ctx, connprobe.ReasonStalledStream, addresses)
 	if len(lost) == 0 {
 		m.recheckLater(path)
 		return
@@ -166,9 +166,9 @@
 	for _, loss := range lost {
 		replica := replicas[loss.Address]
 		// Suspecting the replica reroutes all requests that run through it.
-		if m.attempt.target.Active.Suspect(replica, loss.Silent) {
+		if m.attempt.target.Active.Suspect(replica, loss.HostUnreachable) {
 			newlySuspected = true
-			m.attempt.req.log.Info("replica out of reach", "service", m.attempt.req.Service, "replica", replica, "address", loss.Address, "silent", loss.Silent)
+			m.attempt.req.log.Info("replica out of reach", "service", m.attempt.req.Service, "replica", replica, "address", loss.Address, "silent", loss.HostUnreachable)
 		}
 	}
 	if !newlySuspected {
@@ -198,12 +198,12 @@
 	req := m.attempt.req
 	for _, stage := range path {
 		go func() {
-			report, asked, err := req.server.Reports.Ask(m.ctx, stage.Address, stage.Replica)
+			report, asked, err := req.server.Reports.Get(m.ctx, stage.Address, stage.Replica)
 			if err != nil || !asked {
 				return // another request has already asked the replica, or the replica gave no report
 			}
-			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Pace) {
-				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Pace)
+			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Slowdown) {
+				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Slowdown)
 			}
 		}()
 	}
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -75,8 +75,8 @@
 	if replica == "" {
 		return
 	}
-	lost := req.server.Prober.Lost(req.ctx, connprobe.Named, []string{address})
-	if len(lost) > 0 && target.Active.Suspect(replica, lost[0].Silent) {
+	lost := req.server.Prober.FindUnreachable(req.ctx, connprobe.ReasonReportedFault, []string{address})
+	if len(lost) > 0 && target.Active.Suspect(replica, lost[0].HostUnreachable) {
 		req.log.Info("replica out of reach", "service", req.Service, "replica", replica, "address", address)
 	}
 }
@@ -126,7 +126,7 @@
 
 // onTimeWait is how long a request can wait for capacity and still be answered on time.
 func (req *requestState) onTimeWait() time.Duration {
-	return req.Route.Objective * 6 / 10
+	return req.Route.LatencyObjective * 6 / 10
 }
 
 // maxWaitFactor times onTimeWait is the longest wait for capacity. A late answer has part of
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -89,7 +89,7 @@
 // replica has capacity now. Without such capacity the request keeps its path. Its first replica
 // may yet continue the answer, and ending the attempt would certainly lose it.
 func (m *pathMonitor) replaceFirst(active *targets.ActiveRequest, reason string) bool {
-	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.req.Budget.Left() {
+	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.req.Budget.CanRetry() {
 		return false
 	}
 	next, ok := active.ReserveMigration(m.filter)
@@ -128,7 +128,7 @@
 // replica would continue the stream sooner.
 func (m *pathMonitor) recoverLostStage(active *targets.ActiveRequest, reason string) bool {
 	maxWait := time.Duration(float64(m.attempt.req.maxPause()) * bypassWaitShare)
-	action, path, next := active.Recover(m.mayMigrate && m.attempt.req.Budget.Left(), maxWait, m.filter)
+	action, path, next := active.Recover(m.mayMigrate && m.attempt.req.Budget.CanRetry(), maxWait, m.filter)
 	if action == reroute.Migrate {
 		if m.staysSilent() && m.migrate(next, reason+"; another failure domain goes on sooner") {
 			return true
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -17,12 +17,12 @@
 func twoReplicaModel() *targets.ModelTargets {
 	m := targets.NewModelTargets("d", 1, time.Now)
 	model := &ruleset.Model{
-		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
-		Cards: map[string]ruleset.Card{"h100": {MemoryMB: 2000, Pace: 1}},
+		Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, StepMillis: 1,
+		Cards: map[string]ruleset.Card{"h100": {MemoryMB: 2000, StepTimeFactor: 1}},
 	}
 	var list []*replicalist.Replica
 	for _, id := range []string{"a", "b"} {
-		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "h100", Holds: layers.Span{To: 8}})
+		list = append(list, &replicalist.Replica{ID: id, Address: id, Domain: "d", CardKind: "h100", Holds: layers.Span{To: 8}})
 	}
 	m.Update(model, list, targets.NodeShare{CapacityShare: func(string) float64 { return 1 }, MaxConns: 10, DomainNodeCount: 1})
 	return m
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -105,7 +105,7 @@
 	Engines  EngineClient
 	Pool     *upstream.Pool
 	Prober   *connprobe.Prober
-	Reports  *replicareport.Inspector
+	Reports  *replicareport.Cache
 	Metrics  Metrics
 	Recorder decisionlog.Recorder
 	Log      hclog.Logger
--- a/route/replicalist/digest.go
+++ b/route/replicalist/digest.go
@@ -2,33 +2,33 @@
 
 import "slices"
 
-// Digest is what one list has changed, in a form whose size does not grow with the
+// ChangeSummary is what one list has changed, in a form whose size does not grow with the
 // number of replicas.
-type Digest struct {
-	// Counts are the changes by what they are.
-	Counts map[string]int
-	// Own are the changes of replicas that this node uses, at most as many as were
+type ChangeSummary struct {
+	// CountsByKind are the changes by what they are.
+	CountsByKind map[string]int
+	// UsedByNode are the changes of replicas that this node uses, at most as many as were
 	// asked for; Left is how many more of these there are.
-	Own  []Change
-	Left int
+	UsedByNode   []Change
+	OmittedCount int
 }
 
-// Digested sums up changes. used says which replicas this node uses.
-func Digested(changes []Change, used func(*Replica) bool, most int) Digest {
-	d := Digest{Counts: map[string]int{}}
+// Summarize sums up changes. used says which replicas this node uses.
+func Summarize(changes []Change, used func(*Replica) bool, most int) ChangeSummary {
+	d := ChangeSummary{CountsByKind: map[string]int{}}
 	for _, c := range changes {
-		d.Counts[c.What]++
+		d.CountsByKind[c.Kind]++
 		if used(c.Replica) {
-			d.Own = append(d.Own, c)
+			d.UsedByNode = append(d.UsedByNode, c)
 		}
 	}
 	// What ends a request comes before what does not, should some be left out.
-	slices.SortStableFunc(d.Own, func(a, b Change) int { return severity(b) - severity(a) })
-	d.Left = max(0, len(d.Own)-most)
-	d.Own = d.Own[:len(d.Own)-d.Left]
+	slices.SortStableFunc(d.UsedByNode, func(a, b Change) int { return severity(b) - severity(a) })
+	d.OmittedCount = max(0, len(d.UsedByNode)-most)
+	d.UsedByNode = d.UsedByNode[:len(d.UsedByNode)-d.OmittedCount]
 	return d
 }
 
 func severity(c Change) int {
-	return slices.Index([]string{WhatListed, WhatChanged, WhatLapsed, WhatDraining, WhatGone}, c.What)
+	return slices.Index([]string{ChangeListed, ChangeUpdated, ChangeRetained, ChangeDraining, ChangeRemoved}, c.Kind)
 }
--- a/route/replicalist/digest_test.go
+++ b/route/replicalist/digest_test.go
@@ -11,26 +11,26 @@
 func TestDigestIsBounded(t *testing.T) {
 	var changes []Change
 	for i := range 1000 {
-		what := WhatChanged
+		what := ChangeUpdated
 		if i%100 == 99 {
-			what = WhatGone
+			what = ChangeRemoved
 		}
-		changes = append(changes, Change{Replica: &Replica{ID: fmt.Sprintf("i-%03d", i)}, What: what})
+		changes = append(changes, Change{Replica: &Replica{ID: fmt.Sprintf("i-%03d", i)}, Kind: what})
 	}
 	used := func(r *Replica) bool { return strings.HasSuffix(r.ID, "9") }
-	d := Digested(changes, used, 12)
-	if d.Counts[WhatChanged] != 990 || d.Counts[WhatGone] != 10 {
-		t.Errorf("counted %v", d.Counts)
+	d := Summarize(changes, used, 12)
+	if d.CountsByKind[ChangeUpdated] != 990 || d.CountsByKind[ChangeRemoved] != 10 {
+		t.Errorf("counted %v", d.CountsByKind)
 	}
-	if len(d.Own) != 12 || d.Left != 88 {
-		t.Fatalf("%d told, %d left of 100 used", len(d.Own), d.Left)
+	if len(d.UsedByNode) != 12 || d.OmittedCount != 88 {
+		t.Fatalf("%d told, %d left of 100 used", len(d.UsedByNode), d.OmittedCount)
 	}
-	for i, c := range d.Own {
-		if gone := c.What == WhatGone; gone != (i < 10) {
-			t.Errorf("place %d holds one that is %s", i, c.What)
+	for i, c := range d.UsedByNode {
+		if gone := c.Kind == ChangeRemoved; gone != (i < 10) {
+			t.Errorf("place %d holds one that is %s", i, c.Kind)
 		}
 	}
-	if d := Digested(changes, func(*Replica) bool { return false }, 12); len(d.Own) != 0 || d.Left != 0 {
-		t.Errorf("%d told of none used", len(d.Own))
+	if d := Summarize(changes, func(*Replica) bool { return false }, 12); len(d.UsedByNode) != 0 || d.OmittedCount != 0 {
+		t.Errorf("%d told of none used", len(d.UsedByNode))
 	}
 }
--- a/route/replicalist/tracker.go
+++ b/route/replicalist/tracker.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// ReturnWithin is how long owners take to enter themselves again once the store is
+// ReregistrationTimeout is how long owners take to enter themselves again once the store is
 // back; the platform says about two seconds.
-const ReturnWithin = 2200 * time.Millisecond
+const ReregistrationTimeout = 2200 * time.Millisecond
 
 // Change is a difference between two lists, for the log.
 type Change struct {
 	Replica *Replica
-	// What is one of the constants below.
-	What string
+	// Kind is one of the constants below.
+	Kind string
 }
 
 // What a change may be.
 const (
-	// WhatListed is a replica that is new, or has started again.
-	WhatListed = "listed"
-	// WhatChanged is another address, other layers, or a replica that drains no more.
-	WhatChanged  = "changed"
-	WhatDraining = "draining"
-	// WhatLapsed is an entry that vanished over an absence of the store, and holds.
-	WhatLapsed = "lapsed"
-	WhatGone   = "gone"
+	// ChangeListed is a replica that is new, or has started again.
+	ChangeListed = "listed"
+	// ChangeUpdated is another address, other layers, or a replica that drains no more.
+	ChangeUpdated  = "changed"
+	ChangeDraining = "draining"
+	// ChangeRetained is an entry that vanished over an absence of the store, and holds.
+	ChangeRetained = "lapsed"
+	ChangeRemoved  = "gone"
 )
 
 // Tracker makes lists of replicas from reads of the store.
@@ -40,10 +40,10 @@
 //
 // It is not safe for concurrent use.
 type Tracker struct {
-	// AwayAfter is the pause between two reads of the store after which entries may
+	// OutageThreshold is the pause between two reads of the store after which entries may
 	// have lapsed in it because their owners could not renew them: a usual pause and
 	// the time of a read that failed.
-	AwayAfter time.Duration
+	OutageThreshold time.Duration
 
 	known    map[string]*Replica
 	lastRead time.Time
@@ -54,7 +54,7 @@
 // Update takes what one read has found and returns the replicas to use, by id, and
 // what has changed. read is when the read began.
 func (t *Tracker) Update(read time.Time, found []*Replica) ([]*Replica, []Change) {
-	if !t.lastRead.IsZero() && read.Sub(t.lastRead) > t.AwayAfter {
+	if !t.lastRead.IsZero() && read.Sub(t.lastRead) > t.OutageThreshold {
 		t.back = read
 	}
 	t.lastRead = read
@@ -63,38 +63,38 @@
 	for _, r := range found {
 		now[r.ID] = r
 		if what := difference(t.known[r.ID], r); what != "" {
-			changes = append(changes, Change{Replica: r, What: what})
+			changes = append(changes, Change{Replica: r, Kind: what})
 		}
 	}
 	for id, r := range t.known {
 		if now[id] != nil {
 			continue
 		}
-		if t.Returned(read, ReturnWithin) && !r.Draining {
+		if t.RecoveredWithin(read, ReregistrationTimeout) && !r.Draining {
 			now[id] = r
-			changes = append(changes, Change{Replica: r, What: WhatLapsed})
+			changes = append(changes, Change{Replica: r, Kind: ChangeRetained})
 			continue
 		}
-		changes = append(changes, Change{Replica: r, What: WhatGone})
+		changes = append(changes, Change{Replica: r, Kind: ChangeRemoved})
 	}
 	t.known = now
 	return sorted(now), changes
 }
 
-// Returned says whether the store was found back, after an absence, less than some time
+// RecoveredWithin says whether the store was found back, after an absence, less than some time
 // before a read.
-func (t *Tracker) Returned(read time.Time, within time.Duration) bool {
+func (t *Tracker) RecoveredWithin(read time.Time, within time.Duration) bool {
 	return !t.back.IsZero() && read.Sub(t.back) < within
 }
 
 func difference(old, now *Replica) string {
 	switch {
-	case old == nil || old.Born != now.Born:
-		return WhatListed
+	case old == nil || old.Incarnation != now.Incarnation:
+		return ChangeListed
 	case now.Draining && !old.Draining:
-		return WhatDraining
+		return ChangeDraining
 	case old.Holds != now.Holds || old.Address != now.Address || old.Draining != now.Draining:
-		return WhatChanged
+		return ChangeUpdated
 	}
 	return ""
 }
--- a/route/replicalist/tracker_test.go
+++ b/route/replicalist/tracker_test.go
@@ -20,7 +20,7 @@
 // The store was away and is back with an empty list, as no replica could renew its
 // entry. Callers are served as before; whoever has not come back in time is gone.
 func TestEntriesThatLapsedInAnOutage(t *testing.T) {
-	tr := Tracker{AwayAfter: 1500 * time.Millisecond}
+	tr := Tracker{OutageThreshold: 1500 * time.Millisecond}
 	a, b, c := &Replica{ID: "a"}, &Replica{ID: "b"}, &Replica{ID: "c", Draining: true}
 	list := func(ms int, found ...*Replica) string {
 		got, _ := tr.Update(at(ms), found)
@@ -48,16 +48,16 @@
 // A replica that starts again under its id holds nothing of before; the log tells it
 // from one whose layers have changed.
 func TestChangesAreTold(t *testing.T) {
-	tr := Tracker{AwayAfter: 1500 * time.Millisecond}
+	tr := Tracker{OutageThreshold: 1500 * time.Millisecond}
 	for _, step := range []struct {
 		found *Replica
 		want  string
 	}{
-		{&Replica{ID: "a", Born: 1}, "listed"},
-		{&Replica{ID: "a", Born: 1}, ""},
-		{&Replica{ID: "a", Born: 1, Address: "x"}, "changed"},
-		{&Replica{ID: "a", Born: 2, Address: "x"}, "listed"},
-		{&Replica{ID: "a", Born: 2, Address: "x", Draining: true}, "draining"},
+		{&Replica{ID: "a", Incarnation: 1}, "listed"},
+		{&Replica{ID: "a", Incarnation: 1}, ""},
+		{&Replica{ID: "a", Incarnation: 1, Address: "x"}, "changed"},
+		{&Replica{ID: "a", Incarnation: 2, Address: "x"}, "listed"},
+		{&Replica{ID: "a", Incarnation: 2, Address: "x", Draining: true}, "draining"},
 		{nil, "gone"},
 	} {
 		var found []*Replica
@@ -67,7 +67,7 @@
 		_, changes := tr.Update(start, found)
 		got := ""
 		if len(changes) > 0 {
-			got = changes[0].What
+			got = changes[0].Kind
 		}
 		if got != step.want {
 			t.Errorf("%+v: %q, want %q", step.found, got, step.want)
--- a/route/replicapicker/replicapicker.go
+++ b/route/replicapicker/replicapicker.go
@@ -74,9 +74,9 @@
 	p.change(func(now time.Time, b *balance.Balancer) { b.Report(now, replica, l) })
 }
 
-// Leaving passes on what one source says of a replica: it gets nothing new
+// MarkLeaving passes on what one source says of a replica: it gets nothing new
 // while any source says that it leaves.
-func (p *Picker) Leaving(replica string, source balance.Source, leaving bool) {
+func (p *Picker) MarkLeaving(replica string, source balance.Source, leaving bool) {
 	p.change(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replica, source, leaving) })
 }
 
@@ -99,13 +99,13 @@
 
 // Slots is how many requests this node may have underway.
 func (p *Picker) Slots() int {
-	slots, _ := p.Share()
+	slots, _ := p.SlotShare()
 	return slots
 }
 
-// Share returns how many requests this node may have underway, and the slots of
+// SlotShare returns how many requests this node may have underway, and the slots of
 // all replicas that it may use.
-func (p *Picker) Share() (slots, whole int) {
+func (p *Picker) SlotShare() (slots, whole int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.slots, p.whole
--- a/route/replicareport/replicareport.go
+++ b/route/replicareport/replicareport.go
@@ -13,15 +13,15 @@
 // Report is a replica's account of itself. It is some hundred milliseconds old when
 // it comes.
 type Report struct {
-	// Born tells its lives apart.
-	Born int64
-	// Busy says that an order is being carried out.
-	Busy bool
-	// Orders counts those accepted in this life.
-	Orders int64
-	Holds  layers.Span
-	// Pace is over 1 if the replica is slower than its kind.
-	Pace float64
+	// Incarnation tells its lives apart.
+	Incarnation int64
+	// ExecutingOrder says that an order is being carried out.
+	ExecutingOrder bool
+	// AcceptedOrders counts those accepted in this life.
+	AcceptedOrders int64
+	Holds          layers.Span
+	// Slowdown is over 1 if the replica is slower than its kind.
+	Slowdown float64
 }
 
 // Source asks one replica.
@@ -36,8 +36,8 @@
 // maxKnown bounds what is remembered.
 const maxKnown = 4096
 
-// Inspector shares reports. Safe for concurrent use.
-type Inspector struct {
+// Cache shares reports. Safe for concurrent use.
+type Cache struct {
 	source Source
 	now    func() time.Time
 
@@ -54,12 +54,12 @@
 }
 
 // New returns an Inspector.
-func New(source Source, now func() time.Time) *Inspector {
-	return &Inspector{source: source, now: now, known: map[string]*question{}}
+func New(source Source, now func() time.Time) *Cache {
+	return &Cache{source: source, now: now, known: map[string]*question{}}
 }
 
-// Ask returns a young report. fresh says that it was asked for by this call.
-func (i *Inspector) Ask(ctx context.Context, address, replica string) (answer Report, fresh bool, err error) {
+// Get returns a young report. fresh says that it was asked for by this call.
+func (i *Cache) Get(ctx context.Context, address, replica string) (answer Report, fresh bool, err error) {
 	q, fresh := i.question(ctx, address, replica)
 	select {
 	case <-q.done:
@@ -69,7 +69,7 @@
 	}
 }
 
-func (i *Inspector) question(ctx context.Context, address, replica string) (*question, bool) {
+func (i *Cache) question(ctx context.Context, address, replica string) (*question, bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	now := i.now()
--- a/route/retrybudget/retrybudget.go
+++ b/route/retrybudget/retrybudget.go
@@ -23,9 +23,9 @@
 	return &Budget{now: now, cfg: cfg, budget: retry.New(cfg)}
 }
 
-// SetShare takes the share of successes that further tries may cost; zero means the
+// SetRetryRatio takes the share of successes that further tries may cost; zero means the
 // default. A new share starts with a full budget.
-func (b *Budget) SetShare(share float64) {
+func (b *Budget) SetRetryRatio(share float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if share == b.cfg.RetryRatio {
@@ -49,8 +49,8 @@
 	return b.budget.Allow(b.now(), a)
 }
 
-// Left says whether a further try would be allowed.
-func (b *Budget) Left() bool {
+// CanRetry says whether a further try would be allowed.
+func (b *Budget) CanRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.RetriesLeft(b.now()) >= 1
--- a/route/ruleset/ruleset.go
+++ b/route/ruleset/ruleset.go
@@ -13,22 +13,22 @@
 	"time"
 )
 
-// Kind says what may be repeated.
-type Kind uint8
+// RouteKind says what may be repeated.
+type RouteKind uint8
 
 const (
-	// Once must not run more than once for one request.
-	Once Kind = iota
-	// Repeatable may run any number of times.
-	Repeatable
+	// NonIdempotent must not run more than once for one request.
+	NonIdempotent RouteKind = iota
+	// Idempotent may run any number of times.
+	Idempotent
 	// Stream answers with events; Route.Resumable says whether it may be repeated.
 	Stream
 )
 
 // String names the kind for log lines.
-func (k Kind) String() string {
+func (k RouteKind) String() string {
 	switch k {
-	case Repeatable:
+	case Idempotent:
 		return "repeatable"
 	case Stream:
 		return "stream"
@@ -37,8 +37,8 @@
 	}
 }
 
-// Share is a service's part of a route's requests.
-type Share struct {
+// WeightedService is a service's part of a route's requests.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -49,28 +49,28 @@
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	Kind   Kind
+	Kind   RouteKind
 	// Resumable streams go on after a given event at any replica.
 	Resumable bool
 	// Public routes need no key.
 	Public bool
 	// Timeout is the longest time that a caller is kept waiting for the whole answer.
 	Timeout time.Duration
-	// Objective is the time in which an answer, or its first event, is on time.
-	Objective time.Duration
-	// MaxPause is the longest pause between events that is on time.
-	MaxPause time.Duration
+	// LatencyObjective is the time in which an answer, or its first event, is on time.
+	LatencyObjective time.Duration
+	// MaxEventGap is the longest pause between events that is on time.
+	MaxEventGap time.Duration
 	// MaxReplicas is how many replicas may be handed one request.
 	MaxReplicas int
 	// Priority ranks the route's requests, 0 first.
 	Priority int
-	// Shares is never empty.
-	Shares []Share
+	// WeightedServices is never empty.
+	WeightedServices []WeightedService
 }
 
 // Idempotent says whether a request of this route may run more than once.
 func (r *Route) Idempotent() bool {
-	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
+	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Service is what stands behind routes.
@@ -88,17 +88,17 @@
 	Layers int
 	// LayerMB is the memory of one layer's weights, in megabytes.
 	LayerMB float64
-	// TokenLayerBytes is the memory of one token in one layer.
-	TokenLayerBytes float64
-	// CrossBytes is what one token passes on from a replica to the next, and
+	// KVBytesPerTokenLayer is the memory of one token in one layer.
+	KVBytesPerTokenLayer float64
+	// TransferBytesPerToken is what one token passes on from a replica to the next, and
 	// LinkBytesPerSecond what the links between failure domains carry for all; zero for
 	// no bound.
-	CrossBytes, LinkBytesPerSecond float64
+	TransferBytesPerToken, LinkBytesPerSecond float64
 	// StepMillis is the time of one step through all layers on a card of pace 1.
 	StepMillis float64
-	// ReadPerSecond is how many prompt tokens a card of ReadFactor 1 reads a second with all
+	// PrefillTokensPerSecond is how many prompt tokens a card of ReadFactor 1 reads a second with all
 	// layers; zero if it is not told.
-	ReadPerSecond float64
+	PrefillTokensPerSecond float64
 	// LoadTime is the time to load all layers' weights onto one replica.
 	LoadTime time.Duration
 	// Cards are the kinds of accelerators by name.
@@ -108,29 +108,29 @@
 // bytesPerMB: the operator gives memory in units of a million bytes.
 const bytesPerMB = 1e6
 
-// TokenLayerMB is the memory of one token in one layer, in megabytes.
-func (m *Model) TokenLayerMB() float64 { return m.TokenLayerBytes / bytesPerMB }
+// KVMegabytesPerTokenLayer is the memory of one token in one layer, in megabytes.
+func (m *Model) KVMegabytesPerTokenLayer() float64 { return m.KVBytesPerTokenLayer / bytesPerMB }
 
-// ReadMillis is the time in which a card reads one token of a prompt with one layer; zero
+// PrefillMillis is the time in which a card reads one token of a prompt with one layer; zero
 // if it is not told.
-func (m *Model) ReadMillis(card Card) float64 {
-	if m.ReadPerSecond <= 0 || m.Layers <= 0 {
+func (m *Model) PrefillMillis(card Card) float64 {
+	if m.PrefillTokensPerSecond <= 0 || m.Layers <= 0 {
 		return 0
 	}
-	return 1000 / m.ReadPerSecond / float64(m.Layers) * card.ReadFactor
+	return 1000 / m.PrefillTokensPerSecond / float64(m.Layers) * card.PrefillTimeFactor
 }
 
 // Card is a kind of accelerator.
 type Card struct {
 	// MemoryMB holds weights and requests, in megabytes.
 	MemoryMB float64
-	// Pace multiplies the time of a step, ReadFactor that of reading a prompt.
-	Pace, ReadFactor float64
+	// StepTimeFactor multiplies the time of a step, PrefillTimeFactor that of reading a prompt.
+	StepTimeFactor, PrefillTimeFactor float64
 }
 
 // Limits bound what a caller may send.
 type Limits struct {
-	BodyBytes int
+	MaxBodyBytes int
 }
 
 // Team is a tenant of the fleet.
@@ -153,9 +153,9 @@
 	// DefaultTimeout holds where a route has none: some times what the longest usual
 	// streams last.
 	DefaultTimeout = 20 * time.Second
-	// DefaultBodyBytes holds where the operator sets no limit: a long prompt is some
+	// DefaultMaxBodyBytes holds where the operator sets no limit: a long prompt is some
 	// hundred kilobytes, and a node holds the bodies of all requests underway.
-	DefaultBodyBytes = 4 << 20
+	DefaultMaxBodyBytes = 4 << 20
 )
 
 // settle fills in what the operator left out. Without an objective a request is on time
@@ -164,8 +164,8 @@
 	if r.Timeout <= 0 {
 		r.Timeout = DefaultTimeout
 	}
-	if r.Objective <= 0 {
-		r.Objective = r.Timeout
+	if r.LatencyObjective <= 0 {
+		r.LatencyObjective = r.Timeout
 	}
 	r.MaxReplicas = max(1, r.MaxReplicas)
 }
@@ -179,8 +179,8 @@
 		byHost:   make(map[string][]*Route),
 		byKey:    keys,
 	}
-	if r.Limits.BodyBytes <= 0 {
-		r.Limits.BodyBytes = DefaultBodyBytes
+	if r.Limits.MaxBodyBytes <= 0 {
+		r.Limits.MaxBodyBytes = DefaultMaxBodyBytes
 	}
 	for _, s := range services {
 		r.services[s.Name] = s
@@ -229,18 +229,18 @@
 	return list
 }
 
-// Pick chooses the service of one request; draw is uniform in [0,1).
-func (r *Route) Pick(draw float64) string {
+// PickService chooses the service of one request; draw is uniform in [0,1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
-	for _, s := range r.Shares {
+	for _, s := range r.WeightedServices {
 		total += s.Weight
 	}
 	point := draw * float64(total)
-	for _, s := range r.Shares {
+	for _, s := range r.WeightedServices {
 		point -= float64(s.Weight)
 		if point < 0 {
 			return s.Service
 		}
 	}
-	return r.Shares[len(r.Shares)-1].Service
+	return r.WeightedServices[len(r.WeightedServices)-1].Service
 }
--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -20,7 +20,7 @@
 func (s *Service) MarkLeaving(endpoint string, source balance.Source, leaving bool) {
 	s.setMark(endpoint, source, leaving)
 	for _, replica := range s.ReplicasOf(endpoint) {
-		s.Picker.Leaving(replica, source, s.anyLeaving(replica, source))
+		s.Picker.MarkLeaving(replica, source, s.anyLeaving(replica, source))
 	}
 }
 
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -17,7 +17,7 @@
 	leaving  bool
 }
 
-func documentWithChains(replicas ...string) *docindex.Directory {
+func documentWithChains(replicas ...string) *docindex.Index {
 	doc := &document.Document{Teams: []document.Team{{Name: "menteng", Weight: 1}}}
 	m := &document.Model{Layers: 8}
 	for _, name := range replicas {
@@ -91,7 +91,7 @@
 	}
 }
 
-func newTestService(d *docindex.Directory) *Service {
+func newTestService(d *docindex.Index) *Service {
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
 	r.Apply(d)
 	return r.Get("pastry-llm")
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -113,7 +113,7 @@
 
 // Apply puts a document in force. Running requests keep their tickets, even if the
 // document no longer has their service.
-func (r *Registry) Apply(d *docindex.Directory) {
+func (r *Registry) Apply(d *docindex.Index) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	teams := teamWeights(d.Document)
@@ -124,7 +124,7 @@
 		if s == nil {
 			s = r.newService(spec.Name)
 		}
-		s.RetryBudget.SetShare(d.Document.Policy.RetryBudget)
+		s.RetryBudget.SetRetryRatio(d.Document.Policy.RetryBudget)
 		s.applyTeams(teams, r.teams)
 		s.applyReplicas(d, spec)
 		services[spec.Name] = s
@@ -174,7 +174,7 @@
 
 func (s *Service) updateCapacity() {
 	s.Admission.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
-		slots, total := s.Picker.Share()
+		slots, total := s.Picker.SlotShare()
 		return q.SetShare(now, slots, total)
 	})
 }
@@ -194,7 +194,7 @@
 	})
 }
 
-func (s *Service) applyReplicas(d *docindex.Directory, spec *document.Service) {
+func (s *Service) applyReplicas(d *docindex.Index, spec *document.Service) {
 	slots := d.Document.Policy.ConcurrentPerReplica
 	if slots <= 0 {
 		slots = defaultSlots
@@ -231,7 +231,7 @@
 
 // balancedReplicas lists the replicas that the balancer chooses from: the chains of a model,
 // or the endpoints of a plain service.
-func balancedReplicas(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
+func balancedReplicas(d *docindex.Index, spec *document.Service, slots int) []balance.Replica {
 	var replicas []balance.Replica
 	add := func(name, first string) {
 		e, _ := d.Endpoint(first)
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -90,7 +90,7 @@
 	}
 	m.mu.Lock()
 	m.layers, m.nodeShare = model.Layers, share
-	m.crossingBytes, m.linkBytesPerSecond = model.CrossBytes, model.LinkBytesPerSecond
+	m.crossingBytes, m.linkBytesPerSecond = model.TransferBytesPerToken, model.LinkBytesPerSecond
 	m.selector.Update(replicas)
 	for _, r := range list {
 		m.selector.SetShare(r.Domain, share.CapacityShare(r.Domain))
@@ -102,13 +102,13 @@
 }
 
 func pathReplica(model *ruleset.Model, r *replicalist.Replica) paths.Replica {
-	accelerator := model.Cards[r.Kind]
-	capacity := max(0, accelerator.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.TokenLayerMB()
+	accelerator := model.Cards[r.CardKind]
+	capacity := max(0, accelerator.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.KVMegabytesPerTokenLayer()
 	return paths.Replica{
-		ID: r.ID, Incarnation: r.Born, Address: r.Address, Domain: r.Domain, Holds: r.Holds,
+		ID: r.ID, Incarnation: r.Incarnation, Address: r.Address, Domain: r.Domain, Holds: r.Holds,
 		Capacity:      capacity,
-		LayerMillis:   model.StepMillis * accelerator.Pace / float64(model.Layers),
-		PrefillMillis: model.ReadMillis(accelerator),
+		LayerMillis:   model.StepMillis * accelerator.StepTimeFactor / float64(model.Layers),
+		PrefillMillis: model.PrefillMillis(accelerator),
 		Draining:      r.Draining, Revision: r.Revision,
 	}
 }
--- a/route/targets/plain.go
+++ b/route/targets/plain.go
@@ -52,7 +52,7 @@
 	}
 	p.picker.SetReplicas(replicas)
 	for _, r := range list {
-		p.picker.Leaving(r.ID, balance.SourcePlatform, r.Draining)
+		p.picker.MarkLeaving(r.ID, balance.SourcePlatform, r.Draining)
 	}
 }
 
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -17,12 +17,12 @@
 )
 
 var testModel = &ruleset.Model{
-	Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
-	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, Pace: 1}},
+	Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, StepMillis: 1,
+	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, StepTimeFactor: 1}},
 }
 
 func newReplica(id string, from, to int) *replicalist.Replica {
-	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
+	return &replicalist.Replica{ID: id, Address: id, Domain: "d", CardKind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
 // soleNode is the NodeShare of the only node: all capacity and maxConns connections to each
@@ -247,7 +247,7 @@
 	}
 	model := *testModel
 	// One crossing of a stream with 1,000 tokens takes 50 ms.
-	model.CrossBytes, model.LinkBytesPerSecond = 1000, 2e7
+	model.TransferBytesPerToken, model.LinkBytesPerSecond = 1000, 2e7
 	m := NewModelTargets("d", 1, time.Now)
 	list := []*replicalist.Replica{newReplica("a", 0, 4), newReplica("b", 4, 8), remote("x", 0, 4), remote("y", 4, 8)}
 	m.Update(&model, list, soleNode(10))
--- a/route/teamlimiter/teamlimiter.go
+++ b/route/teamlimiter/teamlimiter.go
@@ -1,5 +1,5 @@
-// Package teamlimiter shares the node's splitter of team limits among the node's
-// goroutines.
+// Package teamlimiter makes the node's limits.Splitter safe for concurrent use. The
+// Splitter divides each team's token rate among the nodes that serve the team.
 package teamlimiter
 
 import (
@@ -11,78 +11,83 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// Limiter is the splitter of one node. Safe for concurrent use.
+// Limiter enforces the teams' limits on one node. Safe for concurrent use.
 type Limiter struct {
 	now func() time.Time
 
 	mu       sync.Mutex
 	splitter *limits.Splitter
-	teams    map[string]bool
+	// teams holds the names of the teams in the last call of SetTeams.
+	teams map[string]bool
 }
 
-// New returns a Limiter around a splitter.
+// New returns a Limiter that uses s. The caller must not use s any more.
 func New(s *limits.Splitter, now func() time.Time) *Limiter {
 	return &Limiter{now: now, splitter: s}
 }
 
-// Team is a team's limit over the whole environment, in tokens a second with
-// zero for none, and the nodes that split it.
+// Team is the limit of one team.
 type Team struct {
-	Name  string
+	Name string
+	// Limit is the team's rate over all nodes in tokens per second, or zero for no limit.
 	Limit float64
+	// Homes names the nodes among which the limit is divided. Package decide/limits
+	// describes the division.
 	Homes []string
 }
 
-// SetTeams puts the limits of a document in force.
+// SetTeams replaces the teams and their limits with those of a new document.
 func (l *Limiter) SetTeams(teams []Team) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	gone := l.teams
+	removed := l.teams
 	l.teams = make(map[string]bool, len(teams))
 	for _, t := range teams {
 		l.splitter.SetTeam(t.Name, t.Limit, t.Homes)
 		l.teams[t.Name] = true
-		delete(gone, t.Name)
+		delete(removed, t.Name)
 	}
-	for name := range gone {
+	for name := range removed {
 		l.splitter.RemoveTeam(name)
 	}
 }
 
-// Homes names the peers that this node should exchange with for its teams' limits,
-// the most urgent first.
-func (l *Limiter) Homes() []string {
+// ExchangePeers returns the peers with which this node should exchange loans for its teams'
+// limits, the most urgent first.
+func (l *Limiter) ExchangePeers() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.splitter.ExchangePeers(l.now())
 }
 
-// Ask returns what to ask a peer for.
-func (l *Limiter) Ask(now time.Time, peer string) []limits.LoanRequest {
+// RequestLoans returns the loan requests to send to a peer at the given time.
+func (l *Limiter) RequestLoans(now time.Time, peer string) []limits.LoanRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.splitter.RequestLoans(now, peer)
 }
 
-// Lend answers a peer's questions.
-func (l *Limiter) Lend(peer string, asks []limits.LoanRequest) []limits.Loan {
+// Lend grants loans in response to the loan requests of a peer.
+func (l *Limiter) Lend(peer string, requests []limits.LoanRequest) []limits.Loan {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.splitter.Lend(l.now(), peer, asks)
+	return l.splitter.Lend(l.now(), peer, requests)
 }
 
-// Borrow takes a peer's answer to what was asked at a time.
-func (l *Limiter) Borrow(asked time.Time, peer string, loans []limits.Loan) {
+// Borrow records the loans that a peer granted. sentAt is the time that was passed to
+// RequestLoans.
+func (l *Limiter) Borrow(sentAt time.Time, peer string, loans []limits.Loan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.splitter.Borrow(l.now(), asked, peer, loans)
+	l.splitter.Borrow(l.now(), sentAt, peer, loans)
 }
 
-// Allow books work of the expected cost in tokens, or refuses at once.
-func (l *Limiter) Allow(team string, cost float64) (limits.Share, *outcome.Refusal) {
+// Allow charges a request's expected cost in tokens to the team's limit. If the limit is used
+// up, Allow returns a refusal at once instead of waiting.
+func (l *Limiter) Allow(team string, expectedCost float64) (limits.Share, *outcome.Refusal) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ok, retryAfter, share := l.splitter.Allow(l.now(), team, cost)
+	ok, retryAfter, share := l.splitter.Allow(l.now(), team, expectedCost)
 	if ok {
 		return share, nil
 	}
@@ -95,7 +100,8 @@
 	}
 }
 
-// Correct books the difference between the real and the expected cost.
+// Correct charges the actual cost of a request minus its expected cost to the team's limit.
+// A negative difference returns tokens to the team.
 func (l *Limiter) Correct(team string, difference float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
