--- a/route/connprobe/connprobe.go
+++ b/route/connprobe/connprobe.go
@@ -1,6 +1,6 @@
-// Package connprobe finds out which endpoints of a path that has gone silent no longer
-// answer, by opening connections to them. That asks the endpoints for nothing, so it
-// works also where their health answers can't be trusted or wait for a slot.
+// Package connprobe finds the endpoints of a stalled request path that accept no
+// connection. A probe opens a connection and sends no request, so it also works if the
+// health responses of the endpoint are unreliable or have to wait for a free request slot.
 package connprobe
 
 import (
@@ -11,166 +11,176 @@
 )
 
 const (
-	// within is how long an endpoint has to accept a connection: some ten times what it
-	// takes between failure domains of a region.
-	within = 25 * time.Millisecond
-	// tries must all fail: one packet may be lost on the way. The next one begins when the
-	// one before has failed, or after again.
-	tries = 2
-	again = 8 * time.Millisecond
-	// validFor is how long an answer is shared among the requests that ask: when an
-	// endpoint dies, all that run through it ask at once. One that was reached may have
-	// died since, so that is good for aliveFor only.
-	validFor = 250 * time.Millisecond
-	aliveFor = 60 * time.Millisecond
-	// maxKnown bounds what is remembered.
-	maxKnown = 4096
+	// dialTimeout is how long an endpoint has to accept a connection. It is about ten
+	// times the usual connect time between failure domains of a region.
+	dialTimeout = 25 * time.Millisecond
+	// maxAttempts is the number of connection attempts per probe. An endpoint counts as
+	// unreachable only if all of them fail, because a single packet may be lost. The
+	// second attempt starts when the first has failed, or after attemptDelay.
+	maxAttempts  = 2
+	attemptDelay = 8 * time.Millisecond
+	// unreachableTTL is how long callers share a probe that is running or has found the
+	// endpoint unreachable. When an endpoint dies, all requests that use it start a probe
+	// at once. A reachable endpoint may die right after its probe, so that result is
+	// shared for reachableTTL only.
+	unreachableTTL = 250 * time.Millisecond
+	reachableTTL   = 60 * time.Millisecond
+	// maxCachedProbes bounds the number of probes kept in memory.
+	maxCachedProbes = 4096
 )
 
-// Dialer opens a connection to an endpoint; upstream.Pool is one.
+// Dialer opens a connection to an endpoint. It is implemented by upstream.Pool.
 type Dialer interface {
-	// Reachable says whether the endpoint accepts a connection, and whether its machine
-	// answers at all: one that refuses does.
-	Reachable(ctx context.Context, address string, within time.Duration) (accepts, answers bool)
+	// Reachable reports whether the endpoint accepts a connection, and whether the
+	// endpoint's host answers at all. A host that refuses the connection answers.
+	Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, hostAnswers bool)
 }
 
 // UnreachableEndpoint is an endpoint that accepts no connection.
 type UnreachableEndpoint struct {
 	Address string
-	// HostUnreachable says that nothing answered: no process there goes on with anything. One that
-	// refuses may only be leaving.
+	// HostUnreachable reports that the host did not answer, so no process there continues
+	// any work. If the host refuses connections instead, the endpoint may only be
+	// shutting down.
 	HostUnreachable bool
 }
 
-// Prober asks endpoints. Safe for concurrent use.
+// Prober probes endpoints. Safe for concurrent use.
 type Prober struct {
 	dialer Dialer
 	now    func() time.Time
 
-	mu    sync.Mutex
-	known map[string]*probe
-	made  map[Reason]int64
+	mu sync.Mutex
+	// probes holds the last probe of each address.
+	probes      map[string]*probe
+	probeCounts map[Reason]int64
 }
 
-// Reason is why an endpoint was probed.
+// Reason is why an endpoint is probed.
 type Reason string
 
-// Reasons.
 const (
-	// ReasonStalledStream is a stream that has gone silent.
+	// ReasonStalledStream is a stream through the endpoint that has stalled.
 	ReasonStalledStream Reason = "silence"
-	// ReasonReportedFault is an endpoint that another one named as at fault.
+	// ReasonReportedFault is an endpoint that another endpoint reported as the cause of an
+	// error.
 	ReasonReportedFault Reason = "named"
-	// ReasonPeerReport is one that other nodes have seen lost.
+	// ReasonPeerReport is an endpoint that other nodes reported as unreachable.
 	ReasonPeerReport Reason = "told"
-	// ReasonRecheck is one that is suspected.
+	// ReasonRecheck is a suspected endpoint that may have recovered.
 	ReasonRecheck Reason = "again"
 )
 
 type probe struct {
-	begun time.Time
-	done  chan struct{}
-	// reachable and answers are set once done is closed.
-	reachable, answers bool
+	startedAt time.Time
+	done      chan struct{}
+	// reachable and hostAnswers must be read only after done is closed.
+	reachable, hostAnswers bool
 }
 
 // New returns a Prober.
 func New(dialer Dialer, now func() time.Time) *Prober {
-	return &Prober{dialer: dialer, now: now, known: map[string]*probe{}, made: map[Reason]int64{}}
+	return &Prober{dialer: dialer, now: now, probes: map[string]*probe{}, probeCounts: map[Reason]int64{}}
 }
 
-// FindUnreachable returns those of the addresses that accept no connection at any of the tries.
-func (p *Prober) FindUnreachable(ctx context.Context, why Reason, addresses []string) []UnreachableEndpoint {
+// FindUnreachable returns the addresses that accept no connection in any attempt. When ctx
+// ends first, it returns the unreachable addresses found so far.
+func (p *Prober) FindUnreachable(ctx context.Context, reason Reason, addresses []string) []UnreachableEndpoint {
 	probes := make([]*probe, len(addresses))
 	for i, address := range addresses {
-		probes[i] = p.probe(ctx, why, address)
+		probes[i] = p.probe(ctx, reason, address)
 	}
-	var lost []UnreachableEndpoint
-	for i, each := range probes {
+	var unreachable []UnreachableEndpoint
+	for i, pr := range probes {
 		select {
-		case <-each.done:
-			if !each.reachable {
-				lost = append(lost, UnreachableEndpoint{Address: addresses[i], HostUnreachable: !each.answers})
+		case <-pr.done:
+			if !pr.reachable {
+				unreachable = append(unreachable, UnreachableEndpoint{Address: addresses[i], HostUnreachable: !pr.hostAnswers})
 			}
 		case <-ctx.Done():
-			return lost
+			return unreachable
 		}
 	}
-	return lost
+	return unreachable
 }
 
-// Reachable says whether an address accepts connections.
-func (p *Prober) Reachable(ctx context.Context, why Reason, address string) bool {
-	return len(p.FindUnreachable(ctx, why, []string{address})) == 0
+// Reachable reports whether an address accepts connections. It also returns true if ctx
+// ends before the probe does.
+func (p *Prober) Reachable(ctx context.Context, reason Reason, address string) bool {
+	return len(p.FindUnreachable(ctx, reason, []string{address})) == 0
 }
 
-// ProbeCounts is how many probes were begun, by reason.
+// ProbeCounts returns the number of probes started since New, by reason.
 func (p *Prober) ProbeCounts() map[Reason]int64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return maps.Clone(p.made)
+	return maps.Clone(p.probeCounts)
 }
 
-// probe returns a young probe of an address, or begins one.
-func (p *Prober) probe(ctx context.Context, why Reason, address string) *probe {
+// probe returns the last probe of an address if its result is still valid, or starts a new
+// probe.
+func (p *Prober) probe(ctx context.Context, reason Reason, address string) *probe {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
-	if known, ok := p.known[address]; ok && known.valid(now) {
-		return known
+	if cached, ok := p.probes[address]; ok && cached.valid(now) {
+		return cached
 	}
-	if len(p.known) >= maxKnown {
-		clear(p.known)
+	if len(p.probes) >= maxCachedProbes {
+		clear(p.probes)
 	}
-	p.made[why]++
-	fresh := &probe{begun: now, done: make(chan struct{})}
-	p.known[address] = fresh
-	// The answer is for all who ask, so one of them who leaves must not end it.
-	go p.run(context.WithoutCancel(ctx), address, fresh)
-	return fresh
+	p.probeCounts[reason]++
+	newProbe := &probe{startedAt: now, done: make(chan struct{})}
+	p.probes[address] = newProbe
+	// Several callers may wait for this probe, so the probe continues when the context of
+	// the first caller is canceled.
+	go p.run(context.WithoutCancel(ctx), address, newProbe)
+	return newProbe
 }
 
-// valid says whether what the probe found, or is about to, still counts.
+// valid reports whether callers may still share the result of the probe, or wait for the
+// result of a running probe.
 func (p *probe) valid(now time.Time) bool {
-	age := now.Sub(p.begun)
+	age := now.Sub(p.startedAt)
 	select {
 	case <-p.done:
-		return age < aliveFor || !p.reachable && age < validFor
+		return age < reachableTTL || !p.reachable && age < unreachableTTL
 	default:
-		return age < validFor
+		return age < unreachableTTL
 	}
 }
 
-// run tries an address until it is reached or all tries have failed.
-func (p *Prober) run(ctx context.Context, address string, fresh *probe) {
-	defer close(fresh.done)
+// run tries to connect to an address until one attempt succeeds or all attempts have
+// failed, and stores the result in pr.
+func (p *Prober) run(ctx context.Context, address string, pr *probe) {
+	defer close(pr.done)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	type end struct{ accepts, answers bool }
-	ended := make(chan end, tries)
-	try := func() {
-		accepts, answers := p.dialer.Reachable(ctx, address, within)
-		ended <- end{accepts, answers}
+	type attemptResult struct{ accepts, hostAnswers bool }
+	results := make(chan attemptResult, maxAttempts)
+	attempt := func() {
+		accepts, hostAnswers := p.dialer.Reachable(ctx, address, dialTimeout)
+		results <- attemptResult{accepts, hostAnswers}
 	}
-	go try()
-	next := time.NewTimer(again)
-	defer next.Stop()
-	for begun, failed := 1, 0; failed < tries; {
-		begin := false
+	go attempt()
+	delay := time.NewTimer(attemptDelay)
+	defer delay.Stop()
+	for started, failed := 1, 0; failed < maxAttempts; {
+		startNext := false
 		select {
-		case e := <-ended:
-			fresh.reachable, fresh.answers = e.accepts, fresh.answers || e.answers
-			if e.accepts {
+		case r := <-results:
+			pr.reachable, pr.hostAnswers = r.accepts, pr.hostAnswers || r.hostAnswers
+			if r.accepts {
 				return
 			}
 			failed++
-			begin = begun < tries
-		case <-next.C:
-			begin = begun < tries
+			startNext = started < maxAttempts
+		case <-delay.C:
+			startNext = started < maxAttempts
 		}
-		if begin {
-			begun++
-			go try()
+		if startNext {
+			started++
+			go attempt()
 		}
 	}
 }
--- a/route/connprobe/connprobe_test.go
+++ b/route/connprobe/connprobe_test.go
@@ -8,98 +8,101 @@
 	"time"
 )
 
-type dialer struct {
-	mu    sync.Mutex
-	dead  []string
-	calls int
+// fakeDialer refuses connections to the addresses in unreachable.
+type fakeDialer struct {
+	mu          sync.Mutex
+	unreachable []string
+	calls       int
 }
 
-func (d *dialer) Reachable(_ context.Context, address string, _ time.Duration) (accepts, answers bool) {
+func (d *fakeDialer) Reachable(_ context.Context, address string, _ time.Duration) (accepts, hostAnswers bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.calls++
-	return !slices.Contains(d.dead, address), true
+	return !slices.Contains(d.unreachable, address), true
 }
 
-// All requests through a dead replica ask at once: it is tried twice, not twice for
-// each of them, and a little later again.
+// When a replica dies, all requests that use the replica start a probe at once. Without
+// shared probes, each request would open two connections to the replica.
 func TestProbesAreShared(t *testing.T) {
-	d := &dialer{dead: []string{"b"}}
+	d := &fakeDialer{unreachable: []string{"b"}}
 	now := time.Unix(0, 0)
 	p := New(d, func() time.Time { return now })
 	for range 50 {
-		if lost := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"a", "b", "c"}); len(lost) != 1 || lost[0] != (UnreachableEndpoint{Address: "b"}) {
-			t.Fatalf("lost %v", lost)
+		if unreachable := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"a", "b", "c"}); len(unreachable) != 1 || unreachable[0] != (UnreachableEndpoint{Address: "b"}) {
+			t.Fatalf("unreachable endpoints: %v", unreachable)
 		}
 	}
 	if d.calls != 4 {
-		t.Errorf("%d connections for 50 questions, want 4", d.calls)
+		t.Errorf("%d connection attempts for 50 calls, want 4", d.calls)
 	}
-	now = now.Add(aliveFor)
+	now = now.Add(reachableTTL)
 	p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"a", "b"})
 	if d.calls != 5 {
-		t.Errorf("%d connections, want one more to the one that lived", d.calls)
+		t.Errorf("%d connection attempts, want 5: one more to the reachable endpoint", d.calls)
 	}
-	d.dead = nil
-	now = now.Add(validFor)
+	d.unreachable = nil
+	now = now.Add(unreachableTTL)
 	if !p.Reachable(context.Background(), ReasonRecheck, "b") {
-		t.Error("the old answer outlives its time")
+		t.Error("an unreachable result was used after unreachableTTL")
 	}
 }
 
-// silent is an address that neither accepts nor refuses; the first try to reach lossy is
-// lost on the way.
-type silent struct {
-	mu    sync.Mutex
-	tried map[string]int
+// hangingDialer lets connections hang until the timeout. Only the second attempt to the
+// address "lossy" succeeds, as after the loss of one packet.
+type hangingDialer struct {
+	mu       sync.Mutex
+	attempts map[string]int
 }
 
-func (s *silent) Reachable(ctx context.Context, address string, within time.Duration) (accepts, answers bool) {
-	s.mu.Lock()
-	s.tried[address]++
-	first := s.tried[address] == 1
-	s.mu.Unlock()
+func (d *hangingDialer) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, hostAnswers bool) {
+	d.mu.Lock()
+	d.attempts[address]++
+	first := d.attempts[address] == 1
+	d.mu.Unlock()
 	if address == "lossy" && !first {
 		return true, true
 	}
-	ctx, cancel := context.WithTimeout(ctx, within)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	<-ctx.Done()
 	return false, false
 }
 
-// A replica's machine loses power, and connections to it hang. The second try does not
-// wait for the end of the first: streams that could still be on time would be late. One
-// packet that was lost is no loss of the replica.
-func TestTriesOverlap(t *testing.T) {
-	p := New(&silent{tried: map[string]int{}}, time.Now)
-	begun := time.Now()
-	lost := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"dark", "lossy"})
-	took := time.Since(begun)
-	if len(lost) != 1 || lost[0] != (UnreachableEndpoint{Address: "dark", HostUnreachable: true}) {
-		t.Errorf("lost %v", lost)
+// A replica's host loses power, and connections to the host hang: the host counts as
+// unreachable, but not before the dial timeout. A replica that loses one packet of the
+// first attempt counts as reachable.
+func TestHangingConnections(t *testing.T) {
+	p := New(&hangingDialer{attempts: map[string]int{}}, time.Now)
+	startedAt := time.Now()
+	unreachable := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"hanging", "lossy"})
+	elapsed := time.Since(startedAt)
+	if len(unreachable) != 1 || unreachable[0] != (UnreachableEndpoint{Address: "hanging", HostUnreachable: true}) {
+		t.Errorf("unreachable endpoints: %v", unreachable)
 	}
-	if took < within {
-		t.Errorf("given up after %v", took)
+	if elapsed < dialTimeout {
+		t.Errorf("probe ended after %v, before the dial timeout", elapsed)
 	}
 }
 
-// patient holds its first try up until a second one has begun.
-type patient struct{ second chan struct{} }
+// pairingDialer blocks each attempt until a second attempt is running too.
+type pairingDialer struct{ paired chan struct{} }
 
-func (p *patient) Reachable(ctx context.Context, _ string, _ time.Duration) (accepts, answers bool) {
+func (d *pairingDialer) Reachable(ctx context.Context, _ string, _ time.Duration) (accepts, hostAnswers bool) {
 	select {
-	case p.second <- struct{}{}: // the first try is there to take it
-	case <-p.second:
+	case d.paired <- struct{}{}: // received by the other attempt
+	case <-d.paired:
 	case <-ctx.Done():
 	}
 	return false, false
 }
 
-// Neither of two tries ends before both are underway: one after the other would never end.
-func TestSecondTryDoesNotWaitForTheFirst(t *testing.T) {
-	p := New(&patient{second: make(chan struct{})}, time.Now)
-	if lost := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"dark"}); len(lost) != 1 {
-		t.Errorf("lost %v", lost)
+// If the second attempt waited for the end of the first, a probe of a hanging endpoint
+// would take two timeouts, and streams that could still be on time would be late. Here
+// each attempt ends only while both run, so sequential attempts would block forever.
+func TestSecondAttemptDoesNotWaitForTheFirst(t *testing.T) {
+	p := New(&pairingDialer{paired: make(chan struct{})}, time.Now)
+	if unreachable := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"hanging"}); len(unreachable) != 1 {
+		t.Errorf("unreachable endpoints: %v", unreachable)
 	}
 }
