--- a/route/replicalist/tracker.go
+++ b/route/replicalist/tracker.go
@@ -6,94 +6,100 @@
 	"time"
 )
 
-// ReregistrationTimeout is how long owners take to enter themselves again once the store is
-// back; the platform says about two seconds.
+// ReregistrationTimeout is how long replicas have to register again after an outage of the
+// store. The platform documents about 2 s.
 const ReregistrationTimeout = 2200 * time.Millisecond
 
 // Change is a difference between two lists, for the log.
 type Change struct {
 	Replica *Replica
-	// Kind is one of the constants below.
+	// Kind is one of the Change constants below. The log contains its text.
 	Kind string
 }
 
-// What a change may be.
+// Kinds of changes.
 const (
-	// ChangeListed is a replica that is new, or has started again.
+	// ChangeListed is a new or restarted replica.
 	ChangeListed = "listed"
-	// ChangeUpdated is another address, other layers, or a replica that drains no more.
+	// ChangeUpdated is a replica with a new address or new layers, or one that is no
+	// longer draining.
 	ChangeUpdated  = "changed"
 	ChangeDraining = "draining"
-	// ChangeRetained is an entry that vanished over an absence of the store, and holds.
+	// ChangeRetained is a replica whose entry disappeared during an outage of the store
+	// and that stays in the list.
 	ChangeRetained = "lapsed"
 	ChangeRemoved  = "gone"
 )
 
-// Tracker makes lists of replicas from reads of the store.
+// Tracker builds lists of replicas from reads of the store.
 //
-// The failure that it answers: while the store is away replicas can't renew their
-// entries, and when it is back the list is empty for a second or two. A node that
-// took that for their end would have nowhere to send its requests, though every
-// replica serves. So an entry that vanishes over an absence of the store holds until
-// its owner has had time to come back; one that vanishes while the store is there is
-// gone.
+// During an outage of the store, replicas cannot renew their entries, so the entries
+// expire. When the store is back, it is empty for a second or two. Without the Tracker, a
+// node would then remove all replicas and could send its requests nowhere, although every
+// replica still serves. The Tracker therefore retains entries that disappeared during an
+// outage until their replicas have had ReregistrationTimeout to register again. Entries
+// of draining replicas, and entries that disappear while the store is available, are removed
+// at once.
 //
-// It is not safe for concurrent use.
+// A Tracker is not safe for concurrent use.
 type Tracker struct {
-	// OutageThreshold is the pause between two reads of the store after which entries may
-	// have lapsed in it because their owners could not renew them: a usual pause and
-	// the time of a read that failed.
+	// OutageThreshold is a time between two reads of the store. A longer time between two
+	// reads counts as an outage, in which entries may have expired. Set OutageThreshold to
+	// the usual read interval plus the timeout of a failed read.
 	OutageThreshold time.Duration
 
-	known    map[string]*Replica
-	lastRead time.Time
-	// back is when the store was last found back after an absence.
-	back time.Time
+	replicas   map[string]*Replica
+	lastReadAt time.Time
+	// recoveredAt is the time of the first read after the last outage.
+	recoveredAt time.Time
 }
 
-// Update takes what one read has found and returns the replicas to use, by id, and
-// what has changed. read is when the read began.
-func (t *Tracker) Update(read time.Time, found []*Replica) ([]*Replica, []Change) {
-	if !t.lastRead.IsZero() && read.Sub(t.lastRead) > t.OutageThreshold {
-		t.back = read
+// Update records the replicas that a read of the store found. readAt is the time at which
+// the read began. Update returns the replicas to use, ordered by ID, and the changes since
+// the previous call.
+func (t *Tracker) Update(readAt time.Time, found []*Replica) ([]*Replica, []Change) {
+	if !t.lastReadAt.IsZero() && readAt.Sub(t.lastReadAt) > t.OutageThreshold {
+		t.recoveredAt = readAt
 	}
-	t.lastRead = read
-	now := make(map[string]*Replica, len(found))
+	t.lastReadAt = readAt
+	current := make(map[string]*Replica, len(found))
 	var changes []Change
 	for _, r := range found {
-		now[r.ID] = r
-		if what := difference(t.known[r.ID], r); what != "" {
-			changes = append(changes, Change{Replica: r, Kind: what})
+		current[r.ID] = r
+		if kind := changeKind(t.replicas[r.ID], r); kind != "" {
+			changes = append(changes, Change{Replica: r, Kind: kind})
 		}
 	}
-	for id, r := range t.known {
-		if now[id] != nil {
+	for id, r := range t.replicas {
+		if current[id] != nil {
 			continue
 		}
-		if t.RecoveredWithin(read, ReregistrationTimeout) && !r.Draining {
-			now[id] = r
+		if t.RecoveredWithin(readAt, ReregistrationTimeout) && !r.Draining {
+			current[id] = r
 			changes = append(changes, Change{Replica: r, Kind: ChangeRetained})
 			continue
 		}
 		changes = append(changes, Change{Replica: r, Kind: ChangeRemoved})
 	}
-	t.known = now
-	return sorted(now), changes
+	t.replicas = current
+	return sorted(current), changes
 }
 
-// RecoveredWithin says whether the store was found back, after an absence, less than some time
-// before a read.
-func (t *Tracker) RecoveredWithin(read time.Time, within time.Duration) bool {
-	return !t.back.IsZero() && read.Sub(t.back) < within
+// RecoveredWithin reports whether the last outage of the store ended less than d before
+// readAt. It returns false if there was no outage.
+func (t *Tracker) RecoveredWithin(readAt time.Time, d time.Duration) bool {
+	return !t.recoveredAt.IsZero() && readAt.Sub(t.recoveredAt) < d
 }
 
-func difference(old, now *Replica) string {
+// changeKind returns the kind of the change from previous to current, or "" if there is
+// none. previous is nil for a new replica.
+func changeKind(previous, current *Replica) string {
 	switch {
-	case old == nil || old.Incarnation != now.Incarnation:
+	case previous == nil || previous.Incarnation != current.Incarnation:
 		return ChangeListed
-	case now.Draining && !old.Draining:
+	case current.Draining && !previous.Draining:
 		return ChangeDraining
-	case old.Holds != now.Holds || old.Address != now.Address || old.Draining != now.Draining:
+	case previous.Holds != current.Holds || previous.Address != current.Address || previous.Draining != current.Draining:
 		return ChangeUpdated
 	}
 	return ""
--- a/route/replicalist/tracker_test.go
+++ b/route/replicalist/tracker_test.go
@@ -7,47 +7,50 @@
 
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
+func afterStart(millis int) time.Time {
+	return start.Add(time.Duration(millis) * time.Millisecond)
+}
 
-func ids(list []*Replica) string {
-	text := ""
+func joinIDs(list []*Replica) string {
+	joined := ""
 	for _, r := range list {
-		text += r.ID
+		joined += r.ID
 	}
-	return text
+	return joined
 }
 
-// The store was away and is back with an empty list, as no replica could renew its
-// entry. Callers are served as before; whoever has not come back in time is gone.
-func TestEntriesThatLapsedInAnOutage(t *testing.T) {
+// After an outage the store is empty, because no replica could renew its entry. Without
+// retained entries, callers would get errors although the replicas still serve. A replica
+// that does not register again in time is removed.
+func TestEntriesAreRetainedAfterOutage(t *testing.T) {
 	tr := Tracker{OutageThreshold: 1500 * time.Millisecond}
 	a, b, c := &Replica{ID: "a"}, &Replica{ID: "b"}, &Replica{ID: "c", Draining: true}
-	list := func(ms int, found ...*Replica) string {
-		got, _ := tr.Update(at(ms), found)
-		return ids(got)
+	update := func(readAtMillis int, found ...*Replica) string {
+		list, _ := tr.Update(afterStart(readAtMillis), found)
+		return joinIDs(list)
 	}
 	for _, step := range []struct {
-		ms    int
-		found []*Replica
-		want  string
+		readAtMillis int
+		found        []*Replica
+		want         string
 	}{
 		{0, []*Replica{a, b, c}, "abc"},
 		{800, []*Replica{a, b, c}, "abc"},
-		{6000, nil, "ab"}, // back after five seconds; one that was leaving has left
+		{6000, nil, "ab"}, // outage of 5 s; the draining replica c is removed
 		{6800, []*Replica{a}, "ab"},
 		{8100, []*Replica{a}, "ab"},
 		{8900, []*Replica{a}, "a"},
-		{9700, nil, ""}, // the store was there: gone is gone
+		{9700, nil, ""}, // no outage: removed at once
 	} {
-		if got := list(step.ms, step.found...); got != step.want {
-			t.Errorf("at %d ms: %q, want %q", step.ms, got, step.want)
+		if got := update(step.readAtMillis, step.found...); got != step.want {
+			t.Errorf("replicas at %d ms: %q, want %q", step.readAtMillis, got, step.want)
 		}
 	}
 }
 
-// A replica that starts again under its id holds nothing of before; the log tells it
-// from one whose layers have changed.
-func TestChangesAreTold(t *testing.T) {
+// A replica that restarts under its ID has lost its layers. The log must distinguish it
+// from a replica whose address or layers have changed.
+func TestChangeKinds(t *testing.T) {
 	tr := Tracker{OutageThreshold: 1500 * time.Millisecond}
 	for _, step := range []struct {
 		found *Replica
@@ -70,7 +73,7 @@
 			got = changes[0].Kind
 		}
 		if got != step.want {
-			t.Errorf("%+v: %q, want %q", step.found, got, step.want)
+			t.Errorf("change to %+v: kind %q, want %q", step.found, got, step.want)
 		}
 	}
 }
