--- a/route/replicapicker/replicapicker.go
+++ b/route/replicapicker/replicapicker.go
@@ -1,5 +1,7 @@
-// Package replicapicker shares one service's balancer among the node's goroutines and
-// keeps the gate's capacity in step with the replicas that may be used.
+// Package replicapicker makes a service's balance.Balancer safe for concurrent use and
+// computes how many requests the node may have in flight for the service. A callback
+// reports each change of this number, so that the capacity of the service's admission
+// queue always fits the usable replicas.
 package replicapicker
 
 import (
@@ -9,28 +11,31 @@
 	"github.com/cicadatack/cicadatack/decide/balance"
 )
 
-// Picker is the balancer of one service on one node. Safe for concurrent use.
+// Picker chooses replicas for the requests of one service on one node. Safe for concurrent
+// use.
 type Picker struct {
 	now func() time.Time
 
 	mu       sync.Mutex
 	balancer *balance.Balancer
-	underway int
-	slots    int
-	whole    int
-	// onSlots is told that the usable slots changed, outside the lock. It reads
-	// them by Slots: two changes at once may be told in either order, and a
-	// number passed along could leave the older one in force.
-	onSlots func()
+	inFlight int
+	// nodeSlots and totalSlots are the results of SlotShare.
+	nodeSlots  int
+	totalSlots int
+	// onSlotsChanged is called without the lock held and reads the new numbers with
+	// SlotShare. They are not passed as arguments: after two concurrent changes, the call
+	// with the older numbers could come last.
+	onSlotsChanged func()
 }
 
-// New returns a picker; onSlots is called each time that Slots changes.
-func New(b *balance.Balancer, now func() time.Time, onSlots func()) *Picker {
-	return &Picker{now: now, balancer: b, onSlots: onSlots}
+// New returns a Picker that uses b. onSlotsChanged is called each time the result of
+// SlotShare changes.
+func New(b *balance.Balancer, now func() time.Time, onSlotsChanged func()) *Picker {
+	return &Picker{now: now, balancer: b, onSlotsChanged: onSlotsChanged}
 }
 
-// Pick chooses a replica and counts the work as sent there, in one step, so
-// that two requests at once do not both see the replica as idle.
+// Pick chooses a replica and records the request as sent to it. Both happen under one
+// lock. Otherwise two concurrent requests could both be sent to the same idle replica.
 func (p *Picker) Pick(q balance.Query) (balance.Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,122 +43,126 @@
 	choice, ok := p.balancer.Pick(now, q)
 	if ok {
 		p.balancer.Sent(now, choice.ReplicaID, q.Cost)
-		p.underway++
+		p.inFlight++
 	}
 	return choice, ok
 }
 
-// Finished tells how work sent by Pick ended.
-func (p *Picker) Finished(replica string, r balance.Result) {
-	p.change(func(now time.Time, b *balance.Balancer) {
-		p.underway--
-		b.Finished(now, replica, r)
+// Finished records the end of a request for which Pick chose the replica.
+func (p *Picker) Finished(replicaID string, r balance.Result) {
+	p.update(func(now time.Time, b *balance.Balancer) {
+		p.inFlight--
+		b.Finished(now, replicaID, r)
 	})
 }
 
-// Started tells when the first part of an answer came.
-func (p *Picker) Started(replica string, firstToken time.Duration) {
-	p.change(func(now time.Time, b *balance.Balancer) { b.Started(now, replica, firstToken) })
+// Started records that the first part of a response arrived.
+func (p *Picker) Started(replicaID string, timeToFirstToken time.Duration) {
+	p.update(func(now time.Time, b *balance.Balancer) { b.Started(now, replicaID, timeToFirstToken) })
 }
 
-// Progress tells the mean time between tokens of an answer underway.
-func (p *Picker) Progress(replica string, perToken time.Duration) {
-	p.change(func(now time.Time, b *balance.Balancer) { b.Progress(now, replica, perToken) })
+// Progress records the mean time between the tokens of an unfinished response.
+func (p *Picker) Progress(replicaID string, timePerToken time.Duration) {
+	p.update(func(now time.Time, b *balance.Balancer) { b.Progress(now, replicaID, timePerToken) })
 }
 
-// Changes returns the replicas that were ejected, probed or have returned since
-// the last call, for the log.
+// Changes returns the changes of replicas' health states since the previous call, for the
+// log: ejections, probes and recoveries.
 func (p *Picker) Changes() []balance.ReplicaStateChange {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.balancer.Changes()
 }
 
-// Report passes on the load that a replica told of itself.
-func (p *Picker) Report(replica string, l balance.LoadReport) {
-	p.change(func(now time.Time, b *balance.Balancer) { b.Report(now, replica, l) })
+// Report records a load report made by a replica.
+func (p *Picker) Report(replicaID string, report balance.LoadReport) {
+	p.update(func(now time.Time, b *balance.Balancer) { b.Report(now, replicaID, report) })
 }
 
-// MarkLeaving passes on what one source says of a replica: it gets nothing new
-// while any source says that it leaves.
-func (p *Picker) MarkLeaving(replica string, source balance.Source, leaving bool) {
-	p.change(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replica, source, leaving) })
+// MarkLeaving records whether one source says that a replica is leaving. A replica gets no
+// new requests while any source says that it is leaving.
+func (p *Picker) MarkLeaving(replicaID string, source balance.Source, leaving bool) {
+	p.update(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replicaID, source, leaving) })
 }
 
-// SetReplicas puts a new list of replicas in force.
+// SetReplicas replaces the list of the service's replicas.
 func (p *Picker) SetReplicas(replicas []balance.Replica) {
-	p.change(func(now time.Time, b *balance.Balancer) { b.SetReplicas(now, replicas) })
+	p.update(func(now time.Time, b *balance.Balancer) { b.SetReplicas(now, replicas) })
 }
 
-// Refresh looks again at the usable slots, which change with time alone when
-// an ejected replica returns or a newcomer warms up.
+// Refresh recomputes the usable slots. Call it periodically, because the slots also change
+// without an event: when an ejected replica returns, and during the slow start of a new
+// replica.
 func (p *Picker) Refresh() {
-	p.change(func(time.Time, *balance.Balancer) {})
+	p.update(func(time.Time, *balance.Balancer) {})
 }
 
-func (p *Picker) change(f func(time.Time, *balance.Balancer)) {
-	if p.locked(f) {
-		p.onSlots()
+func (p *Picker) update(f func(time.Time, *balance.Balancer)) {
+	if p.updateSlots(f) {
+		p.onSlotsChanged()
 	}
 }
 
-// Slots is how many requests this node may have underway.
+// Slots returns how many requests of the service this node may have in flight.
 func (p *Picker) Slots() int {
-	slots, _ := p.SlotShare()
-	return slots
+	nodeSlots, _ := p.SlotShare()
+	return nodeSlots
 }
 
-// SlotShare returns how many requests this node may have underway, and the slots of
-// all replicas that it may use.
-func (p *Picker) SlotShare() (slots, whole int) {
+// SlotShare returns how many requests of the service this node may have in flight, and the
+// number of slots of all replicas that this node may use.
+func (p *Picker) SlotShare() (nodeSlots, totalSlots int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.slots, p.whole
+	return p.nodeSlots, p.totalSlots
 }
 
-func (p *Picker) locked(f func(time.Time, *balance.Balancer)) bool {
+// updateSlots calls f with the lock held, recomputes the slots and reports whether they
+// changed.
+func (p *Picker) updateSlots(f func(time.Time, *balance.Balancer)) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := p.now()
 	f(now, p.balancer)
-	whole := p.balancer.Capacity(now)
-	slots := p.usable(now, whole)
-	changed := slots != p.slots || whole != p.whole
-	p.slots, p.whole = slots, whole
+	totalSlots := p.balancer.Capacity(now)
+	nodeSlots := p.usableSlots(now, totalSlots)
+	changed := nodeSlots != p.nodeSlots || totalSlots != p.totalSlots
+	p.nodeSlots, p.totalSlots = nodeSlots, totalSlots
 	return changed
 }
 
-// usable is the number of requests that this node may have underway: what it
-// has now and the room that is left, or less if it has more than it should. The other nodes' load on the same replicas
-// is in the room, so that nodes which share replicas do not each count them
-// whole. While any replica may be used one request may always run, or a node
-// whose peers fill the replicas would refuse rather than queue.
-func (p *Picker) usable(now time.Time, whole int) int {
-	if whole == 0 {
+// usableSlots returns how many requests this node may have in flight: its requests in flight
+// plus the headroom, which is negative if the node has too many requests in flight. The
+// headroom accounts for the load of other nodes. Without this, each node would count all
+// slots of the shared replicas as its own. While any replica is usable, at least one request
+// is allowed. Otherwise, a node whose peers fill all replicas would refuse requests instead
+// of queueing them.
+func (p *Picker) usableSlots(now time.Time, totalSlots int) int {
+	if totalSlots == 0 {
 		return 0
 	}
-	return max(1, p.underway+p.balancer.Headroom(now))
+	return max(1, p.inFlight+p.balancer.Headroom(now))
 }
 
-// SubsetVersion changes whenever Subset does.
+// SubsetVersion returns a number that changes whenever the result of Subset changes.
 func (p *Picker) SubsetVersion() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.balancer.SubsetVersion()
 }
 
-// Subset returns the replicas that this node uses.
+// Subset returns the IDs of the replicas that this node uses.
 func (p *Picker) Subset() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.balancer.Subset()
 }
 
-// SetPeers tells which nodes of this failure domain share the replicas, and how
-// many nodes of all failure domains do.
-func (p *Picker) SetPeers(near []string, all int) {
-	p.change(func(now time.Time, b *balance.Balancer) {
-		b.SetPeers(now, near)
-		b.SetNodeCount(all)
+// SetPeers sets the IDs of the nodes of this failure domain that use the service, and the
+// number of nodes of all failure domains that use the service.
+func (p *Picker) SetPeers(domainNodes []string, nodeCount int) {
+	p.update(func(now time.Time, b *balance.Balancer) {
+		b.SetPeers(now, domainNodes)
+		b.SetNodeCount(nodeCount)
 	})
 }
