--- a/route/docindex/docindex.go
+++ b/route/docindex/docindex.go
@@ -1,6 +1,6 @@
-// Package docindex is the environment document in force, laid out for the
-// data path: teams by the digest of their keys, services and endpoints by
-// name. A Directory never changes; a new document makes a new one.
+// Package docindex indexes the environment document that is in effect for the data path:
+// teams by the SHA-256 of their API keys, services and endpoints by name. An Index is
+// immutable. Each new document gets a new Index.
 package docindex
 
 import (
@@ -17,72 +17,74 @@
 // Index is one revision of the document. Safe for concurrent use.
 type Index struct {
 	Document *document.Document
+	// Revision is the store's revision of the document.
 	Revision int64
-	Digest   string
+	// Digest is the result of document.Digest for the text of the document.
+	Digest string
 
-	teams    map[[sha256.Size]byte]*document.Team
-	services map[string]*document.Service
-	// endpoints are places in Document.Endpoints: the endpoints themselves took
-	// 2 MB more with 10,000 of them.
-	endpoints map[string]int32
+	teamsByKeyHash map[[sha256.Size]byte]*document.Team
+	servicesByName map[string]*document.Service
+	// endpointIndexes holds indexes into Document.Endpoints by endpoint name. A map of
+	// document.Endpoint values needed 2 MB more memory with 10,000 endpoints.
+	endpointIndexes map[string]int32
 }
 
-// Build indexes a checked document.
+// Build returns the Index of a document that document.Parse has accepted.
 func Build(doc *document.Document, revision int64, digest string) *Index {
-	d := &Index{
-		Document:  doc,
-		Revision:  revision,
-		Digest:    digest,
-		teams:     map[[sha256.Size]byte]*document.Team{},
-		services:  map[string]*document.Service{},
-		endpoints: make(map[string]int32, len(doc.Endpoints)),
+	x := &Index{
+		Document:        doc,
+		Revision:        revision,
+		Digest:          digest,
+		teamsByKeyHash:  map[[sha256.Size]byte]*document.Team{},
+		servicesByName:  map[string]*document.Service{},
+		endpointIndexes: make(map[string]int32, len(doc.Endpoints)),
 	}
 	for i := range doc.Teams {
-		d.addTeam(&doc.Teams[i])
+		x.addTeam(&doc.Teams[i])
 	}
 	for i := range doc.Services {
-		d.services[doc.Services[i].Name] = &doc.Services[i]
+		x.servicesByName[doc.Services[i].Name] = &doc.Services[i]
 	}
 	for i := range doc.Endpoints {
-		d.endpoints[doc.Endpoints[i].Name] = int32(i)
+		x.endpointIndexes[doc.Endpoints[i].Name] = int32(i)
 	}
-	return d
+	return x
 }
 
-func (d *Index) addTeam(t *document.Team) {
-	for _, key := range t.KeySHA256 {
-		raw, err := hex.DecodeString(key)
-		if err != nil || len(raw) != sha256.Size {
-			continue // refused by document.Parse
+func (x *Index) addTeam(t *document.Team) {
+	for _, hexHash := range t.KeySHA256 {
+		hash, err := hex.DecodeString(hexHash)
+		if err != nil || len(hash) != sha256.Size {
+			continue // document.Parse rejects such documents
 		}
-		d.teams[[sha256.Size]byte(raw)] = t
+		x.teamsByKeyHash[[sha256.Size]byte(hash)] = t
 	}
 }
 
-// Team returns the team that a caller's key belongs to. Looking up the digest
-// rather than the key leaves nothing to compare byte by byte, so the time
-// taken tells nothing of other keys.
-func (d *Index) Team(key string) (*document.Team, bool) {
-	t, ok := d.teams[sha256.Sum256([]byte(key))]
+// Team returns the team that an API key belongs to. The lookup compares hashes instead of
+// keys, so that its duration reveals nothing about the keys of other teams.
+func (x *Index) Team(key string) (*document.Team, bool) {
+	t, ok := x.teamsByKeyHash[sha256.Sum256([]byte(key))]
 	return t, ok
 }
 
 // Service returns a service by name.
-func (d *Index) Service(name string) (*document.Service, bool) {
-	s, ok := d.services[name]
+func (x *Index) Service(name string) (*document.Service, bool) {
+	s, ok := x.servicesByName[name]
 	return s, ok
 }
 
 // Endpoint returns an endpoint by name.
-func (d *Index) Endpoint(name string) (document.Endpoint, bool) {
-	i, ok := d.endpoints[name]
+func (x *Index) Endpoint(name string) (document.Endpoint, bool) {
+	i, ok := x.endpointIndexes[name]
 	if !ok {
 		return document.Endpoint{}, false
 	}
-	return d.Document.Endpoints[i], true
+	return x.Document.Endpoints[i], true
 }
 
-// MayCall says whether a team may call a service.
+// MayCall reports whether a team may call a service. A team without a list of services may
+// call all services.
 func MayCall(t *document.Team, service string) bool {
 	if len(t.Services) == 0 {
 		return true
@@ -95,44 +97,45 @@
 	return false
 }
 
-// NonIdempotent says whether a call of a plain service may be placed at most
-// once. A method that the document does not list but that HTTP itself does not
-// call idempotent is still repeatable: the document decides.
+// NonIdempotent reports whether a call of a plain service may be made at most once. Only the
+// document decides: a call that the document does not list may be repeated, even if HTTP
+// does not define its method as idempotent.
 //
-// path is escaped as the caller wrote it. An endpoint may read //orders,
-// /%6Frders or /x/../orders as /orders, and a call taken for a repeatable one
-// would be sent again after a lost reply. So a call is non-idempotent if its
-// path fits in any of these readings.
+// path is the path in the form in which the caller escaped it. An endpoint may treat
+// //orders, /%6Frders or /x/../orders as /orders. If such a path did not match, the call
+// would be retried after a lost response and could run twice. A call is therefore
+// non-idempotent if any variant of its path matches.
 func NonIdempotent(p *document.Plain, method, path string) bool {
 	for _, c := range p.NonIdempotent {
-		if strings.EqualFold(c.Method, method) && fits(path, c.Path) {
+		if strings.EqualFold(c.Method, method) && anyVariantHasPrefix(path, c.Path) {
 			return true
 		}
 	}
 	return false
 }
 
-func fits(escaped, prefix string) bool {
-	for _, reading := range readings(escaped) {
-		if strings.HasPrefix(reading, prefix) {
+func anyVariantHasPrefix(escaped, prefix string) bool {
+	for _, variant := range pathVariants(escaped) {
+		if strings.HasPrefix(variant, prefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// readings are what a server may take a path for: as it stands, decoded, and
-// cleaned of what means nothing, with or without a slash at the end.
-func readings(escaped string) []string {
-	decoded, err := url.PathUnescape(escaped)
+// pathVariants returns the paths that a server may take an escaped path for: the path
+// unchanged, unescaped, and unescaped and cleaned, the last with and without a trailing
+// slash.
+func pathVariants(escaped string) []string {
+	unescaped, err := url.PathUnescape(escaped)
 	if err != nil {
-		decoded = escaped
+		unescaped = escaped
 	}
-	clean := path.Clean("/" + decoded)
-	return []string{escaped, decoded, clean, clean + "/"}
+	clean := path.Clean("/" + unescaped)
+	return []string{escaped, unescaped, clean, clean + "/"}
 }
 
-// BearerKey returns the key in the Authorization header, or "".
+// BearerKey returns the API key in the Authorization header, or "" if there is none.
 func BearerKey(r *http.Request) string {
 	scheme, key, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
--- a/route/docindex/docindex_test.go
+++ b/route/docindex/docindex_test.go
@@ -7,6 +7,8 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
+// If a variant of a listed path did not match, a call that must run at most once would be
+// retried after a lost response.
 func TestNonIdempotent(t *testing.T) {
 	p := &document.Plain{NonIdempotent: []document.Call{{Method: "POST", Path: "/orders/"}}}
 	cases := []struct {
@@ -25,7 +27,7 @@
 	}
 	for _, c := range cases {
 		if got := NonIdempotent(p, c.method, c.path); got != c.want {
-			t.Errorf("%s %s: %t, want %t", c.method, c.path, got, c.want)
+			t.Errorf("NonIdempotent of %s %s: %t, want %t", c.method, c.path, got, c.want)
 		}
 	}
 }
@@ -41,7 +43,7 @@
 	for header, want := range cases {
 		r := &http.Request{Header: http.Header{"Authorization": {header}}}
 		if got := BearerKey(r); got != want {
-			t.Errorf("%q: %q, want %q", header, got, want)
+			t.Errorf("key in header %q: %q, want %q", header, got, want)
 		}
 	}
 }
