--- a/route/ruleset/ruleset.go
+++ b/route/ruleset/ruleset.go
@@ -1,9 +1,8 @@
-// Package ruleset holds the operator's configuration as the data path reads it:
-// which request goes to which service, under which bounds, for which team.
+// Package ruleset holds the operator's configuration for the data path: which requests go to
+// which services, the limits of these requests, and the teams that may send them.
 //
-// A Ruleset is immutable once it is built. Its source, an adapter, builds one for
-// each version and hands it to the data path whole, so that no request is ever
-// judged by parts of two versions.
+// A Ruleset is immutable. The platform adapter builds a new Ruleset for each version of the
+// configuration, so that each request is handled by a single version.
 package ruleset
 
 import (
@@ -13,19 +12,20 @@
 	"time"
 )
 
-// RouteKind says what may be repeated.
+// RouteKind says whether the requests of a route may be repeated.
 type RouteKind uint8
 
 const (
-	// NonIdempotent must not run more than once for one request.
+	// NonIdempotent requests must not run more than once.
 	NonIdempotent RouteKind = iota
-	// Idempotent may run any number of times.
+	// Idempotent requests may run any number of times.
 	Idempotent
-	// Stream answers with events; Route.Resumable says whether it may be repeated.
+	// Stream requests get a stream of events as response. Route.Resumable says whether
+	// they may be repeated.
 	Stream
 )
 
-// String names the kind for log lines.
+// String returns the name of the kind in log lines.
 func (k RouteKind) String() string {
 	switch k {
 	case Idempotent:
@@ -37,82 +37,86 @@
 	}
 }
 
-// WeightedService is a service's part of a route's requests.
+// WeightedService is a service that receives a fraction of a route's requests: its Weight
+// divided by the sum of the weights of all services of the route.
 type WeightedService struct {
 	Service string
 	Weight  int
 }
 
-// Route sends the requests below a path to services.
+// Route sends the requests for a host and path prefix to services.
 type Route struct {
 	Name string
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is the path prefix. It begins and ends with a slash.
 	Prefix string
 	Kind   RouteKind
-	// Resumable streams go on after a given event at any replica.
+	// Resumable streams can be continued after a given event, at any replica.
 	Resumable bool
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Timeout is the longest time that a caller is kept waiting for the whole answer.
+	// Timeout is the longest time that a caller waits for the complete response.
 	Timeout time.Duration
-	// LatencyObjective is the time in which an answer, or its first event, is on time.
+	// LatencyObjective is the longest time to the complete response, or to the first event
+	// of a stream, with which a request counts as on time.
 	LatencyObjective time.Duration
-	// MaxEventGap is the longest pause between events that is on time.
+	// MaxEventGap is the longest time between two events of a stream with which the
+	// stream counts as on time.
 	MaxEventGap time.Duration
-	// MaxReplicas is how many replicas may be handed one request.
+	// MaxReplicas is the maximum number of replicas to which one request may be sent.
 	MaxReplicas int
-	// Priority ranks the route's requests, 0 first.
+	// Priority is the priority of the route's requests; 0 is the highest.
 	Priority int
 	// WeightedServices is never empty.
 	WeightedServices []WeightedService
 }
 
-// Idempotent says whether a request of this route may run more than once.
+// Idempotent reports whether a request of this route may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Service is what stands behind routes.
+// Service receives the requests of one or more routes.
 type Service struct {
 	Name string
-	// MaxConns bounds the connections to one replica over all callers.
+	// MaxConns is the maximum number of connections to one replica, over all callers.
 	MaxConns int
 	// Model is nil for plain services.
 	Model *Model
 }
 
-// Model is what the operator says of a model and its engines.
+// Model describes a model and the engines that run it.
 type Model struct {
-	// Layers is how many layers each token runs through.
+	// Layers is the number of layers of the model.
 	Layers int
 	// LayerMB is the memory of one layer's weights, in megabytes.
 	LayerMB float64
-	// KVBytesPerTokenLayer is the memory of one token in one layer.
+	// KVBytesPerTokenLayer is the KV cache memory of one token in one layer, in bytes.
 	KVBytesPerTokenLayer float64
-	// TransferBytesPerToken is what one token passes on from a replica to the next, and
-	// LinkBytesPerSecond what the links between failure domains carry for all; zero for
-	// no bound.
+	// TransferBytesPerToken is the number of bytes that one replica sends to the next per
+	// token. LinkBytesPerSecond is the bandwidth that all requests share on the links
+	// between failure domains. Zero means that the bandwidth is not limited.
 	TransferBytesPerToken, LinkBytesPerSecond float64
-	// StepMillis is the time of one step through all layers on a card of pace 1.
+	// StepMillis is the time of one decode step through all layers on a card with
+	// StepTimeFactor 1, in milliseconds.
 	StepMillis float64
-	// PrefillTokensPerSecond is how many prompt tokens a card of ReadFactor 1 reads a second with all
-	// layers; zero if it is not told.
+	// PrefillTokensPerSecond is the prefill rate of a card with PrefillTimeFactor 1 that
+	// holds all layers. Zero means that the rate is unknown.
 	PrefillTokensPerSecond float64
 	// LoadTime is the time to load all layers' weights onto one replica.
 	LoadTime time.Duration
-	// Cards are the kinds of accelerators by name.
+	// Cards holds the kinds of accelerators by name.
 	Cards map[string]Card
 }
 
-// bytesPerMB: the operator gives memory in units of a million bytes.
+// bytesPerMB is the unit in which the operator's configuration gives memory sizes.
 const bytesPerMB = 1e6
 
-// KVMegabytesPerTokenLayer is the memory of one token in one layer, in megabytes.
+// KVMegabytesPerTokenLayer returns KVBytesPerTokenLayer in megabytes.
 func (m *Model) KVMegabytesPerTokenLayer() float64 { return m.KVBytesPerTokenLayer / bytesPerMB }
 
-// PrefillMillis is the time in which a card reads one token of a prompt with one layer; zero
-// if it is not told.
+// PrefillMillis returns the time in milliseconds in which a card prefills one token through
+// one layer. It returns zero if the prefill rate is unknown.
 func (m *Model) PrefillMillis(card Card) float64 {
 	if m.PrefillTokensPerSecond <= 0 || m.Layers <= 0 {
 		return 0
@@ -122,45 +126,49 @@
 
 // Card is a kind of accelerator.
 type Card struct {
-	// MemoryMB holds weights and requests, in megabytes.
+	// MemoryMB is the memory for weights and KV cache, in megabytes.
 	MemoryMB float64
-	// StepTimeFactor multiplies the time of a step, PrefillTimeFactor that of reading a prompt.
+	// StepTimeFactor and PrefillTimeFactor multiply the decode step time and the prefill
+	// time of the model. Larger factors mean slower cards.
 	StepTimeFactor, PrefillTimeFactor float64
 }
 
-// Limits bound what a caller may send.
+// Limits holds the limits on callers' requests.
 type Limits struct {
 	MaxBodyBytes int
 }
 
-// Team is a tenant of the fleet.
+// Team is a group of callers that share API keys and a priority.
 type Team struct {
 	Name string
-	// Priority goes before the route's; nil means that the team has none.
+	// Priority overrides the priority of the route unless it is nil.
 	Priority *int
 }
 
 // Ruleset is one version of the operator's configuration.
 type Ruleset struct {
-	Version  int64
-	Limits   Limits
-	services map[string]*Service
-	byHost   map[string][]*Route
-	byKey    map[string]*Team
+	Version        int64
+	Limits         Limits
+	servicesByName map[string]*Service
+	// routesByHost holds the routes of each host, the longest prefix first.
+	routesByHost map[string][]*Route
+	teamsByKey   map[string]*Team
 }
 
 const (
-	// DefaultTimeout holds where a route has none: some times what the longest usual
-	// streams last.
+	// DefaultTimeout applies to routes without a timeout. It is several times the duration
+	// of the longest usual streams.
 	DefaultTimeout = 20 * time.Second
-	// DefaultMaxBodyBytes holds where the operator sets no limit: a long prompt is some
-	// hundred kilobytes, and a node holds the bodies of all requests underway.
+	// DefaultMaxBodyBytes applies if the operator sets no limit. The limit allows
+	// long prompts, which have some hundred kilobytes. It must be small because a node
+	// holds the bodies of all requests in flight in memory.
 	DefaultMaxBodyBytes = 4 << 20
 )
 
-// settle fills in what the operator left out. Without an objective a request is on time
-// if it is answered at all; a route without a bound on replicas may use one.
-func (r *Route) settle() {
+// applyDefaults sets the fields that the operator left out. Without a latency objective, a
+// request counts as on time if it gets a response before the timeout. Without MaxReplicas,
+// a request is sent to one replica only.
+func (r *Route) applyDefaults() {
 	if r.Timeout <= 0 {
 		r.Timeout = DefaultTimeout
 	}
@@ -170,35 +178,37 @@
 	r.MaxReplicas = max(1, r.MaxReplicas)
 }
 
-// Build indexes a configuration, with defaults for what it leaves out.
-func Build(version int64, limits Limits, services []*Service, routes []*Route, keys map[string]*Team) *Ruleset {
+// Build returns the Ruleset of a configuration. It sets the defaults in routes and uses
+// the given services, routes and teams without copying them. teamsByKey holds the teams by
+// API key.
+func Build(version int64, limits Limits, services []*Service, routes []*Route, teamsByKey map[string]*Team) *Ruleset {
 	r := &Ruleset{
-		Version:  version,
-		Limits:   limits,
-		services: make(map[string]*Service, len(services)),
-		byHost:   make(map[string][]*Route),
-		byKey:    keys,
+		Version:        version,
+		Limits:         limits,
+		servicesByName: make(map[string]*Service, len(services)),
+		routesByHost:   make(map[string][]*Route),
+		teamsByKey:     teamsByKey,
 	}
 	if r.Limits.MaxBodyBytes <= 0 {
 		r.Limits.MaxBodyBytes = DefaultMaxBodyBytes
 	}
 	for _, s := range services {
-		r.services[s.Name] = s
+		r.servicesByName[s.Name] = s
 	}
 	for _, route := range routes {
-		route.settle()
-		r.byHost[route.Host] = append(r.byHost[route.Host], route)
+		route.applyDefaults()
+		r.routesByHost[route.Host] = append(r.routesByHost[route.Host], route)
 	}
-	for _, list := range r.byHost {
+	for _, list := range r.routesByHost {
 		slices.SortStableFunc(list, func(a, b *Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
 	}
 	return r
 }
 
-// Match returns the route of a host and path: of those whose prefix begins the
-// path, the one with the longest. It returns nil if there is none.
+// Match returns the route of the host with the longest prefix that matches the path, or nil if
+// no route matches.
 func (r *Ruleset) Match(host, path string) *Route {
-	for _, route := range r.byHost[host] {
+	for _, route := range r.routesByHost[host] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route
 		}
@@ -206,39 +216,40 @@
 	return nil
 }
 
-// Team returns the holder of a key, or nil.
+// Team returns the team that an API key belongs to, or nil.
 func (r *Ruleset) Team(key string) *Team {
 	if key == "" {
 		return nil
 	}
-	return r.byKey[key]
+	return r.teamsByKey[key]
 }
 
 // Service returns a service by name, or nil.
 func (r *Ruleset) Service(name string) *Service {
-	return r.services[name]
+	return r.servicesByName[name]
 }
 
 // Services returns all services, ordered by name.
 func (r *Ruleset) Services() []*Service {
-	list := make([]*Service, 0, len(r.services))
-	for _, s := range r.services {
+	list := make([]*Service, 0, len(r.servicesByName))
+	for _, s := range r.servicesByName {
 		list = append(list, s)
 	}
 	slices.SortFunc(list, func(a, b *Service) int { return cmp.Compare(a.Name, b.Name) })
 	return list
 }
 
-// PickService chooses the service of one request; draw is uniform in [0,1).
-func (r *Route) PickService(draw float64) string {
-	total := 0
+// PickService chooses the service of one request by the weights. random must be uniformly
+// distributed in [0,1).
+func (r *Route) PickService(random float64) string {
+	totalWeight := 0
 	for _, s := range r.WeightedServices {
-		total += s.Weight
+		totalWeight += s.Weight
 	}
-	point := draw * float64(total)
+	remaining := random * float64(totalWeight)
 	for _, s := range r.WeightedServices {
-		point -= float64(s.Weight)
-		if point < 0 {
+		remaining -= float64(s.Weight)
+		if remaining < 0 {
 			return s.Service
 		}
 	}
