--- a/route/replicareport/replicareport.go
+++ b/route/replicareport/replicareport.go
@@ -1,5 +1,5 @@
-// Package replicareport asks model replicas for their accounts of themselves, and shares
-// each among all requests that want it at the same time.
+// Package replicareport fetches the reports that model replicas make of their state. Requests
+// that need the report of the same replica at about the same time share one fetch.
 package replicareport
 
 import (
@@ -10,81 +10,88 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// Report is a replica's account of itself. It is some hundred milliseconds old when
-// it comes.
+// Report is a replica's report of its state. It is some hundred milliseconds old when it
+// arrives.
 type Report struct {
-	// Incarnation tells its lives apart.
+	// Incarnation changes when the replica restarts under the same ID.
 	Incarnation int64
-	// ExecutingOrder says that an order is being carried out.
+	// ExecutingOrder is set while the replica executes an order to load or drop layers.
 	ExecutingOrder bool
-	// AcceptedOrders counts those accepted in this life.
+	// AcceptedOrders is the number of orders accepted since the replica started.
 	AcceptedOrders int64
-	Holds          layers.Span
-	// Slowdown is over 1 if the replica is slower than its kind.
+	// Holds is the range of layers that the replica holds.
+	Holds layers.Span
+	// Slowdown is the replica's step time divided by the usual step time of its kind of
+	// card.
 	Slowdown float64
 }
 
-// Source asks one replica.
+// Source fetches the report of one replica.
 type Source interface {
-	Report(ctx context.Context, address, replica string) (Report, error)
+	Report(ctx context.Context, address, replicaID string) (Report, error)
 }
 
-// validFor is how long a report is shared. When a replica turns slow, all that run
-// through it ask at once, and each question is paid for.
-const validFor = 800 * time.Millisecond
+// reportTTL is how long a report is shared. Each fetch costs the replica some work. When a
+// replica becomes slow, all requests that use it would otherwise fetch its report at once.
+const reportTTL = 800 * time.Millisecond
 
-// maxKnown bounds what is remembered.
-const maxKnown = 4096
+// maxCachedReports bounds the number of reports kept in memory.
+const maxCachedReports = 4096
 
-// Cache shares reports. Safe for concurrent use.
+// Cache fetches reports and shares them among callers. Safe for concurrent use.
 type Cache struct {
 	source Source
 	now    func() time.Time
 
-	mu    sync.Mutex
-	known map[string]*question
+	mu sync.Mutex
+	// fetches holds the last fetch of each replica, by replica ID.
+	fetches map[string]*fetch
 }
 
-type question struct {
-	begun time.Time
-	done  chan struct{}
-	// answer and err are set once done is closed.
-	answer Report
+type fetch struct {
+	startedAt time.Time
+	done      chan struct{}
+	// report and err must be read only after done is closed.
+	report Report
 	err    error
 }
 
-// New returns an Inspector.
+// New returns an empty Cache.
 func New(source Source, now func() time.Time) *Cache {
-	return &Cache{source: source, now: now, known: map[string]*question{}}
+	return &Cache{source: source, now: now, fetches: map[string]*fetch{}}
 }
 
-// Get returns a young report. fresh says that it was asked for by this call.
-func (i *Cache) Get(ctx context.Context, address, replica string) (answer Report, fresh bool, err error) {
-	q, fresh := i.question(ctx, address, replica)
+// Get returns the report of a replica, or the error of its fetch. The fetch is at most
+// reportTTL old. started reports whether this call started it.
+func (c *Cache) Get(ctx context.Context, address, replicaID string) (report Report, started bool, err error) {
+	f, started := c.fetch(ctx, address, replicaID)
 	select {
-	case <-q.done:
-		return q.answer, fresh, q.err
+	case <-f.done:
+		return f.report, started, f.err
 	case <-ctx.Done():
-		return Report{}, fresh, ctx.Err()
+		return Report{}, started, ctx.Err()
 	}
 }
 
-func (i *Cache) question(ctx context.Context, address, replica string) (*question, bool) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	now := i.now()
-	if q, ok := i.known[replica]; ok && now.Sub(q.begun) < validFor {
-		return q, false
+// fetch returns the last fetch of a replica's report if that fetch is recent enough, or
+// starts a new one. The second result reports whether a new fetch was started.
+func (c *Cache) fetch(ctx context.Context, address, replicaID string) (*fetch, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.now()
+	if f, ok := c.fetches[replicaID]; ok && now.Sub(f.startedAt) < reportTTL {
+		return f, false
 	}
-	if len(i.known) >= maxKnown {
-		clear(i.known)
+	if len(c.fetches) >= maxCachedReports {
+		clear(c.fetches)
 	}
-	q := &question{begun: now, done: make(chan struct{})}
-	i.known[replica] = q
-	// The answer is for all who ask, so one of them who leaves must not end it.
+	f := &fetch{startedAt: now, done: make(chan struct{})}
+	c.fetches[replicaID] = f
+	// Several callers may wait for this fetch, so it continues when the context of the
+	// first caller is canceled.
 	go func() {
-		defer close(q.done)
-		q.answer, q.err = i.source.Report(context.WithoutCancel(ctx), address, replica)
+		defer close(f.done)
+		f.report, f.err = c.source.Report(context.WithoutCancel(ctx), address, replicaID)
 	}()
-	return q, true
+	return f, true
 }
