--- a/route/retrybudget/retrybudget.go
+++ b/route/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget shares a service's budget of further tries among a node's
-// goroutines.
+// Package retrybudget makes a service's retry.Budget safe for concurrent use and allows its
+// retry ratio to be changed.
 package retrybudget
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/cicadatack/cicadatack/decide/retry"
 )
 
-// Budget is the budget of one service on one node. Safe for concurrent use.
+// Budget limits the retries that one node makes for one service. Safe for concurrent use.
 type Budget struct {
 	now func() time.Time
 
@@ -18,45 +18,48 @@
 	budget *retry.Budget
 }
 
-// New returns a Budget; now is the clock, time.Now outside tests.
+// New returns a Budget with the given configuration. now returns the current time.
 func New(cfg retry.Config, now func() time.Time) *Budget {
 	return &Budget{now: now, cfg: cfg, budget: retry.New(cfg)}
 }
 
-// SetRetryRatio takes the share of successes that further tries may cost; zero means the
-// default. A new share starts with a full budget.
-func (b *Budget) SetRetryRatio(share float64) {
+// SetRetryRatio sets the allowed number of retries per successful request; zero means the
+// default. Changing the ratio replaces the budget by a new one with the initial number of
+// retries.
+func (b *Budget) SetRetryRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if share == b.cfg.RetryRatio {
+	if ratio == b.cfg.RetryRatio {
 		return
 	}
-	b.cfg.RetryRatio = share
+	b.cfg.RetryRatio = ratio
 	b.budget = retry.New(b.cfg)
 }
 
-// SetBurst changes this node's part of the tries that all nodes may make in a window.
+// SetBurst sets how many retries this node may make in each time window, out of the retries
+// that the endpoints allow for all nodes.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.budget.SetBurst(b.now(), burst)
 }
 
-// Allow decides on a failed attempt, and charges the budget if it may be tried again.
+// Allow decides whether a failed attempt may be retried. If it may, Allow charges one retry
+// to the budget.
 func (b *Budget) Allow(a retry.Attempt) retry.Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.Allow(b.now(), a)
 }
 
-// CanRetry says whether a further try would be allowed.
+// CanRetry reports whether the budget has at least one retry left.
 func (b *Budget) CanRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.budget.RetriesLeft(b.now()) >= 1
 }
 
-// Success credits the budget for a complete answer.
+// Success credits the budget for a complete response.
 func (b *Budget) Success() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
