--- a/node/server/server.go
+++ b/node/server/server.go
@@ -197,7 +197,7 @@
 		Plains: &plainservice.Server{
 			Desk: desk,
 			Path: &relay.Server{
-				Headers: plainservice.Dialect{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
+				HeaderCodec: plainservice.Dialect{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
 				MaxBufferedBytes: plainservice.MaxAnswer,
 			},
 			Claims:  s.orders,
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -149,7 +149,7 @@
 	n.door = &ingress.Door{
 		Rules: n, Services: &n.services, Leaving: n.leavingFor,
 		Path: &relay.Server{
-			Headers: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
+			HeaderCodec: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
 			Metrics: n.metrics, Recorder: n.decisions, Log: log, Now: time.Now, SampleEvery: successSample,
 		},
 	}
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -180,7 +180,7 @@
 		Plains: &plainservice.Server{
 			Desk: desk, Claims: claims, Figures: noFigures{},
 			Path: &relay.Server{
-				Headers: plainservice.Dialect{}, Pool: pool, Metrics: noFigures{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
+				HeaderCodec: plainservice.Dialect{}, Pool: pool, Metrics: noFigures{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
 				MaxBufferedBytes: plainservice.MaxAnswer,
 			},
 		},
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -95,7 +95,7 @@
 func (e *entry) enter() *outcome.Refusal {
 	v := e.visit
 	var err error
-	if v.Call, err = e.Path.Headers.Read(e.r.Header); err != nil {
+	if v.Call, err = e.Path.HeaderCodec.Read(e.r.Header); err != nil {
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, err.Error(), 0)
 	}
 	if e.rules = e.current(v.Call.Patience); e.rules == nil {
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -78,7 +78,7 @@
 	exchange, err := req.server.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
 		Method:  req.Method, Target: req.Target, Host: cmp.Or(req.Host, a.target.Address), Body: req.Body,
-		Header: req.server.Headers.Forward(req.Header, headers.Sending{
+		Header: req.server.HeaderCodec.Forward(req.Header, headers.Sending{
 			Replica: a.target.Replica, Team: req.Team, Left: remaining - deadlineMargin, After: a.resumeAfter, Path: a.target.Path,
 		}),
 		// A non-idempotent request gets a new connection. If the new connection closes before
@@ -92,14 +92,14 @@
 		res := a.resultOfError(err)
 		return nil, &res
 	}
-	a.head = req.server.Headers.Answer(exchange.StatusCode, exchange.Header)
+	a.head = req.server.HeaderCodec.Answer(exchange.StatusCode, exchange.Header)
 	return exchange, nil
 }
 
 // matchesRequest reports whether the head of an answer belongs to this request. An endpoint
 // that could not parse the request sends a refusal without an id.
 func (a *attempt) matchesRequest(h http.Header) bool {
-	id := a.req.server.Headers.Answer(http.StatusOK, h).ID
+	id := a.req.server.HeaderCodec.Answer(http.StatusOK, h).ID
 	return id == "" || id == a.req.Call.ID
 }
 
@@ -132,16 +132,16 @@
 // time. There is no other way to detect an endpoint that hangs.
 func (a *attempt) endpointFailure(kind resultKind) health.Failure {
 	total := a.req.Deadline.Sub(a.req.Arrived)
-	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangDivisor {
+	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangTimeoutDivisor {
 		return health.Timeout
 	}
 	return health.Canceled
 }
 
-// hangDivisor divides the total time of a request, from its arrival to its deadline. An
+// hangTimeoutDivisor divides the total time of a request, from its arrival to its deadline. An
 // endpoint that has not answered for that part of the time, one half, counts as hung. If the
 // attempt was shorter, the cause may be a caller with a short deadline.
-const hangDivisor = 2
+const hangTimeoutDivisor = 2
 
 // endedLocally reports whether this node ended the request: the caller left or the deadline is
 // reached.
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -49,7 +49,7 @@
 // writeHead writes the status and headers; a negative length is omitted.
 func (req *requestState) writeHead(status int, header http.Header, length int) {
 	h := req.w.Header()
-	for name, values := range req.server.Headers.Return(header) {
+	for name, values := range req.server.HeaderCodec.Return(header) {
 		h[name] = values
 	}
 	if length >= 0 {
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -23,7 +23,7 @@
 	case res.answer != nil:
 		return res.answer, nil
 	case len(req.mayHaveRunOn) > 0:
-		return nil, noAnswer(res)
+		return nil, refusalWithoutAnswer(res)
 	case res.feedback.Failure == health.Overloaded:
 		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
 	case res.feedback.NoCapacity:
@@ -79,7 +79,7 @@
 	case req.lastResult.answer != nil:
 		return req.lastResult.answer, nil
 	case len(req.mayHaveRunOn) > 0:
-		return nil, noAnswer(req.lastResult)
+		return nil, refusalWithoutAnswer(req.lastResult)
 	case errors.Is(err, targets.ErrNoCapacity):
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "no endpoint has capacity", retryAfterNoCapacity)
 	case errors.Is(err, targets.ErrNoEndpoint):
@@ -88,6 +88,6 @@
 	return nil, req.expired()
 }
 
-func noAnswer(res attemptResult) *outcome.Refusal {
+func refusalWithoutAnswer(res attemptResult) *outcome.Refusal {
 	return outcomeUnknown(http.StatusBadGateway, ReasonUnknown, "the endpoint received the request and did not answer it: "+res.detail)
 }
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -96,7 +96,7 @@
 		m.mayReplace, m.mayMigrate = true, req.attemptCount < attemptLimit
 		return
 	}
-	m.filter.FirstReplicas = slices.Clone(req.mayHaveRunOn)
+	m.filter.AllowedFirstReplicas = slices.Clone(req.mayHaveRunOn)
 	m.mayReplace = len(req.mayHaveRunOn) > 0
 }
 
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -110,7 +110,7 @@
 		query.WaitUntil = begun.Add(resumeTimeout)
 	}
 	if len(req.mayHaveRunOn) >= req.Route.MaxReplicas {
-		query.FirstReplicas, query.Exclude = req.mayHaveRunOn, nil
+		query.AllowedFirstReplicas, query.Exclude = req.mayHaveRunOn, nil
 	}
 	t, err := req.Targets.Choose(req.ctx, query)
 	if waited := req.server.Now().Sub(begun); waited > time.Millisecond {
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -101,15 +101,15 @@
 // Server serves requests that a listener has admitted. It is safe for concurrent use; the
 // fields are set before use. Engines, Prober and Reports are needed only for model services.
 type Server struct {
-	Headers  headers.Dialect
-	Engines  EngineClient
-	Pool     *upstream.Pool
-	Prober   *connprobe.Prober
-	Reports  *replicareport.Inspector
-	Metrics  Metrics
-	Recorder decisionlog.Recorder
-	Log      hclog.Logger
-	Now      func() time.Time
+	HeaderCodec headers.Dialect
+	Engines     EngineClient
+	Pool        *upstream.Pool
+	Prober      *connprobe.Prober
+	Reports     *replicareport.Inspector
+	Metrics     Metrics
+	Recorder    decisionlog.Recorder
+	Log         hclog.Logger
+	Now         func() time.Time
 	// MaxBufferedBytes bounds the answers that are buffered until they are complete. Zero
 	// stands for DefaultMaxBufferedBytes.
 	MaxBufferedBytes int
@@ -236,7 +236,7 @@
 		},
 	})
 	req.server.Metrics.Refused(req.Service, r.Code)
-	req.server.Headers.Refuse(req.w, req.Call, r)
+	req.server.HeaderCodec.Refuse(req.w, req.Call, r)
 }
 
 // record adds the request's fields to a decision and records it.
--- a/route/targets/active_request.go
+++ b/route/targets/active_request.go
@@ -9,13 +9,13 @@
 	"github.com/cicadatack/cicadatack/decide/reroute"
 )
 
-// callback is a call of onLost or onDraining that is due, with its argument.
-type callback struct {
+// replicaCallback is a call of onLost or onDraining that is due, with its argument.
+type replicaCallback struct {
 	call    func(replica string)
 	replica string
 }
 
-func runCallbacks(callbacks []callback) {
+func runCallbacks(callbacks []replicaCallback) {
 	for _, c := range callbacks {
 		go c.call(c.replica)
 	}
@@ -26,7 +26,7 @@
 // requests between the steps of all other requests. Each prefill takes some milliseconds.
 const drainCallbackInterval = 15 * time.Millisecond
 
-func runCallbacksPaced(callbacks []callback) {
+func runCallbacksPaced(callbacks []replicaCallback) {
 	if len(callbacks) == 0 {
 		return
 	}
@@ -46,8 +46,8 @@
 // usually continues to serve for a while. If it has died instead, the silence of its streams
 // shows that sooner than the list does. The first stage is left out because no bypass can
 // replace it. The caller holds the lock.
-func (m *ModelTargets) drainCallbacks() []callback {
-	var list []callback
+func (m *ModelTargets) drainCallbacks() []replicaCallback {
+	var list []replicaCallback
 	for r := range m.active {
 		if r.onDraining == nil || r.drainNotified {
 			continue
@@ -55,7 +55,7 @@
 		for _, stage := range r.path[1:] {
 			if !m.selector.Known(stage.Replica) || m.selector.NeedsReroute(stage.Replica, stage.Layers) {
 				r.drainNotified = true
-				list = append(list, callback{r.onDraining, stage.Replica})
+				list = append(list, replicaCallback{r.onDraining, stage.Replica})
 				break
 			}
 		}
@@ -65,11 +65,11 @@
 
 // lossCallbacks returns the onLost callbacks of the requests that run through a replica. The
 // caller holds the lock.
-func (m *ModelTargets) lossCallbacks(replica string) []callback {
-	var list []callback
+func (m *ModelTargets) lossCallbacks(replica string) []replicaCallback {
+	var list []replicaCallback
 	for r := range m.active {
 		if r.onLost != nil && r.uses(replica) {
-			list = append(list, callback{r.onLost, replica})
+			list = append(list, replicaCallback{r.onLost, replica})
 		}
 	}
 	return list
@@ -106,8 +106,8 @@
 type MigrationFilter struct {
 	// Exclude lists replicas that failed the request.
 	Exclude []string
-	// FirstReplicas, if not empty, lists the only replicas that may take the request over.
-	FirstReplicas []string
+	// AllowedFirstReplicas, if not empty, lists the only replicas that may take the request over.
+	AllowedFirstReplicas []string
 }
 
 // ReserveMigration reserves capacity on a path that begins at another first replica, if there
@@ -130,7 +130,7 @@
 	whole := layers.Span{To: m.layers}
 	path, reason := m.selector.Choose(now, paths.Query{
 		Domain: m.domain, Layers: whole, Tokens: r.tokens,
-		Exclude: append(slices.Clone(filter.Exclude), r.path[0].Replica), FirstReplicas: filter.FirstReplicas,
+		Exclude: append(slices.Clone(filter.Exclude), r.path[0].Replica), FirstReplicas: filter.AllowedFirstReplicas,
 	})
 	if reason != paths.Found || !path.Covers(whole) {
 		return nil
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -172,7 +172,7 @@
 		return Target{}, paths.NoCapacity, false
 	}
 	path, reason := m.selector.Choose(now, paths.Query{
-		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.FirstReplicas,
+		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.AllowedFirstReplicas,
 	})
 	if reason != paths.Found || !path.Covers(layers.Span{To: m.layers}) {
 		if firstTry {
@@ -233,7 +233,7 @@
 	runCallbacks(callbacks)
 }
 
-func (m *ModelTargets) applyResult(t Target, r Result) []callback {
+func (m *ModelTargets) applyResult(t Target, r Result) []replicaCallback {
 	faulty := t.Replica
 	if r.FaultAddress != "" {
 		faulty = m.selector.ByAddress(r.FaultAddress)
@@ -268,7 +268,7 @@
 
 // suspect records that a replica looks dead. If the suspicion is new, it returns the onLost
 // callbacks of the requests that run through the replica.
-func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
+func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []replicaCallback) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.observed.own[replica] = observation{at: m.now(), unreachable: true}
@@ -288,7 +288,7 @@
 	return changed
 }
 
-func (m *ModelTargets) suspectOnReport(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
+func (m *ModelTargets) suspectOnReport(replica string, hostUnreachable bool) (changed bool, callbacks []replicaCallback) {
 	changed, lossCallbacks := m.suspect(replica, hostUnreachable)
 	if !hostUnreachable {
 		return changed, nil
--- a/route/targets/targets.go
+++ b/route/targets/targets.go
@@ -26,8 +26,8 @@
 	PrefillTokens float64
 	// Exclude lists replicas that have failed this request.
 	Exclude []string
-	// FirstReplicas, if not empty, lists the only replicas that may receive the request.
-	FirstReplicas []string
+	// AllowedFirstReplicas, if not empty, lists the only replicas that may receive the request.
+	AllowedFirstReplicas []string
 	// NonIdempotent requests must not run twice. They are not used to probe endpoints that
 	// failed recently.
 	NonIdempotent bool
