--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -14,8 +14,8 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// deadlineMargin is subtracted from the time that is passed on to the endpoint, so that the
-// endpoint's own timeout comes before this node's.
+// deadlineMargin is subtracted from the remaining time that is passed on to the endpoint, so
+// that the endpoint's own timeout comes before this node's.
 const deadlineMargin = 5 * time.Millisecond
 
 // resultKind classifies how an attempt ended.
@@ -138,9 +138,10 @@
 	return health.Canceled
 }
 
-// hangTimeoutDivisor divides the total time of a request, from its arrival to its deadline. An
-// endpoint that has not answered for that part of the time, one half, counts as hung. If the
-// attempt was shorter, the cause may be a caller with a short deadline.
+// hangTimeoutDivisor divides the total time of a request, from its arrival to its deadline. If
+// an attempt that took at least that part of the total time, one half, reaches the deadline, its
+// endpoint counts as hung. If the attempt was shorter, the cause may be a caller with a short
+// deadline.
 const hangTimeoutDivisor = 2
 
 // endedLocally reports whether this node ended the request: the caller left or the deadline is
@@ -156,9 +157,9 @@
 	return 0, false
 }
 
-// suspectAfter separates two kinds of refusals by the time until they arrive. A refusal for
-// lack of capacity arrives at once. If a stage of the path does not answer, the refusal arrives
-// only after the engine's own timeout.
+// suspectAfter is the duration of an attempt after which its refusal means that a stage of the
+// path does not answer. Such a refusal arrives only after the engine's own timeout. A refusal
+// for lack of capacity arrives at once.
 const suspectAfter = time.Second
 
 // refusedResult classifies a refusal: an answer that says that the request did not run.
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -11,9 +11,9 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// If a non-idempotent request that may have run were retried, it could run twice. Such a
-// request is retried only if it provably did not run. An idempotent request is retried in both
-// cases, at no more replicas than its route allows.
+// If a non-idempotent request that may have run were retried, it could run twice. Such a request
+// is retried only if it provably did not run. An idempotent request is also retried if it may
+// have run, at no more replicas than its route allows.
 func TestOnlySafeRetriesAreMade(t *testing.T) {
 	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.BrokenResponse}}
 	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -20,9 +20,9 @@
 	// DefaultMaxBufferedBytes bounds the answers that are buffered until they are complete.
 	// Longer answers are passed on as they arrive, and aborted if they end early.
 	DefaultMaxBufferedBytes = 1 << 20
-	// headTimeoutFactor times the route's objective is the time after which an unanswered
-	// idempotent request is retried at another endpoint. With a lower factor, slow requests
-	// that are still within the usual range would be retried too.
+	// headTimeoutFactor is multiplied by the route's objective. The product is the time after
+	// which an unanswered idempotent request is retried at another endpoint. With a lower
+	// factor, slow requests that are still within the usual range would be retried too.
 	headTimeoutFactor = 3
 	headerLength      = "Content-Length"
 )
@@ -75,7 +75,9 @@
 	return a.readBuffered(exchange)
 }
 
-// readBuffered reads the body of an answer.
+// readBuffered reads the whole body of an answer into memory and classifies the attempt. An
+// answer that exceeds the buffer limit is passed to the caller of Serve as it arrives; for Do,
+// the attempt fails.
 func (a *attempt) readBuffered(e *upstream.Exchange) attemptResult {
 	if a.head.NotRun || a.head.Misdirected {
 		a.discardBody(e)
--- a/route/relay/doc.go
+++ b/route/relay/doc.go
@@ -13,6 +13,8 @@
 //     replicas, with the layers that it runs, is a stage of the path. The first replica
 //     receives the request.
 //   - A crossing is a hop of a path from one failure domain to another.
+//   - The slowdown of a replica is a factor: the time that it takes for its work, divided by the
+//     time that is usual for its kind of accelerator. 1 is normal speed.
 //   - A replica is lost if it looks dead. A draining replica gets no new requests and continues
 //     those that it has until it stops.
 //   - To reroute a request is to continue it without a stage that is lost or draining, by a
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -49,5 +49,6 @@
 	}
 }
 
-// resetPosition makes the stream begin again.
+// resetPosition forgets the last event. Otherwise the events that the benchmark repeats would be
+// dropped, because they count as already passed on.
 func (req *requestState) resetPosition() { req.lastEvent = eventPosition{} }
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -32,8 +32,8 @@
 	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint accepted the request: "+res.detail, retryAfterNoCapacity)
 }
 
-// callerGone records that the caller has left, and returns a refusal. Only a listener that
-// stores answers uses this refusal.
+// callerGone records that the caller has left, and returns the final refusal. The caller does
+// not receive this refusal; only a listener that stores answers uses it.
 func (req *requestState) callerGone() *outcome.Refusal {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -22,8 +22,8 @@
 	// routes that set none.
 	defaultMaxPause = 200 * time.Millisecond
 	// aliveWindow is how long a stage counts as alive after an event of another request that
-	// runs through it. It is about the interval between two events of a stream, and shorter
-	// than any silence that starts a check.
+	// runs through it. The window is about the interval between two events of a stream, and
+	// shorter than any silence that starts a check.
 	aliveWindow = 30 * time.Millisecond
 	// recheckInterval is the time between two checks of a path that stays silent.
 	recheckInterval = 400 * time.Millisecond
@@ -85,8 +85,8 @@
 
 // setMigrationFilter decides which replicas may continue the request after this attempt. A
 // stream that can't be resumed does not migrate. Once this attempt uses the last replica that
-// the route allows, the stream may only return to an earlier replica. It does so only if its
-// present first replica is lost, not for speed.
+// the route allows, the stream may only return to an earlier replica. The stream returns only if
+// its present first replica is lost, not because an earlier replica would continue it sooner.
 func (m *pathMonitor) setMigrationFilter(req *requestState) {
 	if !req.Route.Idempotent() {
 		return
@@ -124,7 +124,7 @@
 }
 
 // silentFor is the time since the last event of this attempt or, before the first event, since
-// its start.
+// the start of the attempt.
 func (m *pathMonitor) silentFor() time.Duration {
 	return m.attempt.req.server.Now().Sub(m.attempt.startedAt) - time.Duration(m.lastEventAt.Load())
 }
@@ -177,8 +177,8 @@
 }
 
 // recheckLater schedules the next check of a silent path after a check that reached all
-// replicas. The next check comes when the silence has doubled, or when the pause becomes late
-// if that is sooner. Once the pause is late, the checks come every recheckInterval, and the
+// replicas. The next check comes when the silence has doubled, or when the silence reaches
+// maxPause if that is sooner. From then on, the checks come every recheckInterval, and the
 // replicas are asked for their slowdown. These queries have a cost, so they are not made
 // earlier.
 func (m *pathMonitor) recheckLater(path paths.Path) {
@@ -192,8 +192,7 @@
 	m.querySlowdown(path)
 }
 
-// querySlowdown asks each replica of a path how much slower it is than its kind of accelerator,
-// and records the answer.
+// querySlowdown asks each replica of a path for its slowdown and records the replica's answer.
 func (m *pathMonitor) querySlowdown(path paths.Path) {
 	req := m.attempt.req
 	for _, stage := range path {
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -95,8 +95,9 @@
 	req.record(d)
 }
 
-// choose returns the reserved target or, if that is nil, a new one from Targets. Once as many
-// replicas as the route allows may have run the request, only these replicas may get it again.
+// choose returns the reserved target or, if that is nil, a new one from Targets. If the request
+// may already have run on as many replicas as the route allows, only these replicas may get the
+// request again.
 func (req *requestState) choose(reserved *targets.Target) (targets.Target, error) {
 	if reserved != nil {
 		return *reserved, nil
@@ -129,9 +130,9 @@
 	return req.Route.Objective * 6 / 10
 }
 
-// maxWaitFactor times onTimeWait is the longest wait for capacity. A late answer has part of
-// the value of an answer on time, and a refusal has none. Callers leave a little after the
-// longest wait.
+// maxWaitFactor is multiplied by onTimeWait; the product is the longest wait for capacity. A
+// late answer has part of the value of an answer on time, and a refusal has none. Callers leave
+// a little after the longest wait.
 const maxWaitFactor = 2
 
 // expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
@@ -159,9 +160,10 @@
 	return float64(req.Call.Prompt)
 }
 
-// reservedAnswerShare is the share of an answer's expected length that is reserved. Requests in
-// progress are spread over all points of their answers, so on average each holds half of its
-// answer. The share above half is a margin for answers that are longer than expected.
+// reservedAnswerShare is the share of an answer's expected length for which KV cache memory is
+// reserved. At any moment, requests in progress are on average halfway through their answers, so
+// each of them holds about half of its answer. The share above half is a margin for answers
+// that are longer than expected.
 const reservedAnswerShare = 0.6
 
 // decideRetry decides whether to make another attempt. While the retry budget is spent it
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -35,8 +35,8 @@
 // domains are idle.
 //
 // While there is neither a bypass nor a target for a migration, the request keeps its path. Its
-// first replica may yet continue the answer, and ending the attempt would lose it. The attempt
-// is therefore ended only once capacity is reserved at another first replica.
+// first replica may yet continue the answer, and ending the attempt would lose the answer. The
+// attempt is therefore ended only once capacity is reserved at another first replica.
 func (m *pathMonitor) reroute(reason string, draining bool) {
 	if !m.beginReroute(reason, draining) {
 		return
@@ -87,7 +87,7 @@
 
 // replaceFirst migrates the request if its first replica counts as dead and another first
 // replica has capacity now. Without such capacity the request keeps its path. Its first replica
-// may yet continue the answer, and ending the attempt would certainly lose it.
+// may yet continue the answer, and ending the attempt would certainly lose the answer.
 func (m *pathMonitor) replaceFirst(active *targets.ActiveRequest, reason string) bool {
 	if !m.mayReplace || !m.firstReplicaDead(active) || !m.attempt.req.Budget.Left() {
 		return false
@@ -115,8 +115,9 @@
 
 // minSilenceBeforeMigration is the shortest silence of a stream after which its request may
 // migrate. It is above the usual gap between two events. A request whose stage was not lost
-// after all therefore keeps its path. A shorter stall timeout of the stream replaces it, and
-// refusingDeadAfter applies to a first replica that refuses connections.
+// after all therefore keeps its path. If the stall timeout of the stream is shorter, that
+// timeout applies instead. To a first replica that refuses connections, refusingDeadAfter
+// applies.
 const minSilenceBeforeMigration = 70 * time.Millisecond
 
 // bypassWaitShare is the share of maxPause that is left for a bypass. The rest of maxPause
@@ -205,8 +206,9 @@
 }
 
 // beginReroute marks the request as being rerouted. It returns false if another goroutine
-// already reroutes the request, or if the attempt has ended. If that goroutine does so because
-// of a draining stage and a stage is now lost, the loss is kept for takePendingLoss.
+// already reroutes the request, or if the attempt has ended. If the other goroutine reroutes the
+// request because of a draining stage and a stage is now lost, the loss is kept for
+// takePendingLoss.
 func (m *pathMonitor) beginReroute(reason string, draining bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -262,9 +264,9 @@
 }
 
 // applyMigration returns the final result of an attempt. If cancelForMigration ended the
-// attempt, this is a failure with the reserved target as its migrateTo. Otherwise it is res. It
-// is also res if the answer is complete, the caller has left or the deadline is reached; stop
-// then releases the reserved target.
+// attempt, this result is a failure with the reserved target as its migrateTo. Otherwise the
+// result is res. If the answer is complete, the caller has left or the deadline is reached, the
+// result is res in any case, and stop releases the reserved target.
 func (m *pathMonitor) applyMigration(res attemptResult) attemptResult {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -84,8 +84,8 @@
 	Targets targets.Targets
 	Budget  *retrybudget.Budget
 
-	// Method, Target (path and query), Host and Header are sent to the endpoint. An empty Host
-	// stands for the endpoint's own address.
+	// Method, Target (the URL path and query), Host and Header are sent to the endpoint. An
+	// empty Host stands for the endpoint's own address.
 	Method string
 	Target string
 	Host   string
@@ -113,8 +113,8 @@
 	// MaxBufferedBytes bounds the answers that are buffered until they are complete. Zero
 	// stands for DefaultMaxBufferedBytes.
 	MaxBufferedBytes int
-	// SampleEvery is the number of successful requests of which one is logged. The other
-	// requests are only kept in memory. Zero logs all requests.
+	// One of every SampleEvery successful requests is logged. The other successful requests are
+	// only kept in memory. Zero logs all requests.
 	SampleEvery uint64
 
 	requestCount atomic.Uint64
@@ -174,8 +174,8 @@
 	}
 }
 
-// Do returns the complete answer to a request, for a listener that writes it itself. A final
-// failure is returned as a refusal, which carries the outcome of the request. Do does not
+// Do returns the complete answer to a request, for a listener that writes the answer itself. A
+// final failure is returned as a refusal, which carries the outcome of the request. Do does not
 // support streams.
 func (s *Server) Do(ctx context.Context, r *Request) (*Answer, *outcome.Refusal) {
 	state, cancel := s.newRequestState(ctx, nil, r)
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -128,7 +128,7 @@
 }
 
 // beginStream writes the head of the answer before the first event. Until the head is written,
-// any answer of another replica can take its place.
+// any answer of another replica can still be sent instead.
 func (req *requestState) beginStream(e *upstream.Exchange) {
 	if req.answerStarted {
 		return
--- a/route/targets/active_request.go
+++ b/route/targets/active_request.go
@@ -43,9 +43,9 @@
 // returned again for the same path, except after RetryDrainCallback.
 //
 // A replica that is no longer listed has left without announcing it, and counts as draining. It
-// usually continues to serve for a while. If it has died instead, the silence of its streams
-// shows that sooner than the list does. The first stage is left out because no bypass can
-// replace it. The caller holds the lock.
+// usually continues to serve for a while. If the replica has died instead, the silence of its
+// streams shows the loss sooner than the list does. The first stage is left out because no
+// bypass can replace it. The caller holds the lock.
 func (m *ModelTargets) drainCallbacks() []replicaCallback {
 	var list []replicaCallback
 	for r := range m.active {
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -48,8 +48,9 @@
 
 // ActiveRequest is a request that runs along a path and has reserved capacity on each stage.
 type ActiveRequest struct {
-	model         *ModelTargets
-	path          paths.Path
+	model *ModelTargets
+	path  paths.Path
+	// tokens is the KV cache memory, in tokens, that the request has reserved on each stage.
 	tokens        float64
 	onLost        func(replica string)
 	onDraining    func(replica string)
@@ -306,7 +307,7 @@
 	return wasSuspected
 }
 
-// Replica returns a listed replica.
+// Replica returns the replica with the given id, if it is listed.
 func (m *ModelTargets) Replica(id string) (paths.Replica, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,7 +327,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if max(slowdown, m.selector.Slowdown(replica)) >= paths.SlowThreshold {
-		// If the replica was and is at normal speed, there is nothing to report to other nodes.
+		// If the replica was and is not slow, there is nothing to report to other nodes.
 		m.observed.own[replica] = observation{at: m.now(), slowdown: max(1, slowdown)}
 	}
 	return m.selector.SetSlowdown(replica, slowdown)
--- a/route/targets/observations.go
+++ b/route/targets/observations.go
@@ -33,7 +33,7 @@
 	return observations{own: map[string]observation{}, acceptedAt: map[string]time.Time{}, verifiedAt: map[string]time.Time{}}
 }
 
-// forget drops entries that are too old to matter.
+// forget drops entries that are at least as old as peerreports.ValidFor.
 func (o *observations) forget(now time.Time) {
 	for id, seen := range o.own {
 		if now.Sub(seen.at) >= peerreports.ValidFor {
--- a/route/targets/targets.go
+++ b/route/targets/targets.go
@@ -80,7 +80,8 @@
 	// Suspected is set if the faulty stage looks dead. If FaultAddress is empty, the first stage
 	// or the replica of the plain service is meant.
 	Suspected bool
-	// Duration is the duration of the attempt.
+	// Duration is the time from the start of the attempt, after its target was chosen, to the
+	// end of the attempt.
 	Duration time.Duration
 	// Load is the load that the endpoint reported with its answer; nil if it reported none.
 	Load *Load
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -104,8 +104,8 @@
 }
 
 // One request finds that a replica is lost. If the other requests that run through the replica
-// were not notified at once, each would have to find out itself. Requests on other replicas are
-// not notified.
+// were not notified at once, each request would have to find the loss itself. Requests on other
+// replicas are not notified.
 func TestLostReplicaNotifiesAllItsRequests(t *testing.T) {
 	m := twoStageModel()
 	notified := make(chan string, 20)
@@ -143,7 +143,8 @@
 }
 
 // A request takes a bypass around a lost stage. The first stage stays, and the later stages are
-// chosen again. The reservation moves to the new path, or some of it would never be released.
+// chosen again. The reservation moves to the new path. If it did not move, a part of the
+// reservation would never be released.
 func TestBypassMovesReservation(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -215,8 +216,8 @@
 }
 
 // A replica leaves without announcing it: it disappears from the list and continues to serve.
-// It counts as draining. If it counted as lost, all its streams would transfer data over the
-// links at once and pause for a second.
+// The replica counts as draining. If it counted as lost, all its streams would transfer data
+// over the links at once and pause for a second.
 func TestUnlistedReplicaCountsAsDraining(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -421,7 +422,8 @@
 }
 
 // Three nodes report that a replica refuses requests although it has capacity. A fourth node
-// sends it no new requests, and reports only refusals of its own requests.
+// accepts their reports and sends the replica no new requests. The fourth node itself reports
+// only refusals of requests that it has sent.
 func TestReportedRefusalsBackOff(t *testing.T) {
 	m := twoStageModel()
 	domainNodes := []string{"n1", "n2", "n3", "n4"}
--- a/route/upstream/exchange.go
+++ b/route/upstream/exchange.go
@@ -20,7 +20,7 @@
 	// Address is the endpoint's IP address and port.
 	Address string
 	Method  string
-	// Target is the path with the query, as the caller sent it.
+	// Target is the HTTP request target: the URL path and query, as the caller sent them.
 	Target string
 	// Host is the value of the Host header.
 	Host   string
@@ -64,10 +64,10 @@
 func (f *Failure) Unwrap() error { return f.Cause }
 
 // RefusalFailure classifies the refusal of an endpoint that did no work on the request. Status
-// 429 asks for less load, so the request must not be sent to another endpoint at once. Any
-// other status says that this endpoint can't serve the request, for example because an engine
-// can't reach the next stage. Other endpoints can serve the request, and a caller that was told
-// to retry later would wait without need.
+// 429 counts as health.Overloaded: it asks for less load, so the request must not be sent to
+// another endpoint at once. Any other status counts as health.Unreachable: this endpoint can't
+// serve the request, for example because an engine can't reach the next stage. Other endpoints
+// can serve the request, and a caller that was told to retry later would wait without need.
 func RefusalFailure(status int) health.Failure {
 	if status == http.StatusTooManyRequests {
 		return health.Overloaded
@@ -83,8 +83,8 @@
 	// maxStrayBytes bounds the body of one stray answer.
 	maxStrayBytes = 64 << 10
 	// maxInlineWriteBytes is the body length up to which a request is written before its answer
-	// is read. Such a body fits the socket's send buffer, so the write does not block. It would
-	// otherwise block if the endpoint answered before reading the request.
+	// is read. Such a body fits the socket's send buffer, so the write does not block. The write
+	// of a longer body would block if the endpoint answered before reading the request.
 	maxInlineWriteBytes = 8 << 10
 )
 
--- a/route/upstream/pool.go
+++ b/route/upstream/pool.go
@@ -15,11 +15,11 @@
 const (
 	// dialTimeout is a hundred round trips between failure domains of a region. If a packet is
 	// lost while a connection is being opened, it is sent again only after a second. Using
-	// another endpoint is faster than that.
+	// another endpoint is faster than waiting for the second packet.
 	dialTimeout = 300 * time.Millisecond
 	// defaultIdleTime is how long an endpoint is assumed to keep an idle connection, if its
-	// answer does not say. This node stops using an idle connection idleTimeMargin before the
-	// endpoint would close it.
+	// answer does not say how long. This node stops using an idle connection idleTimeMargin
+	// before the endpoint would close it.
 	defaultIdleTime = 4 * time.Second
 	idleTimeMargin  = time.Second
 )
