--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -23,7 +23,7 @@
 	case res.answer != nil:
 		return res.answer, nil
 	case len(req.mayHaveRunOn) > 0:
-		return nil, noAnswer(res)
+		return nil, refusalWithoutAnswer(res)
 	case res.feedback.Failure == health.Overloaded:
 		return nil, NotRun(http.StatusTooManyRequests, ReasonOverloaded, res.detail, retryAfterNoCapacity)
 	case res.feedback.NoCapacity:
@@ -32,8 +32,8 @@
 	return nil, NotRun(http.StatusServiceUnavailable, ReasonNoEndpoint, "no endpoint accepted the request: "+res.detail, retryAfterNoCapacity)
 }
 
-// callerGone records that the caller has left, and returns a refusal. Only a listener that
-// stores answers uses this refusal.
+// callerGone records that the caller has left, and returns the final refusal. The caller does
+// not receive this refusal; only a listener that stores answers uses it.
 func (req *requestState) callerGone() *outcome.Refusal {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
@@ -79,7 +79,7 @@
 	case req.lastResult.answer != nil:
 		return req.lastResult.answer, nil
 	case len(req.mayHaveRunOn) > 0:
-		return nil, noAnswer(req.lastResult)
+		return nil, refusalWithoutAnswer(req.lastResult)
 	case errors.Is(err, targets.ErrNoCapacity):
 		return nil, NotRun(http.StatusServiceUnavailable, ReasonNoCapacity, "no endpoint has capacity", retryAfterNoCapacity)
 	case errors.Is(err, targets.ErrNoEndpoint):
@@ -88,6 +88,6 @@
 	return nil, req.expired()
 }
 
-func noAnswer(res attemptResult) *outcome.Refusal {
+func refusalWithoutAnswer(res attemptResult) *outcome.Refusal {
 	return outcomeUnknown(http.StatusBadGateway, ReasonUnknown, "the endpoint received the request and did not answer it: "+res.detail)
 }
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -48,8 +48,9 @@
 
 // ActiveRequest is a request that runs along a path and has reserved capacity on each stage.
 type ActiveRequest struct {
-	model         *ModelTargets
-	path          paths.Path
+	model *ModelTargets
+	path  paths.Path
+	// tokens is the KV cache memory, in tokens, that the request has reserved on each stage.
 	tokens        float64
 	onLost        func(replica string)
 	onDraining    func(replica string)
@@ -172,7 +173,7 @@
 		return Target{}, paths.NoCapacity, false
 	}
 	path, reason := m.selector.Choose(now, paths.Query{
-		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.FirstReplicas,
+		Domain: m.domain, Layers: layers.Span{To: m.layers}, Tokens: q.Tokens, Exclude: q.Exclude, FirstReplicas: q.AllowedFirstReplicas,
 	})
 	if reason != paths.Found || !path.Covers(layers.Span{To: m.layers}) {
 		if firstTry {
@@ -233,7 +234,7 @@
 	runCallbacks(callbacks)
 }
 
-func (m *ModelTargets) applyResult(t Target, r Result) []callback {
+func (m *ModelTargets) applyResult(t Target, r Result) []replicaCallback {
 	faulty := t.Replica
 	if r.FaultAddress != "" {
 		faulty = m.selector.ByAddress(r.FaultAddress)
@@ -268,7 +269,7 @@
 
 // suspect records that a replica looks dead. If the suspicion is new, it returns the onLost
 // callbacks of the requests that run through the replica.
-func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
+func (m *ModelTargets) suspect(replica string, hostUnreachable bool) (changed bool, callbacks []replicaCallback) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.observed.own[replica] = observation{at: m.now(), unreachable: true}
@@ -288,7 +289,7 @@
 	return changed
 }
 
-func (m *ModelTargets) suspectOnReport(replica string, hostUnreachable bool) (changed bool, callbacks []callback) {
+func (m *ModelTargets) suspectOnReport(replica string, hostUnreachable bool) (changed bool, callbacks []replicaCallback) {
 	changed, lossCallbacks := m.suspect(replica, hostUnreachable)
 	if !hostUnreachable {
 		return changed, nil
@@ -306,7 +307,7 @@
 	return wasSuspected
 }
 
-// Replica returns a listed replica.
+// Replica returns the replica with the given id, if it is listed.
 func (m *ModelTargets) Replica(id string) (paths.Replica, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,7 +327,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if max(slowdown, m.selector.Slowdown(replica)) >= paths.SlowThreshold {
-		// If the replica was and is at normal speed, there is nothing to report to other nodes.
+		// If the replica was and is not slow, there is nothing to report to other nodes.
 		m.observed.own[replica] = observation{at: m.now(), slowdown: max(1, slowdown)}
 	}
 	return m.selector.SetSlowdown(replica, slowdown)
