--- a/route/connprobe/connprobe.go
+++ b/route/connprobe/connprobe.go
@@ -14,11 +14,11 @@
 	// dialTimeout is how long an endpoint has to accept a connection. It is about ten
 	// times the usual connect time between failure domains of a region.
 	dialTimeout = 25 * time.Millisecond
-	// maxAttempts is the number of connection attempts per probe. An endpoint counts as
+	// attemptsPerProbe is the number of connection attempts per probe. An endpoint counts as
 	// unreachable only if all of them fail, because a single packet may be lost. The
 	// second attempt starts when the first has failed, or after attemptDelay.
-	maxAttempts  = 2
-	attemptDelay = 8 * time.Millisecond
+	attemptsPerProbe = 2
+	attemptDelay     = 8 * time.Millisecond
 	// unreachableTTL is how long callers share a probe that is running or has found the
 	// endpoint unreachable. When an endpoint dies, all requests that use it start a probe
 	// at once. A reachable endpoint may die right after its probe, so that result is
@@ -157,7 +157,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type attemptResult struct{ accepts, hostAnswers bool }
-	results := make(chan attemptResult, maxAttempts)
+	results := make(chan attemptResult, attemptsPerProbe)
 	attempt := func() {
 		accepts, hostAnswers := p.dialer.Reachable(ctx, address, dialTimeout)
 		results <- attemptResult{accepts, hostAnswers}
@@ -165,7 +165,7 @@
 	go attempt()
 	delay := time.NewTimer(attemptDelay)
 	defer delay.Stop()
-	for started, failed := 1, 0; failed < maxAttempts; {
+	for started, failed := 1, 0; failed < attemptsPerProbe; {
 		startNext := false
 		select {
 		case r := <-results:
@@ -174,9 +174,9 @@
 				return
 			}
 			failed++
-			startNext = started < maxAttempts
+			startNext = started < attemptsPerProbe
 		case <-delay.C:
-			startNext = started < maxAttempts
+			startNext = started < attemptsPerProbe
 		}
 		if startNext {
 			started++
