--- a/route/connprobe/connprobe.go
+++ b/route/connprobe/connprobe.go
@@ -1,6 +1,7 @@
-// Package connprobe finds the endpoints of a stalled request path that accept no
-// connection. A probe opens a connection and sends no request, so it also works if the
-// health responses of the endpoint are unreliable or have to wait for a free request slot.
+// Package connprobe finds out which endpoints accept no connection, mostly after a stream
+// through them has stalled. A probe opens a connection and sends no request. A probe
+// therefore also works if the endpoint's health responses are unreliable or have to wait
+// for a free request slot.
 package connprobe
 
 import (
@@ -21,8 +22,8 @@
 	attemptDelay     = 8 * time.Millisecond
 	// unreachableTTL is how long callers share a probe that is running or has found the
 	// endpoint unreachable. When an endpoint dies, all requests that use it start a probe
-	// at once. A reachable endpoint may die right after its probe, so that result is
-	// shared for reachableTTL only.
+	// at once. A reachable endpoint may die right after its probe, so a probe that found
+	// the endpoint reachable is shared for reachableTTL only.
 	unreachableTTL = 250 * time.Millisecond
 	reachableTTL   = 60 * time.Millisecond
 	// maxCachedProbes bounds the number of probes kept in memory.
@@ -60,14 +61,14 @@
 type Reason string
 
 const (
-	// ReasonStalledStream is a stream through the endpoint that has stalled.
+	// ReasonStalledStream means that a stream through the endpoint has stalled.
 	ReasonStalledStream Reason = "silence"
-	// ReasonReportedFault is an endpoint that another endpoint reported as the cause of an
-	// error.
+	// ReasonReportedFault means that another endpoint reported this endpoint as the cause
+	// of an error.
 	ReasonReportedFault Reason = "named"
-	// ReasonPeerReport is an endpoint that other nodes reported as unreachable.
+	// ReasonPeerReport means that other nodes reported the endpoint as unreachable.
 	ReasonPeerReport Reason = "told"
-	// ReasonRecheck is a suspected endpoint that may have recovered.
+	// ReasonRecheck means that the endpoint was suspected earlier and may have recovered.
 	ReasonRecheck Reason = "again"
 )
 
@@ -83,8 +84,8 @@
 	return &Prober{dialer: dialer, now: now, probes: map[string]*probe{}, probeCounts: map[Reason]int64{}}
 }
 
-// FindUnreachable returns the addresses that accept no connection in any attempt. When ctx
-// ends first, it returns the unreachable addresses found so far.
+// FindUnreachable returns the addresses that accept no connection in any attempt. If ctx
+// ends before the probes, it returns the unreachable addresses found until then.
 func (p *Prober) FindUnreachable(ctx context.Context, reason Reason, addresses []string) []UnreachableEndpoint {
 	probes := make([]*probe, len(addresses))
 	for i, address := range addresses {
--- a/route/replicalist/tracker.go
+++ b/route/replicalist/tracker.go
@@ -82,7 +82,7 @@
 		changes = append(changes, Change{Replica: r, Kind: ChangeRemoved})
 	}
 	t.replicas = current
-	return sorted(current), changes
+	return sortedByID(current), changes
 }
 
 // RecoveredWithin reports whether the last outage of the store ended less than d before
@@ -105,7 +105,7 @@
 	return ""
 }
 
-func sorted(replicas map[string]*Replica) []*Replica {
+func sortedByID(replicas map[string]*Replica) []*Replica {
 	list := make([]*Replica, 0, len(replicas))
 	for _, r := range replicas {
 		list = append(list, r)
--- a/route/replicareport/replicareport.go
+++ b/route/replicareport/replicareport.go
@@ -62,14 +62,14 @@
 }
 
 // Get returns the report of a replica, or the error of its fetch. The fetch is at most
-// reportTTL old. started reports whether this call started it.
-func (c *Cache) Get(ctx context.Context, address, replicaID string) (report Report, started bool, err error) {
-	f, started := c.fetch(ctx, address, replicaID)
+// reportTTL old. fetchStarted reports whether this call started the fetch.
+func (c *Cache) Get(ctx context.Context, address, replicaID string) (report Report, fetchStarted bool, err error) {
+	f, fetchStarted := c.fetch(ctx, address, replicaID)
 	select {
 	case <-f.done:
-		return f.report, started, f.err
+		return f.report, fetchStarted, f.err
 	case <-ctx.Done():
-		return Report{}, started, ctx.Err()
+		return Report{}, fetchStarted, ctx.Err()
 	}
 }
 
--- a/route/ruleset/ruleset.go
+++ b/route/ruleset/ruleset.go
@@ -138,7 +138,7 @@
 	MaxBodyBytes int
 }
 
-// Team is a group of callers that share API keys and a priority.
+// Team is a group of callers, identified by the team's API keys.
 type Team struct {
 	Name string
 	// Priority overrides the priority of the route unless it is nil.
