--- a/e2e/placement/placement_test.go
+++ b/e2e/placement/placement_test.go
@@ -145,7 +145,7 @@
 
 func holding(ctx context.Context, t *testing.T, address string) engineapi.Holding {
 	t.Helper()
-	report, err := rig.Engines.Holding(ctx, address)
+	report, err := rig.Engines.HoldingReport(ctx, address)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/route/engineclient/client.go
+++ b/route/engineclient/client.go
@@ -81,8 +81,8 @@
 	return load, c.call(ctx, http.MethodGet, address, engineapi.PathLoad, nil, &load)
 }
 
-// Holding returns an engine's report of the layers and adapters that it holds.
-func (c *Client) Holding(ctx context.Context, address string) (engineapi.Report, error) {
+// HoldingReport returns an engine's report of the layers and adapters that it holds.
+func (c *Client) HoldingReport(ctx context.Context, address string) (engineapi.Report, error) {
 	var holding engineapi.Report
 	return holding, c.call(ctx, http.MethodGet, address, engineapi.PathHolding, nil, &holding)
 }
--- a/route/engineclient/client_test.go
+++ b/route/engineclient/client_test.go
@@ -63,7 +63,7 @@
 		_, err = stream.Next()
 		So(errors.Is(err, io.EOF), ShouldBeTrue)
 
-		holding, err := client.Holding(ctx, srv.Address)
+		holding, err := client.HoldingReport(ctx, srv.Address)
 		So(err, ShouldBeNil)
 		So(holding.Holding, ShouldResemble, engineapi.Holding{Model: "toy", Last: 3, PlacementVersion: 2})
 		err = client.Order(ctx, srv.Address, engineapi.Order{Model: "toy", Last: 1, PlacementVersion: 1})
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -31,7 +31,7 @@
 	// has accepted another number of orders. revision is the store revision that the
 	// order is based on. A replica that checks it refuses an order based on an older
 	// revision than an earlier order.
-	Place(ctx context.Context, address, replica string, accepted, revision int64, span layers.Span) error
+	Place(ctx context.Context, address, replica string, acceptedOrders, revision int64, span layers.Span) error
 	// Report returns a replica's report on itself.
 	Report(ctx context.Context, address, replica string) (replicareport.Report, error)
 }
@@ -56,8 +56,8 @@
 // orderCount is the number of orders that one incarnation of a replica has accepted, as far
 // as known.
 type orderCount struct {
-	incarnation int64
-	accepted    int64
+	incarnation    int64
+	acceptedOrders int64
 }
 
 // Controller plans the layers of one service's replicas and sends the orders. Safe for
@@ -169,20 +169,20 @@
 // plannerReplica returns a replica as input of the planner. Until the list shows the result
 // of a pending order, the replica counts as holding the ordered span.
 func (k *Controller) plannerReplica(now time.Time, model *ruleset.Model, r *replicalist.Replica, suspected bool) layers.Replica {
-	c := layers.Replica{
+	replica := layers.Replica{
 		ID: r.ID, MemoryMB: model.Cards[r.Kind].MemoryMB, Held: r.Holds,
 		Fixed: r.Busy, Excluded: r.Draining || suspected || model.Cards[r.Kind].MemoryMB == 0,
 	}
 	p, ok := k.pendingOrders[r.ID]
 	if !ok {
-		return c
+		return replica
 	}
 	if p.incarnation != r.Born || r.Holds == p.span || now.After(p.expiresAt) {
 		delete(k.pendingOrders, r.ID)
-		return c
+		return replica
 	}
-	c.Held, c.Fixed = p.span, true
-	return c
+	replica.Held, replica.Fixed = p.span, true
+	return replica
 }
 
 // maxLoadTime returns the time that an engine needs to load the ordered layers that it does
@@ -203,15 +203,15 @@
 // over from another node; without it, a domain that lacks layers would wait for the next
 // read of the list. Otherwise the next plan follows the report.
 func (k *Controller) deliver(ctx context.Context, r *replicalist.Replica, revision int64, o layers.Order) {
-	expected := k.expectedOrders(r)
-	if k.sendOrder(ctx, r, revision, expected, o) {
+	expectedOrders := k.expectedOrders(r)
+	if k.sendOrder(ctx, r, revision, expectedOrders, o) {
 		return
 	}
 	report, ok := k.fetchReport(ctx, r)
 	if !ok {
 		return
 	}
-	if report.Orders != expected && report.Holds == r.Holds && !report.Busy && k.sendOrder(ctx, r, revision, report.Orders, o) {
+	if report.Orders != expectedOrders && report.Holds == r.Holds && !report.Busy && k.sendOrder(ctx, r, revision, report.Orders, o) {
 		return
 	}
 	k.clearPending(r.ID, report)
@@ -219,12 +219,12 @@
 
 // sendOrder sends an order that names the number of orders that the replica is expected to
 // have accepted. It reports whether the replica accepted the order.
-func (k *Controller) sendOrder(ctx context.Context, r *replicalist.Replica, revision, expected int64, o layers.Order) bool {
-	err := k.client.Place(ctx, r.Address, r.ID, expected, revision, o.Hold)
+func (k *Controller) sendOrder(ctx context.Context, r *replicalist.Replica, revision, expectedOrders int64, o layers.Order) bool {
+	err := k.client.Place(ctx, r.Address, r.ID, expectedOrders, revision, o.Hold)
 	k.log.Info("layers ordered", "replica", r.ID, "domain", r.Domain, "kind", r.Kind, "held", r.Holds, "hold", o.Hold,
-		"reason", o.Reason, "orders", expected, "born", r.Born, "revision", revision, "error", err)
+		"reason", o.Reason, "orders", expectedOrders, "born", r.Born, "revision", revision, "error", err)
 	if err == nil {
-		k.setAcceptedOrders(r, expected+1)
+		k.setAcceptedOrders(r, expectedOrders+1)
 	}
 	return err == nil
 }
@@ -233,15 +233,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c := k.acceptedOrders[r.ID]; c.incarnation == r.Born {
-		return c.accepted
+		return c.acceptedOrders
 	}
 	return 0
 }
 
-func (k *Controller) setAcceptedOrders(r *replicalist.Replica, accepted int64) {
+func (k *Controller) setAcceptedOrders(r *replicalist.Replica, acceptedOrders int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Born, accepted: accepted}
+	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Born, acceptedOrders: acceptedOrders}
 }
 
 // fetchReport reads a replica's report and records the number of orders that the replica has
--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -16,7 +16,7 @@
 )
 
 var (
-	start     = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
+	startTime = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 	testModel = &ruleset.Model{
 		Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, LoadTime: time.Second,
 		Cards: map[string]ruleset.Card{"l4": {MemoryMB: 700}},
@@ -24,16 +24,16 @@
 )
 
 type fakeReplica struct {
-	orders int64
-	holds  layers.Span
+	acceptedOrders int64
+	holds          layers.Span
 }
 
 // fakeReplicas accept and refuse orders as real replicas do.
 type fakeReplicas struct {
-	mu    sync.Mutex
-	byID  map[string]*fakeReplica
-	calls chan string
-	fail  error
+	mu         sync.Mutex
+	byID       map[string]*fakeReplica
+	calls      chan string
+	placeError error
 }
 
 func newFakeReplicas() *fakeReplicas {
@@ -51,14 +51,14 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	defer func() { e.calls <- id }()
-	if e.fail != nil {
-		return e.fail
+	if e.placeError != nil {
+		return e.placeError
 	}
 	r := e.replica(id)
-	if r.orders != orders {
+	if r.acceptedOrders != orders {
 		return errors.New("409")
 	}
-	r.orders++
+	r.acceptedOrders++
 	r.holds = hold
 	return nil
 }
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.replica(id)
-	return replicareport.Report{Orders: r.orders, Holds: r.holds}, nil
+	return replicareport.Report{Orders: r.acceptedOrders, Holds: r.holds}, nil
 }
 
 func (e *fakeReplicas) list(ids ...string) []*replicalist.Replica {
@@ -105,7 +105,7 @@
 	e := newFakeReplicas()
 	controller := newTestController(e)
 	reconcile := func(ms int, list []*replicalist.Replica) {
-		controller.Reconcile(context.Background(), start.Add(time.Duration(ms)*time.Millisecond), testModel, "d", 1, list, noneSuspected)
+		controller.Reconcile(context.Background(), startTime.Add(time.Duration(ms)*time.Millisecond), testModel, "d", 1, list, noneSuspected)
 	}
 	reconcile(0, e.list("a"))
 	reconcile(800, e.list("a", "b"))
@@ -113,10 +113,10 @@
 	if len(e.calls) > 0 {
 		t.Fatal("orders were sent before all replicas were listed")
 	}
-	stale := e.list("a", "b")
-	reconcile(2000, stale)
+	staleList := e.list("a", "b")
+	reconcile(2000, staleList)
 	awaitCalls(t, e, 2)
-	reconcile(2400, stale)
+	reconcile(2400, staleList)
 	if len(e.calls) > 0 {
 		t.Error("orders were sent again before the replicas could report")
 	}
@@ -133,15 +133,15 @@
 	first, second := newTestController(e), newTestController(e)
 	list := e.list("a", "b")
 	for _, k := range []*Controller{first, second} {
-		k.Reconcile(context.Background(), start, testModel, "d", 1, list, noneSuspected)
-		k.Reconcile(context.Background(), start.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
+		k.Reconcile(context.Background(), startTime, testModel, "d", 1, list, noneSuspected)
+		k.Reconcile(context.Background(), startTime.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
 	}
 	awaitCalls(t, e, 4)
-	if e.accepted("a") != 1 || e.accepted("b") != 1 {
-		t.Errorf("the replicas accepted %d and %d orders, want 1 each", e.accepted("a"), e.accepted("b"))
+	if e.acceptedOrders("a") != 1 || e.acceptedOrders("b") != 1 {
+		t.Errorf("the replicas accepted %d and %d orders, want 1 each", e.acceptedOrders("a"), e.acceptedOrders("b"))
 	}
 	for _, k := range []*Controller{first, second} {
-		k.Reconcile(context.Background(), start.Add(10*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
+		k.Reconcile(context.Background(), startTime.Add(10*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
 	}
 	if len(e.calls) > 0 {
 		t.Error("a controller sent further orders")
@@ -152,45 +152,45 @@
 // replica would refuse all its orders. The node has sent none of the orders that the
 // replica has accepted, so its first order is refused. It reads the report, and the
 // replica accepts its next order.
-func TestSuccessorLearnsAcceptedOrders(t *testing.T) {
+func TestNextNodeLearnsAcceptedOrders(t *testing.T) {
 	e := newFakeReplicas()
-	predecessor := newTestController(e)
-	predecessor.Reconcile(context.Background(), start, testModel, "d", 1, e.list("a", "b"), noneSuspected)
-	predecessor.Reconcile(context.Background(), start.Add(2*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
+	previousNode := newTestController(e)
+	previousNode.Reconcile(context.Background(), startTime, testModel, "d", 1, e.list("a", "b"), noneSuspected)
+	previousNode.Reconcile(context.Background(), startTime.Add(2*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
 	awaitCalls(t, e, 2)
-	successor := newTestController(e)
+	nextNode := newTestController(e)
 	suspected := func(id string) bool { return id == "b" }
 	deadline := time.Now().Add(10 * time.Second)
-	for at := start.Add(10 * time.Second); e.accepted("a") < 2; at = at.Add(maxReportDelay) {
+	for at := startTime.Add(10 * time.Second); e.acceptedOrders("a") < 2; at = at.Add(maxReportDelay) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the lost replica's layers were not reassigned: %d orders accepted", e.accepted("a"))
+			t.Fatalf("the lost replica's layers were not reassigned: %d orders accepted", e.acceptedOrders("a"))
 		}
-		successor.Reconcile(context.Background(), at, testModel, "d", 1, e.list("a", "b"), suspected)
+		nextNode.Reconcile(context.Background(), at, testModel, "d", 1, e.list("a", "b"), suspected)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (e *fakeReplicas) accepted(id string) int64 {
+func (e *fakeReplicas) acceptedOrders(id string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.replica(id).orders
+	return e.replica(id).acceptedOrders
 }
 
 // Without an immediate second order, a domain that lacks layers would wait for the next
 // read of the store. A node takes over a failure domain and does not know how many orders
 // its predecessor sent, so its first order is refused. It reads the replica's report. The
 // replica holds the same layers as in the plan, so the node sends the order again.
-func TestSuccessorRepeatsOrderAtOnce(t *testing.T) {
+func TestNextNodeRepeatsOrderAtOnce(t *testing.T) {
 	e := newFakeReplicas()
-	e.replica("a").orders = 3
+	e.replica("a").acceptedOrders = 3
 	controller := newTestController(e)
 	list := e.list("a")
-	controller.Reconcile(context.Background(), start, testModel, "d", 1, list, noneSuspected)
-	controller.Reconcile(context.Background(), start.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
+	controller.Reconcile(context.Background(), startTime, testModel, "d", 1, list, noneSuspected)
+	controller.Reconcile(context.Background(), startTime.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
 	awaitCalls(t, e, 2)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.byID["a"].holds.Empty() || e.byID["a"].orders != 4 {
+	if e.byID["a"].holds.Empty() || e.byID["a"].acceptedOrders != 4 {
 		t.Errorf("%+v", e.byID["a"])
 	}
 }
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -133,15 +133,15 @@
 func (replica *managedReplica) heldAdapters(replicaPlan plan.Replica) []adapters.Adapter {
 	var held []adapters.Adapter
 	for i, s := range replicaPlan.Stages {
-		var onEngine []adapters.Adapter
+		var adaptersOnEngine []adapters.Adapter
 		for _, a := range replica.reports[s.Endpoint].Adapters {
-			onEngine = append(onEngine, adapters.Adapter(a))
+			adaptersOnEngine = append(adaptersOnEngine, adapters.Adapter(a))
 		}
 		if i == 0 {
-			held = onEngine
+			held = adaptersOnEngine
 			continue
 		}
-		held = slices.DeleteFunc(held, func(a adapters.Adapter) bool { return !slices.Contains(onEngine, a) })
+		held = slices.DeleteFunc(held, func(a adapters.Adapter) bool { return !slices.Contains(adaptersOnEngine, a) })
 	}
 	return held
 }
@@ -218,24 +218,24 @@
 	for _, a := range replicaPlan.Adapters {
 		order.Adapters = append(order.Adapters, engineapi.Adapter(a))
 	}
-	var outdated []string
+	var outdatedEndpoints []string
 	for _, s := range replicaPlan.Stages {
 		if !matchesOrder(replica.reports[s.Endpoint], order) {
-			outdated = append(outdated, s.Endpoint)
+			outdatedEndpoints = append(outdatedEndpoints, s.Endpoint)
 		}
 	}
-	if len(outdated) == 0 {
+	if len(outdatedEndpoints) == 0 {
 		replica.adapters.reservedVersion = 0
 		return
 	}
-	if err := k.reserveAdapterLoad(ctx, now, d, replica, order, outdated); err != nil {
+	if err := k.reserveAdapterLoad(ctx, now, d, replica, order, outdatedEndpoints); err != nil {
 		k.cfg.Log.Warn("adapter load not reserved", "model", order.Model, "replica", replica.spec.name, "error", err)
 		return
 	}
 	if now.Before(replica.adapters.loadStartsAt) {
 		return
 	}
-	for _, endpoint := range outdated {
+	for _, endpoint := range outdatedEndpoints {
 		e, _ := d.Endpoint(endpoint)
 		k.sendAdapterOrder(ctx, replica, e.Name, e.Address, order)
 	}
@@ -256,13 +256,13 @@
 
 // reserveAdapterLoad reserves load time at the weight store for an order, unless it is
 // already reserved.
-func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, order engineapi.AdapterOrder, outdated []string) error {
+func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, order engineapi.AdapterOrder, outdatedEndpoints []string) error {
 	if replica.adapters.reservedVersion == order.Version {
 		return nil
 	}
 	bytes := int64(0)
 	for _, a := range order.Adapters {
-		missing := slices.ContainsFunc(outdated, func(e string) bool { return !slices.Contains(replica.reports[e].Adapters, a) })
+		missing := slices.ContainsFunc(outdatedEndpoints, func(e string) bool { return !slices.Contains(replica.reports[e].Adapters, a) })
 		if spec := replica.spec.model.Adapter(a.Name); missing && spec != nil {
 			bytes += int64(spec.Bytes)
 		}
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -65,8 +65,8 @@
 	keyOf           map[replicaID]recordKey
 	records         map[recordKey]plan.Record
 	readRequestedAt map[recordKey]time.Time
-	// withAdapters says for each record whether the plan of some replica has an adapter.
-	withAdapters map[recordKey]bool
+	// recordsWithAdapters says for each record whether the plan of some replica has an adapter.
+	recordsWithAdapters map[recordKey]bool
 }
 
 // replicaID identifies a replica within the environment.
@@ -78,15 +78,15 @@
 // NewCache returns an empty cache.
 func NewCache(s store.Reader, environment string, log hclog.Logger) *Cache {
 	return &Cache{
-		store:           s,
-		environment:     environment,
-		log:             log,
-		pendingReads:    make(chan recordKey, maxPendingReads),
-		now:             time.Now,
-		keyOf:           map[replicaID]recordKey{},
-		records:         map[recordKey]plan.Record{},
-		readRequestedAt: map[recordKey]time.Time{},
-		withAdapters:    map[recordKey]bool{},
+		store:               s,
+		environment:         environment,
+		log:                 log,
+		pendingReads:        make(chan recordKey, maxPendingReads),
+		now:                 time.Now,
+		keyOf:               map[replicaID]recordKey{},
+		records:             map[recordKey]plan.Record{},
+		readRequestedAt:     map[recordKey]time.Time{},
+		recordsWithAdapters: map[recordKey]bool{},
 	}
 }
 
@@ -132,7 +132,7 @@
 	c.mu.RLock()
 	key, known := c.keyOf[replicaID{model, replica}]
 	replicaPlan, found := c.records[key].Replicas[replica]
-	stale := c.withAdapters[key] && c.now().Sub(c.readRequestedAt[key]) >= adapterRefresh
+	stale := c.recordsWithAdapters[key] && c.now().Sub(c.readRequestedAt[key]) >= adapterRefresh
 	c.mu.RUnlock()
 	if known && (!found || stale) {
 		c.requestRead(key)
@@ -203,7 +203,7 @@
 	defer c.mu.Unlock()
 	if record.Version >= c.records[key].Version {
 		c.records[key] = record
-		c.withAdapters[key] = anyAdapters(record)
+		c.recordsWithAdapters[key] = anyAdapters(record)
 	}
 }
 
@@ -211,7 +211,7 @@
 func (c *Cache) hasAdapters(key recordKey) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.withAdapters[key]
+	return c.recordsWithAdapters[key]
 }
 
 func anyAdapters(record plan.Record) bool {
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -35,7 +35,7 @@
 
 // EngineClient has the calls to engines that the controller uses.
 type EngineClient interface {
-	Holding(ctx context.Context, address string) (engineapi.Report, error)
+	HoldingReport(ctx context.Context, address string) (engineapi.Report, error)
 	Order(ctx context.Context, address string, order engineapi.Order) error
 	OrderAdapters(ctx context.Context, address string, order engineapi.AdapterOrder) error
 }
@@ -70,7 +70,7 @@
 
 	// Only Run uses the following fields.
 	replicas            map[replicaID]*managedReplica
-	refreshedFor        *docindex.Directory
+	refreshedDirectory  *docindex.Directory
 	refreshedMembership any
 	// rollouts are the roll-outs decided in this round.
 	rollouts map[recordKey]placement.RolloutStep
@@ -197,10 +197,10 @@
 // list of nodes has changed.
 func (k *Controller) refreshReplicas(d *docindex.Directory) {
 	membership := k.cfg.MembershipVersion()
-	if d == k.refreshedFor && membership == k.refreshedMembership {
+	if d == k.refreshedDirectory && membership == k.refreshedMembership {
 		return
 	}
-	k.refreshedFor, k.refreshedMembership = d, membership
+	k.refreshedDirectory, k.refreshedMembership = d, membership
 	owned := map[recordKey]bool{}
 	replicas := map[replicaID]*managedReplica{}
 	for _, spec := range replicaSpecs(d) {
--- a/route/layerplans/controller_test.go
+++ b/route/layerplans/controller_test.go
@@ -39,13 +39,13 @@
 	loading  map[string]pendingLoad
 	// runningStreams is the number of streams of each engine. interrupted counts orders for
 	// other weights while streams run. Loads of brokenVersion always fail.
-	runningStreams map[string]int
-	interrupted    int
-	brokenVersion  string
+	runningStreams       map[string]int
+	ordersWhileStreaming int
+	brokenVersion        string
 	// adapters has the last adapter order of each engine, and adapterOrderTimes the times of
 	// all adapter orders.
 	adapters          map[string]engineapi.AdapterOrder
-	uses              map[string]uint64
+	useCounts         map[string]uint64
 	adapterOrderTimes []time.Duration
 }
 
@@ -54,7 +54,7 @@
 	ready time.Time
 }
 
-func (f *fakeEngines) Holding(_ context.Context, address string) (engineapi.Report, error) {
+func (f *fakeEngines) HoldingReport(_ context.Context, address string) (engineapi.Report, error) {
 	if f.unreachable[address] {
 		return engineapi.Report{}, errors.New("no answer")
 	}
@@ -62,7 +62,7 @@
 		f.holdings[address] = engineapi.Holding(l.order)
 	}
 	return engineapi.Report{
-		Holding: f.holdings[address], Running: f.runningStreams[address], Uses: f.uses,
+		Holding: f.holdings[address], Running: f.runningStreams[address], Uses: f.useCounts,
 		Adapters: f.adapters[address].Adapters, AdapterVersion: f.adapters[address].Version,
 	}, nil
 }
@@ -83,7 +83,7 @@
 		return nil
 	}
 	if f.holdings[address].Weights != "" && f.holdings[address].Weights != order.Weights && f.runningStreams[address] > 0 {
-		f.interrupted++
+		f.ordersWhileStreaming++
 	}
 	if order.Weights == f.brokenVersion && order.Weights != "" {
 		delete(f.loading, address)
@@ -110,8 +110,8 @@
 	controllers []*Controller
 }
 
-func newCluster(t *testing.T, replicas, domains, rate int) *cluster {
-	return clusterOf(t, documentOf(replicas, domains, rate), domains)
+func newCluster(t *testing.T, replicas, domains, storeMBPerSecond int) *cluster {
+	return clusterOf(t, documentOf(replicas, domains, storeMBPerSecond), domains)
 }
 
 func clusterOf(t *testing.T, doc *document.Document, domains int) *cluster {
@@ -137,8 +137,8 @@
 
 func domainName(i int) string { return fmt.Sprint("domain-", i) }
 
-func documentOf(replicas, domains, rate int) *document.Document {
-	doc := &document.Document{Policy: document.Policy{WeightMegabytesPerSecond: rate}}
+func documentOf(replicas, domains, storeMBPerSecond int) *document.Document {
+	doc := &document.Document{Policy: document.Policy{WeightMegabytesPerSecond: storeMBPerSecond}}
 	m := &document.Model{Layers: layers, LayerMegabytes: 1}
 	for i := range replicas {
 		r := document.Replica{Name: fmt.Sprint("replica-", i)}
@@ -201,22 +201,22 @@
 	}
 	t.Logf("loads begin at %v", ordered)
 	// Each engine loads some of 8 layers of 1 MB; the rate is 1 MB a second.
-	loaded := time.Duration(0)
+	minLoadedAt := time.Duration(0)
 	for _, at := range ordered {
-		if at < loaded {
-			t.Errorf("a load begins at %v, but the loads before it end at %v: %v", at, loaded, ordered)
+		if at < minLoadedAt {
+			t.Errorf("a load begins at %v, but the loads before it end at %v: %v", at, minLoadedAt, ordered)
 		}
-		loaded += s.shortestLoad() // no load takes less time
+		minLoadedAt += s.shortestLoad() // no load takes less time
 	}
 	loadCount := len(s.orderedAt)
 	clear(s.holdings) // all engines restart without layers
 	clear(s.loading)
 	clear(s.orderedAt)
-	returnedAt := s.now.Sub(startTime)
+	restartedAt := s.now.Sub(startTime)
 	s.runRounds(2*layers+4, 0, noAction)
 	ordered = slices.Sorted(maps.Values(s.orderedAt))
-	if len(ordered) != loadCount || ordered[loadCount-1] < returnedAt+layers*time.Second {
-		t.Errorf("restarted at %v, loads ordered at %v, too close together", returnedAt, ordered)
+	if len(ordered) != loadCount || ordered[loadCount-1] < restartedAt+layers*time.Second {
+		t.Errorf("restarted at %v, loads ordered at %v, too close together", restartedAt, ordered)
 	}
 }
 
@@ -245,8 +245,8 @@
 		return sum
 	}
 	before := versions()
-	measured := func() { s.observeHops(k) }
-	maxNotReady := s.runRounds(120, 0, measured)
+	observe := func() { s.observeHops(k) }
+	maxNotReady := s.runRounds(120, 0, observe)
 	if maxNotReady != 1 {
 		t.Errorf("%d replicas reloaded at once, want 1", maxNotReady)
 	}
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -93,7 +93,7 @@
 func (k *Controller) fetchReport(ctx context.Context, e document.Endpoint) (engineapi.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return k.cfg.EngineClient.Holding(ctx, e.Address)
+	return k.cfg.EngineClient.HoldingReport(ctx, e.Address)
 }
 
 // reserveLayerLoads reserves load time at the weight store for the orders that have none
@@ -103,7 +103,7 @@
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
 	var unreserved []pendingOrder
 	var fetchTimes []time.Duration
-	longest := time.Duration(0)
+	longestFetch := time.Duration(0)
 	for _, each := range pending {
 		if replica.reservations[each.endpoint.Name].order == each.order {
 			continue
@@ -111,19 +111,19 @@
 		unreserved = append(unreserved, each)
 		fetchTime := placement.FetchTime(placement.FetchBytes(model, heldStage(each), orderedStage(each.order)), rate)
 		fetchTimes = append(fetchTimes, fetchTime)
-		longest = max(longest, fetchTime)
+		longestFetch = max(longestFetch, fetchTime)
 	}
-	starts := make([]time.Time, len(unreserved)) // the zero time: start at once
-	if longest > 0 {
+	startTimes := make([]time.Time, len(unreserved)) // the zero time: start at once
+	if longestFetch > 0 {
 		var err error
-		if starts, err = k.reserveLoads(ctx, now, fetchTimes); err != nil {
+		if startTimes, err = k.reserveLoads(ctx, now, fetchTimes); err != nil {
 			return err
 		}
 	}
 	for i, each := range unreserved {
-		replica.reservations[each.endpoint.Name] = reservation{each.order, starts[i]}
-		if starts[i].After(now) {
-			k.cfg.Log.Info("load waits for the weight store", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", starts[i].Sub(now).Milliseconds())
+		replica.reservations[each.endpoint.Name] = reservation{each.order, startTimes[i]}
+		if startTimes[i].After(now) {
+			k.cfg.Log.Info("load waits for the weight store", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", startTimes[i].Sub(now).Milliseconds())
 		}
 	}
 	return nil
@@ -162,8 +162,8 @@
 
 // raiseVersion raises the plan's version above a version that an engine accepted from
 // another source. The next round sends orders with the new version.
-func (k *Controller) raiseVersion(spec replicaSpec, above int64) {
-	k.updateRecord(spec, func(r *plan.Record) bool { return r.Raise(spec.name, above) })
+func (k *Controller) raiseVersion(spec replicaSpec, acceptedVersion int64) {
+	k.updateRecord(spec, func(r *plan.Record) bool { return r.Raise(spec.name, acceptedVersion) })
 }
 
 // updateRecord writes a change of a replica's plan to the store and the cache.
@@ -183,13 +183,13 @@
 // replicas of its model and failure domain must serve its requests meanwhile. The weight
 // store must be free, or the replica would be out of service until its reserved time.
 func (k *Controller) mayReload(ctx context.Context, now time.Time, replica *managedReplica) (bool, error) {
-	var others []placement.ReplicaState
+	var otherStates []placement.ReplicaState
 	for _, other := range k.replicas {
 		if other != replica && other.spec.key == replica.spec.key {
-			others = append(others, other.state)
+			otherStates = append(otherStates, other.state)
 		}
 	}
-	if !placement.MayReload(others) {
+	if !placement.MayReload(otherStates) {
 		return false, nil
 	}
 	schedule, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -71,11 +71,11 @@
 
 // runningStreams returns the number of running streams at the engine with the most.
 func (replica *managedReplica) runningStreams() int {
-	most := 0
+	maxStreams := 0
 	for _, r := range replica.reports {
-		most = max(most, r.Running)
+		maxStreams = max(maxStreams, r.Running)
 	}
-	return most
+	return maxStreams
 }
 
 // drain orders the engines that will load other weights to finish their streams first. It
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -56,8 +56,8 @@
 // take five more seconds. Half of the replicas must serve at any time, and no engine may
 // replace its weights while a stream runs. The loads must keep to the weight store's rate.
 func TestRolloutKeepsHalfOfReplicas(t *testing.T) {
-	const replicas, rate = 4, 4
-	s := clusterOf(t, withVersion(documentOf(replicas, 1, rate), "v1"), 1)
+	const replicas, storeMBPerSecond = 4, 4
+	s := clusterOf(t, withVersion(documentOf(replicas, 1, storeMBPerSecond), "v1"), 1)
 	s.loadTime = 2 * time.Second // 8 MB per replica at 4 MB/s
 	s.runRounds(30, 0, noAction)
 	if n := s.serving(replicas, "v1"); n != replicas {
@@ -66,7 +66,7 @@
 	for i := range replicas {
 		s.runningStreams[s.replicaPlan(i).Stages[0].Endpoint] = 1
 	}
-	s.applyDocument(withVersion(documentOf(replicas, 1, rate), "v2"))
+	s.applyDocument(withVersion(documentOf(replicas, 1, storeMBPerSecond), "v2"))
 	clear(s.orderedAt)
 	drainOrderedAt := map[string]time.Time{}
 	minServing := replicas
@@ -81,16 +81,16 @@
 		}
 		minServing = min(minServing, s.serving(replicas, "v1")+s.serving(replicas, "v2"))
 	})
-	if n := s.serving(replicas, "v2"); n != replicas || minServing != replicas/2 || s.interrupted != 0 {
-		t.Errorf("%d of %d replicas on the new version, at least %d served, %d engines replaced weights while streams ran", n, replicas, minServing, s.interrupted)
+	if n := s.serving(replicas, "v2"); n != replicas || minServing != replicas/2 || s.ordersWhileStreaming != 0 {
+		t.Errorf("%d of %d replicas on the new version, at least %d served, %d engines replaced weights while streams ran", n, replicas, minServing, s.ordersWhileStreaming)
 	}
 	// An engine loads two or three of the eight layers of 1 MB each, so at 4 MB/s at most
 	// two loads begin in a second.
-	perSecond := map[time.Duration]int{}
+	loadsBySecond := map[time.Duration]int{}
 	for _, at := range s.orderedAt {
-		perSecond[at]++
+		loadsBySecond[at]++
 	}
-	for at, n := range perSecond {
+	for at, n := range loadsBySecond {
 		if n > 2 {
 			t.Errorf("%d loads begin at %v", n, at)
 		}
@@ -134,7 +134,7 @@
 	}
 }
 
-func withAdapters(doc *document.Document, version string) *document.Document {
+func documentWithAdapter(doc *document.Document, version string) *document.Document {
 	doc.Services[0].Model.Adapters = []document.Adapter{{Name: "notes", Version: version, Bytes: 3 * megabyte, Replicas: 2}}
 	return doc
 }
@@ -157,16 +157,16 @@
 	notes := engineapi.Adapter{Name: "notes", Version: "1"}
 	s := clusterOf(t, documentOf(3, 1, 1), 1)
 	s.runRounds(40, 0, noAction)
-	s.applyDocument(withAdapters(documentOf(3, 1, 1), "1"))
+	s.applyDocument(documentWithAdapter(documentOf(3, 1, 1), "1"))
 	s.runRounds(20, 0, noAction)
-	engines := 0
+	plannedEngines := 0
 	for i := range 3 {
 		if len(s.replicaPlan(i).Adapters) > 0 {
-			engines += len(s.replicaPlan(i).Stages)
+			plannedEngines += len(s.replicaPlan(i).Stages)
 		}
 	}
-	if n := s.enginesHolding(notes); engines == 0 || n != engines {
-		t.Fatalf("%d engines hold the adapter, want %d", n, engines)
+	if n := s.enginesHolding(notes); plannedEngines == 0 || n != plannedEngines {
+		t.Fatalf("%d engines hold the adapter, want %d", n, plannedEngines)
 	}
 	// The second replica's load begins when the first replica's load of 3 MB at 1 MB/s has
 	// ended.
@@ -180,15 +180,15 @@
 	s.adapters[name] = engineapi.AdapterOrder{Version: 1000}
 	before := s.replicaPlan(0).Version
 	s.runRounds(20, 0, noAction)
-	if n := s.enginesHolding(notes); n != engines || s.replicaPlan(0).Version != before {
-		t.Errorf("%d engines hold the adapter, want %d; the version of the layers' plan changed from %d to %d", n, engines, before, s.replicaPlan(0).Version)
+	if n := s.enginesHolding(notes); n != plannedEngines || s.replicaPlan(0).Version != before {
+		t.Errorf("%d engines hold the adapter, want %d; the version of the layers' plan changed from %d to %d", n, plannedEngines, before, s.replicaPlan(0).Version)
 	}
-	s.applyDocument(withAdapters(documentOf(3, 1, 1), "2"))
-	minHolding := engines
+	s.applyDocument(documentWithAdapter(documentOf(3, 1, 1), "2"))
+	minHolding := plannedEngines
 	s.runRounds(40, 0, func() {
 		minHolding = min(minHolding, s.enginesHolding(notes)+s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}))
 	})
-	if n := s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}); n != engines || s.enginesHolding(notes) != 0 || minHolding < engines {
+	if n := s.enginesHolding(engineapi.Adapter{Name: "notes", Version: "2"}); n != plannedEngines || s.enginesHolding(notes) != 0 || minHolding < plannedEngines {
 		t.Errorf("%d engines hold the new version, %d the old version; at least %d held one of them", n, s.enginesHolding(notes), minHolding)
 	}
 }
@@ -198,9 +198,9 @@
 // nodes, and exactly one further replica gets the adapter. No other replica may get it
 // while that load runs, or later while one of the three replicas is idle.
 func TestBusyAdapterGetsThirdReplica(t *testing.T) {
-	s := clusterOf(t, withAdapters(documentOf(4, 1, 0), "1"), 1)
+	s := clusterOf(t, documentWithAdapter(documentOf(4, 1, 0), "1"), 1)
 	s.runRounds(20, 0, noAction)
-	s.uses = map[string]uint64{}
+	s.useCounts = map[string]uint64{}
 	holders := func() (n int) {
 		for i := range 4 {
 			if len(s.replicaPlan(i).Adapters) > 0 {
@@ -217,7 +217,7 @@
 			s.runningStreams[s.replicaPlan(i).Stages[0].Endpoint] = assumedSlots
 		}
 	}
-	s.runRounds(30, 0, func() { s.uses = map[string]uint64{"notes@1": uint64(s.now.Sub(startTime) / time.Second)} })
+	s.runRounds(30, 0, func() { s.useCounts = map[string]uint64{"notes@1": uint64(s.now.Sub(startTime) / time.Second)} })
 	if n := holders(); n != 3 {
 		t.Errorf("the adapter is planned on %d replicas, want 3", n)
 	}
@@ -227,7 +227,7 @@
 // replicas that gained an adapter. The replicas that the node knows to hold the adapter
 // still hold it, so nothing shows the node that its plans are outdated.
 func TestCacheLearnsNewAdapterReplicas(t *testing.T) {
-	s := clusterOf(t, withAdapters(documentOf(4, 1, 0), "1"), 1)
+	s := clusterOf(t, documentWithAdapter(documentOf(4, 1, 0), "1"), 1)
 	s.runRounds(20, 0, noAction)
 	other := NewCache(s.controllers[0].cfg.Store, "java", hclog.NewNullLogger())
 	now := startTime
@@ -250,7 +250,7 @@
 		}
 	}
 	await(2)
-	doc := withAdapters(documentOf(4, 1, 0), "1")
+	doc := documentWithAdapter(documentOf(4, 1, 0), "1")
 	doc.Services[0].Model.Adapters[0].Replicas = 4
 	s.applyDocument(doc)
 	s.runRounds(10, 0, noAction)
@@ -261,10 +261,10 @@
 // If a plan for new weights replaced the whole plan, a replica would lose its adapters in
 // a roll-out. The adapters must stay in the plan under the same adapter version.
 func TestNewVersionKeepsAdapters(t *testing.T) {
-	s := clusterOf(t, withAdapters(withVersion(documentOf(2, 1, 0), "v1"), "1"), 1)
+	s := clusterOf(t, documentWithAdapter(withVersion(documentOf(2, 1, 0), "v1"), "1"), 1)
 	s.runRounds(10, 0, noAction)
 	before := []int64{s.replicaPlan(0).AdapterVersion, s.replicaPlan(1).AdapterVersion}
-	s.applyDocument(withAdapters(withVersion(documentOf(2, 1, 0), "v2"), "1"))
+	s.applyDocument(documentWithAdapter(withVersion(documentOf(2, 1, 0), "v2"), "1"))
 	s.runRounds(30, 0, noAction)
 	record, _, err := plan.Load(context.Background(), s.controllers[0].cfg.Store, plan.Key("java", model, domainName(0)))
 	if err != nil {
@@ -302,15 +302,15 @@
 // until its reserved time. The next minute of the weight store is reserved for other
 // loads, and the roll-out must start after that.
 func TestRolloutWaitsForWeightStore(t *testing.T) {
-	const busy = 60
+	const busySeconds = 60
 	s := clusterOf(t, withVersion(documentOf(2, 1, 1), "v1"), 1)
 	s.runRounds(30, 0, noAction)
 	key := plan.PaceKey("java")
-	if _, err := plan.Book(context.Background(), s.controllers[0].cfg.Store, key, "other", s.now, []time.Duration{busy * time.Second}); err != nil {
+	if _, err := plan.Book(context.Background(), s.controllers[0].cfg.Store, key, "other", s.now, []time.Duration{busySeconds * time.Second}); err != nil {
 		t.Fatal(err)
 	}
 	s.applyDocument(withVersion(documentOf(2, 1, 1), "v2"))
-	s.runRounds(busy, 0, func() {
+	s.runRounds(busySeconds, 0, func() {
 		if n := s.serving(2, "v1"); n != 2 {
 			t.Fatalf("%d of 2 replicas serve while the weight store is busy", n)
 		}
@@ -325,13 +325,13 @@
 // has just placed would be removed. This node's cached record is older than the other
 // node's change.
 func TestAdaptersOfOtherControllerAreKept(t *testing.T) {
-	s := clusterOf(t, withAdapters(documentOf(2, 1, 0), "1"), 1)
+	s := clusterOf(t, documentWithAdapter(documentOf(2, 1, 0), "1"), 1)
 	s.runRounds(10, 0, noAction)
 	k := s.controllers[0]
 	key := recordKey{model, domainName(0)}
-	both := []plan.Adapter{{Name: "notes", Version: "1"}, {Name: "plans", Version: "1"}}
+	bothAdapters := []plan.Adapter{{Name: "notes", Version: "1"}, {Name: "plans", Version: "1"}}
 	record, err := plan.Agree(context.Background(), k.cfg.Store, plan.Key("java", model, key.domain), "other", func(r *plan.Record) bool {
-		return r.PutAdapters("replica-0", both)
+		return r.PutAdapters("replica-0", bothAdapters)
 	})
 	if err == nil {
 		err = k.commitAdapters(context.Background(), key, []adapters.Change{{Replica: "replica-0"}})
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// statement says whether an engine is leaving, according to one source.
-type statement struct {
+// leavingStatement says whether an engine is leaving, according to one source.
+type leavingStatement struct {
 	endpoint string
 	source   balance.Source
 	leaving  bool
@@ -32,7 +32,7 @@
 	return docindex.Build(doc, 1, "digest")
 }
 
-func (s *Service) apply(st statement) {
+func (s *Service) apply(st leavingStatement) {
 	if st.source == balance.SourceEndpoint {
 		s.RecordLoad(st.endpoint, engineapi.Load{Draining: st.leaving})
 		return
@@ -62,21 +62,21 @@
 	const platform, operator, endpoint = balance.SourcePlatform, balance.SourceOperator, balance.SourceEndpoint
 	cases := []struct {
 		name       string
-		statements []statement
+		statements []leavingStatement
 		picked     bool
 	}{
 		{"no stage leaves", nil, true},
-		{"the first stage leaves", []statement{{"xa", platform, true}}, false},
-		{"the second stage leaves", []statement{{"xb", platform, true}}, false},
-		{"a stage itself reports that it leaves", []statement{{"xb", endpoint, true}}, false},
-		{"the other stage stays", []statement{{"xa", platform, true}, {"xb", platform, false}}, false},
-		{"the other stage reports that it stays", []statement{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
-		{"another source says that the stage stays", []statement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
-		{"one of two marks is taken back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
-		{"both marks are taken back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
-		{"all sources take their marks back", []statement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
-		{"a stage of another chain leaves", []statement{{"ya", operator, true}}, true},
-		{"an engine that is in no document leaves", []statement{{"za", platform, true}}, true},
+		{"the first stage leaves", []leavingStatement{{"xa", platform, true}}, false},
+		{"the second stage leaves", []leavingStatement{{"xb", platform, true}}, false},
+		{"a stage itself reports that it leaves", []leavingStatement{{"xb", endpoint, true}}, false},
+		{"the other stage stays", []leavingStatement{{"xa", platform, true}, {"xb", platform, false}}, false},
+		{"the other stage reports that it stays", []leavingStatement{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
+		{"another source says that the stage stays", []leavingStatement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
+		{"one of two marks is taken back", []leavingStatement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
+		{"both marks are taken back", []leavingStatement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
+		{"all sources take their marks back", []leavingStatement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
+		{"a stage of another chain leaves", []leavingStatement{{"ya", operator, true}}, true},
+		{"an engine that is in no document leaves", []leavingStatement{{"za", platform, true}}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -105,12 +105,12 @@
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: func() time.Time { return now }})
 	r.Apply(documentWithChains("x", "y"))
 	s := r.Get("pastry-llm")
-	s.apply(statement{"xa", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"xa", balance.SourcePlatform, true})
 	r.Apply(documentWithChains("y"))
-	s.apply(statement{"xa", balance.SourcePlatform, false})
+	s.apply(leavingStatement{"xa", balance.SourcePlatform, false})
 	r.Apply(documentWithChains("x", "y"))
-	s.apply(statement{"xb", balance.SourcePlatform, true})
-	s.apply(statement{"xb", balance.SourcePlatform, false})
+	s.apply(leavingStatement{"xb", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"xb", balance.SourcePlatform, false})
 	now = now.Add(2 * balance.DefaultSlowStart) // until then a new replica gets few requests
 	s.Picker.Refresh()
 	if !s.isPicked("x") {
@@ -130,11 +130,11 @@
 	doc.Endpoints = append(doc.Endpoints, document.Endpoint{Name: "new", FailureDomain: "bandung"})
 	doc.Services[0].Model.Replicas[0].Stages[1].Endpoint = "new"
 	r.Apply(docindex.Build(&doc, 2, "digest"))
-	s.apply(statement{"xb", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"xb", balance.SourcePlatform, true})
 	if !s.isPicked("x") {
 		t.Error("a mark of the replaced engine keeps the chain out of use")
 	}
-	s.apply(statement{"new", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"new", balance.SourcePlatform, true})
 	if s.isPicked("x") {
 		t.Error("a mark of the new engine is ignored")
 	}
--- a/route/service/rate.go
+++ b/route/service/rate.go
@@ -14,22 +14,22 @@
 // runTimeRatio, which therefore follow the last few dozen answers.
 const averageWeight = 0.05
 
-// maxRunTimeRatio bounds the ratio of an answer's run time to the time of its tokens.
+// maxRunToTokenTimeRatio bounds the ratio of an answer's run time to the time of its tokens.
 // Without the bound, a few callers that read slowly would raise the expected run time
 // so far that the requests of all other callers are refused.
-const maxRunTimeRatio = 2.0
+const maxRunToTokenTimeRatio = 2.0
 
 // RecordRun records a finished request: its expected and actual cost, both in tokens, and
 // its run time.
-func (s *Service) RecordRun(cost, actual float64, runTime time.Duration) {
-	if cost <= 0 || actual <= 0 {
+func (s *Service) RecordRun(expectedCost, actualCost float64, runTime time.Duration) {
+	if expectedCost <= 0 || actualCost <= 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.costRatio += averageWeight * (actual/cost - s.costRatio)
-	ratio := min(max(runTime.Seconds()*s.assumedTokenRate/actual, 1), maxRunTimeRatio)
-	s.runTimeRatio += averageWeight * (ratio - s.runTimeRatio)
+	s.actualCostRatio += averageWeight * (actualCost/expectedCost - s.actualCostRatio)
+	ratio := min(max(runTime.Seconds()*s.assumedTokenRate/actualCost, 1), maxRunToTokenTimeRatio)
+	s.runToTokenTimeRatio += averageWeight * (ratio - s.runToTokenTimeRatio)
 }
 
 // TokenTime returns the time per token that an endpoint has reported, or zero if the
@@ -45,13 +45,13 @@
 // The estimate includes the wait in an engine that other nodes also use. If it counted
 // only the time of the tokens, the last requests admitted before their deadlines would
 // end after their callers have disconnected.
-func (s *Service) ExpectedRunTime(cost float64) time.Duration {
+func (s *Service) ExpectedRunTime(expectedCost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.assumedTokenRate == 0 {
 		return 0
 	}
-	return time.Duration(cost * s.costRatio * s.runTimeRatio / s.assumedTokenRate * float64(time.Second))
+	return time.Duration(expectedCost * s.actualCostRatio * s.runToTokenTimeRatio / s.assumedTokenRate * float64(time.Second))
 }
 
 // updateTokenTime records an endpoint's reported time per token and tells the admission queue
--- a/route/service/rate_test.go
+++ b/route/service/rate_test.go
@@ -41,7 +41,7 @@
 // expected to take one second, not two. The wait in the engines' queues is included, but
 // the time of slow readers only up to a bound.
 func TestExpectedRunTime(t *testing.T) {
-	s := &Service{costRatio: 1, runTimeRatio: 1}
+	s := &Service{actualCostRatio: 1, runToTokenTimeRatio: 1}
 	if got := s.ExpectedRunTime(80); got != 0 {
 		t.Errorf("expected run time %v without a token rate, want 0", got)
 	}
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -60,11 +60,11 @@
 	// assumedTokenRate is the mean token rate of a slot that the queue was last told, in
 	// tokens per second.
 	assumedTokenRate float64
-	// costRatio is the mean ratio of an answer's actual cost to its expected cost.
-	costRatio float64
-	// runTimeRatio is the mean ratio of an answer's run time to the time of its tokens.
-	runTimeRatio float64
-	now          func() time.Time
+	// actualCostRatio is the mean ratio of an answer's actual cost to its expected cost.
+	actualCostRatio float64
+	// runToTokenTimeRatio is the mean ratio of an answer's run time to the time of its tokens.
+	runToTokenTimeRatio float64
+	now                 func() time.Time
 }
 
 // Config describes the node that the services run on.
@@ -84,13 +84,13 @@
 
 	mu       sync.RWMutex
 	services map[string]*Service
-	// teams are the weights last applied. They show which teams a new document removes.
-	teams map[string]float64
+	// teamWeights are the weights last applied. They show which teamWeights a new document removes.
+	teamWeights map[string]float64
 }
 
 // NewRegistry returns a Registry without services.
 func NewRegistry(cfg Config) *Registry {
-	return &Registry{cfg: cfg, services: map[string]*Service{}, teams: map[string]float64{}}
+	return &Registry{cfg: cfg, services: map[string]*Service{}, teamWeights: map[string]float64{}}
 }
 
 // Get returns a service, or nil.
@@ -116,7 +116,7 @@
 func (r *Registry) Apply(d *docindex.Directory) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	teams := teamWeights(d.Document)
+	weights := teamWeights(d.Document)
 	services := map[string]*Service{}
 	for i := range d.Document.Services {
 		spec := &d.Document.Services[i]
@@ -125,7 +125,7 @@
 			s = r.newService(spec.Name)
 		}
 		s.RetryBudget.SetShare(d.Document.Policy.RetryBudget)
-		s.applyTeams(teams, r.teams)
+		s.applyTeams(weights, r.teamWeights)
 		s.applyReplicas(d, spec)
 		services[spec.Name] = s
 	}
@@ -135,7 +135,7 @@
 		}
 	}
 	r.services = services
-	r.teams = teams
+	r.teamWeights = weights
 }
 
 func teamWeights(doc *document.Document) map[string]float64 {
@@ -158,9 +158,9 @@
 
 		tokenTimes: map[string]time.Duration{},
 
-		costRatio:    1,
-		runTimeRatio: 1,
-		now:          r.cfg.Now,
+		actualCostRatio:     1,
+		runToTokenTimeRatio: 1,
+		now:                 r.cfg.Now,
 	}
 	balancer := balance.New(balance.Config{Node: r.cfg.Node, FailureDomain: r.cfg.FailureDomain, Seed: seed})
 	s.Picker = replicapicker.New(balancer, r.cfg.Now, func() {
@@ -179,15 +179,15 @@
 	})
 }
 
-func (s *Service) applyTeams(teams, previous map[string]float64) {
+func (s *Service) applyTeams(weights, previousWeights map[string]float64) {
 	s.Admission.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
 		var verdicts []admission.Verdict
-		for name := range previous {
-			if _, stays := teams[name]; !stays {
+		for name := range previousWeights {
+			if _, stays := weights[name]; !stays {
 				verdicts = append(verdicts, q.RemoveTeam(now, name)...)
 			}
 		}
-		for name, weight := range teams {
+		for name, weight := range weights {
 			q.SetTeam(name, weight)
 		}
 		return verdicts
@@ -233,8 +233,8 @@
 // or the endpoints of a plain service.
 func balancedReplicas(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
 	var replicas []balance.Replica
-	add := func(name, first string) {
-		e, _ := d.Endpoint(first)
+	add := func(name, firstEndpoint string) {
+		e, _ := d.Endpoint(firstEndpoint)
 		replicas = append(replicas, balance.Replica{ID: name, FailureDomain: e.FailureDomain, Slots: slots})
 	}
 	if spec.Kind != document.KindModel {
@@ -244,8 +244,8 @@
 		return replicas
 	}
 	replicas = make([]balance.Replica, 0, len(spec.Model.Replicas))
-	for _, m := range spec.Model.Replicas {
-		add(m.Name, m.Stages[0].Endpoint)
+	for _, r := range spec.Model.Replicas {
+		add(r.Name, r.Stages[0].Endpoint)
 	}
 	return replicas
 }
@@ -259,9 +259,9 @@
 		}
 		return stages
 	}
-	for _, m := range spec.Model.Replicas {
-		for _, stage := range m.Stages {
-			stages[m.Name] = append(stages[m.Name], stage.Endpoint)
+	for _, r := range spec.Model.Replicas {
+		for _, stage := range r.Stages {
+			stages[r.Name] = append(stages[r.Name], stage.Endpoint)
 		}
 	}
 	return stages
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -199,7 +199,7 @@
 func (c *reportChecker) fetch(want expectedReport, address string, r *cachedReport) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout)
 	defer cancel()
-	r.report, r.err = c.client.Holding(ctx, address)
+	r.report, r.err = c.client.HoldingReport(ctx, address)
 	if r.err == nil {
 		c.recordCache(want, address, r.report.Cache)
 	}
