--- a/route/engineclient/client.go
+++ b/route/engineclient/client.go
@@ -150,7 +150,7 @@
 // send sends a request and returns the response if its status is 2xx.
 func (c *Client) send(ctx context.Context, method, address, path string, body any, policy retryPolicy) (*http.Response, error) {
 	// A request that never got a connection cannot have reached the engine,
-	// whatever the error is. This proves that the request was not run.
+	// whatever the error is. The engine therefore did not run the request.
 	var connsUsed atomic.Int32
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connsUsed.Add(1) }}
 	req, err := newRequest(httptrace.WithClientTrace(ctx, trace), method, address, path, body)
--- a/route/engineclient/client_test.go
+++ b/route/engineclient/client_test.go
@@ -81,7 +81,7 @@
 // If a request that ran is reported as "not run", its caller may run it twice. The
 // state is "not run" only if nothing listened or the engine says that it refused the
 // request. A connection that broke after the request was sent, a timeout or an error
-// status alone does not prove that.
+// status alone does not prove that the request was not run.
 func TestFailedSendIsNotRunOnlyIfCertain(t *testing.T) {
 	refusing := startEngine(t, standin.Config{})
 	defer refusing.Close()
--- a/route/engineclient/decoder_test.go
+++ b/route/engineclient/decoder_test.go
@@ -83,7 +83,7 @@
 			So(len(events), ShouldEqual, c.events)
 		}
 	})
-	Convey("A token does not inherit spans that an event overwrote by naming spans twice", t, func() {
+	Convey("A token does not inherit spans from an earlier event whose JSON has the field spans twice", t, func() {
 		text := ""
 		for _, spans := range []string{`[{"first":1},{"first":2}],"spans":[{}]`, `[{},{}]`} {
 			text += `data: {"choices":[{}],"cicadatack":{"spans":` + spans + "}}\n"
@@ -129,7 +129,7 @@
 	})
 }
 
-// Without its seed files, the fuzz target starts from three inputs only.
+// Without its seed files, FuzzDecoder starts from three inputs only.
 func TestSeedsAreCommitted(t *testing.T) {
 	seeds, err := filepath.Glob(filepath.Join("testdata", "fuzz", "FuzzDecoder", "*"))
 	if err != nil || len(seeds) == 0 {
--- a/route/engineclient/doc.go
+++ b/route/engineclient/doc.go
@@ -20,4 +20,7 @@
 // Otherwise the state is unknown.
 //
 // Every read is bounded, so a faulty engine cannot fill the node's memory.
+//
+// A slot of an engine is its capacity to run one request. An epoch is one attempt to run
+// a stream's request on a chain.
 package engineclient
--- a/route/engineclient/stream.go
+++ b/route/engineclient/stream.go
@@ -17,8 +17,8 @@
 
 const initialBufferBytes = 4 << 10
 
-// maxTrailingLines bounds the lines that Drain reads. It is far more than the closing
-// marker and the lines around it.
+// maxTrailingLines bounds the lines that Drain reads. The closing marker and the lines
+// around the marker are far fewer.
 const maxTrailingLines = 16
 
 var dataField = []byte("data:")
@@ -129,7 +129,8 @@
 func (d *Decoder) decode(data []byte) (Event, error) {
 	// Spans and choices are decoded into the same memory for each token. The memory
 	// is cleared first, because json leaves the fields that an event omits unchanged.
-	// Without this, a token would inherit a span or the text of an earlier token.
+	// If the memory were not cleared, a token would inherit a span or the text of an
+	// earlier token.
 	clear(d.trace.Spans[:cap(d.trace.Spans)])
 	clear(d.choices[:cap(d.choices)])
 	d.trace = engineapi.TokenTrace{Spans: d.trace.Spans[:0]}
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -5,6 +5,9 @@
 // take this role for a time, which does no harm: an order names the number of orders
 // that the replica has accepted so far, so the replica refuses the second node's order.
 // The layers that a replica holds are known only from the replica's own reports.
+//
+// A replica that starts again under the same ID is a new incarnation of the replica and
+// counts its accepted orders from zero.
 package layerorders
 
 import (
@@ -26,11 +29,11 @@
 
 // ReplicaClient sends orders to replicas and reads their reports.
 type ReplicaClient interface {
-	// Place orders a replica to hold a span of layers. accepted is the number of
+	// Place orders a replica to hold a span of layers. acceptedOrders is the number of
 	// orders that the replica has accepted so far; the replica refuses the order if it
 	// has accepted another number of orders. revision is the store revision that the
-	// order is based on. A replica that checks it refuses an order based on an older
-	// revision than an earlier order.
+	// order is based on. A replica that checks the revision refuses the order if an
+	// earlier order was based on a newer revision.
 	Place(ctx context.Context, address, replica string, acceptedOrders, revision int64, span layers.Span) error
 	// Report returns a replica's report on itself.
 	Report(ctx context.Context, address, replica string) (replicareport.Report, error)
@@ -53,11 +56,11 @@
 	expiresAt   time.Time
 }
 
-// orderCount is the number of orders that one incarnation of a replica has accepted, as far
+// orderCount has the number of orders that one incarnation of a replica has accepted, as far
 // as known.
 type orderCount struct {
-	incarnation    int64
-	acceptedOrders int64
+	incarnation int64
+	count       int64
 }
 
 // Controller plans the layers of one service's replicas and sends the orders. Safe for
@@ -185,8 +188,8 @@
 	return replica
 }
 
-// maxLoadTime returns the time that an engine needs to load the ordered layers that it does
-// not hold, while as many other engines load at once as the fleet permits.
+// maxLoadTime returns the time that an engine needs to load the ordered layers that the
+// engine does not hold, while as many other engines load as the fleet permits.
 func maxLoadTime(model *ruleset.Model, held, ordered layers.Span) time.Duration {
 	missing := 0
 	for l := ordered.From; l < ordered.To; l++ {
@@ -197,21 +200,21 @@
 	return 2 * model.LoadTime * time.Duration(missing) / time.Duration(max(1, model.Layers))
 }
 
-// deliver sends one order. If the order fails, deliver reads the replica's report. If the
-// replica has accepted another number of orders than expected but holds the same layers
-// as in the plan, the order is sent once more. This happens when the node has just taken
-// over from another node; without it, a domain that lacks layers would wait for the next
-// read of the list. Otherwise the next plan follows the report.
+// deliver sends one order. If the order fails, deliver reads the replica's report. The order
+// is sent once more if the replica has accepted another number of orders than expected but
+// still holds the layers that the plan assumed. The number differs when this node has just
+// taken over from another node. Without the second attempt, a domain that lacks layers
+// would wait for the next read of the list. Otherwise the next plan follows the report.
 func (k *Controller) deliver(ctx context.Context, r *replicalist.Replica, revision int64, o layers.Order) {
-	expectedOrders := k.expectedOrders(r)
-	if k.sendOrder(ctx, r, revision, expectedOrders, o) {
+	expectedCount := k.expectedOrders(r)
+	if k.sendOrder(ctx, r, revision, expectedCount, o) {
 		return
 	}
 	report, ok := k.fetchReport(ctx, r)
 	if !ok {
 		return
 	}
-	if report.Orders != expectedOrders && report.Holds == r.Holds && !report.Busy && k.sendOrder(ctx, r, revision, report.Orders, o) {
+	if report.Orders != expectedCount && report.Holds == r.Holds && !report.Busy && k.sendOrder(ctx, r, revision, report.Orders, o) {
 		return
 	}
 	k.clearPending(r.ID, report)
@@ -219,12 +222,12 @@
 
 // sendOrder sends an order that names the number of orders that the replica is expected to
 // have accepted. It reports whether the replica accepted the order.
-func (k *Controller) sendOrder(ctx context.Context, r *replicalist.Replica, revision, expectedOrders int64, o layers.Order) bool {
-	err := k.client.Place(ctx, r.Address, r.ID, expectedOrders, revision, o.Hold)
+func (k *Controller) sendOrder(ctx context.Context, r *replicalist.Replica, revision, expectedCount int64, o layers.Order) bool {
+	err := k.client.Place(ctx, r.Address, r.ID, expectedCount, revision, o.Hold)
 	k.log.Info("layers ordered", "replica", r.ID, "domain", r.Domain, "kind", r.Kind, "held", r.Holds, "hold", o.Hold,
-		"reason", o.Reason, "orders", expectedOrders, "born", r.Born, "revision", revision, "error", err)
+		"reason", o.Reason, "orders", expectedCount, "born", r.Born, "revision", revision, "error", err)
 	if err == nil {
-		k.setAcceptedOrders(r, expectedOrders+1)
+		k.setAcceptedOrders(r, expectedCount+1)
 	}
 	return err == nil
 }
@@ -233,15 +236,15 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if c := k.acceptedOrders[r.ID]; c.incarnation == r.Born {
-		return c.acceptedOrders
+		return c.count
 	}
 	return 0
 }
 
-func (k *Controller) setAcceptedOrders(r *replicalist.Replica, acceptedOrders int64) {
+func (k *Controller) setAcceptedOrders(r *replicalist.Replica, count int64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Born, acceptedOrders: acceptedOrders}
+	k.acceptedOrders[r.ID] = orderCount{incarnation: r.Born, count: count}
 }
 
 // fetchReport reads a replica's report and records the number of orders that the replica has
--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -47,7 +47,7 @@
 	return e.byID[id]
 }
 
-func (e *fakeReplicas) Place(_ context.Context, _, id string, orders, _ int64, hold layers.Span) error {
+func (e *fakeReplicas) Place(_ context.Context, _, id string, acceptedOrders, _ int64, hold layers.Span) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	defer func() { e.calls <- id }()
@@ -55,7 +55,7 @@
 		return e.placeError
 	}
 	r := e.replica(id)
-	if r.acceptedOrders != orders {
+	if r.acceptedOrders != acceptedOrders {
 		return errors.New("409")
 	}
 	r.acceptedOrders++
@@ -137,8 +137,8 @@
 		k.Reconcile(context.Background(), startTime.Add(2*time.Second), testModel, "d", 1, list, noneSuspected)
 	}
 	awaitCalls(t, e, 4)
-	if e.acceptedOrders("a") != 1 || e.acceptedOrders("b") != 1 {
-		t.Errorf("the replicas accepted %d and %d orders, want 1 each", e.acceptedOrders("a"), e.acceptedOrders("b"))
+	if e.acceptedBy("a") != 1 || e.acceptedBy("b") != 1 {
+		t.Errorf("the replicas accepted %d and %d orders, want 1 each", e.acceptedBy("a"), e.acceptedBy("b"))
 	}
 	for _, k := range []*Controller{first, second} {
 		k.Reconcile(context.Background(), startTime.Add(10*time.Second), testModel, "d", 1, e.list("a", "b"), noneSuspected)
@@ -149,9 +149,9 @@
 }
 
 // If a node that takes over did not read the replica's number of accepted orders, the
-// replica would refuse all its orders. The node has sent none of the orders that the
-// replica has accepted, so its first order is refused. It reads the report, and the
-// replica accepts its next order.
+// replica would refuse all orders of the node. The node has sent none of the orders that
+// the replica has accepted, so the node's first order is refused. The node reads the
+// replica's report, and the replica accepts the node's next order.
 func TestNextNodeLearnsAcceptedOrders(t *testing.T) {
 	e := newFakeReplicas()
 	previousNode := newTestController(e)
@@ -161,25 +161,26 @@
 	nextNode := newTestController(e)
 	suspected := func(id string) bool { return id == "b" }
 	deadline := time.Now().Add(10 * time.Second)
-	for at := startTime.Add(10 * time.Second); e.acceptedOrders("a") < 2; at = at.Add(maxReportDelay) {
+	for at := startTime.Add(10 * time.Second); e.acceptedBy("a") < 2; at = at.Add(maxReportDelay) {
 		if time.Now().After(deadline) {
-			t.Fatalf("the lost replica's layers were not reassigned: %d orders accepted", e.acceptedOrders("a"))
+			t.Fatalf("the lost replica's layers were not reassigned: %d orders accepted", e.acceptedBy("a"))
 		}
 		nextNode.Reconcile(context.Background(), at, testModel, "d", 1, e.list("a", "b"), suspected)
 		time.Sleep(time.Millisecond)
 	}
 }
 
-func (e *fakeReplicas) acceptedOrders(id string) int64 {
+func (e *fakeReplicas) acceptedBy(id string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.replica(id).acceptedOrders
 }
 
-// Without an immediate second order, a domain that lacks layers would wait for the next
-// read of the store. A node takes over a failure domain and does not know how many orders
-// its predecessor sent, so its first order is refused. It reads the replica's report. The
-// replica holds the same layers as in the plan, so the node sends the order again.
+// If a refused order were not repeated at once, a domain that lacks layers would wait for
+// the next read of the store. A node takes over a failure domain. It does not know how many
+// orders the previous node sent, so the node's first order is refused. The node reads the
+// replica's report. The replica still holds the layers that the plan assumed, so the node
+// sends the order again.
 func TestNextNodeRepeatsOrderAtOnce(t *testing.T) {
 	e := newFakeReplicas()
 	e.replica("a").acceptedOrders = 3
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -22,8 +22,8 @@
 	// store is reserved, or zero if no order is due. loadStartsAt is the start of that time.
 	reservedVersion int64
 	loadStartsAt    time.Time
-	// useCounts are the uses per adapter that the first engine last reported, countedAt
-	// the time of that report, and useRates the uses per second since the previous report.
+	// useCounts are the uses per adapter that the first engine last reported, countedAt is
+	// the time of this report, and useRates are the uses per second since the report before.
 	useCounts map[string]uint64
 	countedAt time.Time
 	useRates  map[adapters.Adapter]float64
@@ -110,13 +110,13 @@
 	return replicas
 }
 
-// assumedSlots is the number of concurrent streams of a replica if the document names
-// none, as in route/service.
+// assumedSlots is the number of concurrent streams of a replica if the document sets no
+// number. It equals the default in route/service.
 const assumedSlots = 16
 
 // adapterMemory returns the memory for adapters in bytes, for all layers together. Each
-// engine holds the part of an adapter that belongs to its layers, so the engine with the
-// least free memory per layer counts.
+// engine holds the part of an adapter that belongs to its layers. The engine with the
+// least free memory per layer therefore limits the result.
 func adapterMemory(d *docindex.Directory, spec replicaSpec, replicaPlan plan.Replica) int64 {
 	model := placementModel(spec)
 	memory := math.Inf(1)
@@ -254,8 +254,8 @@
 	return true
 }
 
-// reserveAdapterLoad reserves load time at the weight store for an order, unless it is
-// already reserved.
+// reserveAdapterLoad reserves load time at the weight store for an order, unless load time
+// for this order is already reserved.
 func (k *Controller) reserveAdapterLoad(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, order engineapi.AdapterOrder, outdatedEndpoints []string) error {
 	if replica.adapters.reservedVersion == order.Version {
 		return nil
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -5,9 +5,13 @@
 //
 // A model's replicas in one failure domain share one record of plans in the store. All
 // nodes agree on the record by compare-and-swap. The version of a plan is the fencing
-// number of the orders that carry it out. The weight store is where engines fetch layers
-// and adapters; its rate is limited, so loads get reserved times one after the other. A
-// hop is the time of a stage's layers and of the stage's outgoing link.
+// number of the orders that carry it out. The keys of all records begin with the node's
+// environment. Once a second the Controller runs a round: it checks some replicas, writes
+// new plans and sends orders.
+//
+// Engines fetch layers and adapters from the weight store. The rate of the weight store is
+// limited, so the loads get reserved times one after the other. A hop is a stage with its
+// outgoing link; the time of a hop is the time that a token takes on both.
 //
 // # Failures without planned layers
 //
@@ -32,18 +36,19 @@
 
 const (
 	// minReadInterval is the minimum time between two reads of one record. Without the
-	// limit, every stream that would use a replica causes a read while the replica's
-	// engines are loading.
+	// limit, every stream that would use a replica would cause a read while the
+	// replica's engines are loading.
 	minReadInterval = 500 * time.Millisecond
 	readTimeout     = 2 * time.Second
-	// adapterRefresh is the maximum age of a record with adapters. A lost adapter shows
-	// when a stream is sent to the replica, but an additional adapter does not: calls
-	// would still be sent to the replicas that this node knows to hold the adapter, which
+	// adapterRefresh is the maximum age of a cached record with adapters. If a replica has
+	// lost an adapter, the node learns it when it sends a stream to the replica. If another
+	// replica has got the adapter, the node learns it only from a new read. Until then it
+	// sends calls only to the replicas that it knows to hold the adapter, even when they
 	// are busy. With 2,200 nodes that use a dozen records each, one read a minute per
-	// record is 400 reads a second. The store serves two thousand.
+	// record is about 400 reads a second. The store serves two thousand.
 	adapterRefresh = time.Minute
-	// maxPendingReads bounds the reads that are requested and not started. Further requests
-	// are dropped; the next stream requests the read again.
+	// maxPendingReads bounds the reads that are requested but not started. Further requests
+	// are dropped. The next stream that needs the plan requests the read again.
 	maxPendingReads = 256
 )
 
@@ -69,7 +74,7 @@
 	recordsWithAdapters map[recordKey]bool
 }
 
-// replicaID identifies a replica within the environment.
+// replicaID identifies a replica.
 type replicaID struct {
 	model   string
 	replica string
@@ -90,8 +95,8 @@
 	}
 }
 
-// Apply replaces the set of replicas by those of a document that leaves their layers to
-// the planner.
+// Apply replaces the set of replicas by the replicas of a document. Replicas whose layers
+// the document names itself are left out.
 func (c *Cache) Apply(d *docindex.Directory) {
 	keys := map[replicaID]recordKey{}
 	for _, r := range replicaSpecs(d) {
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -24,8 +24,8 @@
 	// roundInterval is the time between two rounds over the managed replicas.
 	roundInterval = time.Second
 	// reportsPerRound bounds the engine reports fetched in a round: about 2 KB/s. With more
-	// managed replicas, each is checked less often. Replicas that streams suspect are
-	// checked first.
+	// managed replicas, each replica is checked less often. A replica is checked first if a
+	// stream found that an engine differs from the plan.
 	reportsPerRound = 8
 	// commitTimeout bounds one compare-and-swap in the store, orderTimeout one call to an
 	// engine.
@@ -69,10 +69,12 @@
 	suspects     map[replicaID]bool
 
 	// Only Run uses the following fields.
-	replicas            map[replicaID]*managedReplica
+	replicas map[replicaID]*managedReplica
+	// refreshedDirectory and refreshedMembership are the document and the membership
+	// version with which replicas was last updated.
 	refreshedDirectory  *docindex.Directory
 	refreshedMembership any
-	// rollouts are the roll-outs decided in this round.
+	// rollouts has, by record, the roll-out steps decided in the present round.
 	rollouts map[recordKey]placement.RolloutStep
 }
 
@@ -80,8 +82,8 @@
 type managedReplica struct {
 	spec    replicaSpec
 	planner *placement.Planner
-	// reservations has, by endpoint, the orders with reserved load time at the weight
-	// store that the engines have not carried out yet.
+	// reservations has, by endpoint, the orders that the engines have not carried out yet
+	// and for which load time at the weight store is reserved.
 	reservations map[string]reservation
 	// state says whether the engines followed the plan at the last check.
 	state placement.ReplicaState
@@ -95,7 +97,7 @@
 	adapters       adapterState
 }
 
-// hopMeasurement is a measurement of a hop along a replica, reported by a stream.
+// hopMeasurement is a stream's measurement of one hop of a replica.
 type hopMeasurement struct {
 	replica     replicaID
 	measurement placement.Measurement
@@ -117,7 +119,7 @@
 	k.directory = d
 }
 
-// Observe records the mean times of a stream's hops along a replica.
+// Observe records a stream's mean times of the hops of a replica.
 func (k *Controller) Observe(model, replica string, hops []stream.Hop) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -235,8 +237,8 @@
 	})
 }
 
-// reconcile brings one replica towards its best plan. It reports whether the replica has a
-// plan.
+// reconcile writes a new plan for a replica if the replica needs one and a change is
+// allowed now. It reports false if an error occurred.
 func (k *Controller) reconcile(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) bool {
 	if err := k.commitPlan(ctx, now, d, replica); err != nil {
 		k.cfg.Log.Warn("plan not written", "model", replica.spec.key.model, "replica", replica.spec.name, "error", err)
@@ -272,8 +274,9 @@
 	return nil
 }
 
-// putPlan puts a plan that was decided for a reason into the record that is in force. The
-// record may have changed since the decision.
+// putPlan puts a plan into the record that is in force, and reports whether the record
+// changed. Another node may have changed the record since the plan was decided, so the
+// reason of the plan determines which parts of the plan are still put into the record.
 func putPlan(r *plan.Record, spec replicaSpec, stages []plan.Stage, reason string) bool {
 	current := r.Replicas[spec.name]
 	switch {
@@ -289,8 +292,8 @@
 }
 
 // hasValidPlan reports whether a replica already has a plan that the document allows. A node
-// that has just become the owner has not read the plans yet. Without this check it would
-// replace plans that are based on measured times by first plans.
+// that has just become the owner has not read the plans yet. Without this check, the node
+// would replace plans that are based on measured times by first plans.
 func hasValidPlan(replicaPlan plan.Replica, declared []document.Stage) bool {
 	return len(replicaPlan.Stages) > 0 && usesOnly(documentStages(replicaPlan), declared)
 }
--- a/route/layerplans/controller_test.go
+++ b/route/layerplans/controller_test.go
@@ -28,7 +28,7 @@
 
 var startTime = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// fakeEngines are engines by address. The address of an engine is its name.
+// fakeEngines are simulated engines, by address. The address of an engine is its name.
 type fakeEngines struct {
 	now         time.Time
 	holdings    map[string]engineapi.Holding
@@ -37,8 +37,9 @@
 	// loadTime is the duration of a load. During a load, an engine reports its old layers.
 	loadTime time.Duration
 	loading  map[string]pendingLoad
-	// runningStreams is the number of streams of each engine. interrupted counts orders for
-	// other weights while streams run. Loads of brokenVersion always fail.
+	// runningStreams is the number of streams of each engine. ordersWhileStreaming counts
+	// the orders for other weights that engines got while streams ran. Loads of
+	// brokenVersion always fail.
 	runningStreams       map[string]int
 	ordersWhileStreaming int
 	brokenVersion        string
@@ -103,7 +104,7 @@
 // Record implements decisionlog.Recorder.
 func (f *fakeEngines) Record(decisionlog.Decision) {}
 
-// cluster is a number of replicas of three engines each, spread over failure domains, and a
+// cluster has replicas of three engines each, spread over failure domains, and one
 // controller for each domain.
 type cluster struct {
 	*fakeEngines
@@ -153,8 +154,8 @@
 	return doc
 }
 
-// runRounds runs rounds, one a second. It returns the maximum number of replicas that did not
-// hold the layers of their plans at the same time, from round countFrom on.
+// runRounds runs rounds, one a second. After each round it counts the replicas that do not
+// hold the layers of their plans. It returns the highest count from round countFrom on.
 func (s *cluster) runRounds(rounds, countFrom int, beforeRound func()) int {
 	maxNotReady := 0
 	for round := range rounds {
@@ -206,7 +207,7 @@
 		if at < minLoadedAt {
 			t.Errorf("a load begins at %v, but the loads before it end at %v: %v", at, minLoadedAt, ordered)
 		}
-		minLoadedAt += s.shortestLoad() // no load takes less time
+		minLoadedAt += s.shortestLoad() // each load takes at least this long
 	}
 	loadCount := len(s.orderedAt)
 	clear(s.holdings) // all engines restart without layers
@@ -220,7 +221,8 @@
 	}
 }
 
-// shortestLoad returns the duration of the shortest load.
+// shortestLoad returns the load time of the engine with the fewest layers, at one layer a
+// second.
 func (s *cluster) shortestLoad() time.Duration {
 	fewestLayers := layers
 	for _, h := range s.holdings {
@@ -273,8 +275,8 @@
 	}
 }
 
-// If a better plan could stop the last serving replica, callers would find no replica.
-// The engines of the other two replicas do not answer.
+// If a better plan stopped the last serving replica, callers would find no replica. The
+// engines of the other two replicas do not answer.
 func TestLastServingReplicaIsNotReloaded(t *testing.T) {
 	s := newCluster(t, 3, 1, 1)
 	k := s.controllers[0]
@@ -292,10 +294,10 @@
 	}
 }
 
-// If the whole time of a hop counted as time of the layers, a slow link would make the
-// plan leave out the fast engine before the link. The link becomes slow, but the engine
-// reports that the time of its layers has not changed. The new plan avoids the link and
-// keeps the engine.
+// If the whole time of a hop counted as time of the layers, a plan would leave out a fast
+// engine because the link after the engine is slow. Here a link becomes slow, but the
+// engine reports that the time of its layers has not changed. The new plan must avoid the
+// link and keep the engine.
 func TestSlowLinkIsNotCountedAsSlowLayers(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -26,9 +26,9 @@
 	report   engineapi.Report
 }
 
-// orderLayers sends orders to the engines whose layers differ from the plan, once their
-// reserved load time has come. Engines that restart without layers are found the same
-// way, so the loads of a restarted rack are scheduled too.
+// orderLayers sends orders to the engines whose layers differ from the plan, once the
+// reserved load time of each order has come. Engines that restart without layers also
+// differ from the plan, so the loads of a restarted rack are scheduled too.
 func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica) {
 	replicaPlan, ok := k.cfg.Cache.Agreed(replica.spec.key.model, replica.spec.name)
 	if !ok {
@@ -96,8 +96,8 @@
 	return k.cfg.EngineClient.HoldingReport(ctx, e.Address)
 }
 
-// reserveLayerLoads reserves load time at the weight store for the orders that have none
-// yet, all in one write.
+// reserveLayerLoads reserves load time at the weight store, in one write, for all orders
+// that have no reserved load time yet.
 func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Directory, replica *managedReplica, pending []pendingOrder) error {
 	model, _ := plannerInput(d, replica.spec)
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
@@ -113,7 +113,7 @@
 		fetchTimes = append(fetchTimes, fetchTime)
 		longestFetch = max(longestFetch, fetchTime)
 	}
-	startTimes := make([]time.Time, len(unreserved)) // the zero time: start at once
+	startTimes := make([]time.Time, len(unreserved)) // the zero time means: start at once
 	if longestFetch > 0 {
 		var err error
 		if startTimes, err = k.reserveLoads(ctx, now, fetchTimes); err != nil {
@@ -135,7 +135,8 @@
 	return plan.Book(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment), k.cfg.Node, now, durations)
 }
 
-// heldStage returns the layers of the ordered model and weights that an engine holds.
+// heldStage returns the layers that the order's engine holds. Only layers of the model and
+// weights that the order names are counted.
 func heldStage(pending pendingOrder) placement.Stage {
 	if pending.report.Model != pending.order.Model || pending.report.Weights != pending.order.Weights {
 		return placement.Stage{First: 0, Last: -1}
--- a/route/layerplans/planning.go
+++ b/route/layerplans/planning.go
@@ -12,9 +12,10 @@
 
 const (
 	megabyte = 1 << 20
-	// These values are used where the document names none: equal accelerators with
-	// enough memory, and links between failure domains that are ten times slower than
-	// links within one. They give an even partition, which measured times then improve.
+	// The assumed values are used where the document gives no value. They describe equal
+	// accelerators with enough memory, and links between failure domains that are ten times
+	// slower than links within a failure domain. The planner then makes an even partition,
+	// which is improved once times have been measured.
 	assumedLayerMicros      = 1000
 	assumedMemory           = int64(1) << 50
 	assumedLocalLinkMicros  = 100
@@ -131,7 +132,7 @@
 	return stages
 }
 
-// adopt passes a plan that was written to the store to the planner.
+// adopt sets the planner's present plan to a plan that was written to the store.
 func (replica *managedReplica) adopt(now time.Time, model placement.Model, chain placement.Chain, replicaPlan plan.Replica) {
 	next := placement.Partition{}
 	for _, s := range replicaPlan.Stages {
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -11,8 +11,8 @@
 
 // drainTimeout bounds the time that engines have to finish their streams before they load
 // other weights. An answer of 4,000 tokens at the guaranteed 36 ms between tokens takes
-// 144 s. A stream that is not finished after drainTimeout resumes on another replica that
-// has the stream's version of the weights, if there is one.
+// 144 s. A stream that is not finished after drainTimeout resumes on another replica, if
+// another replica has the stream's version of the weights.
 const drainTimeout = 150 * time.Second
 
 // mayCommit reports whether a plan that was decided for a reason may be written now.
@@ -69,7 +69,7 @@
 	return false
 }
 
-// runningStreams returns the number of running streams at the engine with the most.
+// runningStreams returns the number of running streams at the replica's busiest engine.
 func (replica *managedReplica) runningStreams() int {
 	maxStreams := 0
 	for _, r := range replica.reports {
@@ -81,12 +81,14 @@
 // drain orders the engines that will load other weights to finish their streams first. It
 // reports whether all of them are idle or drainTimeout has passed.
 //
-// Without drain, weights are replaced while streams run. Their answers would continue
-// with tokens of another version. Where the check of spans detects this, the streams
-// would be cut off, and each caller would wait until another replica has prefilled its
-// prompt again. The drain order carries the plan's new version. Every node checks the
-// version before it uses an engine, so no node starts new streams at the engine,
-// whichever plan the node has cached.
+// Without drain, weights would be replaced while streams run. The answers of these streams
+// would continue with tokens of another version. Where the check of the tokens' spans
+// detects the other version, the streams would be cut off, and each caller would wait until
+// another replica has prefilled its prompt again.
+//
+// The drain order carries the plan's new version. Every node checks the version before it
+// uses an engine, so no node starts new streams at the engine, whichever plan the node has
+// cached.
 func (k *Controller) drain(ctx context.Context, now time.Time, replica *managedReplica, pending []pendingOrder) bool {
 	drained := true
 	for _, each := range pending {
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -195,8 +195,8 @@
 
 // If the demand for an adapter were not measured, its callers would wait for the two busy
 // replicas that hold the adapter. The engines report the uses of the adapter through all
-// nodes, and exactly one further replica gets the adapter. No other replica may get it
-// while that load runs, or later while one of the three replicas is idle.
+// nodes, and exactly one further replica gets the adapter. No fourth replica may get the
+// adapter while the third replica loads it, or later while one of the three is idle.
 func TestBusyAdapterGetsThirdReplica(t *testing.T) {
 	s := clusterOf(t, documentWithAdapter(documentOf(4, 1, 0), "1"), 1)
 	s.runRounds(20, 0, noAction)
@@ -282,8 +282,8 @@
 	}
 }
 
-// If roles were not compared with the plan, a replica would stay out of use after another
-// source has ordered one of its engines into another role.
+// If the roles of engines were not compared with the plan, a replica would stay out of use
+// after another source has ordered one of its engines into another role.
 func TestForeignRoleIsCorrected(t *testing.T) {
 	s := newCluster(t, 1, 1, 0)
 	s.runRounds(5, 0, noAction)
@@ -300,7 +300,7 @@
 
 // If a roll-out started while the weight store is busy, a replica would be out of service
 // until its reserved time. The next minute of the weight store is reserved for other
-// loads, and the roll-out must start after that.
+// loads, and the roll-out must start after this minute.
 func TestRolloutWaitsForWeightStore(t *testing.T) {
 	const busySeconds = 60
 	s := clusterOf(t, withVersion(documentOf(2, 1, 1), "v1"), 1)
--- a/route/service/leaving.go
+++ b/route/service/leaving.go
@@ -7,16 +7,16 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// leavingKey identifies what one source says about one endpoint.
+// leavingKey identifies the leaving mark of one source for one endpoint.
 type leavingKey struct {
 	endpoint string
 	source   balance.Source
 }
 
 // MarkLeaving records whether an endpoint is leaving, according to a source. A chain is
-// leaving while any of its stages is leaving. The marks are therefore kept by endpoint
-// and not by replica: a stage that stays must not put a chain back into use while
-// another stage is leaving.
+// leaving while any of its stages is leaving. The leaving marks are therefore kept by
+// endpoint and not by replica. If the source says that one stage stays, the chain must not
+// be used again while another stage is leaving.
 func (s *Service) MarkLeaving(endpoint string, source balance.Source, leaving bool) {
 	s.setMark(endpoint, source, leaving)
 	for _, replica := range s.ReplicasOf(endpoint) {
@@ -50,13 +50,13 @@
 type LoadPoll struct {
 	Endpoint string
 	// LastContact is the time of the endpoint's last load report or poll. It is zero if
-	// there was none.
+	// the endpoint had neither.
 	LastContact time.Time
 }
 
 // NextLoadPoll returns the endpoint with the oldest contact among the endpoints of the
-// replicas that this node uses. mustPoll says whether one of them must be polled at this
-// poll opportunity. interval is the time between poll opportunities.
+// subset. mustPoll says whether some endpoint of the subset must be polled at this poll
+// opportunity. interval is the time between poll opportunities.
 func (s *Service) NextLoadPoll(interval time.Duration) (next LoadPoll, mustPoll bool) {
 	version := s.Picker.SubsetVersion()
 	s.mu.Lock()
@@ -84,18 +84,18 @@
 	return endpoints
 }
 
-// MarkLoadPolled records that an endpoint's load is being polled. Without it, an endpoint
-// that does not answer would be polled again and again before the other endpoints.
+// MarkLoadPolled records that an endpoint's load is being polled. If only answers were
+// recorded, an endpoint that does not answer would be polled repeatedly before the others.
 func (s *Service) MarkLoadPolled(endpoint string, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loadPolls.Touch(endpoint, at)
 }
 
-// setMark records a source's mark of an endpoint that a replica needs. The mark is removed
-// when the source takes it back, even if no replica needs the endpoint any more. The
-// source takes it back only once, and a chain that returns in a later document would
-// never be used if the mark remained.
+// setMark sets or removes a source's leaving mark for an endpoint. The mark is set only if
+// the endpoint is a stage of a replica. It is removed even if the endpoint is no longer a
+// stage, because the source says only once that the endpoint is no longer leaving. If the
+// mark remained, a chain that returns in a later document would never be used.
 func (s *Service) setMark(endpoint string, source balance.Source, leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -97,9 +97,10 @@
 	return r.Get("pastry-llm")
 }
 
-// If a mark outlives its chain, the chain is never used again. A chain is removed from
-// the document while the platform lists one of its stages as leaving. The platform takes
-// the mark back, and a later document contains the chain again.
+// If a leaving mark were kept after its chain was removed from the document, the chain
+// would never be used again. The platform marks a stage as leaving, a new document removes
+// the chain, and the platform takes the mark back. A later document contains the chain
+// again.
 func TestRemovedChainIsUsedAgainAfterItReturns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: func() time.Time { return now }})
@@ -111,16 +112,17 @@
 	r.Apply(documentWithChains("x", "y"))
 	s.apply(leavingStatement{"xb", balance.SourcePlatform, true})
 	s.apply(leavingStatement{"xb", balance.SourcePlatform, false})
-	now = now.Add(2 * balance.DefaultSlowStart) // until then a new replica gets few requests
+	now = now.Add(2 * balance.DefaultSlowStart) // during slow start a new replica gets few requests
 	s.Picker.Refresh()
 	if !s.isPicked("x") {
 		t.Error("the chain that returned gets no requests")
 	}
 }
 
-// If a changed stage is missed, marks of the old engine keep the chain out of use and
-// marks of the new engine are ignored. A document replaces one engine of a chain by
-// another one in the same failure domain, so the balancer's list of replicas stays equal.
+// If the replacement of an engine were not noticed, leaving marks of the old engine would
+// keep the chain out of use and leaving marks of the new engine would be ignored. A
+// document replaces one engine of a chain by another engine in the same failure domain.
+// The balancer's list of replicas does not show this change.
 func TestReplacedEngineNoLongerMarksChain(t *testing.T) {
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
 	r.Apply(documentWithChains("x", "y"))
--- a/route/service/prefixes.go
+++ b/route/service/prefixes.go
@@ -9,7 +9,7 @@
 )
 
 // PrefixIndex is this node's estimate of which prompt prefixes the engines of a service
-// have cached. The picker uses it as a hint. Safe for concurrent use.
+// have cached. The picker uses the estimate as a hint. Safe for concurrent use.
 type PrefixIndex struct {
 	now func() time.Time
 
@@ -25,7 +25,9 @@
 	return &PrefixIndex{now: now, index: cacheindex.New(cacheindex.Config{})}
 }
 
-// Holders returns the replicas that probably hold the longest part of a prompt's prefixes.
+// Holders returns the replicas that have probably cached prefixes of a prompt, the one with
+// the most cached blocks first. The given prefixes all belong to this prompt, each longer
+// than the one before.
 func (p *PrefixIndex) Holders(prefixes []uint64) []cacheindex.Holder {
 	if len(prefixes) == 0 {
 		return nil
@@ -47,8 +49,9 @@
 	return p.index.Apply(p.now(), replica, page)
 }
 
-// Clear forgets the cached prefixes of a replica after one of its stages has lost its
-// cache. The node reads only the first stage's events, which do not show that.
+// Clear removes the prefixes of a replica from the index after one of its stages has lost
+// its cache. The node reads only the first stage's events, which do not show the loss of a
+// later stage's cache.
 func (p *PrefixIndex) Clear(replica string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,14 +65,17 @@
 	// stages, because all stages see the same prompts. If a later stage loses its cache,
 	// PrefixIndex.Clear is called.
 	Endpoint string
-	// LastSequence is the sequence number to ask after, Asked when this was last done.
+	// LastSequence is the sequence number of the last known event. The poll asks for the
+	// events after it.
 	LastSequence uint64
+	// LastPolledAt is the time of the replica's last poll for cache events. EventsPollFor
+	// leaves it zero.
 	LastPolledAt time.Time
 }
 
-// NextEventsPoll returns the replica with the oldest poll for cache events among the replicas
-// that this node uses. mustPoll says whether one of them must be polled at this poll
-// opportunity. interval is the time between poll opportunities.
+// NextEventsPoll returns the replica with the oldest poll for cache events in the subset.
+// mustPoll says whether some replica of the subset must be polled at this poll opportunity.
+// interval is the time between poll opportunities.
 func (s *Service) NextEventsPoll(interval time.Duration) (next EventsPoll, mustPoll bool) {
 	p := s.PrefixIndex
 	p.mu.Lock()
@@ -80,8 +86,8 @@
 }
 
 // EventsPollFor returns the replica whose first stage is the endpoint, if at least half a
-// round of polls has passed since its last poll for cache events. It is called when the
-// endpoint's load is due, because one call can return both the load and the events.
+// round has passed since the replica's last poll for cache events. It is called when the
+// endpoint's load is polled, because one call can return both the load and the events.
 func (s *Service) EventsPollFor(endpoint string, interval time.Duration) (EventsPoll, bool) {
 	replicas := s.ReplicasOf(endpoint)
 	p := s.PrefixIndex
@@ -117,8 +123,8 @@
 	return EventsPoll{Replica: replica, Endpoint: s.firstStage(replica), LastSequence: s.PrefixIndex.index.LastSequence(replica), LastPolledAt: lastPolled}
 }
 
-// MarkEventsPolled records that a replica is being polled for cache events. Without it, a
-// replica that does not answer would be polled again and again before the others.
+// MarkEventsPolled records that a replica is being polled for cache events. If only answers
+// were recorded, a replica that does not answer would be polled repeatedly before the others.
 func (s *Service) MarkEventsPolled(replica string) {
 	s.PrefixIndex.mu.Lock()
 	defer s.PrefixIndex.mu.Unlock()
--- a/route/service/prefixes_test.go
+++ b/route/service/prefixes_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Without polling load and cache events in one call, a node sends twice as many polls.
-// Only the first stage of a chain is polled for events. A replica that was polled
+// If load and cache events were not polled in one call, a node would send twice as many
+// polls. Only the first stage of a chain is polled for events. A replica that was polled
 // recently must not be polled before a replica that was not.
 func TestCacheEventsArePolledWithLoad(t *testing.T) {
 	const interval = time.Second
--- a/route/service/rate.go
+++ b/route/service/rate.go
@@ -6,15 +6,17 @@
 	"github.com/cicadatack/cicadatack/decide/admission"
 )
 
-// minRateChange is the fraction by which the token rate must change before the queue is
-// told. Telling the queue takes its lock, and the assumed rate need not be exact.
+// minRateChange is the fraction by which the token rate must change before the new rate is
+// passed to the admission queue. Passing a rate takes the queue's lock, and the rate need
+// not be exact.
 const minRateChange = 0.2
 
-// averageWeight is the weight of one answer in the moving averages costRatio and
-// runTimeRatio, which therefore follow the last few dozen answers.
+// averageWeight is the weight of one answer in the moving averages actualCostRatio
+// and runToTokenTimeRatio, which therefore follow the last few dozen answers.
 const averageWeight = 0.05
 
-// maxRunToTokenTimeRatio bounds the ratio of an answer's run time to the time of its tokens.
+// maxRunToTokenTimeRatio bounds the ratio of an answer's run time to the time that its
+// tokens take at the assumed token rate.
 // Without the bound, a few callers that read slowly would raise the expected run time
 // so far that the requests of all other callers are refused.
 const maxRunToTokenTimeRatio = 2.0
@@ -42,9 +44,9 @@
 
 // ExpectedRunTime returns how long a request of the given expected cost, in tokens, will
 // run once it is admitted. It returns zero if the endpoints' token rate is not known.
-// The estimate includes the wait in an engine that other nodes also use. If it counted
-// only the time of the tokens, the last requests admitted before their deadlines would
-// end after their callers have disconnected.
+// The estimate includes the wait in an engine that other nodes also use. If the estimate
+// counted only the time that the tokens take at the token rate, the last requests admitted
+// before their deadlines would end after their callers have disconnected.
 func (s *Service) ExpectedRunTime(expectedCost float64) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,10 +56,10 @@
 	return time.Duration(expectedCost * s.actualCostRatio * s.runToTokenTimeRatio / s.assumedTokenRate * float64(time.Second))
 }
 
-// updateTokenTime records an endpoint's reported time per token and tells the admission queue
-// the resulting token rate of a slot. The queue uses this rate only until it has measured
-// its own. Without it, a node that starts during a peak would, until the first answers
-// are complete, queue requests that can't be served in time.
+// updateTokenTime records an endpoint's reported time per token and passes the resulting
+// token rate of a slot to the admission queue. The queue uses this rate only until it has
+// measured a rate itself. Otherwise a node that starts during a peak would queue requests
+// that can't be served in time, until the first answers are complete.
 func (s *Service) updateTokenTime(endpoint string, tokenTime time.Duration) {
 	rate, changed := s.recordTokenTime(endpoint, tokenTime)
 	if !changed {
@@ -70,9 +72,9 @@
 }
 
 // recordTokenTime records an endpoint's time per token. It returns the mean token rate of a
-// slot, in tokens per second, over the replicas for which the times of all stages are
-// known, and whether the rate has changed. A token passes all stages of its chain, so
-// the times of the stages add up.
+// slot, in tokens per second, and whether the rate has changed. The mean is taken over the
+// replicas for which the times per token of all stages are known. A token passes all
+// stages of its chain, so the times of the stages add up.
 func (s *Service) recordTokenTime(endpoint string, tokenTime time.Duration) (float64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/route/service/rate_test.go
+++ b/route/service/rate_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// If the rate of a chain counted one stage only, the queue of a node that has just
+// If the token rate of a chain counted one stage only, the queue of a node that has just
 // started would admit too many requests. Engines that report 10 ms and 15 ms per token
-// give 40 tokens a second, known once both have reported. Small changes are not passed
-// on, and an endpoint that reports no time changes nothing.
+// give 40 tokens a second. The rate is known once both engines have reported. Small
+// changes of the rate are not passed to the queue, and a report without a time is ignored.
 func TestTokenRateOfChain(t *testing.T) {
 	s := &Service{
 		tokenTimes: map[string]time.Duration{},
@@ -37,9 +37,9 @@
 
 // If the expected run time ignored past answers, requests would be refused that could
 // be served, or admitted too late. A team declares twice the tokens that its answers
-// take, and engines give 40 tokens a second. After some answers a declared 80 tokens are
-// expected to take one second, not two. The wait in the engines' queues is included, but
-// the time of slow readers only up to a bound.
+// take, and engines give 40 tokens a second. After some answers, a request that declares
+// 80 tokens is expected to take one second, not two. The wait in the engines' queues is
+// included. The time that callers take to read their answers is included up to a bound.
 func TestExpectedRunTime(t *testing.T) {
 	s := &Service{actualCostRatio: 1, runToTokenTimeRatio: 1}
 	if got := s.ExpectedRunTime(80); got != 0 {
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -1,12 +1,18 @@
 // Package service holds a node's state of each service in the document: the admission
 // queue, the picker that chooses replicas, the retry budget and the index of cached
-// prompt prefixes. The state outlives changes of the document, so that a new revision
+// prompt prefixes. The state is kept when the document changes, so that a new revision
 // does not lose the waiting and running requests or the measured times of endpoints.
 //
 // A replica of a model is a chain of engines, its stages; a replica of a plain service is
-// one endpoint. The subset is the list of replicas that this node sends requests to. An
-// endpoint is leaving while the platform, an operator or the endpoint itself says that
-// the endpoint will stop.
+// one endpoint. A slot is the capacity of a replica to run one request. The subset is the
+// list of replicas that this node sends requests to.
+//
+// An endpoint is leaving while the platform, an operator or the endpoint itself says that
+// the endpoint will stop. A leaving mark records that one of these sources says so.
+//
+// Polls for load and polls for cache events each follow a schedule. The schedule has one
+// poll opportunity per interval. A round is the time in which each endpoint or replica of
+// the schedule can be polled once.
 package service
 
 import (
@@ -26,8 +32,8 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// defaultSlots is the number of concurrent requests of a replica if the document names
-// none: a common batch size of engines.
+// defaultSlots is the number of slots of a replica if the document sets no number. It is
+// a common batch size of engines.
 const defaultSlots = 16
 
 // Service is the state of one service on this node. Safe for concurrent use.
@@ -42,12 +48,12 @@
 	PrefixIndex *PrefixIndex
 
 	mu sync.Mutex
-	// replicasOf maps each endpoint to the replicas that need it, stagesOf each
-	// replica to its endpoints.
+	// replicasOf maps each endpoint to the replicas that have the endpoint as a stage.
+	// stagesOf maps each replica to the endpoints of its stages.
 	replicasOf map[string][]string
 	stagesOf   map[string][]string
-	// appliedReplicas is the balancer's present list of replicas, and spec the
-	// specification that it comes from.
+	// appliedReplicas is the balancer's present list of replicas. spec is the service's
+	// specification in the document, from which this list was made.
 	appliedReplicas []balance.Replica
 	spec            *document.Service
 	leavingMarks    map[leavingKey]bool
@@ -57,12 +63,13 @@
 	loadPollsVersion uint64
 	// tokenTimes is the time per token that each endpoint has reported.
 	tokenTimes map[string]time.Duration
-	// assumedTokenRate is the mean token rate of a slot that the queue was last told, in
-	// tokens per second.
+	// assumedTokenRate is the mean token rate of a slot, in tokens per second, that was
+	// last passed to the admission queue.
 	assumedTokenRate float64
 	// actualCostRatio is the mean ratio of an answer's actual cost to its expected cost.
 	actualCostRatio float64
-	// runToTokenTimeRatio is the mean ratio of an answer's run time to the time of its tokens.
+	// runToTokenTimeRatio is the mean ratio of an answer's run time to the time that its
+	// tokens take at assumedTokenRate.
 	runToTokenTimeRatio float64
 	now                 func() time.Time
 }
@@ -84,7 +91,8 @@
 
 	mu       sync.RWMutex
 	services map[string]*Service
-	// teamWeights are the weights last applied. They show which teamWeights a new document removes.
+	// teamWeights has, by team, the weights last applied. It shows which teams a new
+	// document removes.
 	teamWeights map[string]float64
 }
 
@@ -111,12 +119,12 @@
 	return all
 }
 
-// Apply puts a document in force. Running requests keep their tickets, even if the
-// document no longer has their service.
+// Apply puts a document in force. Running requests keep the slots that the admission
+// queue gave them, even if the document no longer has their service.
 func (r *Registry) Apply(d *docindex.Directory) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	weights := teamWeights(d.Document)
+	teamWeights := weightsByTeam(d.Document)
 	services := map[string]*Service{}
 	for i := range d.Document.Services {
 		spec := &d.Document.Services[i]
@@ -125,7 +133,7 @@
 			s = r.newService(spec.Name)
 		}
 		s.RetryBudget.SetShare(d.Document.Policy.RetryBudget)
-		s.applyTeams(weights, r.teamWeights)
+		s.applyTeams(teamWeights, r.teamWeights)
 		s.applyReplicas(d, spec)
 		services[spec.Name] = s
 	}
@@ -135,10 +143,10 @@
 		}
 	}
 	r.services = services
-	r.teamWeights = weights
+	r.teamWeights = teamWeights
 }
 
-func teamWeights(doc *document.Document) map[string]float64 {
+func weightsByTeam(doc *document.Document) map[string]float64 {
 	weights := make(map[string]float64, len(doc.Teams))
 	for _, t := range doc.Teams {
 		weights[t.Name] = t.Weight
@@ -202,12 +210,12 @@
 	replicas := balancedReplicas(d, spec, slots)
 	s.mu.Lock()
 	unchanged := s.spec != nil && slices.Equal(s.appliedReplicas, replicas) && sameStages(s.spec, spec)
-	// Replace the specification even if nothing changed: the old one would keep its whole
-	// document in memory.
+	// Replace the specification even if nothing changed. The old specification would keep
+	// the whole old document in memory.
 	s.appliedReplicas, s.spec = replicas, spec
 	if unchanged {
-		// Most documents change other services or an endpoint's address. Choosing the
-		// subset again would take a third of the time to apply a document.
+		// Most new documents change only other services or an endpoint's address. Choosing the
+		// subset again for them would take a third of the time to apply a document.
 		s.mu.Unlock()
 		return
 	}
