--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -5,9 +5,13 @@
 //
 // A model's replicas in one failure domain share one record of plans in the store. All
 // nodes agree on the record by compare-and-swap. The version of a plan is the fencing
-// number of the orders that carry it out. The weight store is where engines fetch layers
-// and adapters; its rate is limited, so loads get reserved times one after the other. A
-// hop is the time of a stage's layers and of the stage's outgoing link.
+// number of the orders that carry it out. The keys of all records begin with the node's
+// environment. Once a second the Controller runs a round: it checks some replicas, writes
+// new plans and sends orders.
+//
+// Engines fetch layers and adapters from the weight store. The rate of the weight store is
+// limited, so the loads get reserved times one after the other. A hop is a stage with its
+// outgoing link; the time of a hop is the time that a token takes on both.
 //
 // # Failures without planned layers
 //
@@ -32,18 +36,19 @@
 
 const (
 	// minReadInterval is the minimum time between two reads of one record. Without the
-	// limit, every stream that would use a replica causes a read while the replica's
-	// engines are loading.
+	// limit, every stream that would use a replica would cause a read while the
+	// replica's engines are loading.
 	minReadInterval = 500 * time.Millisecond
 	readTimeout     = 2 * time.Second
-	// adapterRefresh is the maximum age of a record with adapters. A lost adapter shows
-	// when a stream is sent to the replica, but an additional adapter does not: calls
-	// would still be sent to the replicas that this node knows to hold the adapter, which
+	// adapterRefresh is the maximum age of a cached record with adapters. If a replica has
+	// lost an adapter, the node learns it when it sends a stream to the replica. If another
+	// replica has got the adapter, the node learns it only from a new read. Until then it
+	// sends calls only to the replicas that it knows to hold the adapter, even when they
 	// are busy. With 2,200 nodes that use a dozen records each, one read a minute per
-	// record is 400 reads a second. The store serves two thousand.
+	// record is about 400 reads a second. The store serves two thousand.
 	adapterRefresh = time.Minute
-	// maxPendingReads bounds the reads that are requested and not started. Further requests
-	// are dropped; the next stream requests the read again.
+	// maxPendingReads bounds the reads that are requested but not started. Further requests
+	// are dropped. The next stream that needs the plan requests the read again.
 	maxPendingReads = 256
 )
 
@@ -65,11 +70,11 @@
 	keyOf           map[replicaID]recordKey
 	records         map[recordKey]plan.Record
 	readRequestedAt map[recordKey]time.Time
-	// withAdapters says for each record whether the plan of some replica has an adapter.
-	withAdapters map[recordKey]bool
+	// recordsWithAdapters says for each record whether the plan of some replica has an adapter.
+	recordsWithAdapters map[recordKey]bool
 }
 
-// replicaID identifies a replica within the environment.
+// replicaID identifies a replica.
 type replicaID struct {
 	model   string
 	replica string
@@ -78,20 +83,20 @@
 // NewCache returns an empty cache.
 func NewCache(s store.Reader, environment string, log hclog.Logger) *Cache {
 	return &Cache{
-		store:           s,
-		environment:     environment,
-		log:             log,
-		pendingReads:    make(chan recordKey, maxPendingReads),
-		now:             time.Now,
-		keyOf:           map[replicaID]recordKey{},
-		records:         map[recordKey]plan.Record{},
-		readRequestedAt: map[recordKey]time.Time{},
-		withAdapters:    map[recordKey]bool{},
+		store:               s,
+		environment:         environment,
+		log:                 log,
+		pendingReads:        make(chan recordKey, maxPendingReads),
+		now:                 time.Now,
+		keyOf:               map[replicaID]recordKey{},
+		records:             map[recordKey]plan.Record{},
+		readRequestedAt:     map[recordKey]time.Time{},
+		recordsWithAdapters: map[recordKey]bool{},
 	}
 }
 
-// Apply replaces the set of replicas by those of a document that leaves their layers to
-// the planner.
+// Apply replaces the set of replicas by the replicas of a document. Replicas whose layers
+// the document names itself are left out.
 func (c *Cache) Apply(d *docindex.Index) {
 	keys := map[replicaID]recordKey{}
 	for _, r := range replicaSpecs(d) {
@@ -132,7 +137,7 @@
 	c.mu.RLock()
 	key, known := c.keyOf[replicaID{model, replica}]
 	replicaPlan, found := c.records[key].Replicas[replica]
-	stale := c.withAdapters[key] && c.now().Sub(c.readRequestedAt[key]) >= adapterRefresh
+	stale := c.recordsWithAdapters[key] && c.now().Sub(c.readRequestedAt[key]) >= adapterRefresh
 	c.mu.RUnlock()
 	if known && (!found || stale) {
 		c.requestRead(key)
@@ -203,7 +208,7 @@
 	defer c.mu.Unlock()
 	if record.Version >= c.records[key].Version {
 		c.records[key] = record
-		c.withAdapters[key] = anyAdapters(record)
+		c.recordsWithAdapters[key] = anyAdapters(record)
 	}
 }
 
@@ -211,7 +216,7 @@
 func (c *Cache) hasAdapters(key recordKey) bool {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
-	return c.withAdapters[key]
+	return c.recordsWithAdapters[key]
 }
 
 func anyAdapters(record plan.Record) bool {
--- a/route/layerplans/controller_test.go
+++ b/route/layerplans/controller_test.go
@@ -28,7 +28,7 @@
 
 var startTime = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
-// fakeEngines are engines by address. The address of an engine is its name.
+// fakeEngines are simulated engines, by address. The address of an engine is its name.
 type fakeEngines struct {
 	now         time.Time
 	holdings    map[string]engineapi.Holding
@@ -37,15 +37,16 @@
 	// loadTime is the duration of a load. During a load, an engine reports its old layers.
 	loadTime time.Duration
 	loading  map[string]pendingLoad
-	// runningStreams is the number of streams of each engine. interrupted counts orders for
-	// other weights while streams run. Loads of brokenVersion always fail.
-	runningStreams map[string]int
-	interrupted    int
-	brokenVersion  string
+	// runningStreams is the number of streams of each engine. ordersWhileStreaming counts
+	// the orders for other weights that engines got while streams ran. Loads of
+	// brokenVersion always fail.
+	runningStreams       map[string]int
+	ordersWhileStreaming int
+	brokenVersion        string
 	// adapters has the last adapter order of each engine, and adapterOrderTimes the times of
 	// all adapter orders.
 	adapters          map[string]engineapi.AdapterOrder
-	uses              map[string]uint64
+	useCounts         map[string]uint64
 	adapterOrderTimes []time.Duration
 }
 
@@ -54,7 +55,7 @@
 	ready time.Time
 }
 
-func (f *fakeEngines) Holding(_ context.Context, address string) (engineapi.Report, error) {
+func (f *fakeEngines) HoldingReport(_ context.Context, address string) (engineapi.Report, error) {
 	if f.unreachable[address] {
 		return engineapi.Report{}, errors.New("no answer")
 	}
@@ -62,7 +63,7 @@
 		f.holdings[address] = engineapi.Holding(l.order)
 	}
 	return engineapi.Report{
-		Holding: f.holdings[address], Running: f.runningStreams[address], Uses: f.uses,
+		Holding: f.holdings[address], Running: f.runningStreams[address], Uses: f.useCounts,
 		Adapters: f.adapters[address].Adapters, AdapterVersion: f.adapters[address].Version,
 	}, nil
 }
@@ -83,7 +84,7 @@
 		return nil
 	}
 	if f.holdings[address].Weights != "" && f.holdings[address].Weights != order.Weights && f.runningStreams[address] > 0 {
-		f.interrupted++
+		f.ordersWhileStreaming++
 	}
 	if order.Weights == f.brokenVersion && order.Weights != "" {
 		delete(f.loading, address)
@@ -103,15 +104,15 @@
 // Record implements decisionlog.Recorder.
 func (f *fakeEngines) Record(decisionlog.Decision) {}
 
-// cluster is a number of replicas of three engines each, spread over failure domains, and a
+// cluster has replicas of three engines each, spread over failure domains, and one
 // controller for each domain.
 type cluster struct {
 	*fakeEngines
 	controllers []*Controller
 }
 
-func newCluster(t *testing.T, replicas, domains, rate int) *cluster {
-	return clusterOf(t, documentOf(replicas, domains, rate), domains)
+func newCluster(t *testing.T, replicas, domains, storeMBPerSecond int) *cluster {
+	return clusterOf(t, documentOf(replicas, domains, storeMBPerSecond), domains)
 }
 
 func clusterOf(t *testing.T, doc *document.Document, domains int) *cluster {
@@ -137,8 +138,8 @@
 
 func domainName(i int) string { return fmt.Sprint("domain-", i) }
 
-func documentOf(replicas, domains, rate int) *document.Document {
-	doc := &document.Document{Policy: document.Policy{WeightMegabytesPerSecond: rate}}
+func documentOf(replicas, domains, storeMBPerSecond int) *document.Document {
+	doc := &document.Document{Policy: document.Policy{WeightMegabytesPerSecond: storeMBPerSecond}}
 	m := &document.Model{Layers: layers, LayerMegabytes: 1}
 	for i := range replicas {
 		r := document.Replica{Name: fmt.Sprint("replica-", i)}
@@ -153,8 +154,8 @@
 	return doc
 }
 
-// runRounds runs rounds, one a second. It returns the maximum number of replicas that did not
-// hold the layers of their plans at the same time, from round countFrom on.
+// runRounds runs rounds, one a second. After each round it counts the replicas that do not
+// hold the layers of their plans. It returns the highest count from round countFrom on.
 func (s *cluster) runRounds(rounds, countFrom int, beforeRound func()) int {
 	maxNotReady := 0
 	for round := range rounds {
@@ -201,26 +202,27 @@
 	}
 	t.Logf("loads begin at %v", ordered)
 	// Each engine loads some of 8 layers of 1 MB; the rate is 1 MB a second.
-	loaded := time.Duration(0)
+	minLoadedAt := time.Duration(0)
 	for _, at := range ordered {
-		if at < loaded {
-			t.Errorf("a load begins at %v, but the loads before it end at %v: %v", at, loaded, ordered)
+		if at < minLoadedAt {
+			t.Errorf("a load begins at %v, but the loads before it end at %v: %v", at, minLoadedAt, ordered)
 		}
-		loaded += s.shortestLoad() // no load takes less time
+		minLoadedAt += s.shortestLoad() // each load takes at least this long
 	}
 	loadCount := len(s.orderedAt)
 	clear(s.holdings) // all engines restart without layers
 	clear(s.loading)
 	clear(s.orderedAt)
-	returnedAt := s.now.Sub(startTime)
+	restartedAt := s.now.Sub(startTime)
 	s.runRounds(2*layers+4, 0, noAction)
 	ordered = slices.Sorted(maps.Values(s.orderedAt))
-	if len(ordered) != loadCount || ordered[loadCount-1] < returnedAt+layers*time.Second {
-		t.Errorf("restarted at %v, loads ordered at %v, too close together", returnedAt, ordered)
+	if len(ordered) != loadCount || ordered[loadCount-1] < restartedAt+layers*time.Second {
+		t.Errorf("restarted at %v, loads ordered at %v, too close together", restartedAt, ordered)
 	}
 }
 
-// shortestLoad returns the duration of the shortest load.
+// shortestLoad returns the load time of the engine with the fewest layers, at one layer a
+// second.
 func (s *cluster) shortestLoad() time.Duration {
 	fewestLayers := layers
 	for _, h := range s.holdings {
@@ -245,8 +247,8 @@
 		return sum
 	}
 	before := versions()
-	measured := func() { s.observeHops(k) }
-	maxNotReady := s.runRounds(120, 0, measured)
+	observe := func() { s.observeHops(k) }
+	maxNotReady := s.runRounds(120, 0, observe)
 	if maxNotReady != 1 {
 		t.Errorf("%d replicas reloaded at once, want 1", maxNotReady)
 	}
@@ -273,8 +275,8 @@
 	}
 }
 
-// If a better plan could stop the last serving replica, callers would find no replica.
-// The engines of the other two replicas do not answer.
+// If a better plan stopped the last serving replica, callers would find no replica. The
+// engines of the other two replicas do not answer.
 func TestLastServingReplicaIsNotReloaded(t *testing.T) {
 	s := newCluster(t, 3, 1, 1)
 	k := s.controllers[0]
@@ -292,10 +294,10 @@
 	}
 }
 
-// If the whole time of a hop counted as time of the layers, a slow link would make the
-// plan leave out the fast engine before the link. The link becomes slow, but the engine
-// reports that the time of its layers has not changed. The new plan avoids the link and
-// keeps the engine.
+// If the whole time of a hop counted as time of the layers, a plan would leave out a fast
+// engine because the link after the engine is slow. Here a link becomes slow, but the
+// engine reports that the time of its layers has not changed. The new plan must avoid the
+// link and keep the engine.
 func TestSlowLinkIsNotCountedAsSlowLayers(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{
