--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -265,7 +265,7 @@
 		b.meanAnswerSeconds = movingAverage(b.meanAnswerSeconds, r.TotalTime.Seconds())
 	}
 	b.detector.Observe(now, m.health, health.Outcome{
-		Delay: m.weightAdjusted(b.normalizedDecodeTime(r)), Age: r.TotalTime, Failure: r.Failure,
+		Delay: m.weightAdjusted(b.normalizedDecodeTime(r)), TimeSinceSent: r.TotalTime, Failure: r.Failure,
 	})
 }
 
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -8,11 +8,11 @@
 
 const (
 	delayGain   = 0.2 // weight of a new delay in the moving average of delays
-	failureGain = 0.1 // weight of a new outcome in the moving average of failures
-	// commonFailureRate is compared with the failure rate of the median endpoint. Above
+	errorShareGain = 0.1 // weight of a new outcome in the moving average of failures
+	// commonErrorShare is compared with the failure rate of the median endpoint. Above
 	// this rate, failures are attributed to the requests or to a shared dependency, and
 	// no endpoint is ejected for them.
-	commonFailureRate = 0.25
+	commonErrorShare = 0.25
 	// minEndpointsForGroupMedian is the number of endpoints with enough samples that a
 	// group needs for a median delay of its own. The endpoints of a smaller group are
 	// compared with the median delay of all endpoints.
@@ -101,7 +101,7 @@
 func (d *Detector) ObserveDelay(now time.Time, e *Endpoint, delay time.Duration) {
 	e.recordDelay(delay)
 	if e.state == Probing && d.isSlow(delay.Seconds(), d.medianDelay) {
-		d.recordProbe(now, e, Outcome{Delay: delay, Age: delay})
+		d.recordProbe(now, e, Outcome{Delay: delay, TimeSinceSent: delay})
 	}
 }
 
@@ -124,7 +124,7 @@
 // it. Otherwise the endpoint would wait for the outcome of that probe and stay out of
 // rotation forever.
 func (d *Detector) probeCanceled(now time.Time, e *Endpoint, o Outcome) {
-	if e.state == Probing && !now.Add(-o.Age).Before(e.probingSince) {
+	if e.state == Probing && !now.Add(-o.TimeSinceSent).Before(e.probingSince) {
 		e.probeInFlight = false
 	}
 }
@@ -139,7 +139,7 @@
 // It ignores requests sent earlier, because these were sent before the ejection and
 // reflect the old fault.
 func (d *Detector) recordProbe(now time.Time, e *Endpoint, o Outcome) {
-	if now.Add(-o.Age).Before(e.probingSince) {
+	if now.Add(-o.TimeSinceSent).Before(e.probingSince) {
 		return
 	}
 	e.probeInFlight = false
@@ -157,7 +157,7 @@
 func (d *Detector) restore(e *Endpoint, o Outcome) {
 	e.state = Healthy
 	e.delay = o.Delay.Seconds()
-	e.samples, e.consecutiveFailures, e.failureRate, e.slowness = 0, 0, 0, 1
+	e.samples, e.consecutiveFailures, e.errorShare, e.slowness = 0, 0, 0, 1
 	d.outOfRotation--
 	d.version++
 }
@@ -216,7 +216,7 @@
 func (d *Detector) Evaluate(now time.Time) {
 	d.nextEvaluation = now.Add(d.cfg.Interval)
 	clear(d.groupMedians)
-	d.commonFailure = d.medianOf("", (*Endpoint).typicalFailureRate) > commonFailureRate
+	d.commonFailure = d.medianOf("", (*Endpoint).typicalErrorShare) > commonErrorShare
 	d.medianDelay = d.medianOf("", (*Endpoint).typicalDelay)
 	medianResponseTime := d.medianOf("", (*Endpoint).typicalResponseTime)
 	for _, e := range d.endpoints {
@@ -243,7 +243,7 @@
 	median := d.medianDelayFor(e)
 	e.slowness = relativeDelay(e.delay, median)
 	switch {
-	case e.failureRate > d.cfg.ErrorShare && !d.commonFailure:
+	case e.errorShare > d.cfg.ErrorShare && !d.commonFailure:
 		d.eject(now, e, ErrorShare)
 	case d.isSlow(e.delay, median):
 		d.eject(now, e, Slow)
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -63,7 +63,7 @@
 	ejections        int // number of consecutive ejections
 
 	delay               float64 // moving average of Outcome.Delay, seconds
-	failureRate         float64 // moving average of the outcomes: 0 if no request fails, 1 if all fail
+	errorShare         float64 // moving average of the outcomes: 0 if no request fails, 1 if all fail
 	responseTime        float64 // moving average of the time to a first response, seconds
 	slowness            float64
 	samples             int
@@ -91,8 +91,8 @@
 	// Delay is the delay by which endpoints are compared, such as the time to the first
 	// token; zero if unknown.
 	Delay time.Duration
-	// Age is the time since the request was sent.
-	Age     time.Duration
+	// TimeSinceSent is the time since the request was sent.
+	TimeSinceSent     time.Duration
 	Failure Failure
 }
 
@@ -102,12 +102,12 @@
 	}
 	if !o.Failure.Faulty() {
 		e.consecutiveFailures = 0
-		e.failureRate *= 1 - failureGain
+		e.errorShare *= 1 - errorShareGain
 		return
 	}
 	e.samples++
 	e.consecutiveFailures++
-	e.failureRate += (1 - e.failureRate) * failureGain
+	e.errorShare += (1 - e.errorShare) * errorShareGain
 }
 
 func (e *Endpoint) recordDelay(delay time.Duration) {
@@ -126,6 +126,6 @@
 	return old + (value-old)*gain
 }
 
-func (e *Endpoint) typicalFailureRate() (float64, bool)  { return e.failureRate, true }
+func (e *Endpoint) typicalErrorShare() (float64, bool)  { return e.errorShare, true }
 func (e *Endpoint) typicalDelay() (float64, bool)        { return e.delay, e.delay > 0 }
 func (e *Endpoint) typicalResponseTime() (float64, bool) { return e.responseTime, e.responseTime > 0 }
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -32,7 +32,7 @@
 
 type outcomes map[int]Outcome
 
-var goodOutcome = Outcome{Delay: step, Age: step}
+var goodOutcome = Outcome{Delay: step, TimeSinceSent: step}
 
 // run simulates the time d. Endpoints whose index is in silent get requests and never
 // respond.
@@ -61,15 +61,15 @@
 	if !ok {
 		o = goodOutcome
 	}
-	r.FirstResponse(r.now.Add(o.Age), e, o.Age)
-	r.Observe(r.now.Add(o.Age), e, o)
+	r.FirstResponse(r.now.Add(o.TimeSinceSent), e, o.TimeSinceSent)
+	r.Observe(r.now.Add(o.TimeSinceSent), e, o)
 }
 
 // Guards against a bad endpoint that keeps getting requests, which then fail or wait
 // there. Without the Detector the endpoint would get ten requests a second. For each kind
 // of fault, it may get at most maxRequests before it is ejected.
 func TestEjection(t *testing.T) {
-	fails := func(f Failure) Outcome { return Outcome{Age: step, Failure: f} }
+	fails := func(f Failure) Outcome { return Outcome{TimeSinceSent: step, Failure: f} }
 	for _, c := range []struct {
 		name        string
 		bad         outcomes
@@ -79,7 +79,7 @@
 	}{
 		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, ConsecutiveFailures, 3},
 		{"breaks every stream", outcomes{0: fails(BrokenResponse)}, nil, ConsecutiveFailures, 3},
-		{"is ten times slower", outcomes{0: {Delay: 10 * step, Age: 10 * step}}, nil, Slow, 12},
+		{"is ten times slower", outcomes{0: {Delay: 10 * step, TimeSinceSent: 10 * step}}, nil, Slow, 12},
 		{"has frozen", nil, []int{0}, Silent, 22},
 		{"is full", outcomes{0: fails(Overloaded)}, nil, NoCause, 40},
 		{"is leaving", outcomes{0: fails(Leaving)}, nil, NoCause, 40},
@@ -151,7 +151,7 @@
 // which fails there. A dead endpoint is probed after 5 s, then after 10 s, 20 s and so on.
 // An endpoint that has recovered must still return to rotation.
 func TestRecovery(t *testing.T) {
-	dead := outcomes{0: {Age: time.Millisecond, Failure: Unreachable}}
+	dead := outcomes{0: {TimeSinceSent: time.Millisecond, Failure: Unreachable}}
 	Convey("Given an endpoint dead for five minutes", t, func() {
 		r := newHarness(4, Config{})
 		r.run(5*time.Minute, dead)
@@ -192,7 +192,7 @@
 		r := newHarness(4, Config{})
 		r.run(time.Second, dead)
 		r.run(10*time.Second, outcomes{0: {Failure: Canceled}})
-		r.Observe(r.now, r.endpoints[0], Outcome{Age: time.Hour, Failure: BrokenResponse})
+		r.Observe(r.now, r.endpoints[0], Outcome{TimeSinceSent: time.Hour, Failure: BrokenResponse})
 		So(r.endpoints[0].State(), ShouldEqual, Probing)
 	})
 }
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -35,9 +35,9 @@
 func (t *team) nextLoanEnd(start, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
-		next = p.borrowedLoan.endBetween(start, next)
+		next = p.borrowedLoan.earlierEnd(start, next)
 		for _, l := range p.lentLoans {
-			next = l.endBetween(start, next)
+			next = l.earlierEnd(start, next)
 		}
 	}
 	return next
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -112,7 +112,7 @@
 	fixedLease := limits.Config{Lease: 20 * time.Second}
 	leasePerHome := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
 	for _, c := range []struct {
-		homes, hot int
+		homes, hotHomes int
 		// movePeriod is the time in seconds after which the hot homes change; zero means
 		// never.
 		movePeriod, minThrough float64
@@ -121,12 +121,12 @@
 		roundRobinFleet.nextPeer = roundRobin(c.homes)
 		onDemandFleet := largeFleet{homes: newLeasedHomes(c.homes, limit, leasePerHome)}
 		onDemandFleet.nextPeer = onDemand(onDemandFleet.homes)
-		roundRobinThrough, _, roundRobinRequests := roundRobinFleet.run(hotDemand(c.homes, c.hot, c.movePeriod))
-		onDemandThrough, highestSum, onDemandRequests := onDemandFleet.run(hotDemand(c.homes, c.hot, c.movePeriod))
+		roundRobinThrough, _, roundRobinRequests := roundRobinFleet.run(hotDemand(c.homes, c.hotHomes, c.movePeriod))
+		onDemandThrough, highestSum, onDemandRequests := onDemandFleet.run(hotDemand(c.homes, c.hotHomes, c.movePeriod))
 		t.Logf("%2d homes, %2d with 90%% of the demand, changing every %v s: round robin lets %.3f through with %.3f requests/s per node; on demand %.3f with %.3f",
-			c.homes, c.hot, c.movePeriod, roundRobinThrough, roundRobinRequests, onDemandThrough, onDemandRequests)
+			c.homes, c.hotHomes, c.movePeriod, roundRobinThrough, roundRobinRequests, onDemandThrough, onDemandRequests)
 		if onDemandThrough < c.minThrough || onDemandThrough < roundRobinThrough {
-			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, onDemandThrough, c.minThrough)
+			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hotHomes, onDemandThrough, c.minThrough)
 		}
 		if highestSum > 1+1e-9 {
 			t.Errorf("rates add up to %v of the limit", highestSum)
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -41,13 +41,13 @@
 	return 0
 }
 
-// endBetween returns the time at which the loan ends if this time is between start and
-// end. Otherwise endBetween returns the parameter end.
-func (l loan) endBetween(start, end time.Time) time.Time {
-	if l.until.After(start) && l.until.Before(end) {
+// earlierEnd returns the time at which the loan ends if this time is between start and
+// end. Otherwise earlierEnd returns the parameter end.
+func (l loan) earlierEnd(start, latest time.Time) time.Time {
+	if l.until.After(start) && l.until.Before(latest) {
 		return l.until
 	}
-	return end
+	return latest
 }
 
 func (t *team) findPeer(node string) *peer {
--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -100,7 +100,7 @@
 
 // Record stores the message of a node: its own observations or, from a hub, those of
 // several nodes. It returns how many observations were dropped.
-func (a *Aggregator) Record(now time.Time, node string, hub bool, observations []Observation) (dropped int) {
+func (a *Aggregator) Record(now time.Time, node string, fromHub bool, observations []Observation) (dropped int) {
 	if a.latest == nil {
 		a.latest = map[string]message{}
 	}
@@ -117,13 +117,13 @@
 		}
 		kept = append(kept, o)
 	}
-	a.latest[node] = message{receivedAt: now, fromHub: hub, observations: kept}
+	a.latest[node] = message{receivedAt: now, fromHub: fromHub, observations: kept}
 	return dropped
 }
 
-// KeepOnly drops the messages of all nodes except the given hub. The message of this hub
+// KeepOnlyFrom drops the messages of all nodes except the given hub. The message of this hub
 // includes the observations of the other nodes.
-func (a *Aggregator) KeepOnly(hub string) {
+func (a *Aggregator) KeepOnlyFrom(hub string) {
 	for node := range a.latest {
 		if node != hub {
 			delete(a.latest, node)
@@ -139,9 +139,9 @@
 // ReplyTo returns the observations to send to a node that asked. Another hub gets this
 // node's own observations and those of the nodes that report to this node. Any node that
 // is not a hub gets all observations but its own.
-func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
+func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, askerIsHub bool) []Observation {
 	return a.merge(now, own, func(node string, m message) bool {
-		if hub {
+		if askerIsHub {
 			return !m.fromHub
 		}
 		return node != asker
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -69,7 +69,7 @@
 
 // Record stores a node's report: its own reservations or, from a hub, the totals of
 // several nodes.
-func (a *Aggregator) Record(now time.Time, node string, hub bool, totals Totals) {
+func (a *Aggregator) Record(now time.Time, node string, fromHub bool, totals Totals) {
 	if a.latest == nil {
 		a.latest = map[string]report{}
 	}
@@ -78,12 +78,12 @@
 			delete(a.latest, name)
 		}
 	}
-	a.latest[node] = report{receivedAt: now, fromHub: hub, totals: totals}
+	a.latest[node] = report{receivedAt: now, fromHub: fromHub, totals: totals}
 }
 
-// KeepOnly drops the reports of all nodes except the given hub. The totals of this hub
+// KeepOnlyFrom drops the reports of all nodes except the given hub. The totals of this hub
 // include the reservations of the other nodes.
-func (a *Aggregator) KeepOnly(hub string) {
+func (a *Aggregator) KeepOnlyFrom(hub string) {
 	maps.DeleteFunc(a.latest, func(node string, _ report) bool { return node != hub })
 }
 
@@ -100,8 +100,8 @@
 
 // ReplyTo returns the reply to a node's report. Another hub gets HubTotals. Any node that
 // is not a hub gets all known reservations but its own.
-func (a *Aggregator) ReplyTo(now time.Time, own Totals, asker string, hub bool) Totals {
-	if hub {
+func (a *Aggregator) ReplyTo(now time.Time, own Totals, asker string, askerIsHub bool) Totals {
+	if askerIsHub {
 		return a.HubTotals(now, own)
 	}
 	return own.Plus(a.sum(now, func(node string, _ report) bool { return node != asker }))
--- a/decide/reservations/reservations_test.go
+++ b/decide/reservations/reservations_test.go
@@ -32,7 +32,7 @@
 		d.aggregators[hub].Record(now, d.name(i), asHub, sent)
 		answer := d.aggregators[hub].ReplyTo(now, oneNode(d.ownReserved[hub]), d.name(i), asHub)
 		if !asHub {
-			d.aggregators[i].KeepOnly(d.name(hub))
+			d.aggregators[i].KeepOnlyFrom(d.name(hub))
 		}
 		d.aggregators[i].Record(now, d.name(hub), true, answer)
 	}
@@ -90,7 +90,7 @@
 	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 1 || got.ReservedByReplica["r"] != 7 {
 		t.Errorf("%+v", got)
 	}
-	b.KeepOnly("c")
+	b.KeepOnlyFrom("c")
 	b.Record(start.Add(ValidFor), "c", true, Totals{Nodes: 9, ReservedByReplica: map[string]float64{"r": 20}})
 	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 9 || got.ReservedByReplica["r"] != 20 {
 		t.Errorf("%+v", got)
--- a/decide/storereaders/storereaders.go
+++ b/decide/storereaders/storereaders.go
@@ -127,9 +127,9 @@
 }
 
 const (
-	// backupReaderFactor times BaseInterval is the retry interval of a reader that can
+	// backupReaderIntervalFactor times BaseInterval is the retry interval of a reader that can
 	// reach a reader which precedes it in the order.
-	backupReaderFactor = 3
+	backupReaderIntervalFactor = 3
 	// maxDoublings limits how often the retry interval of a node that knows no reader is
 	// doubled.
 	maxDoublings = 2
@@ -146,7 +146,7 @@
 func RetryInterval(s RetryState) time.Duration {
 	switch {
 	case s.ReaderReached && s.IsReader:
-		return backupReaderFactor * s.BaseInterval
+		return backupReaderIntervalFactor * s.BaseInterval
 	case s.ReaderReached && !s.Starting:
 		return time.Duration(max(1, s.DomainSize)) * s.BaseInterval
 	case s.IsReader && s.DomainSize > 0:
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -122,8 +122,8 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if alone {
-		e.board.KeepOnly(from.Name)
-		e.evidence.KeepOnly(from.Name)
+		e.board.KeepOnlyFrom(from.Name)
+		e.evidence.KeepOnlyFrom(from.Name)
 	}
 	e.board.Record(e.now(), from.Name, true, fromWire(answer.GetHeld()))
 	e.dropped += e.evidence.Record(e.now(), from.Name, true, claimsFromWire(answer.GetClaims()))
