--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -28,7 +28,7 @@
 }
 
 // Event reports that an engine stored a prefix in its cache (Stored) or evicted the
-// prefix.
+// prefix. Prefix is the hash of the prefix.
 type Event struct {
 	Sequence uint64
 	Prefix   uint64
@@ -51,8 +51,8 @@
 type Change uint8
 
 const (
-	// Continued means that no event was lost. It also applies to the first page of a
-	// replica.
+	// Continued means that no event was lost. Continued also applies to the first page of
+	// a replica.
 	Continued Change = iota
 	// Gapped means that events were lost.
 	Gapped
@@ -86,7 +86,7 @@
 	lastSequence uint64        // of the last event known to be published
 	lastPageAt   time.Time     // when the last page was received
 	pollInterval time.Duration // time between the last two pages
-	lru          *list.List    // of uint64 prefixes, the most recently stored or requested first
+	lru          *list.List    // uint64 hashes of prefixes, the most recently stored or requested first
 	cached       map[uint64]*list.Element
 }
 
@@ -166,9 +166,9 @@
 	return max(page.Events[0].Sequence, 1) - 1
 }
 
-// applyEvents applies a page's events. It returns how many events are missing before the
-// first event of the page, between two of its events, and from the last of its events up
-// to Page.Last.
+// applyEvents applies a page's events. applyEvents returns how many events are missing
+// before the first event of the page, between two of its events, and from the last of its
+// events up to Page.Last.
 func (x *Index) applyEvents(s *replicaState, page Page) uint64 {
 	lost := uint64(0)
 	for _, e := range page.Events {
@@ -213,8 +213,9 @@
 }
 
 // Holders returns the replicas that probably have prefixes of a prompt cached, the one
-// with the most blocks first. The given prefixes all belong to this prompt, each longer
-// than the one before. Replicas that have none of the prefixes are omitted.
+// with the most blocks first. The given hashes are those of the prompt's prefixes, from
+// the shortest prefix to the longest. Replicas that have none of the prefixes are
+// omitted.
 func (x *Index) Holders(now time.Time, prefixes []uint64) []Holder {
 	var holders []Holder
 	for replica, s := range x.states {
--- a/decide/cacheindex/doc.go
+++ b/decide/cacheindex/doc.go
@@ -24,11 +24,12 @@
 // # Terms
 //
 // An engine publishes an event for each prefix that it stores in or evicts from
-// its cache, and numbers these events. A page is a replica's answer to one
-// request for its events. An instance is one run of an engine's process. A
-// prompt is divided into blocks. Its prefixes are the first block, the first
-// two blocks and so on. A holder is a replica that probably has at least the
-// first block of a prompt cached.
+// its cache, and numbers these events. A node polls a replica: it requests the
+// replica's events at intervals. A page is the replica's answer to one such
+// request. An instance is one run of an engine's process. A prompt is divided
+// into blocks. The prefixes of a prompt are the first block, the first two
+// blocks and so on. Each prefix is identified by its hash. A holder is a replica
+// that probably has at least the first block of a prompt cached.
 //
 // # Wrong and stale entries
 //
@@ -48,9 +49,10 @@
 //
 // # Reasons for the values
 //
-// DefaultEntries 256: a list element and a map entry take about 150 bytes, so the 32
-// replicas of a subset take about 1.2 MB. Prompts share prefixes, and shared
-// prefixes are requested again and stay in the index.
+// DefaultEntries 256: a list element and a map entry take about 150 bytes, so
+// the 32 replicas among which a node chooses (its subset) take about 1.2 MB.
+// Prompts share prefixes, and shared prefixes are requested again and stay in
+// the index.
 //
 // DefaultStaleAfter 10 s is well above the delay with which an engine publishes
 // its events, and less than the time in which an engine restarts and loads its
--- a/decide/entrypoints/doc.go
+++ b/decide/entrypoints/doc.go
@@ -3,10 +3,12 @@
 //
 // # Use
 //
-// Answer returns the addresses for a caller and how long they are valid. Homes
-// returns the homes of a team: the nodes that share the team's limit. HomeCount
-// returns how many homes a team needs. All three are pure functions of the
-// member list, so every node gives the same answer from the same list.
+// Answer returns a Result, below called an answer: the addresses for a caller
+// and how long these are valid. Answers name only usable nodes, which are
+// neither draining nor suspected of having failed. Homes returns the homes of a
+// team: the nodes that share the team's limit. HomeCount returns how many homes
+// a team needs. All three are pure functions of the member list, so every node
+// gives the same answer from the same list.
 //
 // # Load pattern
 //
--- a/decide/entrypoints/entrypoints.go
+++ b/decide/entrypoints/entrypoints.go
@@ -19,8 +19,9 @@
 	MaxAddresses    = 3
 )
 
-// minCapacity is the lowest free capacity that preference uses for a node, also if the
-// node reports being full. If minCapacity were zero, a team whose homes are all full
+// minCapacity is the lowest free capacity that the function preference assumes for a
+// node, as a part of the node's whole capacity. preference assumes it even for a node
+// that reports being full. If minCapacity were zero, a team whose homes are all full
 // would get no address.
 const minCapacity = 0.02
 
@@ -37,6 +38,7 @@
 	Suspected bool
 }
 
+// usable reports whether callers may be told to connect to the member.
 func (m Member) usable() bool {
 	return !m.Draining && !m.Suspected
 }
@@ -163,8 +165,8 @@
 }
 
 // topAcrossDomains returns the k members with the highest scores. If all of them are in
-// one failure domain, the last one is replaced by the best member of the other domains
-// that has a positive score.
+// one failure domain, the last one is replaced by the member of the other domains with
+// the highest score, if that score is positive.
 //
 // Without this replacement, the loss of a failure domain cuts off a caller whose
 // addresses are all in that domain, until the caller's answer expires. With two homes
--- a/decide/entrypoints/entrypoints_test.go
+++ b/decide/entrypoints/entrypoints_test.go
@@ -186,8 +186,8 @@
 }
 
 // Guards against callers that wait because the homes of their team are full while other
-// nodes are idle. This happens when the hashes of several teams select the same homes. If
-// answers take the loads into account, callers move to other homes of their team.
+// nodes are idle. Homes are full when the hashes of several teams select the same homes.
+// If answers take the loads into account, callers move to other homes of their team.
 func TestLoadSpread(t *testing.T) {
 	Convey("Given 240 teams over 230 nodes", t, func() {
 		busiest, ignoringLoad := peakLoadRatio(230, 2000, HomeHeadroom, false), peakLoadRatio(230, 2000, HomeHeadroom, true)
--- a/decide/health/config.go
+++ b/decide/health/config.go
@@ -32,15 +32,15 @@
 	// MaxConsecutive is the number of consecutive failures that ejects an endpoint at
 	// once.
 	MaxConsecutive int
-	// ErrorShare is the share of failed requests (a moving average) above which an
-	// endpoint is ejected.
+	// ErrorShare is the error share (see the package doc) above which an endpoint is
+	// ejected.
 	ErrorShare float64
 	// An endpoint is ejected as slow if its delay exceeds the median delay by both the
 	// factor LatencyFactor and the difference LatencyFloor.
 	LatencyFactor float64
 	LatencyFloor  time.Duration
 	// An endpoint with outstanding requests is ejected as silent if it sends nothing for
-	// a certain time. This time is SilenceFactor times the median time to a first
+	// a certain time. The time is SilenceFactor times the median time to a first
 	// response, plus SilenceFloor.
 	SilenceFactor float64
 	SilenceFloor  time.Duration
@@ -49,8 +49,8 @@
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
 	// MaxEjectedShare is the largest share of the endpoints that may be out of rotation
-	// after an endpoint is ejected for slowness or for its share of failed requests. For
-	// all other causes the largest share is MaxUnresponsiveShare.
+	// after an endpoint is ejected for slowness or for its error share. For all other
+	// causes the largest share is MaxUnresponsiveShare.
 	MaxEjectedShare      float64
 	MaxUnresponsiveShare float64
 	// Probes is the number of consecutive successful probes after which an endpoint
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	delayGain   = 0.2 // weight of a new delay in the moving average of delays
-	errorShareGain = 0.1 // weight of a new outcome in the moving average of failures
-	// commonErrorShare is compared with the failure rate of the median endpoint. Above
-	// this rate, failures are attributed to the requests or to a shared dependency, and
-	// no endpoint is ejected for them.
+	delayGain      = 0.2 // weight of a new delay in the moving average of delays
+	errorShareGain = 0.1 // weight of a new outcome in an endpoint's error share
+	// commonErrorShare is compared with the median error share of the endpoints. If the
+	// median is higher, failures are attributed to the requests or to a shared
+	// dependency, and no Healthy endpoint is ejected for failures.
 	commonErrorShare = 0.25
 	// minEndpointsForGroupMedian is the number of endpoints with enough samples that a
 	// group needs for a median delay of its own. The endpoints of a smaller group are
@@ -136,8 +136,8 @@
 }
 
 // recordProbe evaluates the outcome of a request that was sent after the probing began.
-// It ignores requests sent earlier, because these were sent before the ejection and
-// reflect the old fault.
+// recordProbe ignores requests sent earlier, because these were sent before the ejection
+// and reflect the old fault.
 func (d *Detector) recordProbe(now time.Time, e *Endpoint, o Outcome) {
 	if now.Add(-o.TimeSinceSent).Before(e.probingSince) {
 		return
@@ -183,8 +183,8 @@
 }
 
 // maxOut returns how many endpoints may be out of rotation after one more is ejected for
-// the given cause. The limit is lower for slow endpoints and for endpoints that fail a
-// part of their requests, because these still do useful work.
+// the given cause. The limit is lower for slow endpoints and for endpoints whose error
+// share is too large, because these still do useful work.
 func (d *Detector) maxOut(cause Cause) int {
 	share := d.cfg.MaxUnresponsiveShare
 	if cause == Slow || cause == ErrorShare {
@@ -299,8 +299,9 @@
 }
 
 // medianOf returns the lower median of a value over the endpoints of the group that have
-// enough samples. It returns 0 if these are fewer than minEndpointsForGroupMedian. An
-// empty group name stands for all endpoints, for which there is no minimum number.
+// enough samples. medianOf returns 0 if fewer than minEndpointsForGroupMedian endpoints
+// have enough samples. An empty group name stands for all endpoints, for which there is
+// no minimum number.
 func (d *Detector) medianOf(group string, value func(*Endpoint) (float64, bool)) float64 {
 	d.scratch = d.scratch[:0]
 	for _, e := range d.endpoints {
--- a/decide/health/doc.go
+++ b/decide/health/doc.go
@@ -26,18 +26,19 @@
 // # Limits of ejection
 //
 // Overloaded and leaving endpoints are not ejected (see Failure.Faulty). An
-// endpoint is out of rotation while it is ejected or probing. A slow endpoint,
-// or one that fails too large a share of its requests, is ejected only while at
-// most MaxEjectedShare of the set is out of rotation. For all other causes the
-// bound is MaxUnresponsiveShare. If more endpoints than that are bad, the cause
-// lies elsewhere, and the remaining endpoints would be overloaded.
+// endpoint is out of rotation while it is ejected or probing. The error share of
+// an endpoint is the share of its requests that fail, as a moving average. For
+// slowness or for its error share, an endpoint is ejected only if at most
+// MaxEjectedShare of the set is then out of rotation. For all other causes the
+// bound is MaxUnresponsiveShare. If more endpoints than that are slow or fail,
+// the cause lies elsewhere, and the remaining endpoints would be overloaded.
 //
 // # Reasons for the values
 //
 //   - Interval 500 ms: an evaluation sorts the delays of the set, which takes some
 //     microseconds. A slow endpoint is out of rotation within a few seconds.
-//   - MaxConsecutive 3: an endpoint that fails one call in ten has three
-//     failures in a row by chance only once in a thousand calls. A dead
+//   - MaxConsecutive 3: an endpoint that fails one request in ten has three
+//     failures in a row by chance only once in a thousand requests. A dead
 //     endpoint costs three retries.
 //   - LatencyFactor 3 times the median delay, and LatencyFloor 50 ms above it:
 //     the moving average of an endpoint's delays spans about nine responses. If
@@ -54,7 +55,7 @@
 //     one probe per minute.
 //   - MaxEjectedShare 0.5: if more than half of the endpoints differ from the
 //     others, they are not outliers.
-//   - MaxUnresponsiveShare 0.75: all endpoints of the nearest failure domain
-//     can be out of rotation at once. These are three quarters of a balancer's
-//     subset.
+//   - MaxUnresponsiveShare 0.75: all endpoints of the nearest failure domain can
+//     be out of rotation at once. The endpoints of this domain are three
+//     quarters of those among which a balancer chooses.
 package health
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -31,7 +31,7 @@
 	NoCause Cause = iota
 	// ConsecutiveFailures means that Config.MaxConsecutive requests in a row failed.
 	ConsecutiveFailures
-	// ErrorShare means that the share of failed requests exceeded Config.ErrorShare.
+	// ErrorShare means that the endpoint's error share exceeded Config.ErrorShare.
 	ErrorShare
 	// Slow means that the endpoint's delay was too long compared with the median delay.
 	Slow
@@ -63,7 +63,7 @@
 	ejections        int // number of consecutive ejections
 
 	delay               float64 // moving average of Outcome.Delay, seconds
-	errorShare         float64 // moving average of the outcomes: 0 if no request fails, 1 if all fail
+	errorShare          float64 // moving average of the outcomes: 0 if no request fails, 1 if all requests fail
 	responseTime        float64 // moving average of the time to a first response, seconds
 	slowness            float64
 	samples             int
@@ -91,9 +91,9 @@
 	// Delay is the delay by which endpoints are compared, such as the time to the first
 	// token; zero if unknown.
 	Delay time.Duration
-	// TimeSinceSent is the time since the request was sent.
-	TimeSinceSent     time.Duration
-	Failure Failure
+	// TimeSinceSent is the time from the sending of the request to this outcome.
+	TimeSinceSent time.Duration
+	Failure       Failure
 }
 
 func (e *Endpoint) record(o Outcome) {
@@ -126,6 +126,6 @@
 	return old + (value-old)*gain
 }
 
-func (e *Endpoint) typicalErrorShare() (float64, bool)  { return e.errorShare, true }
+func (e *Endpoint) typicalErrorShare() (float64, bool)   { return e.errorShare, true }
 func (e *Endpoint) typicalDelay() (float64, bool)        { return e.delay, e.delay > 0 }
 func (e *Endpoint) typicalResponseTime() (float64, bool) { return e.responseTime, e.responseTime > 0 }
--- a/decide/health/failure.go
+++ b/decide/health/failure.go
@@ -1,12 +1,13 @@
 package health
 
-// Failure is the way in which an attempt at an endpoint ended.
+// Failure is the way in which a request to an endpoint ended.
 type Failure uint8
 
 const (
 	// None means that the response was complete.
 	None Failure = iota
-	// Unreachable means that no connection was established, so nothing ran.
+	// Unreachable means that no connection was established, so the endpoint did no work
+	// for the request.
 	Unreachable
 	// Timeout means that the endpoint did not respond within the time allowed.
 	Timeout
@@ -20,7 +21,7 @@
 	// Leaving means that the endpoint refused the request before doing work, because it
 	// is shutting down.
 	Leaving
-	// Canceled means that the caller gave up. This says nothing about the endpoint's
+	// Canceled means that the caller gave up, which says nothing about the endpoint's
 	// health.
 	Canceled
 )
--- a/decide/limits/bucket.go
+++ b/decide/limits/bucket.go
@@ -31,7 +31,7 @@
 }
 
 // nextLoanEnd returns the end of the first loan, lent or borrowed, that ends between
-// start and now. It returns now if there is no such loan.
+// start and now. nextLoanEnd returns now if no loan ends in this time.
 func (t *team) nextLoanEnd(start, now time.Time) time.Time {
 	next := now
 	for _, p := range t.peers {
@@ -55,8 +55,8 @@
 // retryAfter returns the time after which a refused caller should retry. By then the debt
 // is paid off, and the callers refused earlier have been admitted, with retryRateShare of
 // the rate reserved for them. The debt alone is paid off within milliseconds. If refused
-// callers were told only the time until then, all of them would retry at once, again and
-// again.
+// callers were told only the time until the debt is paid off, all of them would retry at
+// once, again and again.
 func (t *team) retryAfter(now time.Time, cost float64) time.Duration {
 	rate := t.rate(now)
 	if rate <= 0 {
--- a/decide/limits/doc.go
+++ b/decide/limits/doc.go
@@ -38,14 +38,14 @@
 //
 // # Bound
 //
-// While the homes agree on the team's limit and on its list of homes, the sum
-// of all nodes' rates never exceeds the limit, even if messages are lost,
-// delayed or delivered in one direction only. The lender subtracts a loan from
-// its own rate until one lease after it sent the response. The borrower uses
-// the loan until one lease after it sent the request, which is earlier. Clocks
-// of different nodes are never compared. A loan ends early only when the
-// borrower states in a later request that it no longer uses the loan. In any
-// time T a team gets at most
+// While the homes agree on the team's limit and on its list of homes, the sum of
+// all nodes' rates never exceeds the limit, even if messages are lost, delayed
+// or delivered in one direction only. The lender subtracts a loan from its own
+// rate until one lease after it sent the response. The borrower uses the loan
+// until one lease after it sent the request, which is earlier. Clocks of
+// different nodes are never compared. The lender reduces or ends a loan early
+// only when the borrower states in a later request how much of the loan it still
+// uses. In any time T a team gets at most
 //
 //	limit * (T + Burst) + one request per home (+ what Correct adds)
 //
@@ -66,10 +66,11 @@
 //
 // Lease spans several exchanges, so that one lost message does not change the
 // split. LeasePerHome is needed because a node makes loan requests in at most
-// three of four exchanges, so each additional home takes the node more than a
-// second. Assume 37 homes of which one gets most of the demand. With a fixed
-// lease of 20 s, loans expire while this home still looks for other lenders,
-// and the home gets 0.39 of the limit. With a lease of 61 s the home gets 0.81.
-// Headroom reserves capacity for the growth of a node's demand until the next
-// exchange. Burst admits the requests of one second at once.
+// three of four exchanges, so each additional home delays the node's next
+// request to the same home by more than a second. Assume 37 homes of which one
+// gets most of the demand. With a fixed lease of 20 s, loans expire while this
+// home still looks for other lenders, and the home gets 0.39 of the limit. With
+// a lease of 61 s the home gets 0.81. Headroom reserves capacity for the growth
+// of a node's demand until the next exchange. Burst admits the requests of one
+// second at once.
 package limits
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -20,8 +20,9 @@
 }
 
 // roundRobin is the baseline in which nodes exchange whether or not they need loans. A
-// node uses one exchange of four for limits. It has four teams and takes these exchanges
-// for one team after the other, so one exchange of 16 is with a home of this team.
+// node uses one exchange of four for limits. The node has four teams and takes these
+// exchanges for one team after the other, so one exchange of 16 is with a home of this
+// team.
 func roundRobin(n int) func(time.Time, int, int) int {
 	const teams, turns = 4, 4
 	return func(_ time.Time, exchangeIndex, node int) int {
@@ -52,7 +53,7 @@
 	}
 }
 
-// run simulates 300 s in which callers send the given demand to the nodes. It returns
+// run simulates 300 s in which callers send the given demand to the nodes. run returns
 // three values: the part of the limit that was admitted from 120 s to 300 s, the highest
 // sum of all homes' rates as a part of the limit, and the number of exchanges per second
 // and node.
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -68,11 +68,12 @@
 	return p
 }
 
-// lentRate returns the highest rate of the loans to this peer that are in force. Two
-// loans to one peer may be in force at the lender: the borrower replaces the older loan
-// when it receives the response with the newer loan, but that response may be lost. The
-// lender therefore counts the larger of the two loans until the larger loan has expired
-// or the borrower has reported how much of this loan is in use.
+// lentRate returns the highest rate of the loans to this peer that are in force. Several
+// loans to one peer may be in force at the lender, but the borrower uses only one of
+// them: a newer loan replaces an older one when the borrower receives the response. The
+// rates are therefore not added. The response with the newer loan may be lost, so the
+// lender counts the largest loan until this loan has expired, or until a later request
+// has stated a lower rate in use (see releaseUnused).
 func (p *peer) lentRate(now time.Time) float64 {
 	highest := 0.0
 	for _, l := range p.lentLoans {
@@ -93,9 +94,9 @@
 	}
 }
 
-// addLoan adds the new loan and drops the loans that have expired. It also drops each
-// loan that is no larger than the new loan and was granted for the same or an earlier
-// request.
+// addLoan adds the new loan and drops the loans that have expired. addLoan also drops
+// each loan that is no larger than the new loan and was granted for the same or an
+// earlier request.
 //
 // A loan A that was granted for a later request is kept even if the new loan B is larger,
 // because the borrower may use A and ignore B. If B replaced A, a repeat of the request
@@ -144,8 +145,8 @@
 	return c.Lease + time.Duration(max(0, homes-baseLeaseHomes))*c.LeasePerHome
 }
 
-// expirePeers drops the peers that have sent nothing for a lease and have no loan in
-// force. Without expirePeers, the records of nodes that have left would accumulate.
+// expirePeers drops the peers that have sent nothing for a borrowerLease and have no loan
+// in force. Without expirePeers, the records of nodes that have left would accumulate.
 func (t *team) expirePeers(now time.Time, cfg Config) {
 	lease := t.borrowerLease(cfg)
 	t.peers = slices.DeleteFunc(t.peers, func(p *peer) bool {
@@ -155,7 +156,7 @@
 }
 
 // shortfall returns the rate that the peer needs beyond its own even share, in tokens per
-// second. It is 0 if the peer has sent nothing for a lease.
+// second. The shortfall is 0 if the peer has sent nothing for a borrowerLease.
 func (t *team) shortfall(now time.Time, p *peer, cfg Config) float64 {
 	if now.Sub(p.lastHeard) > t.borrowerLease(cfg) {
 		return 0
--- a/decide/limits/splitter.go
+++ b/decide/limits/splitter.go
@@ -42,11 +42,12 @@
 	// borrower.
 	homeCountSlack = 2
 
-	// maxRetryAfter is the longest time after which a refused caller is told to retry. It
-	// also applies while the node's rate is zero.
+	// maxRetryAfter is the longest time after which a refused caller is told to retry.
+	// maxRetryAfter also applies while the node's rate is zero.
 	maxRetryAfter = time.Minute
 	// minRetryAfter is the shortest time after which a refused caller is told to retry.
-	// It is no shorter than the time that a refusal and the next call take together.
+	// minRetryAfter is no shorter than the time that a refusal and the next call take
+	// together.
 	minRetryAfter = 100 * time.Millisecond
 	// retryRateShare is the part of the rate that is reserved for retries of refused
 	// callers. The rest is for new calls.
@@ -84,10 +85,11 @@
 type LoanRequest struct {
 	Team   string
 	Demand float64 // of the borrower, tokens per second
-	// InUse is the rate of earlier loans that the borrower still uses, in tokens per
-	// second.
+	// InUse is the rate that the borrower still uses of its present loan from the peer,
+	// in tokens per second.
 	InUse float64
-	// SentAt is the borrower's clock in nanoseconds. It orders the borrower's requests.
+	// SentAt is the borrower's clock in nanoseconds. SentAt orders the borrower's
+	// requests.
 	SentAt int64
 }
 
@@ -98,9 +100,9 @@
 	Rate   float64 // lent to the borrower, tokens per second
 }
 
-// Splitter enforces the teams' limits on one node. It admits or refuses the node's
-// requests, lends rates to other nodes and borrows rates from them. It is not safe for
-// concurrent use; the caller locks.
+// Splitter enforces the teams' limits on one node. A Splitter admits or refuses the
+// node's requests, lends rates to other nodes and borrows rates from them. It is not safe
+// for concurrent use; the caller locks.
 type Splitter struct {
 	cfg   Config
 	teams map[string]*team
@@ -136,7 +138,7 @@
 func (s *Splitter) RemoveTeam(name string) { delete(s.teams, name) }
 
 // RecordDemand records the demand that a peer reported for a team in an exchange. Lend
-// and Borrow call it.
+// and Borrow call RecordDemand.
 func (s *Splitter) RecordDemand(now time.Time, name, node string, tokensPerSecond float64) {
 	t, ok := s.teams[name]
 	if !ok || node == s.cfg.Self {
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -167,7 +167,10 @@
 			}
 			got, wholeEachPart, lastKnownPart, evenPart := partThrough(newHomes(3, limit)), partThrough(wholeEach), partThrough(newLastKnownDemand(3)), partThrough(disconnectedHomes{newHomes(3, limit)})
 			t.Logf("%s: part of the limit let through %.3f; whole limit each %.2f, last known demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
-			So(got, ShouldBeBetweenOrEqual, c.minThrough, 1+1/(c.toSecond-c.fromSecond)+0.001) // the upper bound includes the tokens of Burst, one second
+			// The upper bound is the one in the package doc, as a part of the limit.
+			// Burst adds the tokens of one second. The summand 0.001 is for the request
+			// of each home that may overdraw its bucket.
+			So(got, ShouldBeBetweenOrEqual, c.minThrough, 1+1/(c.toSecond-c.fromSecond)+0.001)
 			So(wholeEachPart, ShouldBeGreaterThan, c.minWholeEach)
 			So(lastKnownPart, ShouldBeGreaterThan, c.minLastKnown)
 			So(evenPart, ShouldBeLessThan, c.maxEven)
--- a/decide/nodelist/nodelist.go
+++ b/decide/nodelist/nodelist.go
@@ -14,9 +14,9 @@
 //
 // # Rules
 //
-//   - When a node asks a reader of the store (decide/storereaders) for its data
+//   - When a node asks a reader of the store (decide/storereaders) for the reader's data
 //     (fleet/reads), this request is also a heartbeat. The reader lists the node for TTL
-//     after its last heartbeat.
+//     after the node's last heartbeat.
 //   - A node that reports that it is leaving is removed at once.
 //   - A node that has just started restores the list of its previous process, as if all
 //     nodes in that list had just sent a heartbeat. Otherwise, after a loss of power,
--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -20,13 +20,16 @@
 //     connection, a replica that refuses requests although it has capacity, or the slowdown
 //     that a replica reports about itself. An observation has an age and is valid for
 //     ValidFor.
-//   - A node accepts an observation that at least Quorum nodes have made independently. If
-//     fewer nodes have made the observation, a few nodes, the Verifiers, check the replica
-//     themselves. All nodes agree on which nodes are the Verifiers of a replica. So a
-//     single wrong observation convinces no other node, and not all nodes contact the same
-//     replica because of it.
+//   - A node accepts an observation that at least Quorum nodes have made independently.
+//     If fewer nodes have made the observation, or if accepting it would exceed
+//     MaxExcludedShare, a few nodes, the Verifiers, check the replica themselves.
+//     Refusals are not checked, because the replica answers any check and refuses only
+//     requests. All nodes agree on which nodes are the Verifiers of a replica. So a
+//     single wrong observation convinces no other node, and not all nodes contact the
+//     same replica because of this observation.
 //   - At most the share MaxExcludedShare of a service's replicas is excluded because of
 //     reports from other nodes, because a network fault can make many replicas look lost.
+//     Replicas that the node already treats as lost count towards this share.
 //   - A message holds at most MaxPerMessage observations, the most recent first.
 //     Observations that no node would send are dropped and counted.
 package peerreports
@@ -48,7 +51,8 @@
 	// accepted without verification.
 	Quorum = 3
 	// Verifiers is the number of nodes that check a replica if fewer than Quorum nodes
-	// have made an observation about it.
+	// have made an observation about the replica, or if accepting the observation would
+	// exceed MaxExcludedShare.
 	Verifiers = 3
 	// MaxExcludedShare is the largest share of a service's replicas that is excluded
 	// because of reports from other nodes.
@@ -98,8 +102,8 @@
 	latest map[string]message
 }
 
-// Record stores the message of a node: its own observations or, from a hub, those of
-// several nodes. It returns how many observations were dropped.
+// Record stores the message of a node: the node's own observations or, if fromHub is set,
+// the observations of several nodes. Record returns how many observations were dropped.
 func (a *Aggregator) Record(now time.Time, node string, fromHub bool, observations []Observation) (dropped int) {
 	if a.latest == nil {
 		a.latest = map[string]message{}
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -16,9 +16,10 @@
 // # Rules
 //
 //   - A few nodes of the domain are hubs. The other nodes report their reservations to a
-//     hub, and the hubs exchange the totals of what was reported to them. A node that
-//     reports to a hub gets back the reservations of all other nodes, as far as the hub
-//     knows them.
+//     hub, and the hubs exchange totals: the sum of a hub's own reservations and of those
+//     reported to it by nodes that are not hubs. An exchange is a report and the reply. A
+//     node that reports to a hub gets back the reservations of all other nodes, as far as
+//     the hub knows them.
 //   - A report is valid for ValidFor. For nodes without a report, the node that uses the
 //     totals assumes an even share (decide/paths).
 //
@@ -67,8 +68,8 @@
 	latest map[string]report
 }
 
-// Record stores a node's report: its own reservations or, from a hub, the totals of
-// several nodes.
+// Record stores a node's report: the node's own reservations or, if fromHub is set, the
+// totals of several nodes.
 func (a *Aggregator) Record(now time.Time, node string, fromHub bool, totals Totals) {
 	if a.latest == nil {
 		a.latest = map[string]report{}
--- a/decide/shardowner/doc.go
+++ b/decide/shardowner/doc.go
@@ -34,9 +34,11 @@
 //     40 writes a second. Together these are the several hundred writes a second
 //     that the store sustains, however many nodes there are. Each write carries
 //     all pending orders of its shard.
-//   - MinBackoff 1 s: one operation that tries a frozen node again may be
-//     delayed by up to this much. This is also about the time after which the
-//     other nodes suspect an unresponsive node (fleet/membership).
+//   - MinBackoff 1 s: an operation that is forwarded to a frozen node waits up
+//     to this time for the answer (DefaultForwardTimeout in state/ledger). So
+//     even at the shortest backoff, each such wait delays one operation only.
+//     MinBackoff is also about the time after which the other nodes suspect an
+//     unresponsive node (fleet/membership).
 //   - MaxBackoff 16 s: a node that only this node could not reach is used again
 //     soon after the connection is back. Until then, one operation in 16 s is
 //     delayed.
--- a/decide/shardowner/shardowner.go
+++ b/decide/shardowner/shardowner.go
@@ -74,9 +74,9 @@
 	return best
 }
 
-// OwnedShards returns for how many of the shards the named node has the highest score. It
-// ignores backoffs. Otherwise the node's share of the store's calls, which depends on
-// this number, would change with each backoff.
+// OwnedShards returns for how many of the shards the named node has the highest score.
+// OwnedShards ignores backoffs. Otherwise the node's share of the store's calls, which
+// depends on this number, would change with each backoff.
 func (p *Picker) OwnedShards(name string, shards int) int {
 	owned := 0
 	for shard := range shards {
@@ -94,9 +94,9 @@
 	return owned
 }
 
-// RecordFailure records that a node did not answer. It returns for how long the node is
-// excluded, or zero if the node is excluded already: operations that waited for the node at the
-// same time fail together and count as one failure.
+// RecordFailure records that a node did not answer. RecordFailure returns for how long
+// the node is excluded, or zero if the node is excluded already: operations that waited
+// for the node at the same time fail together and count as one failure.
 func (p *Picker) RecordFailure(now time.Time, name string) time.Duration {
 	b, known := p.backoffs[name]
 	if known && now.Before(b.until) && !b.retried {
@@ -107,7 +107,8 @@
 	return duration
 }
 
-// RecordAnswer records that a node answered. It returns whether the node was in backoff.
+// RecordAnswer records that a node answered. RecordAnswer returns whether the node was in
+// backoff.
 func (p *Picker) RecordAnswer(name string) bool {
 	_, known := p.backoffs[name]
 	delete(p.backoffs, name)
--- a/decide/stall/stall.go
+++ b/decide/stall/stall.go
@@ -84,8 +84,8 @@
 }
 
 // FalseAlarm records that the path was checked after a silence and no loss was found.
-// This raises the timeout. When the stream's gaps are regular again, the timeout falls to
-// its previous value.
+// FalseAlarm raises the timeout. When the stream's gaps are regular again, the timeout
+// falls to its previous value.
 func (d *Detector) FalseAlarm(silence time.Duration) {
 	d.stdDev = max(d.stdDev, (float64(silence)*falseAlarmFactor-d.mean)/timeoutDeviations)
 }
--- a/decide/stall/stall_test.go
+++ b/decide/stall/stall_test.go
@@ -124,8 +124,8 @@
 }
 
 // Guards against too many checks during one silence. Replicas are slow, and a stream
-// pauses for half a second. Its path is checked only a few times while the pause is still
-// on time, and once more as soon as the pause is late. That last check is needed because
+// pauses for half a second. The path is checked only a few times while the pause is still
+// on time, and once more as soon as the pause is late. The last check is needed because
 // only checks of late streams ask the replicas for their speed.
 func TestChecksWithinOneSilence(t *testing.T) {
 	const onTimeLimit = 300 * time.Millisecond
--- a/decide/storereaders/storereaders.go
+++ b/decide/storereaders/storereaders.go
@@ -80,17 +80,19 @@
 	return slices.CompactFunc(list, func(a, b Member) bool { return a.Name == b.Name })
 }
 
-// IsReader reports whether a node is one of its domain's readers. It is true for every
-// node of a domain without readers.
+// IsReader reports whether a node is one of its domain's readers. IsReader returns true
+// for every node of a domain without readers.
 func IsReader(name, domain string, members []Member) bool {
 	list := ForDomain(domain, members)
 	return len(list) == 0 || indexOf(name, list) >= 0
 }
 
 // NeedsEntry reports whether a node needs an entry of its own. In a domain without
-// readers, every node does. In any other domain the readers do. If readers are missing,
-// or if the last reader has much less bandwidth than other nodes, the first of the other
-// nodes need an entry too.
+// readers, every node does. In any other domain the readers do. The other nodes are
+// ordered by bandwidth, the highest first. If readers are missing, as many of the first
+// other nodes need an entry too. So does each of the first PerDomain other nodes that has
+// at least replaceLinkFactor times the bandwidth of the last reader, if the latter
+// bandwidth is known.
 func NeedsEntry(name, domain string, members []Member) bool {
 	list := ForDomain(domain, members)
 	if len(list) == 0 || indexOf(name, list) >= 0 {
@@ -127,19 +129,20 @@
 }
 
 const (
-	// backupReaderIntervalFactor times BaseInterval is the retry interval of a reader that can
-	// reach a reader which precedes it in the order.
+	// backupReaderIntervalFactor times BaseInterval is the retry interval of a reader
+	// that can reach one of the readers which precede it in the order.
 	backupReaderIntervalFactor = 3
-	// maxDoublings limits how often the retry interval of a node that knows no reader is
-	// doubled.
+	// maxDoublings is how many times at most the retry interval of a node that backs off
+	// exponentially is doubled.
 	maxDoublings = 2
 )
 
 // RetryInterval returns the mean time from a failed read of the store to the node's next
 // attempt. The first reader retries often, because it detects for all nodes that the
 // store is back. The nodes that reached a reader without recent data share their retries:
-// each retries once in DomainSize times BaseInterval. Together they still detect when
-// they can reach the store while their readers cannot. A node that knows no reader backs off
+// each retries once in DomainSize times BaseInterval. Together these nodes still detect
+// that they can reach the store when their readers cannot. A node that reached no reader
+// and is not one, or that knows no node of its domain (DomainSize 0), backs off
 // exponentially, because the whole fleet may be in this state at once. A starting node
 // that is not a reader also backs off exponentially instead of sharing retries, because
 // it serves no callers until it has a configuration.
