--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	delayGain   = 0.2 // weight of a new delay in the moving average of delays
-	failureGain = 0.1 // weight of a new outcome in the moving average of failures
-	// commonFailureRate is compared with the failure rate of the median endpoint. Above
-	// this rate, failures are attributed to the requests or to a shared dependency, and
-	// no endpoint is ejected for them.
-	commonFailureRate = 0.25
+	delayGain      = 0.2 // weight of a new delay in the moving average of delays
+	errorShareGain = 0.1 // weight of a new outcome in an endpoint's error share
+	// commonErrorShare is compared with the median error share of the endpoints. If the
+	// median is higher, failures are attributed to the requests or to a shared
+	// dependency, and no Healthy endpoint is ejected for failures.
+	commonErrorShare = 0.25
 	// minEndpointsForGroupMedian is the number of endpoints with enough samples that a
 	// group needs for a median delay of its own. The endpoints of a smaller group are
 	// compared with the median delay of all endpoints.
@@ -101,7 +101,7 @@
 func (d *Detector) ObserveDelay(now time.Time, e *Endpoint, delay time.Duration) {
 	e.recordDelay(delay)
 	if e.state == Probing && d.isSlow(delay.Seconds(), d.medianDelay) {
-		d.recordProbe(now, e, Outcome{Delay: delay, Age: delay})
+		d.recordProbe(now, e, Outcome{Delay: delay, TimeSinceSent: delay})
 	}
 }
 
@@ -124,7 +124,7 @@
 // it. Otherwise the endpoint would wait for the outcome of that probe and stay out of
 // rotation forever.
 func (d *Detector) probeCanceled(now time.Time, e *Endpoint, o Outcome) {
-	if e.state == Probing && !now.Add(-o.Age).Before(e.probingSince) {
+	if e.state == Probing && !now.Add(-o.TimeSinceSent).Before(e.probingSince) {
 		e.probeInFlight = false
 	}
 }
@@ -136,10 +136,10 @@
 }
 
 // recordProbe evaluates the outcome of a request that was sent after the probing began.
-// It ignores requests sent earlier, because these were sent before the ejection and
-// reflect the old fault.
+// recordProbe ignores requests sent earlier, because these were sent before the ejection
+// and reflect the old fault.
 func (d *Detector) recordProbe(now time.Time, e *Endpoint, o Outcome) {
-	if now.Add(-o.Age).Before(e.probingSince) {
+	if now.Add(-o.TimeSinceSent).Before(e.probingSince) {
 		return
 	}
 	e.probeInFlight = false
@@ -157,7 +157,7 @@
 func (d *Detector) restore(e *Endpoint, o Outcome) {
 	e.state = Healthy
 	e.delay = o.Delay.Seconds()
-	e.samples, e.consecutiveFailures, e.failureRate, e.slowness = 0, 0, 0, 1
+	e.samples, e.consecutiveFailures, e.errorShare, e.slowness = 0, 0, 0, 1
 	d.outOfRotation--
 	d.version++
 }
@@ -183,8 +183,8 @@
 }
 
 // maxOut returns how many endpoints may be out of rotation after one more is ejected for
-// the given cause. The limit is lower for slow endpoints and for endpoints that fail a
-// part of their requests, because these still do useful work.
+// the given cause. The limit is lower for slow endpoints and for endpoints whose error
+// share is too large, because these still do useful work.
 func (d *Detector) maxOut(cause Cause) int {
 	share := d.cfg.MaxUnresponsiveShare
 	if cause == Slow || cause == ErrorShare {
@@ -216,7 +216,7 @@
 func (d *Detector) Evaluate(now time.Time) {
 	d.nextEvaluation = now.Add(d.cfg.Interval)
 	clear(d.groupMedians)
-	d.commonFailure = d.medianOf("", (*Endpoint).typicalFailureRate) > commonFailureRate
+	d.commonFailure = d.medianOf("", (*Endpoint).typicalErrorShare) > commonErrorShare
 	d.medianDelay = d.medianOf("", (*Endpoint).typicalDelay)
 	medianResponseTime := d.medianOf("", (*Endpoint).typicalResponseTime)
 	for _, e := range d.endpoints {
@@ -243,7 +243,7 @@
 	median := d.medianDelayFor(e)
 	e.slowness = relativeDelay(e.delay, median)
 	switch {
-	case e.failureRate > d.cfg.ErrorShare && !d.commonFailure:
+	case e.errorShare > d.cfg.ErrorShare && !d.commonFailure:
 		d.eject(now, e, ErrorShare)
 	case d.isSlow(e.delay, median):
 		d.eject(now, e, Slow)
@@ -299,8 +299,9 @@
 }
 
 // medianOf returns the lower median of a value over the endpoints of the group that have
-// enough samples. It returns 0 if these are fewer than minEndpointsForGroupMedian. An
-// empty group name stands for all endpoints, for which there is no minimum number.
+// enough samples. medianOf returns 0 if fewer than minEndpointsForGroupMedian endpoints
+// have enough samples. An empty group name stands for all endpoints, for which there is
+// no minimum number.
 func (d *Detector) medianOf(group string, value func(*Endpoint) (float64, bool)) float64 {
 	d.scratch = d.scratch[:0]
 	for _, e := range d.endpoints {
--- a/decide/limits/exchangepeers_test.go
+++ b/decide/limits/exchangepeers_test.go
@@ -20,8 +20,9 @@
 }
 
 // roundRobin is the baseline in which nodes exchange whether or not they need loans. A
-// node uses one exchange of four for limits. It has four teams and takes these exchanges
-// for one team after the other, so one exchange of 16 is with a home of this team.
+// node uses one exchange of four for limits. The node has four teams and takes these
+// exchanges for one team after the other, so one exchange of 16 is with a home of this
+// team.
 func roundRobin(n int) func(time.Time, int, int) int {
 	const teams, turns = 4, 4
 	return func(_ time.Time, exchangeIndex, node int) int {
@@ -52,7 +53,7 @@
 	}
 }
 
-// run simulates 300 s in which callers send the given demand to the nodes. It returns
+// run simulates 300 s in which callers send the given demand to the nodes. run returns
 // three values: the part of the limit that was admitted from 120 s to 300 s, the highest
 // sum of all homes' rates as a part of the limit, and the number of exchanges per second
 // and node.
@@ -112,7 +113,7 @@
 	fixedLease := limits.Config{Lease: 20 * time.Second}
 	leasePerHome := limits.Config{Lease: 20 * time.Second, LeasePerHome: 1250 * time.Millisecond}
 	for _, c := range []struct {
-		homes, hot int
+		homes, hotHomes int
 		// movePeriod is the time in seconds after which the hot homes change; zero means
 		// never.
 		movePeriod, minThrough float64
@@ -121,12 +122,12 @@
 		roundRobinFleet.nextPeer = roundRobin(c.homes)
 		onDemandFleet := largeFleet{homes: newLeasedHomes(c.homes, limit, leasePerHome)}
 		onDemandFleet.nextPeer = onDemand(onDemandFleet.homes)
-		roundRobinThrough, _, roundRobinRequests := roundRobinFleet.run(hotDemand(c.homes, c.hot, c.movePeriod))
-		onDemandThrough, highestSum, onDemandRequests := onDemandFleet.run(hotDemand(c.homes, c.hot, c.movePeriod))
+		roundRobinThrough, _, roundRobinRequests := roundRobinFleet.run(hotDemand(c.homes, c.hotHomes, c.movePeriod))
+		onDemandThrough, highestSum, onDemandRequests := onDemandFleet.run(hotDemand(c.homes, c.hotHomes, c.movePeriod))
 		t.Logf("%2d homes, %2d with 90%% of the demand, changing every %v s: round robin lets %.3f through with %.3f requests/s per node; on demand %.3f with %.3f",
-			c.homes, c.hot, c.movePeriod, roundRobinThrough, roundRobinRequests, onDemandThrough, onDemandRequests)
+			c.homes, c.hotHomes, c.movePeriod, roundRobinThrough, roundRobinRequests, onDemandThrough, onDemandRequests)
 		if onDemandThrough < c.minThrough || onDemandThrough < roundRobinThrough {
-			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hot, onDemandThrough, c.minThrough)
+			t.Errorf("%d homes, %d hot: %.3f of the limit let through, want %.3f", c.homes, c.hotHomes, onDemandThrough, c.minThrough)
 		}
 		if highestSum > 1+1e-9 {
 			t.Errorf("rates add up to %v of the limit", highestSum)
