--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -14,8 +14,8 @@
 // newFleet returns the simulated fleet of the benchmark. Three nodes receive unequal shares
 // of the calls and send them to six replicas with 16 slots each. A response takes 0.5 s,
 // and callers wait at most 4 s for it.
-func newFleet(offeredLoad float64, seed uint64) sim.Fleet {
-	return sim.Fleet{
+func newFleet(offeredLoad float64, seed uint64) sim.FleetScenario {
+	return sim.FleetScenario{
 		NodeShares: []float64{0.4, 0.35, 0.25}, ReplicaCount: 6, SlotsPerReplica: 16, TokenTime: 20 * time.Millisecond, TokensPerAnswer: 25,
 		TeamCount: 10, OfferedLoad: offeredLoad, CallerTimeout: 4 * time.Second, Duration: 23 * time.Second, Warmup: 3 * time.Second,
 		Seed: seed,
@@ -37,7 +37,7 @@
 	return delays[len(delays)*p/100].Round(time.Millisecond)
 }
 
-func (r *outcomes) add(f sim.Fleet, runs int) {
+func (r *outcomes) add(f sim.FleetScenario, runs int) {
 	completed := 0
 	for _, a := range sim.RunFleet(f) {
 		switch {
@@ -58,7 +58,7 @@
 
 // simulate runs the given load with three seeds and returns the outcomes of the three runs
 // together.
-func simulate(t *testing.T, name string, offeredLoad float64, configure func(*sim.Fleet)) *outcomes {
+func simulate(t *testing.T, name string, offeredLoad float64, configure func(*sim.FleetScenario)) *outcomes {
 	const runs = 3
 	r := &outcomes{minGoodput: 9}
 	for i := range uint64(runs) {
@@ -81,9 +81,9 @@
 	// With round robin and no admission control, no request is refused, but in overload
 	// hardly any caller gets a complete response.
 	Convey("Given three nodes that share replicas", t, func() {
-		coordinated := func(*sim.Fleet) {}
-		uncoordinated := func(f *sim.Fleet) { f.HideNodeCountFromBalancers = true }
-		roundRobin := func(f *sim.Fleet) { f.RoundRobin = true }
+		coordinated := func(*sim.FleetScenario) {}
+		uncoordinated := func(f *sim.FleetScenario) { f.HideNodeCountFromBalancers = true }
+		roundRobin := func(f *sim.FleetScenario) { f.RoundRobin = true }
 		Convey("at full load hardly any request is refused", func() {
 			result := simulate(t, "coordinated", 1, coordinated)
 			uncoordinatedResult := simulate(t, "free slots only", 1, uncoordinated)
@@ -117,7 +117,7 @@
 		for _, domains := range []int{1, 3} {
 			for _, load := range []float64{1, 2, 4} {
 				Convey(fmt.Sprintf("with %d failure domains at %gx load the capacity is used", domains, load), func() {
-					result := simulate(t, fmt.Sprintf("%d domains", domains), load, func(f *sim.Fleet) {
+					result := simulate(t, fmt.Sprintf("%d domains", domains), load, func(f *sim.FleetScenario) {
 						f.SharedPrompt, f.DomainCount = true, domains
 					})
 					So(result.minGoodput, ShouldBeGreaterThanOrEqualTo, 0.95)
@@ -142,7 +142,7 @@
 		} {
 			for _, load := range []float64{2, 4} {
 				Convey(fmt.Sprintf("%s, at %gx load nearly all refusals come at once from the first second on", name, load), func() {
-					result := simulate(t, name, load, func(f *sim.Fleet) {
+					result := simulate(t, name, load, func(f *sim.FleetScenario) {
 						f.SharedPrompt, f.DomainCount, f.Preload = true, 3, preload
 						f.Warmup = preload.Duration + preload.IdleTime
 						f.Duration = f.Warmup + 12*time.Second
--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -45,8 +45,8 @@
 type forecast struct {
 	computedAt time.Time
 	drainRate  float64 // of all slots of this node, expected tokens per second
-	// activeWeight is the sum of the weights of the teams with recent demand.
-	activeWeight float64
+	// weightWithDemand is the sum of the weights of the teams with recent demand.
+	weightWithDemand float64
 	// busySince is the start of the current period with demand; zero without demand.
 	busySince time.Time
 	// headroom is the number of slots kept free for teams below their share.
@@ -129,7 +129,7 @@
 	f.stalled = q.meter.stalled(now)
 	q.longJobSlots = q.slots
 	q.measureDemand(now)
-	f.activeWeight = q.activeWeight()
+	f.weightWithDemand = q.weightWithDemand()
 	f.headroom = q.rushHeadroom(now)
 	if f.drainRate <= 0 {
 		return
@@ -192,8 +192,8 @@
 	return int(min(reserve, math.Floor(float64(q.slots)*maxShortReserveFraction)))
 }
 
-// activeWeight returns the sum of the weights of the teams with demand.
-func (q *Queue) activeWeight() (weight float64) {
+// weightWithDemand returns the sum of the weights of the teams with demand.
+func (q *Queue) weightWithDemand() (weight float64) {
 	for _, t := range q.teamList {
 		if t.demand[short]+t.demand[long] > 0 {
 			weight += t.flow.Weight()
@@ -213,7 +213,7 @@
 // seconds.
 func (q *Queue) rushHeadroom(now time.Time) int {
 	f := &q.forecast
-	if f.activeWeight == 0 {
+	if f.weightWithDemand == 0 {
 		f.busySince = time.Time{}
 		return 0
 	}
@@ -265,5 +265,5 @@
 // is the node's slots divided between the teams with demand in proportion to their weights.
 func (q *Queue) belowShare(t *team) bool {
 	weight := t.flow.Weight()
-	return float64(t.runningCount)*max(q.forecast.activeWeight, weight) < float64(q.slots)*weight
+	return float64(t.runningCount)*max(q.forecast.weightWithDemand, weight) < float64(q.slots)*weight
 }
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -61,9 +61,9 @@
 	return newScenario(loads...)
 }
 
-// skewedScenario offers the given multiple of the capacity from eleven teams. One of these
+// hotTeamScenario offers the given multiple of the capacity from eleven teams. One of these
 // teams offers half of the load.
-func skewedScenario(capacityMultiple float64) sim.Scenario {
+func hotTeamScenario(capacityMultiple float64) sim.Scenario {
 	loads := []sim.Load{newLoad("big", capacityMultiple*0.5, 300)}
 	for i := range 10 {
 		loads = append(loads, newLoad(fmt.Sprint("small-", i), capacityMultiple*0.05, 300))
@@ -114,7 +114,7 @@
 	Convey("Goodput stays at the capacity for any offered load", t, func() {
 		from, to := fromSeconds(30), fromSeconds(110)
 		for _, capacityMultiple := range []float64{1, 1.2, 2, 4} {
-			for name, s := range map[string]sim.Scenario{"five equal teams": rushScenario(capacityMultiple), "one large team": skewedScenario(capacityMultiple)} {
+			for name, s := range map[string]sim.Scenario{"five equal teams": rushScenario(capacityMultiple), "one large team": hotTeamScenario(capacityMultiple)} {
 				queue, fifo := sim.Run(s, newQueue()), sim.Run(s, newFIFO())
 				droppingFIFO := sim.Run(s, &sim.FIFO{Slots: slots, DropExpired: true})
 				refused, refusalDelay := refusals(queue)
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -17,7 +17,7 @@
 // decayingSum is a sum of added values, usually costs in tokens, that decays exponentially
 // with the time constant rateTimeConstant.
 type decayingSum struct {
-	sum        float64
+	decayedSum        float64
 	updatedAt  time.Time // time of the last add
 	firstAddAt time.Time // time of the first add since the sum was negligible
 }
@@ -27,20 +27,20 @@
 const negligibleSum = 1e-9
 
 func (d *decayingSum) add(now time.Time, x float64) {
-	d.sum = d.valueAt(now)
-	if d.sum < negligibleSum {
+	d.decayedSum = d.valueAt(now)
+	if d.decayedSum < negligibleSum {
 		d.firstAddAt = now
 	}
-	d.sum += x
+	d.decayedSum += x
 	d.updatedAt = now
 }
 
 func (d *decayingSum) valueAt(now time.Time) float64 {
 	age := now.Sub(d.updatedAt)
-	if d.sum == 0 || age <= 0 {
-		return d.sum
+	if d.decayedSum == 0 || age <= 0 {
+		return d.decayedSum
 	}
-	return d.sum * decay(age)
+	return d.decayedSum * decay(age)
 }
 
 // perSecond returns the sum of the added values per second, averaged with the time constant
@@ -76,7 +76,7 @@
 	runningCount         int       // number of running requests
 	runningTokens        float64   // expected tokens of the running requests
 	startOffsetSumMicros int64     // sum of the times from startOffsetBase to the start of each running request, microseconds
-	startOffsetBase      time.Time // when the first request started
+	firstStartAt      time.Time // when the first request started
 }
 
 const (
@@ -93,12 +93,12 @@
 )
 
 func (m *rateMeter) addRunning(now time.Time, cost float64) {
-	if m.startOffsetBase.IsZero() {
-		m.startOffsetBase = now
+	if m.firstStartAt.IsZero() {
+		m.firstStartAt = now
 	}
 	m.runningCount++
 	m.runningTokens += cost
-	m.startOffsetSumMicros += now.Sub(m.startOffsetBase).Microseconds()
+	m.startOffsetSumMicros += now.Sub(m.firstStartAt).Microseconds()
 }
 
 // removeRunning removes a request from the running requests. The measured slot rate does
@@ -106,7 +106,7 @@
 func (m *rateMeter) removeRunning(startedAt time.Time, cost float64) {
 	m.runningCount--
 	m.runningTokens -= cost
-	m.startOffsetSumMicros -= startedAt.Sub(m.startOffsetBase).Microseconds()
+	m.startOffsetSumMicros -= startedAt.Sub(m.firstStartAt).Microseconds()
 	if m.runningCount == 0 {
 		m.runningTokens = 0
 	}
@@ -157,7 +157,7 @@
 	if m.runningCount == 0 || rate == 0 {
 		return 0
 	}
-	elapsedMicros := int64(m.runningCount)*now.Sub(m.startOffsetBase).Microseconds() - m.startOffsetSumMicros
+	elapsedMicros := int64(m.runningCount)*now.Sub(m.firstStartAt).Microseconds() - m.startOffsetSumMicros
 	maxRatio := maxElapsedRatio + elapsedRatioMargin/math.Sqrt(float64(m.runningCount))
 	return float64(elapsedMicros) / 1e6 / (maxRatio * m.runningTokens / rate)
 }
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -37,7 +37,7 @@
 // leavingState records which sources report that a replica is leaving.
 type leavingState struct {
 	sources             uint8     // bit set, indexed by Source
-	refusedAt           time.Time // when the replica last refused a request because it is shutting down
+	refusedLeavingAt           time.Time // when the replica last refused a request because it is shutting down
 	leavingReportMadeAt time.Time // when the replica made its latest report with the leaving flag
 }
 
@@ -127,7 +127,7 @@
 
 func (b *Balancer) newTier(now time.Time, replicas []hashedReplica, oldMembers map[string]*member, isNew func(hashedReplica) bool) tier {
 	t := tier{members: make([]*member, len(replicas)), roundRobinPosition: b.rng.Float64()}
-	for i, r := range b.chooser.sortedByRank(replicas) {
+	for i, r := range b.chooser.sortedByRendezvousScore(replicas) {
 		m := oldMembers[r.ID]
 		if m == nil {
 			m = &member{health: b.detector.Track(r.FailureDomain)}
@@ -185,13 +185,13 @@
 func (b *Balancer) recordLeavingRefusal(now time.Time, id string) {
 	state := b.leavingStates[id]
 	state.sources |= 1 << sourceRefusal
-	state.refusedAt = now
+	state.refusedLeavingAt = now
 	b.setLeavingState(now, id, state)
 }
 
 func (b *Balancer) expireLeavingRefusals(now time.Time) {
 	for id, state := range b.leavingStates {
-		if state.has(sourceRefusal) && now.Sub(state.refusedAt) >= leavingRefusalTTL {
+		if state.has(sourceRefusal) && now.Sub(state.refusedLeavingAt) >= leavingRefusalTTL {
 			b.MarkLeaving(now, id, sourceRefusal, false)
 		}
 	}
--- a/decide/balance/config.go
+++ b/decide/balance/config.go
@@ -63,9 +63,9 @@
 	Node string
 	// FailureDomain is the failure domain of the node.
 	FailureDomain string
-	// NearDomains lists other failure domains, nearest first. Domains that are not
+	// DomainsByNearness lists other failure domains, nearest first. Domains that are not
 	// listed follow in an order that depends on the node's own domain.
-	NearDomains []string
+	DomainsByNearness []string
 	// Seed seeds the random choices. Each node needs a different seed.
 	Seed uint64
 	// SubsetSize is the approximate number of replicas that the node uses. The
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -100,7 +100,7 @@
 // prefix and then the replica with the lowest score.
 func (b *Balancer) pickFromHolders(now time.Time, q Query) (Choice, bool) {
 	prefixTier := b.prefixTier()
-	var best, runnerUp holderWithPreference
+	var best, runnerUp scoredHolder
 	for _, h := range q.Holders {
 		if best.member != nil && h.Blocks < best.cachedBlocks {
 			break
@@ -109,9 +109,9 @@
 		if m == nil || m.tier != prefixTier {
 			continue
 		}
-		candidate := holderWithPreference{m, h.Blocks, b.holderPreference(now, prefixTier, m, q.Prefix)}
+		candidate := scoredHolder{m, h.Blocks, b.negatedHolderScore(now, prefixTier, m, q.Prefix)}
 		switch {
-		case !b.acceptsPrefix(now, q, prefixTier, m) || best.member != nil && candidate.preference < best.preference:
+		case !b.acceptsPrefix(now, q, prefixTier, m) || best.member != nil && candidate.negatedScore < best.negatedScore:
 			runnerUp = candidate
 		default:
 			runnerUp, best = cmp.Or(best, runnerUp), candidate
@@ -127,18 +127,18 @@
 	return c, true
 }
 
-// holderWithPreference is a replica that probably has blocks of a prompt cached. A
+// scoredHolder is a replica that probably has blocks of a prompt cached. A
 // higher preference is better.
-type holderWithPreference struct {
+type scoredHolder struct {
 	member       *member
 	cachedBlocks int
-	preference   float64
+	negatedScore   float64
 }
 
-// holderPreference returns the preference for a replica that has a prefix cached.
+// negatedHolderScore returns the preference for a replica that has a prefix cached.
 // The owner of the prefix comes first, so that copies of the prefix on other
 // replicas fall out of use. The other replicas follow in order of their score.
-func (b *Balancer) holderPreference(now time.Time, t *tier, m *member, prefix uint64) float64 {
+func (b *Balancer) negatedHolderScore(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.prefixOwner(prefix) == m {
 		return math.Inf(1)
 	}
--- a/decide/balance/subset.go
+++ b/decide/balance/subset.go
@@ -111,10 +111,10 @@
 	if domain == s.cfg.FailureDomain {
 		return -1
 	}
-	if i := slices.Index(s.cfg.NearDomains, domain); i >= 0 {
+	if i := slices.Index(s.cfg.DomainsByNearness, domain); i >= 0 {
 		return i
 	}
-	return len(s.cfg.NearDomains)
+	return len(s.cfg.DomainsByNearness)
 }
 
 // chooseFromDomain chooses about targetCount replicas of one domain. If
@@ -170,15 +170,15 @@
 // topRankedReplicas returns the n replicas with the highest rendezvous score for
 // this node. A node that does not know its peers chooses its replicas in this way.
 func (s *subsetChooser) topRankedReplicas(replicas []hashedReplica, n int) []hashedReplica {
-	sorted := s.sortedByRank(replicas)
+	sorted := s.sortedByRendezvousScore(replicas)
 	return sorted[:min(n, len(sorted))]
 }
 
-// sortedByRank returns the replicas by descending rendezvous score for this node,
+// sortedByRendezvousScore returns the replicas by descending rendezvous score for this node,
 // an order that differs between nodes. If all nodes used the same order, nodes
 // that send round robin at the same rate would all send to the same replica at the
 // same time. Each replica would receive its requests in bursts.
-func (s *subsetChooser) sortedByRank(replicas []hashedReplica) []hashedReplica {
+func (s *subsetChooser) sortedByRendezvousScore(replicas []hashedReplica) []hashedReplica {
 	sorted := slices.Clone(replicas)
 	slices.SortFunc(sorted, func(a, b hashedReplica) int {
 		return cmp.Compare(rendezvous.Score(s.nodeHash, b.idHash), rendezvous.Score(s.nodeHash, a.idHash))
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -11,10 +11,10 @@
 	"github.com/cicadatack/cicadatack/decide/health"
 )
 
-// Fleet describes a run of several nodes that share replicas. Each node has its own
+// FleetScenario describes a run of several nodes that share replicas. Each node has its own
 // queue and balancer, and learns of the other nodes' requests only from the
 // replicas' load reports.
-type Fleet struct {
+type FleetScenario struct {
 	// NodeShares holds each node's share of the calls; the shares add up to 1. The
 	// length of a node's queue does not influence which calls go to the node,
 	// because callers keep the node addresses that they were given.
@@ -80,12 +80,12 @@
 )
 
 // Capacity returns the number of calls per second that the replicas can answer.
-func (f Fleet) Capacity() float64 {
+func (f FleetScenario) Capacity() float64 {
 	return float64(f.ReplicaCount*f.SlotsPerReplica) / (float64(f.TokensPerAnswer) * f.TokenTime.Seconds())
 }
 
 // failureDomain returns the failure domain of the i-th node or replica.
-func (f Fleet) failureDomain(i int) string {
+func (f FleetScenario) failureDomain(i int) string {
 	return fmt.Sprint("domain-", i%max(f.DomainCount, 1))
 }
 
@@ -105,7 +105,7 @@
 
 // fleetRun is the state of one run of a Fleet.
 type fleetRun struct {
-	Fleet
+	FleetScenario
 	*Loop
 	arrivalRNG       *rand.Rand // for the arrival times of calls only; the arrival times are thus the same however calls are served
 	assignmentRNG    *rand.Rand // for assigning calls to nodes and teams
@@ -149,8 +149,8 @@
 
 // RunFleet runs the simulation. It returns the answers to the calls that were sent
 // after Warmup, in order of the arrival of these calls.
-func RunFleet(f Fleet) []*Answer {
-	r := &fleetRun{Fleet: f, Loop: NewLoop(), arrivalRNG: rand.New(rand.NewPCG(f.Seed, 3)), assignmentRNG: rand.New(rand.NewPCG(f.Seed, 4))}
+func RunFleet(f FleetScenario) []*Answer {
+	r := &fleetRun{FleetScenario: f, Loop: NewLoop(), arrivalRNG: rand.New(rand.NewPCG(f.Seed, 3)), assignmentRNG: rand.New(rand.NewPCG(f.Seed, 4))}
 	var replicas []balance.Replica
 	for i := range f.ReplicaCount {
 		id := fmt.Sprint("replica-", i)
@@ -174,7 +174,7 @@
 	}
 	n.balancer.SetReplicas(r.Now, replicas)
 	if !r.HideNodeCountFromBalancers {
-		n.balancer.SetNodeCount(len(r.Fleet.NodeShares))
+		n.balancer.SetNodeCount(len(r.FleetScenario.NodeShares))
 	}
 	r.nodes = append(r.nodes, n)
 	r.updateAdmissionSlotsPeriodically(n)
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -136,15 +136,15 @@
 	} else {
 		orders = append(orders, c.shrinkOverfilled()...)
 	}
-	return finalOrders(orders, replicas)
+	return lastOrderPerReplica(orders, replicas)
 }
 
-// finalOrders keeps the last order of each replica and drops orders for spans that the
+// lastOrderPerReplica keeps the last order of each replica and drops orders for spans that the
 // replica already holds. A replica that moves to a gap may also take the rest of the gap
 // in the same plan, and then has two orders. Each order that is sent carries the number of
 // orders that the replica has accepted so far. Two orders sent at the same time would carry
 // the same number, and the replica would accept only the order that arrives first.
-func finalOrders(orders []Order, replicas []Replica) []Order {
+func lastOrderPerReplica(orders []Order, replicas []Replica) []Order {
 	heldSpans := make(map[string]Span, len(replicas))
 	for _, r := range replicas {
 		heldSpans[r.ID] = r.Held
--- a/decide/paths/paths.go
+++ b/decide/paths/paths.go
@@ -112,9 +112,9 @@
 	// card, and at least 1.
 	slowdown float64
 	// peerReserved is what peers have reserved according to their last reports.
-	// reservedAtReport is what this node itself had reserved when it received those reports.
+	// ownReservedAtReport is what this node itself had reserved when it received those reports.
 	// Both are in tokens times layers.
-	peerReserved, reservedAtReport float64
+	peerReserved, ownReservedAtReport float64
 }
 
 // Selector tracks the reservations on each replica and chooses paths. A Selector is not
@@ -174,7 +174,7 @@
 	s.reportingPeerCount[domain] = peerCount
 	for _, r := range s.sortedByID {
 		if r.Domain == domain {
-			r.peerReserved, r.reservedAtReport = reserved[r.ID], r.reserved
+			r.peerReserved, r.ownReservedAtReport = reserved[r.ID], r.reserved
 		}
 	}
 }
@@ -235,12 +235,12 @@
 	if s.reportingPeerCount[r.Domain] == 0 {
 		return true
 	}
-	freeAtReport := max(0, utilizationLimit*s.capacity(now, r)-r.peerReserved-r.reservedAtReport)
-	reservedSinceReport := r.reserved + extraTokenLayers - r.reservedAtReport
+	freeAtReport := max(0, utilizationLimit*s.capacity(now, r)-r.peerReserved-r.ownReservedAtReport)
+	reservedSinceReport := r.reserved + extraTokenLayers - r.ownReservedAtReport
 	if reservedSinceReport <= freeAtReport*min(1, maxSharesPerReport*s.share(r.Domain)) {
 		return true
 	}
-	return r.reserved <= r.reservedAtReport && extraTokenLayers <= freeAtReport*singleRequestFraction
+	return r.reserved <= r.ownReservedAtReport && extraTokenLayers <= freeAtReport*singleRequestFraction
 }
 
 // Choose returns the cheapest path for a query, or no path and an Outcome that says why no
--- a/decide/paths/paths_test.go
+++ b/decide/paths/paths_test.go
@@ -424,7 +424,7 @@
 
 // The only holder of some layers is in a backoff period. The outcome must be NoCapacity, on
 // which requests wait, and not LayersUnavailable.
-func TestOnlyHolderInBackoffReportsNoCapacity(t *testing.T) {
+func TestChooseReturnsNoCapacityWhenOnlyHolderInBackoff(t *testing.T) {
 	s := New(1)
 	s.Update([]Replica{replica("r", "d", 0, 80)})
 	s.RecordRefusal(start, "r")
--- a/decide/reroute/reroute.go
+++ b/decide/reroute/reroute.go
@@ -99,7 +99,7 @@
 	if e.BytesPerSecond <= 0 {
 		return 0
 	}
-	totalBytes := (l.remaining(now, e) + e.Bytes) * float64(max(1, e.Nodes))
+	totalBytes := (l.remainingBytes(now, e) + e.Bytes) * float64(max(1, e.Nodes))
 	return time.Duration(totalBytes / e.BytesPerSecond * float64(time.Second))
 }
 
@@ -115,17 +115,17 @@
 // the request needs no transfer, or this node has no unfinished transfer on the links, so
 // that the request waits only for its own transfer.
 func (l *LinkBacklog) Idle(now time.Time, e Estimate) bool {
-	return e.Bytes == 0 || l.remaining(now, e) == 0
+	return e.Bytes == 0 || l.remainingBytes(now, e) == 0
 }
 
 // AddTransfer records that the transfer of a request begins.
 func (l *LinkBacklog) AddTransfer(now time.Time, e Estimate) {
-	l.pendingBytes, l.updatedAt = l.remaining(now, e)+e.Bytes, now
+	l.pendingBytes, l.updatedAt = l.remainingBytes(now, e)+e.Bytes, now
 }
 
-// remaining returns how many bytes of this node's transfers are not transferred yet.
+// remainingBytes returns how many bytes of this node's transfers are not transferred yet.
 // The calculation assumes that each node gets an equal share of the bandwidth.
-func (l *LinkBacklog) remaining(now time.Time, e Estimate) float64 {
+func (l *LinkBacklog) remainingBytes(now time.Time, e Estimate) float64 {
 	bytesPerSecond := e.BytesPerSecond / float64(max(1, e.Nodes))
 	return max(0, l.pendingBytes-bytesPerSecond*now.Sub(l.updatedAt).Seconds())
 }
--- a/decide/retry/retry.go
+++ b/decide/retry/retry.go
@@ -56,8 +56,8 @@
 	NotRun bool
 	// Deadline is the deadline of the request; zero means no deadline.
 	Deadline time.Time
-	// MinDuration is the shortest time that a further attempt needs to succeed.
-	MinDuration time.Duration
+	// MinAttemptDuration is the shortest time that a further attempt needs to succeed.
+	MinAttemptDuration time.Duration
 	// Alternatives is the number of other endpoints that could serve a retry.
 	Alternatives int
 }
@@ -181,7 +181,7 @@
 		return TooManyAttempts
 	case a.Alternatives <= 0:
 		return NoAlternative
-	case !a.Deadline.IsZero() && start.Add(a.MinDuration).After(a.Deadline):
+	case !a.Deadline.IsZero() && start.Add(a.MinAttemptDuration).After(a.Deadline):
 		return DeadlineTooNear
 	case retriesLeft < 1:
 		return BudgetSpent
--- a/decide/retry/retry_test.go
+++ b/decide/retry/retry_test.go
@@ -81,8 +81,8 @@
 		{"an order known not to have run", func(a *Attempt) { a.Idempotent, a.NotRun = false, true }, Allowed},
 		{"a third attempt", func(a *Attempt) { a.AttemptsMade = 3 }, TooManyAttempts},
 		{"no other endpoint", func(a *Attempt) { a.Alternatives = 0 }, NoAlternative},
-		{"no time left", func(a *Attempt) { a.MinDuration = time.Second }, DeadlineTooNear},
-		{"no deadline", func(a *Attempt) { a.MinDuration, a.Deadline = time.Hour, time.Time{} }, Allowed},
+		{"no time left", func(a *Attempt) { a.MinAttemptDuration = time.Second }, DeadlineTooNear},
+		{"no deadline", func(a *Attempt) { a.MinAttemptDuration, a.Deadline = time.Hour, time.Time{} }, Allowed},
 	} {
 		Convey("Given "+c.name, t, func() {
 			a := allowedAttempt
