--- a/decide/adapters/doc.go
+++ b/decide/adapters/doc.go
@@ -14,6 +14,8 @@
 //     limited, and all loads share it.
 //   - A holder of an adapter is a replica all of whose engines report the adapter. A
 //     planned holder is a replica whose plan contains the adapter.
+//   - The use rate of an adapter on a replica is the number of streams with the adapter
+//     that are opened on the replica per second.
 //   - The document is the configuration that operators write. It says which adapters a
 //     model has, in which version, and on how many replicas each of them should be.
 //   - A slot is a place for one stream in the batch of a replica. A replica is busy if at
--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -109,10 +109,12 @@
 }
 
 func TestNodesShareOnePrompt(t *testing.T) {
-	// If all requests share one system prompt, each node prefers the same replicas, or
-	// those of its own failure domain. These replicas get up to a quarter more than the
-	// mean load. At full load, requests then queue at these replicas while other replicas
-	// have idle slots, and callers are refused although there is capacity.
+	// If all requests share one system prompt, they have the same prefix hash, and each node
+	// prefers the replicas to which its hash ring maps this prefix. With one failure domain,
+	// all nodes prefer the same replicas. With several domains, each node prefers replicas of
+	// its own domain. The preferred replicas get up to a quarter more than the mean load. At
+	// full load, requests then queue at these replicas while other replicas have idle slots,
+	// and callers are refused although there is capacity.
 	Convey("Given requests that share one prompt", t, func() {
 		for _, domains := range []int{1, 3} {
 			for _, load := range []float64{1, 2, 4} {
--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -52,8 +52,8 @@
 	// headroom is the number of slots kept free for teams below their share.
 	headroom           int
 	stalled            bool
-	allJobsAllocation  allocation // assigns the drain rate to teams, from the demand of all their requests
-	longJobsAllocation allocation // assigns the rate of longJobSlots to teams, from the demand of their long jobs
+	allJobsAllocation  allocation // divides the drain rate between the teams by the demand of all their requests
+	longJobsAllocation allocation // divides the drain rate of the longJobSlots between the teams by the demand of their long jobs
 }
 
 // allocation divides a capacity between the teams by weighted max-min fairness: each team
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -17,9 +17,9 @@
 // decayingSum is a sum of added values, usually costs in tokens, that decays exponentially
 // with the time constant rateTimeConstant.
 type decayingSum struct {
-	decayedSum        float64
-	updatedAt  time.Time // time of the last add
-	firstAddAt time.Time // time of the first add since the sum was negligible
+	decayedSum float64
+	updatedAt  time.Time // when a value was last added; decayedSum is the sum at this time
+	firstAddAt time.Time // when the first value was added after the sum had fallen below negligibleSum
 }
 
 // negligibleSum is the sum, in tokens, below which a decayingSum restarts. A sum of one
@@ -75,8 +75,8 @@
 
 	runningCount         int       // number of running requests
 	runningTokens        float64   // expected tokens of the running requests
-	startOffsetSumMicros int64     // sum of the times from startOffsetBase to the start of each running request, microseconds
-	firstStartAt      time.Time // when the first request started
+	startOffsetSumMicros int64     // sum of the times from firstStartAt to the start of each running request, microseconds
+	firstStartAt         time.Time // when the first request started
 }
 
 const (
@@ -133,9 +133,10 @@
 // the rate is unknown.
 //
 // The finished requests alone do not show that the service has become slow since they
-// finished. Requests would then be admitted at the old slot rate. Therefore the time that
-// the running requests have taken so far also counts. If the elapsed ratio exceeds its
-// normal maximum, slotRate divides the measured or assumed slot rate by elapsedOverMax.
+// finished. If slotRate used only these requests, the queue would go on admitting requests
+// at the old slot rate. Therefore the time that the running requests have taken so
+// far also counts. If the elapsed ratio exceeds its normal maximum, slotRate divides the
+// measured or assumed slot rate by elapsedOverMax.
 func (m *rateMeter) slotRate(now time.Time) float64 {
 	rate := m.measuredSlotRate()
 	if rate == 0 {
--- a/decide/admission/types.go
+++ b/decide/admission/types.go
@@ -68,7 +68,8 @@
 // Reason says why a verdict was given.
 type Reason uint8
 
-// The reasons.
+// Reasons of a verdict. SlotFree is the only reason to run a request. All others are reasons
+// to refuse it.
 const (
 	// SlotFree: a slot was free and the request was the next to start.
 	SlotFree Reason = iota + 1
@@ -173,8 +174,8 @@
 	defaultLongCost            = 2048
 	defaultMaxRetryAfter       = time.Minute
 
-	// minRetryAfter is the smallest RetryAfter. It keeps a refused caller from retrying
-	// within the time that a refusal and a new request take together.
+	// minRetryAfter is the smallest RetryAfter. It covers the time to send a refusal and then
+	// a new request, so that no refused caller retries sooner than that.
 	minRetryAfter = 100 * time.Millisecond
 	// noCapacityRetryAfter is the RetryAfter while the service has no slots. No drain rate
 	// is known then. New endpoints are detected within about a second.
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -37,7 +37,7 @@
 // leavingState records which sources report that a replica is leaving.
 type leavingState struct {
 	sources             uint8     // bit set, indexed by Source
-	refusedLeavingAt           time.Time // when the replica last refused a request because it is shutting down
+	refusedLeavingAt    time.Time // when the replica last refused a request because it is shutting down
 	leavingReportMadeAt time.Time // when the replica made its latest report with the leaving flag
 }
 
--- a/decide/balance/doc.go
+++ b/decide/balance/doc.go
@@ -40,7 +40,8 @@
 //   - Slowness: the delay of a replica relative to the median delay of the subset,
 //     limited to the range from 1 to 4 (package health).
 //   - Score: the utilization that a replica would have with one more request,
-//     multiplied by its slowness. Lower scores are better.
+//     multiplied by its slowness. Lower scores are better. The scores of package
+//     rendezvous are different: there the highest score wins.
 //   - In flight: sent to a replica and not ended.
 //   - Peers: the other nodes of the node's failure domain.
 //   - Nearest failure domain: the node's own. If the service has no replica there, it is
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -94,7 +94,7 @@
 type memberWithScore struct {
 	member           *member
 	inBackoff        bool    // the replica was full and refused a request less than Config.Backoff ago
-	scoreWhenAllFull float64 // requests per unit of effective capacity, multiplied by the slowness; see candidateWhenAllFull
+	scoreWhenAllFull float64 // this node's requests and the excess of other nodes' requests, per unit of effective capacity, multiplied by the slowness; see candidateWhenAllFull
 }
 
 func (r memberWithScore) betterThan(other memberWithScore) bool {
--- a/decide/balance/load.go
+++ b/decide/balance/load.go
@@ -53,8 +53,9 @@
 	h.newestTimeStep = timeStep
 }
 
-// countAt returns the number of in-flight requests at time t. If t is before the
-// oldest recorded time step, countAt returns the number in that step.
+// countAt returns the number of in-flight requests in the time step of t. If t is
+// before the oldest recorded time step or after the newest, countAt returns the number
+// in the oldest or the newest step.
 func (h *inflightHistory) countAt(t time.Time) int32 {
 	timeStep := min(timeStepOf(t), h.newestTimeStep)
 	timeStep = max(timeStep, h.newestTimeStep-historyTimeSteps+1, 0)
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -84,11 +84,11 @@
 	})
 }
 
-// With round robin, each endpoint receives all prefixes, which are more than its
-// cache holds. With hashing without a load bound, one endpoint receives all
-// requests of the hot prefix and is overloaded. Here a third of the calls have the
-// same prompt prefix, the other calls have one of sixty. A cached prefix saves 540
-// of the 600 ms before the first token.
+// With round robin, each endpoint receives requests of all prefixes, and its cache
+// cannot hold that many prefixes. With hashing without a load bound, one endpoint
+// receives all requests of the hot prefix and is overloaded. Here a third of the
+// calls have the same prompt prefix, the other calls have one of sixty. A cached
+// prefix saves 540 of the 600 ms before the first token.
 func TestHotPrefixIsSpread(t *testing.T) {
 	randomPrefix := func(r *rand.Rand) uint64 {
 		if r.Float64() < 0.33 {
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -127,17 +127,17 @@
 	return c, true
 }
 
-// scoredHolder is a replica that probably has blocks of a prompt cached. A
-// higher preference is better.
+// scoredHolder is a replica that probably has blocks of a prompt cached. A higher
+// negatedScore is better.
 type scoredHolder struct {
 	member       *member
 	cachedBlocks int
-	negatedScore   float64
+	negatedScore float64
 }
 
-// negatedHolderScore returns the preference for a replica that has a prefix cached.
-// The owner of the prefix comes first, so that copies of the prefix on other
-// replicas fall out of use. The other replicas follow in order of their score.
+// negatedHolderScore returns the negated score of a replica that has a prefix
+// cached; higher results are better. For the owner of the prefix it returns
+// infinity, so that requests stop using the copies of the prefix on other replicas.
 func (b *Balancer) negatedHolderScore(now time.Time, t *tier, m *member, prefix uint64) float64 {
 	if t.prefixOwner(prefix) == m {
 		return math.Inf(1)
@@ -215,15 +215,15 @@
 // the request's prefix. A replica that is excluded by the query, in backoff or not
 // usable may not be picked. If the mean utilization of the subset is 1 or more,
 // acceptsPrefixWhenAllFull decides. Otherwise two conditions must hold:
-//   - The replica's score does not exceed the utilization limit. This limit is
-//     AffinityLoadFactor times the mean utilization of the tier, but at least
-//     AffinityFloor. Score and limit are compared after multiplication by the
-//     replica's effective capacity. The product for the limit is rounded up to a
-//     whole number of requests.
-//   - The mean utilization of the spill tier is not lower than the replica's
-//     utilization by more than SpillMargin. This condition applies only if the
-//     replica is in the near tier, its utilization has reached SpillThreshold and
-//     the spill tier has usable replicas.
+//   - The replica's load with one more request, multiplied by its slowness, is at
+//     most the load limit. The load limit is the utilization limit times the
+//     replica's effective capacity, rounded up to a whole number of requests. The
+//     utilization limit is AffinityLoadFactor times the mean utilization of the
+//     tier, but at least AffinityFloor.
+//   - The replica's utilization exceeds the mean utilization of the spill tier by at
+//     most SpillMargin. This condition applies only if the replica is in the near
+//     tier, its utilization has reached SpillThreshold and the spill tier has usable
+//     replicas.
 func (b *Balancer) acceptsPrefix(now time.Time, q Query, t *tier, m *member) bool {
 	if !m.usable || excluded(q, m) || now.Before(m.backoffUntil) {
 		return false
@@ -369,7 +369,7 @@
 		}
 	}
 	if exclude != nil {
-		return nil // a replica in backoff is not compared with the first candidate
+		return nil // a replica in backoff is never the second candidate
 	}
 	return memberInBackoff
 }
--- a/decide/fairness/scheduler.go
+++ b/decide/fairness/scheduler.go
@@ -12,7 +12,8 @@
 
 // Flow is one team in the scheduler.
 type Flow[T any] struct {
-	// Value belongs to the user of the scheduler.
+	// Value is the value that was passed to Add. The scheduler only passes it to the
+	// function eligible of MinWhere.
 	Value T
 
 	weight      float64
--- a/decide/internal/sim/fifo.go
+++ b/decide/internal/sim/fifo.go
@@ -46,8 +46,8 @@
 	return f.dispatch(now)
 }
 
-// Tick returns no verdicts and no next time: a FIFO acts only on arrivals and ends
-// of requests.
+// Tick returns no verdicts and the zero time. A FIFO starts requests only when a request
+// arrives or ends or when the number of slots changes.
 func (f *FIFO) Tick(time.Time) ([]admission.Verdict, time.Time) { return nil, time.Time{} }
 
 // dispatch starts requests while slots are free and returns the verdicts.
--- a/decide/internal/sim/fleet.go
+++ b/decide/internal/sim/fleet.go
@@ -89,7 +89,7 @@
 	return fmt.Sprint("domain-", i%max(f.DomainCount, 1))
 }
 
-// Answer records what one caller of a Fleet received.
+// Answer records what one caller of a FleetScenario received.
 type Answer struct {
 	SentAt time.Duration // when the caller sent the call, measured from Start
 	// TimeToFirstToken and TotalTime are measured from the sending of the call.
@@ -103,7 +103,7 @@
 	NodeIndex          int
 }
 
-// fleetRun is the state of one run of a Fleet.
+// fleetRun is the state of one run of a FleetScenario.
 type fleetRun struct {
 	FleetScenario
 	*Loop
--- a/decide/layers/compare_test.go
+++ b/decide/layers/compare_test.go
@@ -55,7 +55,7 @@
 			replicas = append(replicas, Replica{ID: fmt.Sprint("r", i), MemoryMB: float64(rapid.IntRange(2, 7).Draw(t, "memory")) * 50 * 2})
 		}
 		plannedReplicas := applyOrders(replicas, Plan(smallModel, replicas))
-		for range 3 { // neighbours take the remaining layers
+		for range 3 { // in these plans the neighbours of a gap take its remaining layers
 			plannedReplicas = applyOrders(plannedReplicas, Plan(smallModel, plannedReplicas))
 		}
 		highestCapacity := bestCapacity(smallModel, slices.Clone(replicas), 0)
--- a/decide/layers/layers.go
+++ b/decide/layers/layers.go
@@ -40,7 +40,9 @@
 // # Rules
 //
 //   - Plan gives each replica the same fraction of the layers that fit on its card
-//     (TargetFill), so the token capacity is about the same on all replicas. Thus no
+//     (TargetFill). The number of layers and the memory that is left for requests are then
+//     both proportional to the memory of the card, so the token capacity, which is
+//     proportional to their ratio, is about the same on all replicas. Thus no
 //     replica becomes the bottleneck of its domain: a replica that alone limits the number
 //     of tokens in the domain. Once all layers have a holder, the remaining replicas become
 //     second holders.
--- a/decide/layers/layers_test.go
+++ b/decide/layers/layers_test.go
@@ -191,11 +191,11 @@
 	}
 }
 
-// A plan could contain two orders for one replica: to move to a gap and, as a neighbour of the
-// rest of the gap, to take that rest too. Both orders would be sent at the same time, and the
-// replica would accept only the order that arrives first. If that order has the shorter span,
-// the rest of the gap has no holder until the next plan. So a plan must contain at most one
-// order for each replica.
+// Plan can compute two orders for one replica: the first to move to a gap, the second to take,
+// as a neighbour, the rest of this gap too. If the plan contained both, they would be sent at
+// the same time, and the replica would accept only the order that arrives first. If that order
+// has the shorter span, the rest of the gap has no holder until the next plan. So a plan must
+// contain at most one order for each replica.
 func TestNoReplicaIsOrderedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var replicas []Replica
--- a/decide/paths/replica_state.go
+++ b/decide/paths/replica_state.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// avoidDuration is how long a replica is the last choice in its failure domain after it
-	// refused a request for lack of capacity. Streams last a few seconds, so some of them
-	// end within this time.
+	// avoidDuration is how long avoidFactor raises the cost of a replica, for example after
+	// the replica refused a request for lack of capacity. Streams last a few
+	// seconds, so some of them end within this time.
 	avoidDuration = 150 * time.Millisecond
 	// Each refusal for lack of capacity multiplies the usable fraction of the capacity by
 	// refusalFactor. The fraction then rises by recoveryPerSecond each second: streams last
@@ -97,9 +97,9 @@
 }
 
 // MarkLayersMissing records that a replica doesn't hold the layers that it is listed
-// with: it was restarted, or another replica has its address now. Probes of its machine
-// succeed in both cases, so MarkAlive doesn't end this exclusion. The replica is excluded
-// from paths until it has reported its layers again.
+// with: it was restarted, or another replica has its address now. The replica is excluded
+// from paths until it has reported its layers again. MarkAlive doesn't end this exclusion,
+// because probes of the replica's machine succeed in both cases.
 func (s *Selector) MarkLayersMissing(id string) {
 	if r, ok := s.replicas[id]; ok {
 		r.layersMissing = true
--- a/decide/placement/rollout.go
+++ b/decide/placement/rollout.go
@@ -22,7 +22,9 @@
 	// Start names the replicas that begin to change to the new version now. A replica that
 	// serves finishes its streams before it loads the new version.
 	Start []string
-	// Unavailable is the number of replicas that don't serve now. NextRollout adds a serving
+	// Unavailable is the number of replicas that don't serve now. MaxUnavailable is the
+	// largest number of replicas that may be out of service: the maxFraction of NextRollout
+	// times the number of replicas, rounded down. NextRollout adds a serving
 	// replica to Start only if Unavailable and the number of serving replicas in Start are
 	// then together at most MaxUnavailable.
 	Unavailable, MaxUnavailable int
@@ -49,14 +51,15 @@
 // such a version: a replica that fails to load it stays unavailable and counts against
 // MaxUnavailable.
 //
-// A replica in the state Unknown counts as unavailable, but NextRollout doesn't choose it
-// for Start. A node that has just become responsible for the plans has no answer from any
-// replica yet. Without this rule such a node would choose all replicas.
+// A replica in the state Unknown counts as unavailable, and NextRollout doesn't add it to
+// Start. A node that has just become responsible for the plans has no answer from any
+// replica yet. If Unknown replicas were treated as serving, such a node would add all
+// replicas to Start.
 //
-// A replica in the state Loading may still load another version than the new one. Such a
-// replica serves no requests, so its change takes no further replica out of service.
-// NextRollout therefore chooses the replica for Start at once, even if MaxUnavailable or
-// maxConcurrentUpdates is reached.
+// A replica in the state Loading whose plan names another version than the new one serves no
+// requests, so its change takes no further replica out of service. NextRollout therefore
+// adds the replica to Start at once, even if MaxUnavailable or maxConcurrentUpdates is
+// reached.
 func NextRollout(version string, maxFraction float64, replicas []RolloutReplica) RolloutStep {
 	r := RolloutStep{MaxUnavailable: maxUnavailable(maxFraction, len(replicas))}
 	loadingCount := 0
--- a/decide/placement/rollout_test.go
+++ b/decide/placement/rollout_test.go
@@ -41,7 +41,7 @@
 			t.Errorf("%s: %+v", c.name, got)
 		}
 	}
-	if got := maxUnavailable(0.29, 100); got != 29 { // 28.999999999999996
+	if got := maxUnavailable(0.29, 100); got != 29 { // the product of the two is 28.999999999999996
 		t.Errorf("29%% of 100 is %d", got)
 	}
 }
--- a/decide/retry/limiter.go
+++ b/decide/retry/limiter.go
@@ -6,7 +6,7 @@
 type limiter interface {
 	// available returns the number of retries that are allowed now.
 	available(now time.Time) float64
-	// recordSuccess adds the retries that a complete response earns.
+	// recordSuccess adds the retries that a complete response earns to the allowed retries.
 	recordSuccess(now time.Time)
 	// spend subtracts one retry.
 	spend(now time.Time)
--- a/decide/retry/limiter_test.go
+++ b/decide/retry/limiter_test.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// If retries stopped counting before the window has passed, some period of the window's
-// length would have more retries than allowed. The limit here is the burst plus the retry
-// ratio times the successes of that period and of the period before it.
+// Each retry must count for a whole window. If it counted for less time, some period of the
+// window's length could have more retries than allowed. The limit here is the burst plus the
+// retry ratio times the successes of that period and of the period before it.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const burst, retryRatio = 7.0, 0.2
--- a/decide/retry/retry.go
+++ b/decide/retry/retry.go
@@ -79,7 +79,7 @@
 	// NoAlternative means that no other endpoint is left.
 	NoAlternative
 	// DeadlineTooNear means that a retry would end after the deadline, even if it took only
-	// MinDuration.
+	// MinAttemptDuration.
 	DeadlineTooNear
 	// BudgetSpent means that no retry is left in the budget.
 	BudgetSpent
