--- a/route/connprobe/connprobe_test.go
+++ b/route/connprobe/connprobe_test.go
@@ -58,9 +58,9 @@
 func (d *hangingDialer) Reachable(ctx context.Context, address string, timeout time.Duration) (accepts, hostAnswers bool) {
 	d.mu.Lock()
 	d.attempts[address]++
-	first := d.attempts[address] == 1
+	firstAttempt := d.attempts[address] == 1
 	d.mu.Unlock()
-	if address == "lossy" && !first {
+	if address == "lossy" && !firstAttempt {
 		return true, true
 	}
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -85,13 +85,13 @@
 	}
 }
 
-// pairingDialer blocks each attempt until a second attempt is running too.
-type pairingDialer struct{ paired chan struct{} }
+// concurrentAttemptsDialer blocks each attempt until a second attempt is running too.
+type concurrentAttemptsDialer struct{ otherAttempt chan struct{} }
 
-func (d *pairingDialer) Reachable(ctx context.Context, _ string, _ time.Duration) (accepts, hostAnswers bool) {
+func (d *concurrentAttemptsDialer) Reachable(ctx context.Context, _ string, _ time.Duration) (accepts, hostAnswers bool) {
 	select {
-	case d.paired <- struct{}{}: // received by the other attempt
-	case <-d.paired:
+	case d.otherAttempt <- struct{}{}: // received by the other attempt
+	case <-d.otherAttempt:
 	case <-ctx.Done():
 	}
 	return false, false
@@ -101,7 +101,7 @@
 // would take two timeouts, and streams that could still be on time would be late. Here
 // each attempt ends only while both run, so sequential attempts would block forever.
 func TestSecondAttemptDoesNotWaitForTheFirst(t *testing.T) {
-	p := New(&pairingDialer{paired: make(chan struct{})}, time.Now)
+	p := New(&concurrentAttemptsDialer{otherAttempt: make(chan struct{})}, time.Now)
 	if unreachable := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"hanging"}); len(unreachable) != 1 {
 		t.Errorf("unreachable endpoints: %v", unreachable)
 	}
--- a/route/docindex/docindex.go
+++ b/route/docindex/docindex.go
@@ -63,8 +63,8 @@
 
 // Team returns the team that an API key belongs to. The lookup compares hashes instead of
 // keys, so that its duration reveals nothing about the keys of other teams.
-func (x *Index) Team(key string) (*document.Team, bool) {
-	t, ok := x.teamsByKeyHash[sha256.Sum256([]byte(key))]
+func (x *Index) Team(apiKey string) (*document.Team, bool) {
+	t, ok := x.teamsByKeyHash[sha256.Sum256([]byte(apiKey))]
 	return t, ok
 }
 
@@ -137,9 +137,9 @@
 
 // BearerKey returns the API key in the Authorization header, or "" if there is none.
 func BearerKey(r *http.Request) string {
-	scheme, key, ok := strings.Cut(r.Header.Get("Authorization"), " ")
+	scheme, apiKey, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
 		return ""
 	}
-	return strings.TrimSpace(key)
+	return strings.TrimSpace(apiKey)
 }
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -170,8 +170,8 @@
 // of a pending order, the replica counts as holding the ordered span.
 func (k *Controller) plannerReplica(now time.Time, model *ruleset.Model, r *replicalist.Replica, suspected bool) layers.Replica {
 	c := layers.Replica{
-		ID: r.ID, MemoryMB: model.Cards[r.CardKind].MemoryMB, Held: r.Holds,
-		Fixed: r.ExecutingOrder, Excluded: r.Draining || suspected || model.Cards[r.CardKind].MemoryMB == 0,
+		ID: r.ID, MemoryMB: model.CardKinds[r.CardKind].MemoryMB, Held: r.Holds,
+		Fixed: r.ExecutingLayerOrder, Excluded: r.Draining || suspected || model.CardKinds[r.CardKind].MemoryMB == 0,
 	}
 	p, ok := k.pendingOrders[r.ID]
 	if !ok {
@@ -211,7 +211,7 @@
 	if !ok {
 		return
 	}
-	if report.AcceptedOrders != expected && report.Holds == r.Holds && !report.ExecutingOrder && k.sendOrder(ctx, r, revision, report.AcceptedOrders, o) {
+	if report.AcceptedOrders != expected && report.Holds == r.Holds && !report.ExecutingLayerOrder && k.sendOrder(ctx, r, revision, report.AcceptedOrders, o) {
 		return
 	}
 	k.clearPending(r.ID, report)
@@ -252,7 +252,7 @@
 		k.log.Warn("replica report not read", "replica", r.ID, "error", err)
 		return report, false
 	}
-	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedOrders, "holds", report.Holds, "busy", report.ExecutingOrder, "born", report.Incarnation)
+	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedOrders, "holds", report.Holds, "busy", report.ExecutingLayerOrder, "born", report.Incarnation)
 	k.setAcceptedOrders(r, report.AcceptedOrders)
 	return report, true
 }
@@ -263,7 +263,7 @@
 func (k *Controller) clearPending(replica string, report replicareport.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.ExecutingOrder {
+	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.ExecutingLayerOrder {
 		delete(k.pendingOrders, replica)
 	}
 }
--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -19,7 +19,7 @@
 	start     = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 	testModel = &ruleset.Model{
 		Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, LoadTime: time.Second,
-		Cards: map[string]ruleset.Card{"l4": {MemoryMB: 700}},
+		CardKinds: map[string]ruleset.CardKind{"l4": {MemoryMB: 700}},
 	}
 )
 
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -41,7 +41,7 @@
 	if !r.started {
 		r.started = true
 		r.reported = now
-		c.answer.At.Picker.Started(r.replica, now.Sub(r.since))
+		c.answer.At.Picker.ResponseStarted(r.replica, now.Sub(r.since))
 		return
 	}
 	r.tokens++
--- a/route/relay/reroute_test.go
+++ b/route/relay/reroute_test.go
@@ -18,7 +18,7 @@
 	m := targets.NewModelTargets("d", 1, time.Now)
 	model := &ruleset.Model{
 		Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, StepMillis: 1,
-		Cards: map[string]ruleset.Card{"h100": {MemoryMB: 2000, StepTimeFactor: 1}},
+		CardKinds: map[string]ruleset.CardKind{"h100": {MemoryMB: 2000, StepTimeFactor: 1}},
 	}
 	var list []*replicalist.Replica
 	for _, id := range []string{"a", "b"} {
--- a/route/replicalist/replicalist.go
+++ b/route/replicalist/replicalist.go
@@ -22,8 +22,8 @@
 	Draining bool
 	// Slots is the maximum number of concurrent requests.
 	Slots int
-	// ExecutingOrder is set while the replica executes an order to load or drop layers.
-	ExecutingOrder bool
+	// ExecutingLayerOrder is set while the replica executes an order to load or drop layers.
+	ExecutingLayerOrder bool
 	// Holds is the range of layers that the replica holds. It is empty for replicas of a
 	// plain service and for replicas without layers.
 	Holds layers.Span
--- a/route/replicapicker/replicapicker.go
+++ b/route/replicapicker/replicapicker.go
@@ -56,8 +56,8 @@
 	})
 }
 
-// Started records that the first part of a response arrived.
-func (p *Picker) Started(replicaID string, timeToFirstToken time.Duration) {
+// ResponseStarted records that the first part of a response arrived.
+func (p *Picker) ResponseStarted(replicaID string, timeToFirstToken time.Duration) {
 	p.update(func(now time.Time, b *balance.Balancer) { b.Started(now, replicaID, timeToFirstToken) })
 }
 
@@ -81,8 +81,8 @@
 
 // MarkLeaving records whether one source says that a replica is leaving. A replica gets no
 // new requests while any source says that it is leaving.
-func (p *Picker) MarkLeaving(replicaID string, source balance.Source, leaving bool) {
-	p.update(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replicaID, source, leaving) })
+func (p *Picker) MarkLeaving(replicaID string, reportedBy balance.Source, leaving bool) {
+	p.update(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replicaID, reportedBy, leaving) })
 }
 
 // SetReplicas replaces the list of the service's replicas.
--- a/route/replicareport/replicareport.go
+++ b/route/replicareport/replicareport.go
@@ -15,8 +15,8 @@
 type Report struct {
 	// Incarnation changes when the replica restarts under the same ID.
 	Incarnation int64
-	// ExecutingOrder is set while the replica executes an order to load or drop layers.
-	ExecutingOrder bool
+	// ExecutingLayerOrder is set while the replica executes an order to load or drop layers.
+	ExecutingLayerOrder bool
 	// AcceptedOrders is the number of orders accepted since the replica started.
 	AcceptedOrders int64
 	// Holds is the range of layers that the replica holds.
@@ -63,13 +63,13 @@
 
 // Get returns the report of a replica, or the error of its fetch. The fetch is at most
 // reportTTL old. started reports whether this call started it.
-func (c *Cache) Get(ctx context.Context, address, replicaID string) (report Report, started bool, err error) {
-	f, started := c.fetch(ctx, address, replicaID)
+func (c *Cache) Get(ctx context.Context, address, replicaID string) (report Report, startedFetch bool, err error) {
+	f, startedFetch := c.fetch(ctx, address, replicaID)
 	select {
 	case <-f.done:
-		return f.report, started, f.err
+		return f.report, startedFetch, f.err
 	case <-ctx.Done():
-		return Report{}, started, ctx.Err()
+		return Report{}, startedFetch, ctx.Err()
 	}
 }
 
--- a/route/ruleset/ruleset.go
+++ b/route/ruleset/ruleset.go
@@ -105,8 +105,8 @@
 	PrefillTokensPerSecond float64
 	// LoadTime is the time to load all layers' weights onto one replica.
 	LoadTime time.Duration
-	// Cards holds the kinds of accelerators by name.
-	Cards map[string]Card
+	// CardKinds holds the kinds of accelerators by name.
+	CardKinds map[string]CardKind
 }
 
 // bytesPerMB is the unit in which the operator's configuration gives memory sizes.
@@ -117,15 +117,15 @@
 
 // PrefillMillis returns the time in milliseconds in which a card prefills one token through
 // one layer. It returns zero if the prefill rate is unknown.
-func (m *Model) PrefillMillis(card Card) float64 {
+func (m *Model) PrefillMillis(kind CardKind) float64 {
 	if m.PrefillTokensPerSecond <= 0 || m.Layers <= 0 {
 		return 0
 	}
-	return 1000 / m.PrefillTokensPerSecond / float64(m.Layers) * card.PrefillTimeFactor
+	return 1000 / m.PrefillTokensPerSecond / float64(m.Layers) * kind.PrefillTimeFactor
 }
 
-// Card is a kind of accelerator.
-type Card struct {
+// CardKind is a kind of accelerator.
+type CardKind struct {
 	// MemoryMB is the memory for weights and KV cache, in megabytes.
 	MemoryMB float64
 	// StepTimeFactor and PrefillTimeFactor multiply the decode step time and the prefill
@@ -217,11 +217,11 @@
 }
 
 // Team returns the team that an API key belongs to, or nil.
-func (r *Ruleset) Team(key string) *Team {
-	if key == "" {
+func (r *Ruleset) Team(apiKey string) *Team {
+	if apiKey == "" {
 		return nil
 	}
-	return r.teamsByKey[key]
+	return r.teamsByKey[apiKey]
 }
 
 // Service returns a service by name, or nil.
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -103,7 +103,7 @@
 }
 
 func pathReplica(model *ruleset.Model, r *replicalist.Replica) paths.Replica {
-	accelerator := model.Cards[r.CardKind]
+	accelerator := model.CardKinds[r.CardKind]
 	capacity := max(0, accelerator.MemoryMB-float64(r.Holds.Len())*model.LayerMB) / model.KVMegabytesPerTokenLayer()
 	return paths.Replica{
 		ID: r.ID, Incarnation: r.Incarnation, Address: r.Address, Domain: r.Domain, Holds: r.Holds,
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -18,7 +18,7 @@
 
 var testModel = &ruleset.Model{
 	Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, StepMillis: 1,
-	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, StepTimeFactor: 1}},
+	CardKinds: map[string]ruleset.CardKind{"l4": {MemoryMB: 500, StepTimeFactor: 1}},
 }
 
 func newReplica(id string, from, to int) *replicalist.Replica {
