--- a/route/connprobe/connprobe.go
+++ b/route/connprobe/connprobe.go
@@ -1,6 +1,6 @@
 // Package connprobe finds the endpoints of a stalled request path that accept no
-// connection. A probe opens a connection and sends no request, so it also works if the
-// health responses of the endpoint are unreliable or have to wait for a free request slot.
+// connection. A probe opens a connection and sends no request. It therefore also works if
+// the health responses of the endpoint are unreliable or wait for a free request slot.
 package connprobe
 
 import (
@@ -15,21 +15,21 @@
 	// times the usual connect time between failure domains of a region.
 	dialTimeout = 25 * time.Millisecond
 	// attemptsPerProbe is the number of connection attempts per probe. An endpoint counts as
-	// unreachable only if all of them fail, because a single packet may be lost. The
-	// second attempt starts when the first has failed, or after attemptDelay.
+	// unreachable only if all attempts fail, because a single packet may be lost. The
+	// second attempt starts when the first attempt has failed, or after attemptDelay.
 	attemptsPerProbe = 2
 	attemptDelay     = 8 * time.Millisecond
 	// unreachableTTL is how long callers share a probe that is running or has found the
-	// endpoint unreachable. When an endpoint dies, all requests that use it start a probe
-	// at once. A reachable endpoint may die right after its probe, so that result is
-	// shared for reachableTTL only.
+	// endpoint unreachable. When an endpoint dies, all requests that use the endpoint ask
+	// for a probe at once. A reachable endpoint may die right after its probe, so callers
+	// share a probe that reached the endpoint for reachableTTL only.
 	unreachableTTL = 250 * time.Millisecond
 	reachableTTL   = 60 * time.Millisecond
 	// maxCachedProbes bounds the number of probes kept in memory.
 	maxCachedProbes = 4096
 )
 
-// Dialer opens a connection to an endpoint. It is implemented by upstream.Pool.
+// Dialer opens connections to endpoints. upstream.Pool implements Dialer.
 type Dialer interface {
 	// Reachable reports whether the endpoint accepts a connection, and whether the
 	// endpoint's host answers at all. A host that refuses the connection answers.
@@ -39,9 +39,9 @@
 // UnreachableEndpoint is an endpoint that accepts no connection.
 type UnreachableEndpoint struct {
 	Address string
-	// HostUnreachable reports that the host did not answer, so no process there continues
-	// any work. If the host refuses connections instead, the endpoint may only be
-	// shutting down.
+	// HostUnreachable reports that the host did not answer, so no process on the host
+	// continues any work. If the host refuses connections instead, the endpoint may only
+	// be shutting down.
 	HostUnreachable bool
 }
 
@@ -60,21 +60,22 @@
 type Reason string
 
 const (
-	// ReasonStalledStream is a stream through the endpoint that has stalled.
+	// ReasonStalledStream means that a stream through the endpoint has stalled.
 	ReasonStalledStream Reason = "silence"
-	// ReasonReportedFault is an endpoint that another endpoint reported as the cause of an
-	// error.
+	// ReasonReportedFault means that another endpoint reported the probed endpoint as the
+	// cause of an error.
 	ReasonReportedFault Reason = "named"
-	// ReasonPeerReport is an endpoint that other nodes reported as unreachable.
+	// ReasonPeerReport means that another node reported the endpoint as unreachable.
 	ReasonPeerReport Reason = "told"
-	// ReasonRecheck is a suspected endpoint that may have recovered.
+	// ReasonRecheck means that this node suspects the endpoint of having failed. The probe
+	// finds out whether the endpoint has recovered.
 	ReasonRecheck Reason = "again"
 )
 
 type probe struct {
 	startedAt time.Time
 	done      chan struct{}
-	// reachable and hostAnswers must be read only after done is closed.
+	// Read reachable and hostAnswers only after done is closed.
 	reachable, hostAnswers bool
 }
 
@@ -83,8 +84,8 @@
 	return &Prober{dialer: dialer, now: now, probes: map[string]*probe{}, probeCounts: map[Reason]int64{}}
 }
 
-// FindUnreachable returns the addresses that accept no connection in any attempt. When ctx
-// ends first, it returns the unreachable addresses found so far.
+// FindUnreachable returns the addresses that accept no connection in any attempt. If ctx
+// ends before the probes do, FindUnreachable returns the unreachable addresses found so far.
 func (p *Prober) FindUnreachable(ctx context.Context, reason Reason, addresses []string) []UnreachableEndpoint {
 	probes := make([]*probe, len(addresses))
 	for i, address := range addresses {
@@ -104,8 +105,8 @@
 	return unreachable
 }
 
-// Reachable reports whether an address accepts connections. It also returns true if ctx
-// ends before the probe does.
+// Reachable reports whether an address accepts connections. Reachable also returns true if
+// ctx ends before the probe does.
 func (p *Prober) Reachable(ctx context.Context, reason Reason, address string) bool {
 	return len(p.FindUnreachable(ctx, reason, []string{address})) == 0
 }
--- a/route/connprobe/connprobe_test.go
+++ b/route/connprobe/connprobe_test.go
@@ -22,8 +22,8 @@
 	return !slices.Contains(d.unreachable, address), true
 }
 
-// When a replica dies, all requests that use the replica start a probe at once. Without
-// shared probes, each request would open two connections to the replica.
+// Without shared probes, each request would open two connections to a replica that dies,
+// because all requests that use the replica probe the replica at once.
 func TestProbesAreShared(t *testing.T) {
 	d := &fakeDialer{unreachable: []string{"b"}}
 	now := time.Unix(0, 0)
@@ -69,9 +69,9 @@
 	return false, false
 }
 
-// A replica's host loses power, and connections to the host hang: the host counts as
-// unreachable, but not before the dial timeout. A replica that loses one packet of the
-// first attempt counts as reachable.
+// If a replica's host loses power, connections to the host hang. The host then counts as
+// unreachable, but not before the dial timeout. A replica to which only one packet of the
+// first attempt was lost counts as reachable.
 func TestHangingConnections(t *testing.T) {
 	p := New(&hangingDialer{attempts: map[string]int{}}, time.Now)
 	startedAt := time.Now()
@@ -97,9 +97,10 @@
 	return false, false
 }
 
-// If the second attempt waited for the end of the first, a probe of a hanging endpoint
-// would take two timeouts, and streams that could still be on time would be late. Here
-// each attempt ends only while both run, so sequential attempts would block forever.
+// If the second attempt waited for the end of the first attempt, a probe of a hanging
+// endpoint would take two timeouts. Streams that could still be on time would be late. In
+// this test an attempt ends only while both attempts run. Sequential attempts would
+// therefore block forever.
 func TestSecondAttemptDoesNotWaitForTheFirst(t *testing.T) {
 	p := New(&concurrentAttemptsDialer{otherAttempt: make(chan struct{})}, time.Now)
 	if unreachable := p.FindUnreachable(context.Background(), ReasonStalledStream, []string{"hanging"}); len(unreachable) != 1 {
--- a/route/docindex/docindex.go
+++ b/route/docindex/docindex.go
@@ -24,7 +24,7 @@
 
 	teamsByKeyHash map[[sha256.Size]byte]*document.Team
 	servicesByName map[string]*document.Service
-	// endpointIndexes holds indexes into Document.Endpoints by endpoint name. A map of
+	// endpointIndexes maps endpoint names to indexes in Document.Endpoints. A map of
 	// document.Endpoint values needed 2 MB more memory with 10,000 endpoints.
 	endpointIndexes map[string]int32
 }
@@ -62,7 +62,7 @@
 }
 
 // Team returns the team that an API key belongs to. The lookup compares hashes instead of
-// keys, so that its duration reveals nothing about the keys of other teams.
+// keys, so that the duration of the lookup reveals nothing about the keys of other teams.
 func (x *Index) Team(apiKey string) (*document.Team, bool) {
 	t, ok := x.teamsByKeyHash[sha256.Sum256([]byte(apiKey))]
 	return t, ok
@@ -123,9 +123,11 @@
 	return false
 }
 
-// pathVariants returns the paths that a server may take an escaped path for: the path
-// unchanged, unescaped, and unescaped and cleaned, the last with and without a trailing
-// slash.
+// pathVariants returns the paths as which a server may treat an escaped path:
+//  1. the escaped path, unchanged
+//  2. the path unescaped
+//  3. the path unescaped and cleaned with path.Clean
+//  4. the cleaned path with a trailing slash
 func pathVariants(escaped string) []string {
 	unescaped, err := url.PathUnescape(escaped)
 	if err != nil {
@@ -135,7 +137,8 @@
 	return []string{escaped, unescaped, clean, clean + "/"}
 }
 
-// BearerKey returns the API key in the Authorization header, or "" if there is none.
+// BearerKey returns the API key in the Authorization header, or "" if the header holds no
+// API key.
 func BearerKey(r *http.Request) string {
 	scheme, apiKey, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
--- a/route/docindex/docindex_test.go
+++ b/route/docindex/docindex_test.go
@@ -7,8 +7,8 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// If a variant of a listed path did not match, a call that must run at most once would be
-// retried after a lost response.
+// If a variant of a path that the document lists did not match, a call that must run at
+// most once would be retried after a lost response.
 func TestNonIdempotent(t *testing.T) {
 	p := &document.Plain{NonIdempotent: []document.Call{{Method: "POST", Path: "/orders/"}}}
 	cases := []struct {
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -211,7 +211,7 @@
 	if !ok {
 		return
 	}
-	if report.AcceptedOrders != expected && report.Holds == r.Holds && !report.ExecutingLayerOrder && k.sendOrder(ctx, r, revision, report.AcceptedOrders, o) {
+	if report.AcceptedLayerOrders != expected && report.Holds == r.Holds && !report.ExecutingLayerOrder && k.sendOrder(ctx, r, revision, report.AcceptedLayerOrders, o) {
 		return
 	}
 	k.clearPending(r.ID, report)
@@ -252,8 +252,8 @@
 		k.log.Warn("replica report not read", "replica", r.ID, "error", err)
 		return report, false
 	}
-	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedOrders, "holds", report.Holds, "busy", report.ExecutingLayerOrder, "born", report.Incarnation)
-	k.setAcceptedOrders(r, report.AcceptedOrders)
+	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedLayerOrders, "holds", report.Holds, "busy", report.ExecutingLayerOrder, "born", report.Incarnation)
+	k.setAcceptedOrders(r, report.AcceptedLayerOrders)
 	return report, true
 }
 
--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.replica(id)
-	return replicareport.Report{AcceptedOrders: r.orders, Holds: r.holds}, nil
+	return replicareport.Report{AcceptedLayerOrders: r.orders, Holds: r.holds}, nil
 }
 
 func (e *fakeReplicas) list(ids ...string) []*replicalist.Replica {
--- a/route/replicalist/summary.go
+++ b/route/replicalist/summary.go
@@ -7,14 +7,15 @@
 type ChangeSummary struct {
 	// CountsByKind is the number of changes of each Change.Kind.
 	CountsByKind map[string]int
-	// UsedByNode holds changes of replicas that this node uses, at most as many as
-	// Summarize allows. OmittedCount is the number of further changes of such replicas.
+	// UsedByNode holds changes of replicas that this node uses, at most maxUsed of them
+	// (see Summarize). OmittedCount is the number of changes of such replicas that
+	// UsedByNode does not hold.
 	UsedByNode   []Change
 	OmittedCount int
 }
 
 // Summarize returns the summary of changes. used reports whether this node uses a replica.
-// At most maxUsed changes are kept in UsedByNode.
+// maxUsed is the maximum number of changes in UsedByNode.
 func Summarize(changes []Change, used func(*Replica) bool, maxUsed int) ChangeSummary {
 	s := ChangeSummary{CountsByKind: map[string]int{}}
 	for _, c := range changes {
@@ -23,7 +24,8 @@
 			s.UsedByNode = append(s.UsedByNode, c)
 		}
 	}
-	// Changes that end running requests come first, so that they are omitted last.
+	// Sort the changes that end running requests to the front, because the end of the list
+	// is cut off if the list has more than maxUsed changes.
 	slices.SortStableFunc(s.UsedByNode, func(a, b Change) int { return severity(b) - severity(a) })
 	s.OmittedCount = max(0, len(s.UsedByNode)-maxUsed)
 	s.UsedByNode = s.UsedByNode[:len(s.UsedByNode)-s.OmittedCount]
--- a/route/replicalist/summary_test.go
+++ b/route/replicalist/summary_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// Without a bound, the log would grow with the number of nodes times the number of
-// replicas. When a thousand replicas change at once, the summary names only a few of the
-// replicas that the node uses, the removed ones first.
+// Without a bound on the summary, the size of the log would grow with the number of nodes
+// times the number of replicas. When a thousand replicas change at once, the summary names
+// only a few of the replicas that the node uses, the removed replicas first.
 func TestSummaryIsBounded(t *testing.T) {
 	var changes []Change
 	for i := range 1000 {
--- a/route/replicalist/tracker.go
+++ b/route/replicalist/tracker.go
@@ -13,7 +13,7 @@
 // Change is a difference between two lists, for the log.
 type Change struct {
 	Replica *Replica
-	// Kind is one of the Change constants below. The log contains its text.
+	// Kind is one of the Change constants below. Its text appears in the log.
 	Kind string
 }
 
@@ -21,12 +21,12 @@
 const (
 	// ChangeListed is a new or restarted replica.
 	ChangeListed = "listed"
-	// ChangeUpdated is a replica with a new address or new layers, or one that is no
-	// longer draining.
+	// ChangeUpdated is a replica that has a new address or new layers or has stopped
+	// draining.
 	ChangeUpdated  = "changed"
 	ChangeDraining = "draining"
-	// ChangeRetained is a replica whose entry disappeared during an outage of the store
-	// and that stays in the list.
+	// ChangeRetained is a replica that stays in the list although its entry disappeared
+	// during an outage of the store.
 	ChangeRetained = "lapsed"
 	ChangeRemoved  = "gone"
 )
@@ -34,18 +34,19 @@
 // Tracker builds lists of replicas from reads of the store.
 //
 // During an outage of the store, replicas cannot renew their entries, so the entries
-// expire. When the store is back, it is empty for a second or two. Without the Tracker, a
-// node would then remove all replicas and could send its requests nowhere, although every
-// replica still serves. The Tracker therefore retains entries that disappeared during an
-// outage until their replicas have had ReregistrationTimeout to register again. Entries
-// of draining replicas, and entries that disappear while the store is available, are removed
-// at once.
+// expire. After the outage, the store is empty for a second or two. Without the Tracker, a
+// node would remove all replicas from its list during that time. The node could then send
+// its requests to no replica, although every replica still serves.
+//
+// The Tracker therefore retains entries that disappeared during an outage. Their replicas
+// have ReregistrationTimeout to register again. Entries of draining replicas, and entries
+// that disappear while the store is available, are removed at once.
 //
 // A Tracker is not safe for concurrent use.
 type Tracker struct {
-	// OutageThreshold is a time between two reads of the store. A longer time between two
-	// reads counts as an outage, in which entries may have expired. Set OutageThreshold to
-	// the usual read interval plus the timeout of a failed read.
+	// OutageThreshold is the longest time between two reads of the store that does not
+	// count as an outage. Entries may have expired during an outage. Set OutageThreshold
+	// to the usual read interval plus the timeout of a failed read.
 	OutageThreshold time.Duration
 
 	replicas   map[string]*Replica
@@ -86,13 +87,13 @@
 }
 
 // RecoveredWithin reports whether the last outage of the store ended less than d before
-// readAt. It returns false if there was no outage.
+// readAt. RecoveredWithin returns false if there was no outage.
 func (t *Tracker) RecoveredWithin(readAt time.Time, d time.Duration) bool {
 	return !t.recoveredAt.IsZero() && readAt.Sub(t.recoveredAt) < d
 }
 
-// changeKind returns the kind of the change from previous to current, or "" if there is
-// none. previous is nil for a new replica.
+// changeKind returns the kind of the change from previous to current, or "" if there is no
+// change. previous is nil for a new replica.
 func changeKind(previous, current *Replica) string {
 	switch {
 	case previous == nil || previous.Incarnation != current.Incarnation:
--- a/route/replicalist/tracker_test.go
+++ b/route/replicalist/tracker_test.go
@@ -19,9 +19,9 @@
 	return joined
 }
 
-// After an outage the store is empty, because no replica could renew its entry. Without
-// retained entries, callers would get errors although the replicas still serve. A replica
-// that does not register again in time is removed.
+// Without retained entries, callers would get errors after an outage of the store although
+// the replicas still serve. The store is empty then, because no replica could renew its
+// entry. A replica that does not register again in time is removed.
 func TestEntriesAreRetainedAfterOutage(t *testing.T) {
 	tr := Tracker{OutageThreshold: 1500 * time.Millisecond}
 	a, b, c := &Replica{ID: "a"}, &Replica{ID: "b"}, &Replica{ID: "c", Draining: true}
@@ -48,8 +48,8 @@
 	}
 }
 
-// A replica that restarts under its ID has lost its layers. The log must distinguish it
-// from a replica whose address or layers have changed.
+// A replica that restarts and keeps its ID has lost its layers. The log must distinguish
+// such a restart from a change of the replica's address or layers.
 func TestChangeKinds(t *testing.T) {
 	tr := Tracker{OutageThreshold: 1500 * time.Millisecond}
 	for _, step := range []struct {
--- a/route/replicapicker/replicapicker.go
+++ b/route/replicapicker/replicapicker.go
@@ -1,7 +1,12 @@
-// Package replicapicker makes a service's balance.Balancer safe for concurrent use and
-// computes how many requests the node may have in flight for the service. A callback
-// reports each change of this number, so that the capacity of the service's admission
-// queue always fits the usable replicas.
+// Package replicapicker chooses replicas for the requests of a service. A Picker makes the
+// service's balance.Balancer safe for concurrent use.
+//
+// A slot is room for one running request at a replica. Several nodes share the slots of a
+// replica. The Picker therefore computes the node's slots: the number of requests of the
+// service that the node may have in flight. A callback reports each change of this number,
+// so that the capacity of the service's admission queue always fits the usable replicas.
+//
+// Package decide/balance defines the terms ejected, leaving, usable and slow start.
 package replicapicker
 
 import (
@@ -19,23 +24,25 @@
 	mu       sync.Mutex
 	balancer *balance.Balancer
 	inFlight int
-	// nodeSlots and totalSlots are the results of SlotShare.
+	// nodeSlots is the number of requests that this node may have in flight. totalSlots is
+	// the number of slots of all replicas that this node may use.
 	nodeSlots  int
 	totalSlots int
-	// onSlotsChanged is called without the lock held and reads the new numbers with
-	// SlotShare. They are not passed as arguments: after two concurrent changes, the call
-	// with the older numbers could come last.
+	// onSlotsChanged is called without the lock held and reads the new numbers of slots
+	// with SlotShare. The numbers are not passed as arguments, because after two
+	// concurrent changes the call with the older numbers could come last.
 	onSlotsChanged func()
 }
 
-// New returns a Picker that uses b. onSlotsChanged is called each time the result of
+// New returns a Picker that uses b. The Picker calls onSlotsChanged each time the result of
 // SlotShare changes.
 func New(b *balance.Balancer, now func() time.Time, onSlotsChanged func()) *Picker {
 	return &Picker{now: now, balancer: b, onSlotsChanged: onSlotsChanged}
 }
 
-// Pick chooses a replica and records the request as sent to it. Both happen under one
-// lock. Otherwise two concurrent requests could both be sent to the same idle replica.
+// Pick chooses a replica and records the request as sent to this replica. Pick holds the
+// lock over both steps. Otherwise two concurrent requests could be sent to the same idle
+// replica.
 func (p *Picker) Pick(q balance.Query) (balance.Choice, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -79,8 +86,9 @@
 	p.update(func(now time.Time, b *balance.Balancer) { b.Report(now, replicaID, report) })
 }
 
-// MarkLeaving records whether one source says that a replica is leaving. A replica gets no
-// new requests while any source says that it is leaving.
+// MarkLeaving records whether reportedBy reports that a replica is leaving, which means
+// shutting down. A replica gets no new requests while any source reports the replica as
+// leaving.
 func (p *Picker) MarkLeaving(replicaID string, reportedBy balance.Source, leaving bool) {
 	p.update(func(now time.Time, b *balance.Balancer) { b.MarkLeaving(now, replicaID, reportedBy, leaving) })
 }
@@ -90,9 +98,9 @@
 	p.update(func(now time.Time, b *balance.Balancer) { b.SetReplicas(now, replicas) })
 }
 
-// Refresh recomputes the usable slots. Call it periodically, because the slots also change
-// without an event: when an ejected replica returns, and during the slow start of a new
-// replica.
+// Refresh recomputes the result of SlotShare. Call Refresh periodically, because the result
+// also changes without a call of another method: when an ejected replica returns, and
+// during the slow start of a new replica.
 func (p *Picker) Refresh() {
 	p.update(func(time.Time, *balance.Balancer) {})
 }
@@ -117,8 +125,8 @@
 	return p.nodeSlots, p.totalSlots
 }
 
-// updateSlots calls f with the lock held, recomputes the slots and reports whether they
-// changed.
+// updateSlots calls f with the lock held, recomputes nodeSlots and totalSlots, and reports
+// whether either number changed.
 func (p *Picker) updateSlots(f func(time.Time, *balance.Balancer)) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -132,11 +140,12 @@
 }
 
 // usableSlots returns how many requests this node may have in flight: its requests in flight
-// plus the headroom, which is negative if the node has too many requests in flight. The
-// headroom accounts for the load of other nodes. Without this, each node would count all
-// slots of the shared replicas as its own. While any replica is usable, at least one request
-// is allowed. Otherwise, a node whose peers fill all replicas would refuse requests instead
-// of queueing them.
+// plus the balancer's headroom. The headroom is negative if the node has too many requests
+// in flight. The headroom accounts for the load of other nodes. Without this correction,
+// each node would count all slots of the shared replicas as its own.
+//
+// While this node may use any replica, at least one request is allowed. Otherwise, a node
+// whose peers fill all replicas would refuse requests instead of queueing them.
 func (p *Picker) usableSlots(now time.Time, totalSlots int) int {
 	if totalSlots == 0 {
 		return 0
--- a/route/replicareport/replicareport.go
+++ b/route/replicareport/replicareport.go
@@ -1,5 +1,7 @@
 // Package replicareport fetches the reports that model replicas make of their state. Requests
 // that need the report of the same replica at about the same time share one fetch.
+//
+// A layer order is a command to a replica to load or drop layers.
 package replicareport
 
 import (
@@ -10,15 +12,16 @@
 	"github.com/cicadatack/cicadatack/decide/layers"
 )
 
-// Report is a replica's report of its state. It is some hundred milliseconds old when it
-// arrives.
+// Report is a replica's report of its state. A report is some hundred milliseconds old when
+// it arrives.
 type Report struct {
 	// Incarnation changes when the replica restarts under the same ID.
 	Incarnation int64
-	// ExecutingLayerOrder is set while the replica executes an order to load or drop layers.
+	// ExecutingLayerOrder is set while the replica carries out a layer order.
 	ExecutingLayerOrder bool
-	// AcceptedOrders is the number of orders accepted since the replica started.
-	AcceptedOrders int64
+	// AcceptedLayerOrders is the number of layer orders that the replica has accepted since it
+	// started.
+	AcceptedLayerOrders int64
 	// Holds is the range of layers that the replica holds.
 	Holds layers.Span
 	// Slowdown is the replica's step time divided by the usual step time of its kind of
@@ -31,8 +34,9 @@
 	Report(ctx context.Context, address, replicaID string) (Report, error)
 }
 
-// reportTTL is how long a report is shared. Each fetch costs the replica some work. When a
-// replica becomes slow, all requests that use it would otherwise fetch its report at once.
+// reportTTL is how long callers share a report. Each fetch costs the replica some work.
+// Without sharing, all requests that use a replica would fetch its report at once when the
+// replica becomes slow.
 const reportTTL = 800 * time.Millisecond
 
 // maxCachedReports bounds the number of reports kept in memory.
@@ -51,7 +55,7 @@
 type fetch struct {
 	startedAt time.Time
 	done      chan struct{}
-	// report and err must be read only after done is closed.
+	// Read report and err only after done is closed.
 	report Report
 	err    error
 }
@@ -61,8 +65,8 @@
 	return &Cache{source: source, now: now, fetches: map[string]*fetch{}}
 }
 
-// Get returns the report of a replica, or the error of its fetch. The fetch is at most
-// reportTTL old. started reports whether this call started it.
+// Get returns the report of a replica, or the error of the fetch of this report. The fetch
+// started at most reportTTL ago. startedFetch reports whether this call started the fetch.
 func (c *Cache) Get(ctx context.Context, address, replicaID string) (report Report, startedFetch bool, err error) {
 	f, startedFetch := c.fetch(ctx, address, replicaID)
 	select {
@@ -73,8 +77,8 @@
 	}
 }
 
-// fetch returns the last fetch of a replica's report if that fetch is recent enough, or
-// starts a new one. The second result reports whether a new fetch was started.
+// fetch returns the last fetch of a replica's report if this fetch started less than
+// reportTTL ago. Otherwise a new fetch starts, and the second result is true.
 func (c *Cache) fetch(ctx context.Context, address, replicaID string) (*fetch, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/route/retrybudget/retrybudget.go
+++ b/route/retrybudget/retrybudget.go
@@ -1,5 +1,5 @@
-// Package retrybudget makes a service's retry.Budget safe for concurrent use and allows its
-// retry ratio to be changed.
+// Package retrybudget makes a service's retry.Budget safe for concurrent use and allows
+// callers to change the retry ratio of the budget.
 package retrybudget
 
 import (
@@ -23,9 +23,9 @@
 	return &Budget{now: now, cfg: cfg, budget: retry.New(cfg)}
 }
 
-// SetRetryRatio sets the allowed number of retries per successful request; zero means the
-// default. Changing the ratio replaces the budget by a new one with the initial number of
-// retries.
+// SetRetryRatio sets the allowed number of retries per successful request. Zero means the
+// default. A change of the ratio replaces the budget by a new budget with the initial number
+// of retries.
 func (b *Budget) SetRetryRatio(ratio float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,8 +36,9 @@
 	b.budget = retry.New(b.cfg)
 }
 
-// SetBurst sets how many retries this node may make in each time window, out of the retries
-// that the endpoints allow for all nodes.
+// SetBurst sets the burst: how many retries this node may make in any period of length
+// retry.Config.Window, in addition to the retries earned by successes. The burst
+// is this node's part of the retries that the endpoints allow for all nodes.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,7 +60,8 @@
 	return b.budget.RetriesLeft(b.now()) >= 1
 }
 
-// Success credits the budget for a complete response.
+// Success records a complete response, for which the budget earns its retry ratio in
+// retries.
 func (b *Budget) Success() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/route/ruleset/ruleset.go
+++ b/route/ruleset/ruleset.go
@@ -95,13 +95,14 @@
 	KVBytesPerTokenLayer float64
 	// TransferBytesPerToken is the number of bytes that one replica sends to the next per
 	// token. LinkBytesPerSecond is the bandwidth that all requests share on the links
-	// between failure domains. Zero means that the bandwidth is not limited.
+	// between failure domains. Zero LinkBytesPerSecond means that the bandwidth is not
+	// limited.
 	TransferBytesPerToken, LinkBytesPerSecond float64
-	// StepMillis is the time of one decode step through all layers on a card with
-	// StepTimeFactor 1, in milliseconds.
+	// StepMillis is the time of one decode step through all layers on a card whose kind
+	// has StepTimeFactor 1, in milliseconds.
 	StepMillis float64
-	// PrefillTokensPerSecond is the prefill rate of a card with PrefillTimeFactor 1 that
-	// holds all layers. Zero means that the rate is unknown.
+	// PrefillTokensPerSecond is the prefill rate of a card that holds all layers and whose
+	// kind has PrefillTimeFactor 1. Zero means that the rate is unknown.
 	PrefillTokensPerSecond float64
 	// LoadTime is the time to load all layers' weights onto one replica.
 	LoadTime time.Duration
@@ -115,8 +116,8 @@
 // KVMegabytesPerTokenLayer returns KVBytesPerTokenLayer in megabytes.
 func (m *Model) KVMegabytesPerTokenLayer() float64 { return m.KVBytesPerTokenLayer / bytesPerMB }
 
-// PrefillMillis returns the time in milliseconds in which a card prefills one token through
-// one layer. It returns zero if the prefill rate is unknown.
+// PrefillMillis returns the time in milliseconds in which a card of the given kind prefills
+// one token through one layer. The result is zero if the prefill rate is unknown.
 func (m *Model) PrefillMillis(kind CardKind) float64 {
 	if m.PrefillTokensPerSecond <= 0 || m.Layers <= 0 {
 		return 0
@@ -124,9 +125,9 @@
 	return 1000 / m.PrefillTokensPerSecond / float64(m.Layers) * kind.PrefillTimeFactor
 }
 
-// CardKind is a kind of accelerator.
+// CardKind describes a kind of accelerator card.
 type CardKind struct {
-	// MemoryMB is the memory for weights and KV cache, in megabytes.
+	// MemoryMB is the memory of one card for weights and KV cache, in megabytes.
 	MemoryMB float64
 	// StepTimeFactor and PrefillTimeFactor multiply the decode step time and the prefill
 	// time of the model. Larger factors mean slower cards.
@@ -159,9 +160,9 @@
 	// DefaultTimeout applies to routes without a timeout. It is several times the duration
 	// of the longest usual streams.
 	DefaultTimeout = 20 * time.Second
-	// DefaultMaxBodyBytes applies if the operator sets no limit. The limit allows
-	// long prompts, which have some hundred kilobytes. It must be small because a node
-	// holds the bodies of all requests in flight in memory.
+	// DefaultMaxBodyBytes applies if the operator sets no limit on the size of a request
+	// body. The default allows long prompts, which have some hundred kilobytes. The limit
+	// must be small because a node holds the bodies of all requests in flight in memory.
 	DefaultMaxBodyBytes = 4 << 20
 )
 
@@ -216,7 +217,7 @@
 	return nil
 }
 
-// Team returns the team that an API key belongs to, or nil.
+// Team returns the team that an API key belongs to, or nil if the key is empty or unknown.
 func (r *Ruleset) Team(apiKey string) *Team {
 	if apiKey == "" {
 		return nil
@@ -224,7 +225,7 @@
 	return r.teamsByKey[apiKey]
 }
 
-// Service returns a service by name, or nil.
+// Service returns a service by name, or nil if the configuration has no such service.
 func (r *Ruleset) Service(name string) *Service {
 	return r.servicesByName[name]
 }
--- a/route/teamlimiter/teamlimiter.go
+++ b/route/teamlimiter/teamlimiter.go
@@ -1,5 +1,7 @@
-// Package teamlimiter makes the node's limits.Splitter safe for concurrent use. The
-// Splitter divides each team's token rate among the nodes that serve the team.
+// Package teamlimiter makes the node's limits.Splitter safe for concurrent use. The Splitter
+// divides each team's limit, a token rate, among the team's homes. The homes are the nodes
+// that the team's callers connect to. A home lends other nodes the part of its rate
+// that it does not need. A loan is such a part of a rate, granted for a limited time.
 package teamlimiter
 
 import (
@@ -31,12 +33,14 @@
 	Name string
 	// Limit is the team's rate over all nodes in tokens per second, or zero for no limit.
 	Limit float64
-	// Homes names the nodes among which the limit is divided. Package decide/limits
-	// describes the division.
+	// Homes names the team's homes, among which the limit is divided. Package
+	// decide/limits describes the division.
 	Homes []string
 }
 
-// SetTeams replaces the teams and their limits with those of a new document.
+// SetTeams replaces the list of teams, their limits and their homes. Call SetTeams when a
+// new environment document takes effect. A team that is missing from the new list has no
+// limit.
 func (l *Limiter) SetTeams(teams []Team) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,8 +56,8 @@
 	}
 }
 
-// ExchangePeers returns the peers with which this node should exchange loans for its teams'
-// limits, the most urgent first.
+// ExchangePeers returns the nodes with which this node should exchange loans for its teams'
+// limits, the most urgent first. An exchange is one request to a peer and its response.
 func (l *Limiter) ExchangePeers() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,8 +78,8 @@
 	return l.splitter.Lend(l.now(), peer, requests)
 }
 
-// Borrow records the loans that a peer granted. sentAt is the time that was passed to
-// RequestLoans.
+// Borrow records the loans that a peer granted. sentAt is the time at which this node sent
+// the loan requests that the loans answer, as passed to RequestLoans.
 func (l *Limiter) Borrow(sentAt time.Time, peer string, loans []limits.Loan) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/route/teamlimiter/teamlimiter_test.go
+++ b/route/teamlimiter/teamlimiter_test.go
@@ -9,9 +9,10 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// A team over its limit is refused at once with a retry time. Without Correct, a request
-// that was charged but never ran would still use up the limit. A team without a limit, or
-// whose limit a later document removes, is never refused.
+// The Limiter refuses requests of a team over its limit at once, with a retry time. If
+// Correct did not return tokens, a request that was charged but never ran would still use
+// up the limit. A team without a limit is never refused, nor is a team that a later call of
+// SetTeams removes.
 func TestTeamLimit(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := New(limits.New(limits.Config{Self: "entry-1"}), func() time.Time { return now })
@@ -38,8 +39,8 @@
 }
 
 // If a node exchanged loans with all homes in turn, a node of a large fleet would contact
-// each home again only after the loans of that home have expired. The node therefore
-// exchanges loans only with the other homes of teams whose limit is used up on this node.
+// each home again only after the loans of that home have expired. A node therefore
+// exchanges loans only with the other homes of teams that need more than their rate here.
 func TestExchangePeers(t *testing.T) {
 	l := New(limits.New(limits.Config{Self: "entry-1"}), time.Now)
 	l.SetTeams([]Team{
