--- a/route/layerorders/layerorders_test.go
+++ b/route/layerorders/layerorders_test.go
@@ -19,7 +19,7 @@
 	startTime = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 	testModel = &ruleset.Model{
 		Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, LoadTime: time.Second,
-		Cards: map[string]ruleset.Card{"l4": {MemoryMB: 700}},
+		CardKinds: map[string]ruleset.CardKind{"l4": {MemoryMB: 700}},
 	}
 )
 
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	r := e.replica(id)
-	return replicareport.Report{AcceptedOrders: r.acceptedOrders, Holds: r.holds}, nil
+	return replicareport.Report{AcceptedLayerOrders: r.acceptedOrders, Holds: r.holds}, nil
 }
 
 func (e *fakeReplicas) list(ids ...string) []*replicalist.Replica {
