--- a/route/admissionqueue/admissionqueue.go
+++ b/route/admissionqueue/admissionqueue.go
@@ -1,7 +1,7 @@
 // Package admissionqueue lets requests of one service wait for room, in the order that
 // decide/admission says, and tells at once those that will not be served.
 //
-//	ticket, err := g.Enter(ctx, Request{Team: "menteng", Cost: 200})
+//	ticket, err := q.Enter(ctx, Request{Team: "menteng", Cost: 200})
 //	if err != nil { ... } // *outcome.Refusal: not run, with Retry-After
 //	defer ticket.Leave(actualCost)
 //
@@ -29,57 +29,57 @@
 	Deadline time.Time
 }
 
-// Ticket is the room that a request was given.
-type Ticket struct {
-	gate *Gate
+// Permit is the room that a request was given.
+type Permit struct {
+	queue *Queue
 	id   uint64
 	once sync.Once
 	// Verdict is the decision that let the request in.
 	Verdict admission.Verdict
 }
 
-// Gate is the queue of one service on one node. Safe for concurrent use.
-type Gate struct {
+// Queue is the queue of one service on one node. Safe for concurrent use.
+type Queue struct {
 	now func() time.Time
 
 	mu      sync.Mutex
-	queue   *admission.Queue
-	waiting map[uint64]chan admission.Verdict
-	nextID  uint64
+	policy   *admission.Queue
+	pendingVerdicts map[uint64]chan admission.Verdict
+	lastID  uint64
 	timer   *time.Timer
 	closed  bool
 }
 
 // New returns a gate around queue. now is the clock, time.Now outside tests.
-func New(queue *admission.Queue, now func() time.Time) *Gate {
-	return &Gate{
+func New(queue *admission.Queue, now func() time.Time) *Queue {
+	return &Queue{
 		now:     now,
-		queue:   queue,
-		waiting: map[uint64]chan admission.Verdict{},
+		policy:   queue,
+		pendingVerdicts: map[uint64]chan admission.Verdict{},
 	}
 }
 
-// Enter waits until the request may run. It fails with *outcome.Refusal when
+// Acquire waits until the request may run. It fails with *outcome.Refusal when
 // the queue refuses, and with the context's error when the caller left.
-func (g *Gate) Enter(ctx context.Context, r Request) (*Ticket, error) {
-	id, answer := g.offer(r)
+func (q *Queue) Acquire(ctx context.Context, r Request) (*Permit, error) {
+	id, answer := q.offer(r)
 	select {
 	case v := <-answer:
-		return g.settle(id, v)
+		return q.permitOrError(id, v)
 	case <-ctx.Done():
-		g.abandon(id)
+		q.cancel(id)
 		return nil, ctx.Err()
 	}
 }
 
-func (g *Gate) offer(r Request) (uint64, <-chan admission.Verdict) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.nextID++
-	id := g.nextID
+func (q *Queue) offer(r Request) (uint64, <-chan admission.Verdict) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.lastID++
+	id := q.lastID
 	answer := make(chan admission.Verdict, 1)
-	g.waiting[id] = answer
-	g.apply(g.queue.Offer(g.now(), admission.Request{
+	q.pendingVerdicts[id] = answer
+	q.deliverAndSchedule(q.policy.Offer(q.now(), admission.Request{
 		ID:       id,
 		Team:     r.Team,
 		Class:    r.Class,
@@ -89,40 +89,40 @@
 	return id, answer
 }
 
-func (g *Gate) settle(id uint64, v admission.Verdict) (*Ticket, error) {
+func (q *Queue) permitOrError(id uint64, v admission.Verdict) (*Permit, error) {
 	if v.Kind == admission.Run {
-		return &Ticket{gate: g, id: id, Verdict: v}, nil
+		return &Permit{queue: q, id: id, Verdict: v}, nil
 	}
-	return nil, &Refused{Verdict: v}
+	return nil, &RefusedError{Verdict: v}
 }
 
-// abandon takes back a request whose caller left. The queue knows whether it
+// cancel takes back a request whose caller left. The queue knows whether it
 // still waited or had just been let in, so a verdict that crossed with the
 // caller's leaving frees its room as well.
-func (g *Gate) abandon(id uint64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	delete(g.waiting, id)
-	g.apply(g.queue.Cancel(g.now(), id))
+func (q *Queue) cancel(id uint64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	delete(q.pendingVerdicts, id)
+	q.deliverAndSchedule(q.policy.Cancel(q.now(), id))
 }
 
-// Leave frees the room. cost is the work that was really done, in tokens. Only
+// Release frees the room. cost is the work that was really done, in tokens. Only
 // the first call counts.
-func (t *Ticket) Leave(cost float64) {
-	t.once.Do(func() { t.gate.finish(t.id, cost) })
+func (t *Permit) Release(cost float64) {
+	t.once.Do(func() { t.queue.finish(t.id, cost) })
 }
 
-func (g *Gate) finish(id uint64, cost float64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.apply(g.queue.Finish(g.now(), id, cost))
+func (q *Queue) finish(id uint64, cost float64) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.deliverAndSchedule(q.policy.Finish(q.now(), id, cost))
 }
 
-// Cut frees the room of a request whose answer ended early. Only the first call
-// of Leave or Cut counts.
-func (t *Ticket) Cut(cost float64) {
+// ReleaseTruncated frees the room of a request whose answer ended early. Only the first call
+// of Leave or ReleaseTruncated counts.
+func (t *Permit) ReleaseTruncated(cost float64) {
 	t.once.Do(func() {
-		t.gate.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+		t.queue.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
 			return q.FinishTruncated(now, t.id, cost)
 		})
 	})
@@ -130,70 +130,70 @@
 
 // Configure runs change on the queue under the gate's lock and hands out the
 // verdicts that follow from it.
-func (g *Gate) Configure(change func(now time.Time, q *admission.Queue) []admission.Verdict) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.apply(change(g.now(), g.queue))
+func (q *Queue) Configure(change func(now time.Time, q *admission.Queue) []admission.Verdict) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.deliverAndSchedule(change(q.now(), q.policy))
 }
 
-// apply hands each verdict to whom it concerns and sets the timer for the
+// deliverAndSchedule hands each verdict to whom it concerns and sets the timer for the
 // queue's next own event. The caller holds the lock.
-func (g *Gate) apply(verdicts []admission.Verdict) {
-	g.deliver(verdicts)
-	more, next := g.queue.Tick(g.now())
-	g.deliver(more)
-	g.schedule(next)
+func (q *Queue) deliverAndSchedule(verdicts []admission.Verdict) {
+	q.deliver(verdicts)
+	more, next := q.policy.Tick(q.now())
+	q.deliver(more)
+	q.scheduleTick(next)
 }
 
-func (g *Gate) deliver(verdicts []admission.Verdict) {
+func (q *Queue) deliver(verdicts []admission.Verdict) {
 	for _, v := range verdicts {
-		answer, ok := g.waiting[v.ID]
+		answer, ok := q.pendingVerdicts[v.ID]
 		if !ok {
 			continue
 		}
-		delete(g.waiting, v.ID)
+		delete(q.pendingVerdicts, v.ID)
 		answer <- v // buffered: one verdict per request
 	}
 }
 
-func (g *Gate) schedule(next time.Time) {
-	if g.timer != nil {
-		g.timer.Stop()
-		g.timer = nil
+func (q *Queue) scheduleTick(next time.Time) {
+	if q.timer != nil {
+		q.timer.Stop()
+		q.timer = nil
 	}
-	if next.IsZero() || g.closed {
+	if next.IsZero() || q.closed {
 		return
 	}
-	g.timer = time.AfterFunc(next.Sub(g.now()), g.tick)
+	q.timer = time.AfterFunc(next.Sub(q.now()), q.tick)
 }
 
-func (g *Gate) tick() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.apply(nil)
+func (q *Queue) tick() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.deliverAndSchedule(nil)
 }
 
 // Close stops the timer. Requests still waiting keep waiting for room.
-func (g *Gate) Close() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.closed = true
-	g.schedule(time.Time{})
+func (q *Queue) Close() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closed = true
+	q.scheduleTick(time.Time{})
 }
 
-// Refused is the error of a request that the queue did not let in. It was not
+// RefusedError is the error of a request that the queue did not let in. It was not
 // run.
-type Refused struct {
+type RefusedError struct {
 	Verdict admission.Verdict
 }
 
 // Error names the queue's reason.
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	return "refused: " + r.Verdict.Reason.String()
 }
 
 // Refusal is the answer that the caller gets, at once.
-func (r *Refused) Refusal() *outcome.Refusal {
+func (r *RefusedError) Refusal() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status:     http.StatusTooManyRequests,
 		Code:       "overloaded",
--- a/route/admissionqueue/admissionqueue_test.go
+++ b/route/admissionqueue/admissionqueue_test.go
@@ -19,7 +19,7 @@
 
 const team = "menteng"
 
-func newGate(slots int) *Gate {
+func newQueue(slots int) *Queue {
 	q := admission.New(admission.Config{Slots: slots})
 	q.SetTeam(team, 1)
 	return New(q, time.Now)
@@ -27,19 +27,19 @@
 
 func request() Request { return Request{Team: team, Cost: 1} }
 
-// running is how many requests hold a slot.
-func (g *Gate) running() int {
+// runningRequests is how many requests hold a slot.
+func (q *Queue) runningRequests() int {
 	n := 0
-	g.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+	q.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
 		n = q.Stats(now).Running
 		return nil
 	})
 	return n
 }
 
-func enter(t *testing.T, g *Gate) *Ticket {
+func acquire(t *testing.T, q *Queue) *Permit {
 	t.Helper()
-	ticket, err := g.Enter(context.Background(), request())
+	ticket, err := q.Acquire(context.Background(), request())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,13 +48,13 @@
 
 // The caller is refused while others could wait: the answer comes at once, says
 // that nothing was run and when to come back.
-func TestRefusedAtOnce(t *testing.T) {
+func TestFullQueueRejectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(0)
-		defer g.Close()
+		q := newQueue(0)
+		defer q.Close()
 		begun := time.Now()
-		_, err := g.Enter(context.Background(), request())
-		var refused *Refused
+		_, err := q.Acquire(context.Background(), request())
+		var refused *RefusedError
 		if !errors.As(err, &refused) {
 			t.Fatalf("got %v", err)
 		}
@@ -71,23 +71,23 @@
 
 // The caller waits behind a request that does not end. At its deadline, or
 // before it once that is foreseen, it is told so; it does not wait on.
-func TestRefusedWhileWaiting(t *testing.T) {
+func TestWaitingRequestIsRejectedByItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(1)
-		defer g.Close()
-		first := enter(t, g)
+		q := newQueue(1)
+		defer q.Close()
+		first := acquire(t, q)
 		r := request()
 		r.Deadline = time.Now().Add(2 * time.Second)
-		_, err := g.Enter(context.Background(), r)
-		var refused *Refused
+		_, err := q.Acquire(context.Background(), r)
+		var refused *RefusedError
 		if !errors.As(err, &refused) {
 			t.Fatalf("got %v", err)
 		}
 		if late := time.Since(r.Deadline); late > admission.TickInterval {
 			t.Errorf("told %s after its deadline", late)
 		}
-		first.Leave(1)
-		if n := g.running(); n != 0 {
+		first.Release(1)
+		if n := q.runningRequests(); n != 0 {
 			t.Errorf("%d still hold a slot", n)
 		}
 	})
@@ -95,15 +95,15 @@
 
 // The caller leaves while it waits. Its place is given up: the slot goes to the
 // next caller, not to the one who left.
-func TestCallerLeavesWhileWaiting(t *testing.T) {
+func TestCanceledWaiterGetsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(1)
-		defer g.Close()
-		first := enter(t, g)
+		q := newQueue(1)
+		defer q.Close()
+		first := acquire(t, q)
 		ctx, leave := context.WithCancel(context.Background())
 		left := make(chan error)
 		go func() {
-			_, err := g.Enter(ctx, request())
+			_, err := q.Acquire(ctx, request())
 			left <- err
 		}()
 		synctest.Wait()
@@ -111,9 +111,9 @@
 		if err := <-left; !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v", err)
 		}
-		first.Leave(1)
-		enter(t, g).Leave(1)
-		if n := g.running(); n != 0 {
+		first.Release(1)
+		acquire(t, q).Release(1)
+		if n := q.runningRequests(); n != 0 {
 			t.Errorf("%d still hold a slot", n)
 		}
 	})
@@ -123,32 +123,32 @@
 // comes first, the slot is free afterwards: a verdict that crossed with the
 // caller's leaving would else keep it for good, and after as many as there are
 // slots the service would stand still.
-func TestCallerLeavesAsItIsLetIn(t *testing.T) {
+func TestCancelDuringAdmissionFreesSlot(t *testing.T) {
 	const rounds = 2000
-	g := newGate(1)
-	defer g.Close()
+	q := newQueue(1)
+	defer q.Close()
 	letIn := 0
 	for range rounds {
-		first := enter(t, g)
+		first := acquire(t, q)
 		ctx, leave := context.WithCancel(context.Background())
 		var both sync.WaitGroup
 		begin := make(chan struct{})
 		both.Go(func() {
 			<-begin
-			first.Leave(1)
+			first.Release(1)
 		})
 		both.Go(func() {
 			<-begin
 			leave()
 		})
 		close(begin)
-		ticket, err := g.Enter(ctx, request())
+		ticket, err := q.Acquire(ctx, request())
 		if err == nil {
 			letIn++
-			ticket.Leave(1)
+			ticket.Release(1)
 		}
 		both.Wait()
-		if n := g.running(); n != 0 {
+		if n := q.runningRequests(); n != 0 {
 			t.Fatalf("%d still hold the slot", n)
 		}
 	}
@@ -156,15 +156,15 @@
 }
 
 // A ticket given back twice must not free the slot of another request.
-func TestLeaveCountsOnce(t *testing.T) {
-	g := newGate(1)
-	defer g.Close()
-	first := enter(t, g)
-	first.Leave(1)
-	second := enter(t, g)
-	first.Leave(1)
-	if n := g.running(); n != 1 {
+func TestReleaseCountsOnce(t *testing.T) {
+	q := newQueue(1)
+	defer q.Close()
+	first := acquire(t, q)
+	first.Release(1)
+	second := acquire(t, q)
+	first.Release(1)
+	if n := q.runningRequests(); n != 1 {
 		t.Errorf("%d run, want the second alone", n)
 	}
-	second.Leave(1)
+	second.Release(1)
 }
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -55,7 +55,7 @@
 // Pass is a call's right to run.
 type Pass struct {
 	visit  *Visit
-	ticket *admissionqueue.Ticket
+	ticket *admissionqueue.Permit
 	cost   float64
 	since  time.Time
 }
@@ -90,7 +90,7 @@
 		v.desk.Figures.Refused(v.Service.Name, refusal.Code)
 		return nil, refusal
 	}
-	ticket, err := v.At.Gate.Enter(ctx, admissionqueue.Request{
+	ticket, err := v.At.Gate.Acquire(ctx, admissionqueue.Request{
 		Team: v.Team.Name, Class: v.Class, Cost: cost, Deadline: v.latestStart(cost),
 	})
 	if err != nil {
@@ -116,7 +116,7 @@
 	return v.Start
 }
 
-func (v *Visit) entered(t *admissionqueue.Ticket, cost float64) {
+func (v *Visit) entered(t *admissionqueue.Permit, cost float64) {
 	v.desk.Figures.Waited(v.Service.Name, t.Verdict.Waited)
 	v.Decide(decisionlog.Admit, "", t.Verdict.Reason.String(), map[string]float64{
 		"waited_ms":   float64(t.Verdict.Waited.Microseconds()) / 1000,
@@ -126,7 +126,7 @@
 }
 
 func (v *Visit) notEntered(err error) error {
-	var refused *admissionqueue.Refused
+	var refused *admissionqueue.RefusedError
 	if !errors.As(err, &refused) {
 		return err
 	}
@@ -148,14 +148,14 @@
 
 // Leave gives the room back. used is the work that was really done, in tokens.
 func (p *Pass) Leave(used float64) {
-	p.ticket.Leave(used)
+	p.ticket.Release(used)
 	p.visit.At.Served(p.cost, used, p.visit.Now().Sub(p.since))
 	p.visit.desk.Limits.Correct(p.visit.Team.Name, used-p.cost)
 }
 
 // Cut gives the room back of a call whose answer ended early.
 func (p *Pass) Cut(used float64) {
-	p.ticket.Cut(used)
+	p.ticket.ReleaseTruncated(used)
 	p.visit.desk.Limits.Correct(p.visit.Team.Name, used-p.cost)
 }
 
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -28,7 +28,7 @@
 // Service is one service on this node. Safe for concurrent use.
 type Service struct {
 	Name   string
-	Gate   *admissionqueue.Gate
+	Gate   *admissionqueue.Queue
 	Picker *replicapicker.Picker
 	// Retry is the budget of further tries.
 	Retry *retrybudget.Budget
