--- a/node/server/server.go
+++ b/node/server/server.go
@@ -176,11 +176,11 @@
 }
 
 func (s *Server) newFront() *httpapi.Front {
-	desk := &lifecycle.Desk{
+	desk := &lifecycle.Manager{
 		Services: s.registry,
-		Limits:   s.limits,
-		Record:   s.decisions,
-		Figures:  s.metrics,
+		TeamLimiter:   s.limits,
+		Recorder:   s.decisions,
+		Metrics:  s.metrics,
 		Now:      time.Now,
 	}
 	return &httpapi.Front{
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -169,7 +169,7 @@
 	s.t.Cleanup(pool.Close)
 	client := engineclient.New(nil)
 	s.t.Cleanup(client.CloseIdle)
-	desk := &lifecycle.Desk{Services: registry, Limits: limit, Record: record, Figures: noFigures{}, Now: time.Now}
+	desk := &lifecycle.Manager{Services: registry, TeamLimiter: limit, Recorder: record, Metrics: noFigures{}, Now: time.Now}
 	s.front = &httpapi.Front{
 		Directory: s.directory.Load,
 		Now:       time.Now,
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -23,181 +23,181 @@
 	"github.com/cicadatack/cicadatack/route/teamlimiter"
 )
 
-// setupRetry is when a caller may ask again for a service that the document
+// setupRetryAfter is when a caller may ask again for a service that the document
 // names and this node is just setting up.
-const setupRetry = time.Second
+const setupRetryAfter = time.Second
 
-// Figures is told what became of calls; metrics implement it.
-type Figures interface {
+// Metrics is told what became of calls; metrics implement it.
+type Metrics interface {
 	Request(service, team, outcome string)
 	Refused(service, reason string)
 	Waited(service string, d time.Duration)
 }
 
-// Desk lets calls in. Safe for concurrent use.
-type Desk struct {
+// Manager lets calls in. Safe for concurrent use.
+type Manager struct {
 	Services *service.Registry
-	Limits   *teamlimiter.Limiter
-	Record   decisionlog.Recorder
-	Figures  Figures
+	TeamLimiter   *teamlimiter.Limiter
+	Recorder   decisionlog.Recorder
+	Metrics  Metrics
 	Now      func() time.Time
 }
 
-// Visit is one call on its way through the node. It is for one goroutine.
-type Visit struct {
+// ActiveCall is one call on its way through the node. It is for one goroutine.
+type ActiveCall struct {
 	*callparser.Call
-	// At is the service as this node has it; Spec, in the Call, is the
+	// Local is the service as this node has it; Spec, in the Call, is the
 	// document's.
-	At   *service.Service
-	desk *Desk
+	Local   *service.Service
+	manager *Manager
 }
 
-// Pass is a call's right to run.
-type Pass struct {
-	visit  *Visit
-	ticket *admissionqueue.Permit
-	cost   float64
-	since  time.Time
+// Permit is a call's right to run.
+type Permit struct {
+	call  *ActiveCall
+	queuePermit *admissionqueue.Permit
+	expectedCost   float64
+	admittedAt  time.Time
 }
 
-// Visit begins a call.
-func (d *Desk) Visit(c *callparser.Call) (*Visit, *outcome.Refusal) {
-	v := &Visit{Call: c, At: d.Services.Get(c.Service.Name), desk: d}
-	if v.At != nil {
-		return v, nil
+// Begin begins a call.
+func (d *Manager) Begin(c *callparser.Call) (*ActiveCall, *outcome.Refusal) {
+	call := &ActiveCall{Call: c, Local: d.Services.Get(c.Service.Name), manager: d}
+	if call.Local != nil {
+		return call, nil
 	}
-	return v, &outcome.Refusal{
+	return call, &outcome.Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       "not_ready",
 		Message:    "the service is being set up",
 		Outcome:    outcome.NotRun,
-		RetryAfter: setupRetry,
+		RetryAfter: setupRetryAfter,
 	}
 }
 
-// Enter books the expected cost, in tokens, against the team's limit and waits
+// Admit books the expected cost, in tokens, against the team's limit and waits
 // for room. It fails with an *outcome.Refusal, or with the context's error if
 // the caller left.
-func (v *Visit) Enter(ctx context.Context, cost float64) (*Pass, error) {
-	share, refusal := v.desk.Limits.Allow(v.Team.Name, cost)
+func (v *ActiveCall) Admit(ctx context.Context, cost float64) (*Permit, error) {
+	usage, refusal := v.manager.TeamLimiter.Allow(v.Team.Name, cost)
 	if refusal != nil {
-		v.Decide(decisionlog.Refuse, "", "team limit used up", map[string]float64{
-			"limit_tokens_per_s": share.Limit,
-			"share_tokens_per_s": share.Rate,
+		v.RecordDecision(decisionlog.Refuse, "", "team limit used up", map[string]float64{
+			"limit_tokens_per_s": usage.Limit,
+			"share_tokens_per_s": usage.Rate,
 			"cost_tokens":        cost,
 			"retry_after_ms":     float64(refusal.RetryAfter.Milliseconds()),
 		})
-		v.desk.Figures.Refused(v.Service.Name, refusal.Code)
+		v.manager.Metrics.Refused(v.Service.Name, refusal.Code)
 		return nil, refusal
 	}
-	ticket, err := v.At.Gate.Acquire(ctx, admissionqueue.Request{
+	queuePermit, err := v.Local.Gate.Acquire(ctx, admissionqueue.Request{
 		Team: v.Team.Name, Class: v.Class, Cost: cost, Deadline: v.latestStart(cost),
 	})
 	if err != nil {
-		v.desk.Limits.Correct(v.Team.Name, -cost)
-		return nil, v.notEntered(err)
+		v.manager.TeamLimiter.Correct(v.Team.Name, -cost)
+		return nil, v.recordRejection(err)
 	}
-	v.entered(ticket, cost)
-	return &Pass{visit: v, ticket: ticket, cost: cost, since: v.Now()}, nil
+	v.recordAdmission(queuePermit, cost)
+	return &Permit{call: v, queuePermit: queuePermit, expectedCost: cost, admittedAt: v.Now()}, nil
 }
 
 // latestStart is when the call must start to be of use. A caller that stops
 // waiting at its deadline has no use of an answer that starts just before it: in
 // overload nearly all starts are late ones, so that without the time that the
 // answer itself takes a part of the work done is for callers who have gone.
-func (v *Visit) latestStart(cost float64) time.Time {
+func (v *ActiveCall) latestStart(cost float64) time.Time {
 	if v.Deadline.IsZero() {
 		return v.Start
 	}
-	latest := v.Deadline.Add(-v.At.Expected(cost))
+	latest := v.Deadline.Add(-v.Local.Expected(cost))
 	if latest.Before(v.Start) {
 		return latest
 	}
 	return v.Start
 }
 
-func (v *Visit) entered(t *admissionqueue.Permit, cost float64) {
-	v.desk.Figures.Waited(v.Service.Name, t.Verdict.Waited)
-	v.Decide(decisionlog.Admit, "", t.Verdict.Reason.String(), map[string]float64{
+func (v *ActiveCall) recordAdmission(t *admissionqueue.Permit, cost float64) {
+	v.manager.Metrics.Waited(v.Service.Name, t.Verdict.Waited)
+	v.RecordDecision(decisionlog.Admit, "", t.Verdict.Reason.String(), map[string]float64{
 		"waited_ms":   float64(t.Verdict.Waited.Microseconds()) / 1000,
 		"waiting":     float64(t.Verdict.QueueLength),
 		"cost_tokens": cost,
 	})
 }
 
-func (v *Visit) notEntered(err error) error {
+func (v *ActiveCall) recordRejection(err error) error {
 	var refused *admissionqueue.RefusedError
 	if !errors.As(err, &refused) {
 		return err
 	}
 	verdict := refused.Verdict
-	v.Decide(decisionlog.Refuse, "", verdict.Reason.String(), map[string]float64{
+	v.RecordDecision(decisionlog.Refuse, "", verdict.Reason.String(), map[string]float64{
 		"predicted_ms":       float64(verdict.Predicted.Milliseconds()),
 		"waiting":            float64(verdict.QueueLength),
 		"drain_tokens_per_s": verdict.DrainRate,
 		"retry_after_ms":     float64(verdict.RetryAfter.Milliseconds()),
 	})
-	v.desk.Figures.Refused(v.Service.Name, verdict.Reason.String())
+	v.manager.Metrics.Refused(v.Service.Name, verdict.Reason.String())
 	return refused.Refusal()
 }
 
 // Now reads the desk's clock.
-func (v *Visit) Now() time.Time {
-	return v.desk.Now()
+func (v *ActiveCall) Now() time.Time {
+	return v.manager.Now()
 }
 
-// Leave gives the room back. used is the work that was really done, in tokens.
-func (p *Pass) Leave(used float64) {
-	p.ticket.Release(used)
-	p.visit.At.Served(p.cost, used, p.visit.Now().Sub(p.since))
-	p.visit.desk.Limits.Correct(p.visit.Team.Name, used-p.cost)
+// Release gives the room back. used is the work that was really done, in tokens.
+func (p *Permit) Release(used float64) {
+	p.queuePermit.Release(used)
+	p.call.Local.Served(p.expectedCost, used, p.call.Now().Sub(p.admittedAt))
+	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, used-p.expectedCost)
 }
 
-// Cut gives the room back of a call whose answer ended early.
-func (p *Pass) Cut(used float64) {
-	p.ticket.ReleaseTruncated(used)
-	p.visit.desk.Limits.Correct(p.visit.Team.Name, used-p.cost)
+// ReleaseTruncated gives the room back of a call whose answer ended early.
+func (p *Permit) ReleaseTruncated(used float64) {
+	p.queuePermit.ReleaseTruncated(used)
+	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, used-p.expectedCost)
 }
 
-// NotEntered answers a call that Enter failed with err. A caller who has left
+// RespondNotAdmitted answers a call that Enter failed with err. A caller who has left
 // gets nothing; the call still counts as not run.
-func (v *Visit) NotEntered(w http.ResponseWriter, err error) {
+func (v *ActiveCall) RespondNotAdmitted(w http.ResponseWriter, err error) {
 	var refusal *outcome.Refusal
 	if errors.As(err, &refusal) {
 		v.Refuse(w, refusal)
 		return
 	}
-	v.Finished(outcome.NotRun)
+	v.CountOutcome(outcome.NotRun)
 }
 
 // Refuse answers the call with a refusal.
-func (v *Visit) Refuse(w http.ResponseWriter, refusal *outcome.Refusal) {
+func (v *ActiveCall) Refuse(w http.ResponseWriter, refusal *outcome.Refusal) {
 	refusal.Write(w)
-	v.Finished(refusal.Outcome)
+	v.CountOutcome(refusal.Outcome)
 }
 
-// Finished counts the call's end.
-func (v *Visit) Finished(o outcome.Outcome) {
-	v.desk.Figures.Request(v.Service.Name, v.Team.Name, string(o))
+// CountOutcome counts the call's end.
+func (v *ActiveCall) CountOutcome(o outcome.Outcome) {
+	v.manager.Metrics.Request(v.Service.Name, v.Team.Name, string(o))
 }
 
-// Decide records a decision about the call.
-func (v *Visit) Decide(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) {
-	v.desk.Record.Record(v.decision(kind, chosen, reason, figures))
+// RecordDecision records a decision about the call.
+func (v *ActiveCall) RecordDecision(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) {
+	v.manager.Recorder.Record(v.newDecision(kind, chosen, reason, figures))
 }
 
-// Chose records the balancer's choice, with what it was chosen over.
-func (v *Visit) Chose(kind decisionlog.Kind, choice balance.Choice, figures map[string]float64) {
+// RecordChoice records the balancer's choice, with what it was chosen over.
+func (v *ActiveCall) RecordChoice(kind decisionlog.Kind, choice balance.Choice, figures map[string]float64) {
 	weighed := decisionlog.Weighed(&choice)
 	maps.Copy(figures, weighed.Figures)
-	d := v.decision(kind, choice.Replica, weighed.Reason, figures)
+	d := v.newDecision(kind, choice.Replica, weighed.Reason, figures)
 	d.Alternatives = weighed.Alternatives
-	v.desk.Record.Record(d)
+	v.manager.Recorder.Record(d)
 }
 
-func (v *Visit) decision(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) decisionlog.Decision {
+func (v *ActiveCall) newDecision(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) decisionlog.Decision {
 	return decisionlog.Decision{
-		At:       v.desk.Now(),
+		At:       v.manager.Now(),
 		Request:  v.ID,
 		Kind:     kind,
 		Team:     v.Team.Name,
--- a/route/modelservice/adapter.go
+++ b/route/modelservice/adapter.go
@@ -24,11 +24,11 @@
 // weight store's rate, one after the other, and nobody knows how long; the calls of
 // one adapter that is on its way would fill the queue before the calls of all
 // others. The adapter is loaded without them, as the document names it.
-func (s *Server) withoutAdapter(c *callparser.Call, visit *lifecycle.Visit) ([]string, *outcome.Refusal) {
+func (s *Server) withoutAdapter(c *callparser.Call, visit *lifecycle.ActiveCall) ([]string, *outcome.Refusal) {
 	if c.Adapter == "" {
 		return nil, nil
 	}
-	used := visit.At.Picker.Subset()
+	used := visit.Local.Picker.Subset()
 	var without []string
 	for _, replica := range used {
 		_, err := s.Chains.Chain(c, replica)
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -18,7 +18,7 @@
 // run twice: the stream's positions keep its tokens from reaching the caller
 // twice.
 func (c *chooser) mayRetry(ctx context.Context) error {
-	d := c.answer.At.Retry.Allow(retry.Attempt{
+	d := c.answer.Local.Retry.Allow(retry.Attempt{
 		AttemptsMade: c.attemptsThatCount(),
 		Failure:      c.whyNext(),
 		Idempotent:   true,
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -84,9 +84,9 @@
 // that says nothing of its health.
 func (c *chooser) pick(ctx context.Context, exclude []string) (balance.Choice, stream.Chain, error) {
 	a := c.answer
-	choice, ok := a.At.Picker.Pick(balance.Query{
+	choice, ok := a.Local.Picker.Pick(balance.Query{
 		Prefix:  prefixHash(a.chat.Messages),
-		Holders: a.At.Prefixes.Holders(c.hashes()),
+		Holders: a.Local.Prefixes.Holders(c.hashes()),
 		Cost:    a.cost,
 		Exclude: exclude,
 	})
@@ -95,7 +95,7 @@
 	}
 	chain, err := c.resolve(ctx, choice.Replica)
 	if err != nil {
-		a.At.Picker.Finished(choice.Replica, balance.Result{Cost: a.cost, Failure: health.Canceled})
+		a.Local.Picker.Finished(choice.Replica, balance.Result{Cost: a.cost, Failure: health.Canceled})
 	}
 	return choice, chain, err
 }
@@ -139,7 +139,7 @@
 	c.ended++
 	c.runs[r.Epoch-1].silent = r.Unresponsive
 	mine := c.runs[r.Epoch-1]
-	c.answer.At.Picker.Finished(chain.Replica, balance.Result{
+	c.answer.Local.Picker.Finished(chain.Replica, balance.Result{
 		Cost:             c.answer.cost,
 		TimeToFirstToken: r.FirstToken,
 		TotalTime:        c.answer.Now().Sub(mine.since),
@@ -152,13 +152,13 @@
 	for i := range r.Hops {
 		// Without it a slow link looks like slow layers, and the plan leaves the
 		// engine out in place of the link.
-		r.Hops[i].StepMicros = float64(c.answer.At.Step(r.Hops[i].Endpoint).Microseconds())
+		r.Hops[i].StepMicros = float64(c.answer.Local.Step(r.Hops[i].Endpoint).Microseconds())
 	}
 	if len(r.Hops) > 0 {
 		c.answer.server.Plans.Observe(c.answer.Service.Name, chain.Replica, r.Hops)
 	}
 	if r.Load != nil {
-		c.answer.At.ReportLoad(chain.Stages[0].Endpoint, *r.Load)
+		c.answer.Local.ReportLoad(chain.Stages[0].Endpoint, *r.Load)
 	}
 }
 
@@ -167,5 +167,5 @@
 	if len(c.runs) > 1 {
 		kind = decisionlog.Resume
 	}
-	c.answer.Chose(kind, choice, map[string]float64{"epoch": float64(len(c.runs))})
+	c.answer.RecordChoice(kind, choice, map[string]float64{"epoch": float64(len(c.runs))})
 }
--- a/route/modelservice/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -59,7 +59,7 @@
 		r := &replicas{planned: map[string]string{c.replica: c.planned}}
 		service := &document.Service{Name: "pastry-llm", Model: &document.Model{Layers: 1}}
 		chooser := &chooser{answer: &answer{
-			Visit:  &lifecycle.Visit{Call: &callparser.Call{Service: service}},
+			ActiveCall:  &lifecycle.ActiveCall{Call: &callparser.Call{Service: service}},
 			server: &Server{Chains: r, Plans: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
 			chat:   engineapi.ChatRequest{Model: "pastry-llm"},
 		}}
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -41,7 +41,7 @@
 
 // Server answers model calls. Safe for concurrent use.
 type Server struct {
-	Desk    *lifecycle.Desk
+	Desk    *lifecycle.Manager
 	Streams *stream.Runner
 	Chains  Chains
 	Plans   Plans
@@ -60,7 +60,7 @@
 
 // ServeModel answers one call, streamed or whole.
 func (s *Server) ServeModel(w http.ResponseWriter, r *http.Request, c *callparser.Call, chat engineapi.ChatRequest) {
-	visit, refusal := s.Desk.Visit(c)
+	visit, refusal := s.Desk.Begin(c)
 	if refusal != nil {
 		visit.Refuse(w, refusal)
 		return
@@ -73,17 +73,17 @@
 	if chat.MaxTokens == 0 {
 		chat.MaxTokens = defaultMaxTokens
 	}
-	a := &answer{Visit: visit, server: s, chat: chat, cost: expectedCost(chat), without: without}
-	pass, err := a.Enter(r.Context(), a.cost)
+	a := &answer{ActiveCall: visit, server: s, chat: chat, cost: expectedCost(chat), without: without}
+	pass, err := a.Admit(r.Context(), a.cost)
 	if err != nil {
-		a.NotEntered(w, err)
+		a.RespondNotAdmitted(w, err)
 		return
 	}
 	used, whole := a.run(w, r)
 	if whole {
-		pass.Leave(used)
+		pass.Release(used)
 	} else {
-		pass.Cut(used)
+		pass.ReleaseTruncated(used)
 	}
 }
 
@@ -98,7 +98,7 @@
 
 // answer is one call underway.
 type answer struct {
-	*lifecycle.Visit
+	*lifecycle.ActiveCall
 	server *Server
 	chat   engineapi.ChatRequest
 	cost   float64
@@ -126,13 +126,13 @@
 	a.count(summary)
 	what := fromStream(summary.Outcome)
 	if err == nil {
-		a.At.Retry.Success()
+		a.Local.Retry.Success()
 		sink.finish(summary.FinishReason, what)
 	} else {
 		sink.fail(failure(err, summary.LastResult.Status, what))
 	}
 	a.recordEnd(summary, err, what)
-	a.Finished(what)
+	a.CountOutcome(what)
 	return a.used(summary), err == nil
 }
 
@@ -192,7 +192,7 @@
 	if err != nil {
 		reason += ": " + err.Error()
 	}
-	a.Decide(decisionlog.Finish, s.LastResult.End.String(), reason, map[string]float64{
+	a.RecordDecision(decisionlog.Finish, s.LastResult.End.String(), reason, map[string]float64{
 		"tokens":         float64(s.Tokens),
 		"epochs":         float64(s.Epochs),
 		"stray_tokens":   float64(s.StrayTokens),
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -35,18 +35,18 @@
 	}
 	r := &c.runs[trace.Epoch-1]
 	if trace.Load != nil {
-		c.answer.At.ReportLoad(r.first, *trace.Load)
+		c.answer.Local.ReportLoad(r.first, *trace.Load)
 	}
 	now := c.answer.Now()
 	if !r.started {
 		r.started = true
 		r.reported = now
-		c.answer.At.Picker.Started(r.replica, now.Sub(r.since))
+		c.answer.Local.Picker.Started(r.replica, now.Sub(r.since))
 		return
 	}
 	r.tokens++
 	if elapsed := now.Sub(r.reported); elapsed >= progressInterval {
-		c.answer.At.Picker.Progress(r.replica, elapsed/time.Duration(r.tokens))
+		c.answer.Local.Picker.Progress(r.replica, elapsed/time.Duration(r.tokens))
 		r.reported = now
 		r.tokens = 0
 	}
--- a/route/plainservice/endpoints.go
+++ b/route/plainservice/endpoints.go
@@ -11,12 +11,12 @@
 
 // endpoints are those of a call's service, as the data path chooses among them: by the
 // service's balancer, at the addresses of the document that let the call in.
-type endpoints struct{ visit *lifecycle.Visit }
+type endpoints struct{ visit *lifecycle.ActiveCall }
 
 // Choose implements targets.Targets. It does not wait: the entrance has.
 func (e endpoints) Choose(_ context.Context, q targets.Query) (targets.Target, error) {
 	for exclude := q.Exclude; ; {
-		choice, ok := e.visit.At.Picker.Pick(balance.Query{Cost: callCost, Exclude: exclude, NoProbe: q.NonIdempotent})
+		choice, ok := e.visit.Local.Picker.Pick(balance.Query{Cost: callCost, Exclude: exclude, NoProbe: q.NonIdempotent})
 		if !ok {
 			return targets.Target{}, targets.ErrNoEndpoint
 		}
@@ -25,12 +25,12 @@
 			return targets.Target{Replica: choice.Replica, Address: endpoint.Address, Domain: endpoint.FailureDomain, Choice: &choice}, nil
 		}
 		// A later document has brought the endpoint; this call's does not know it.
-		e.visit.At.Picker.Finished(choice.Replica, balance.Result{Cost: callCost, Failure: health.Canceled})
+		e.visit.Local.Picker.Finished(choice.Replica, balance.Result{Cost: callCost, Failure: health.Canceled})
 		exclude = append(exclude[:len(exclude):len(exclude)], choice.Replica)
 	}
 }
 
 // Finish implements targets.Targets.
 func (e endpoints) Finish(t targets.Target, r targets.Result) {
-	e.visit.At.Picker.Finished(t.Replica, balance.Result{Cost: callCost, TotalTime: r.Duration, Failure: r.Failure})
+	e.visit.Local.Picker.Finished(t.Replica, balance.Result{Cost: callCost, TotalTime: r.Duration, Failure: r.Failure})
 }
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -56,7 +56,7 @@
 		return
 	}
 	e.server.Figures.Order(e.Service.Name, claim.State.String())
-	e.Decide(decisionlog.Place, claim.Node, "claim is "+claim.State.String(), nil)
+	e.RecordDecision(decisionlog.Place, claim.Node, "claim is "+claim.State.String(), nil)
 	switch claim.State {
 	case ledger.Fresh:
 		e.place(ctx, w, key, claim)
@@ -104,7 +104,7 @@
 	}
 	if e.endpointsCheckKeys() {
 		e.server.Figures.Order(e.Service.Name, "endpoint checks")
-		e.Decide(decisionlog.Place, "", "no claim, endpoints check keys: "+err.Error(), nil)
+		e.RecordDecision(decisionlog.Place, "", "no claim, endpoints check keys: "+err.Error(), nil)
 		e.finish(w)(e.send(ctx))
 		return
 	}
@@ -161,7 +161,7 @@
 		Body:        a.Body,
 	})
 	if err != nil {
-		e.Decide(decisionlog.Place, "", "result not kept yet: "+err.Error(), nil)
+		e.RecordDecision(decisionlog.Place, "", "result not kept yet: "+err.Error(), nil)
 	}
 }
 
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if err := e.server.Claims.Release(ctx, key, claim); err != nil {
-		e.Decide(decisionlog.Place, "", "claim not released yet: "+err.Error(), nil)
+		e.RecordDecision(decisionlog.Place, "", "claim not released yet: "+err.Error(), nil)
 	}
 }
 
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -36,7 +36,7 @@
 
 // Server answers plain calls. Safe for concurrent use.
 type Server struct {
-	Desk *lifecycle.Desk
+	Desk *lifecycle.Manager
 	// Path speaks this package's Dialect and holds answers up to MaxAnswer.
 	Path    *relay.Server
 	Claims  Claims
@@ -59,21 +59,21 @@
 
 // ServePlain answers one call.
 func (s *Server) ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte) {
-	visit, refusal := s.Desk.Visit(c)
+	visit, refusal := s.Desk.Begin(c)
 	if refusal != nil {
 		visit.Refuse(w, refusal)
 		return
 	}
 	e := &exchange{
-		Visit: visit, server: s, key: r.Header.Get(outcome.HeaderOrderKey),
+		ActiveCall: visit, server: s, key: r.Header.Get(outcome.HeaderOrderKey),
 		method: r.Method, path: withQuery(path, r), header: r.Header, body: body,
 	}
-	pass, err := e.Enter(r.Context(), callCost)
+	pass, err := e.Admit(r.Context(), callCost)
 	if err != nil {
-		e.NotEntered(w, err)
+		e.RespondNotAdmitted(w, err)
 		return
 	}
-	defer pass.Leave(callCost)
+	defer pass.Release(callCost)
 	e.dispatch(w, r)
 }
 
@@ -86,7 +86,7 @@
 
 // exchange is one call underway.
 type exchange struct {
-	*lifecycle.Visit
+	*lifecycle.ActiveCall
 	server *Server
 	// key names an order; "" for none.
 	key    string
@@ -123,7 +123,7 @@
 		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
-		Targets: endpoints{e.Visit}, Budget: e.At.Retry,
+		Targets: endpoints{e.ActiveCall}, Budget: e.Local.Retry,
 		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
 		Arrived: e.Arrived, Deadline: deadline,
 	})
@@ -152,7 +152,7 @@
 func (e *exchange) finish(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
 	return func(a *relay.Answer, refusal *outcome.Refusal) {
 		if refusal != nil {
-			e.Decide(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
+			e.RecordDecision(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
 			e.Refuse(w, refusal)
 			return
 		}
@@ -167,6 +167,6 @@
 	w.WriteHeader(a.Status)
 	// The caller may have gone; there is nobody left to tell.
 	_, _ = w.Write(a.Body)
-	e.Finished(outcome.Done)
-	e.Decide(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
+	e.CountOutcome(outcome.Done)
+	e.RecordDecision(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
 }
