--- a/node/server/server.go
+++ b/node/server/server.go
@@ -195,13 +195,13 @@
 			Metrics: s.metrics,
 		},
 		Plains: &plainservice.Server{
-			Desk: desk,
-			Path: &relay.Server{
-				Headers: plainservice.Dialect{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
-				MaxBufferedBytes: plainservice.MaxAnswer,
+			Lifecycle: desk,
+			Relay: &relay.Server{
+				Headers: plainservice.HeaderCodec{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
+				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 			Claims:  s.orders,
-			Figures: s.metrics,
+			Metrics: s.metrics,
 		},
 	}
 }
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -178,10 +178,10 @@
 			Chains: &chains.Resolver{}, Plans: noPlans{}, Metrics: noFigures{},
 		},
 		Plains: &plainservice.Server{
-			Desk: desk, Claims: claims, Figures: noFigures{},
-			Path: &relay.Server{
-				Headers: plainservice.Dialect{}, Pool: pool, Metrics: noFigures{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
-				MaxBufferedBytes: plainservice.MaxAnswer,
+			Lifecycle: desk, Claims: claims, Metrics: noFigures{},
+			Relay: &relay.Server{
+				Headers: plainservice.HeaderCodec{}, Pool: pool, Metrics: noFigures{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
+				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 		},
 	}
--- a/route/plainservice/dialect.go
+++ b/route/plainservice/dialect.go
@@ -8,30 +8,30 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// Dialect is what this door's plain endpoints speak: HTTP as it is, and one header by
+// HeaderCodec is what this door's plain endpoints speak: HTTP as it is, and one header by
 // which an endpoint says that it did nothing. They tell back no id and vouch for
 // nothing.
-type Dialect struct{}
+type HeaderCodec struct{}
 
-var _ headers.Dialect = Dialect{}
+var _ headers.Dialect = HeaderCodec{}
 
 // Read implements headers.Dialect. Package callparser has read what the caller sent.
-func (Dialect) Read(http.Header) (headers.Call, error) { return headers.Call{}, nil }
+func (HeaderCodec) Read(http.Header) (headers.Call, error) { return headers.Call{}, nil }
 
 // Forward implements headers.Dialect.
-func (Dialect) Forward(h http.Header, _ headers.Sending) http.Header { return forwarded(h) }
+func (HeaderCodec) Forward(h http.Header, _ headers.Sending) http.Header { return upstreamHeader(h) }
 
 // Answer implements headers.Dialect.
-func (Dialect) Answer(_ int, h http.Header) headers.Answer {
+func (HeaderCodec) Answer(_ int, h http.Header) headers.Answer {
 	return headers.Answer{NotRun: h.Get(engineapi.HeaderNotRun) != ""}
 }
 
 // Return implements headers.Dialect.
-func (Dialect) Return(h http.Header) http.Header {
+func (HeaderCodec) Return(h http.Header) http.Header {
 	to := http.Header{}
-	copyHeader(to, h)
+	copyEndToEndHeaders(to, h)
 	return to
 }
 
 // Refuse implements headers.Dialect.
-func (Dialect) Refuse(w http.ResponseWriter, _ headers.Call, r *outcome.Refusal) { r.Write(w) }
+func (HeaderCodec) Refuse(w http.ResponseWriter, _ headers.Call, r *outcome.Refusal) { r.Write(w) }
--- a/route/plainservice/headers.go
+++ b/route/plainservice/headers.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// hopByHop are the headers that concern one connection only.
-var hopByHop = []string{
+// hopByHopHeaders are the headers that concern one connection only.
+var hopByHopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
 	"Proxy-Authenticate",
@@ -19,20 +19,20 @@
 	"Expect",
 }
 
-// forwarded is the part of a caller's headers that an endpoint gets. The team's
+// upstreamHeader is the part of a caller's headers that an endpoint gets. The team's
 // key stays on the node: an endpoint that leaks it would open every service.
-func forwarded(from http.Header) http.Header {
+func upstreamHeader(from http.Header) http.Header {
 	to := http.Header{}
-	copyHeader(to, from)
+	copyEndToEndHeaders(to, from)
 	to.Del("Authorization")
 	return to
 }
 
-// copyHeader adds the end-to-end headers of from. What Connection names is left
+// copyEndToEndHeaders adds the end-to-end headers of from. What Connection names is left
 // out with the fixed ones.
-func copyHeader(to, from http.Header) {
+func copyEndToEndHeaders(to, from http.Header) {
 	skip := map[string]bool{"Content-Length": true}
-	for _, name := range hopByHop {
+	for _, name := range hopByHopHeaders {
 		skip[name] = true
 	}
 	for _, list := range from.Values("Connection") {
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -19,106 +19,106 @@
 	// recordTimeout bounds the write of a result. The order itself is placed;
 	// a result that can't be written leaves the claim in doubt, which is safe.
 	recordTimeout = 5 * time.Second
-	// retryStore is when a caller may try an order again that could not be
+	// claimRetryAfter is when a caller may try an order again that could not be
 	// claimed.
-	retryStore = 2 * time.Second
-	// underwayTime is how long after its claim an order counts as underway. Most
+	claimRetryAfter = 2 * time.Second
+	// inProgressTime is how long after its claim an order counts as underway. Most
 	// have their result within a second, and a paused node goes on when it wakes;
 	// one that has none after this time is thought lost with its node.
-	underwayTime = 10 * time.Second
-	// retryUnderway is when a caller may ask again for an order that is underway.
+	inProgressTime = 10 * time.Second
+	// inProgressRetryAfter is when a caller may ask again for an order that is underway.
 	// Each question costs a read of the shard, which others share.
-	retryUnderway = time.Second
+	inProgressRetryAfter = time.Second
 )
 
 var badKeyMessage = fmt.Sprintf("%s: longer than %d bytes", outcome.HeaderOrderKey, ledger.MaxKeyBytes)
 
-// order places a call that may run at most once.
+// placeOrder places a call that may run at most once.
 //
-// With a key, the claim is written before the order is sent, so that no node,
-// also one that was paused for long, sends an order that another has claimed:
+// With a key, the claim is written before the placeOrder is sent, so that no node,
+// also one that was paused for long, sends an placeOrder that another has claimed:
 // compare-and-swap lets only one claim through. Without a key there is nothing
-// to claim by, and the order is sent once and never again.
-func (e *exchange) order(ctx context.Context, w http.ResponseWriter) {
-	if e.key == "" {
-		e.server.Figures.Order(e.Service.Name, "without key")
-		e.finish(w)(e.send(ctx))
+// to claim by, and the placeOrder is sent once and never again.
+func (e *plainCall) placeOrder(ctx context.Context, w http.ResponseWriter) {
+	if e.idempotencyKey == "" {
+		e.server.Metrics.Order(e.Service.Name, "without key")
+		e.respond(w)(e.send(ctx))
 		return
 	}
 	// The ledger keeps of an answer its status, type and body. A compressed body
 	// would be replayed without the header that says how to read it.
 	e.header = e.header.Clone()
 	e.header.Set("Accept-Encoding", "identity")
-	key := ledger.Key{Team: e.Team.Name, Service: e.Service.Name, Key: e.key}
+	key := ledger.Key{Team: e.Team.Name, Service: e.Service.Name, Key: e.idempotencyKey}
 	claim, err := e.server.Claims.Claim(ctx, key, e.fingerprint())
 	if err != nil {
-		e.unclaimed(ctx, w, err)
+		e.handleClaimError(ctx, w, err)
 		return
 	}
-	e.server.Figures.Order(e.Service.Name, claim.State.String())
+	e.server.Metrics.Order(e.Service.Name, claim.State.String())
 	e.RecordDecision(decisionlog.Place, claim.Node, "claim is "+claim.State.String(), nil)
 	switch claim.State {
 	case ledger.Fresh:
-		e.place(ctx, w, key, claim)
+		e.sendClaimedOrder(ctx, w, key, claim)
 	case ledger.Done:
-		e.replay(w, claim.Result)
+		e.replayResult(w, claim.Result)
 	case ledger.Mismatch:
-		e.finish(w)(nil, &outcome.Refusal{Status: http.StatusUnprocessableEntity, Code: "key_reused", Message: "the key was used for another order", Outcome: outcome.NotRun})
+		e.respond(w)(nil, &outcome.Refusal{Status: http.StatusUnprocessableEntity, Code: "key_reused", Message: "the key was used for another order", Outcome: outcome.NotRun})
 	default:
-		e.finish(w)(nil, unsettled(e.Now().Sub(claim.ClaimedAt)))
+		e.respond(w)(nil, noResultRefusal(e.Now().Sub(claim.ClaimedAt)))
 	}
 }
 
-// unsettled is the answer to an order that was claimed before and has no result.
+// noResultRefusal is the answer to an order that was claimed before and has no result.
 //
 // A caller who heard nothing for a second and asks again, at another node too,
 // mostly comes upon its own first request, still underway. Were it told "in
 // doubt" for good, someone would have to look at the booking side for an order
 // whose result is there a moment later. So a young claim has a time to come back.
 // Nothing is sent in either case, and clocks that differ only shift the moment.
-func unsettled(age time.Duration) *outcome.Refusal {
-	if age >= underwayTime {
-		return inDoubt("the order was sent before and its result is not known")
+func noResultRefusal(age time.Duration) *outcome.Refusal {
+	if age >= inProgressTime {
+		return inDoubtRefusal("the order was sent before and its result is not known")
 	}
 	return &outcome.Refusal{
 		Status:     http.StatusConflict,
 		Code:       "in_progress",
 		Message:    "the order was sent a moment ago and its result is not known yet; ask again with the same key",
 		Outcome:    outcome.Unknown,
-		RetryAfter: retryUnderway,
+		RetryAfter: inProgressRetryAfter,
 	}
 }
 
 // fingerprint tells an order from another under the same key.
-func (e *exchange) fingerprint() string {
+func (e *plainCall) fingerprint() string {
 	sum := sha256.Sum256(e.body)
 	return e.method + " " + e.path + " " + hex.EncodeToString(sum[:])
 }
 
-// unclaimed answers an order whose claim could not be written. If every
+// handleClaimError answers an order whose claim could not be written. If every
 // endpoint of the service checks keys itself, it may be sent all the same.
-func (e *exchange) unclaimed(ctx context.Context, w http.ResponseWriter, err error) {
+func (e *plainCall) handleClaimError(ctx context.Context, w http.ResponseWriter, err error) {
 	if errors.Is(err, ledger.ErrBadKey) {
-		e.finish(w)(nil, &outcome.Refusal{Status: http.StatusBadRequest, Code: "bad_key", Message: badKeyMessage, Outcome: outcome.NotRun})
+		e.respond(w)(nil, &outcome.Refusal{Status: http.StatusBadRequest, Code: "bad_key", Message: badKeyMessage, Outcome: outcome.NotRun})
 		return
 	}
-	if e.endpointsCheckKeys() {
-		e.server.Figures.Order(e.Service.Name, "endpoint checks")
+	if e.allEndpointsCheckKeys() {
+		e.server.Metrics.Order(e.Service.Name, "endpoint checks")
 		e.RecordDecision(decisionlog.Place, "", "no claim, endpoints check keys: "+err.Error(), nil)
-		e.finish(w)(e.send(ctx))
+		e.respond(w)(e.send(ctx))
 		return
 	}
-	e.server.Figures.Order(e.Service.Name, "not claimed")
-	e.finish(w)(nil, &outcome.Refusal{
+	e.server.Metrics.Order(e.Service.Name, "not claimed")
+	e.respond(w)(nil, &outcome.Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       "not_claimed",
 		Message:    "this request was not sent; try again with the same key: " + err.Error(),
 		Outcome:    outcome.NotRun,
-		RetryAfter: retryStore,
+		RetryAfter: claimRetryAfter,
 	})
 }
 
-func (e *exchange) endpointsCheckKeys() bool {
+func (e *plainCall) allEndpointsCheckKeys() bool {
 	for _, name := range e.Service.Plain.Endpoints {
 		endpoint, known := e.Directory.Endpoint(name)
 		if !known || !endpoint.ChecksKeys {
@@ -128,21 +128,21 @@
 	return true
 }
 
-// place sends a claimed order and keeps its result.
-func (e *exchange) place(ctx context.Context, w http.ResponseWriter, key ledger.Key, claim ledger.Claim) {
+// sendClaimedOrder sends a claimed order and keeps its result.
+func (e *plainCall) sendClaimedOrder(ctx context.Context, w http.ResponseWriter, key ledger.Key, claim ledger.Claim) {
 	a, refusal := e.send(ctx)
 	switch {
 	case a != nil:
-		e.keep(ctx, key, claim, a)
+		e.recordResult(ctx, key, claim, a)
 	case refusal.Outcome == outcome.NotRun:
-		e.release(ctx, key, claim)
+		e.releaseClaim(ctx, key, claim)
 	}
-	e.finish(w)(a, refusal)
+	e.respond(w)(a, refusal)
 }
 
-// inDoubt is the answer to an order that may have been placed. It carries no
+// inDoubtRefusal is the answer to an order that may have been placed. It carries no
 // Retry-After: asking again with this key does not send it again.
-func inDoubt(message string) *outcome.Refusal {
+func inDoubtRefusal(message string) *outcome.Refusal {
 	return &outcome.Refusal{
 		Status:  http.StatusConflict,
 		Code:    "in_doubt",
@@ -151,8 +151,8 @@
 	}
 }
 
-// keep writes the result, so that a caller who asks again gets the same answer.
-func (e *exchange) keep(ctx context.Context, key ledger.Key, claim ledger.Claim, a *relay.Answer) {
+// recordResult writes the result, so that a caller who asks again gets the same answer.
+func (e *plainCall) recordResult(ctx context.Context, key ledger.Key, claim ledger.Claim, a *relay.Answer) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	err := e.server.Claims.Record(ctx, key, claim, ledger.Result{
@@ -165,8 +165,8 @@
 	}
 }
 
-// release gives the key free after an order that provably was not run.
-func (e *exchange) release(ctx context.Context, key ledger.Key, claim ledger.Claim) {
+// releaseClaim gives the key free after an order that provably was not run.
+func (e *plainCall) releaseClaim(ctx context.Context, key ledger.Key, claim ledger.Claim) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if err := e.server.Claims.Release(ctx, key, claim); err != nil {
@@ -174,12 +174,12 @@
 	}
 }
 
-// replay answers a caller who asks again for an order that is placed. Where the
+// replayResult answers a caller who asks again for an order that is placed. Where the
 // answer's body was not kept it says so: an empty one would look like the whole.
-func (e *exchange) replay(w http.ResponseWriter, r *ledger.Result) {
+func (e *plainCall) replayResult(w http.ResponseWriter, r *ledger.Result) {
 	if r.Truncated {
 		w.Header().Set(outcome.HeaderReplayed, "1")
-		e.finish(w)(nil, &outcome.Refusal{
+		e.respond(w)(nil, &outcome.Refusal{
 			Status:  r.Status,
 			Code:    "answer_not_kept",
 			Message: "the order was placed; its answer was too long to keep",
@@ -192,5 +192,5 @@
 		header.Set("Content-Type", r.ContentType)
 	}
 	header.Set(outcome.HeaderReplayed, "1")
-	e.pass(w, &relay.Answer{Status: r.Status, Header: header, Body: r.Body})
+	e.writeAnswer(w, &relay.Answer{Status: r.Status, Header: header, Body: r.Body})
 }
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -29,18 +29,18 @@
 	Release(ctx context.Context, key ledger.Key, claim ledger.Claim) error
 }
 
-// Figures is told what became of calls; metrics implement it.
-type Figures interface {
+// Metrics is told what became of calls; metrics implement it.
+type Metrics interface {
 	Order(service, state string)
 }
 
 // Server answers plain calls. Safe for concurrent use.
 type Server struct {
-	Desk *lifecycle.Manager
-	// Path speaks this package's Dialect and holds answers up to MaxAnswer.
-	Path    *relay.Server
+	Lifecycle *lifecycle.Manager
+	// Relay speaks this package's Dialect and holds answers up to MaxAnswer.
+	Relay    *relay.Server
 	Claims  Claims
-	Figures Figures
+	Metrics Metrics
 }
 
 const (
@@ -49,31 +49,31 @@
 	callCost = 1
 	// defaultTimeout bounds a call without a deadline of its own.
 	defaultTimeout = 30 * time.Second
-	// MaxAnswer bounds an endpoint's answer in bytes. It is read whole before
+	// MaxAnswerBytes bounds an endpoint's answer in bytes. It is read whole before
 	// any of it is passed on, so that a broken answer can still be retried.
-	MaxAnswer = 8 << 20
-	// retryLater is what a caller is told when no endpoint could take a call:
+	MaxAnswerBytes = 8 << 20
+	// noEndpointRetryAfter is what a caller is told when no endpoint could take a call:
 	// about the time in which an ejected endpoint is tried again.
-	retryLater = time.Second
+	noEndpointRetryAfter = time.Second
 )
 
 // ServePlain answers one call.
 func (s *Server) ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte) {
-	visit, refusal := s.Desk.Begin(c)
+	active, refusal := s.Lifecycle.Begin(c)
 	if refusal != nil {
-		visit.Refuse(w, refusal)
+		active.Refuse(w, refusal)
 		return
 	}
-	e := &exchange{
-		ActiveCall: visit, server: s, key: r.Header.Get(outcome.HeaderOrderKey),
+	e := &plainCall{
+		ActiveCall: active, server: s, idempotencyKey: r.Header.Get(outcome.HeaderOrderKey),
 		method: r.Method, path: withQuery(path, r), header: r.Header, body: body,
 	}
-	pass, err := e.Admit(r.Context(), callCost)
+	permit, err := e.Admit(r.Context(), callCost)
 	if err != nil {
 		e.RespondNotAdmitted(w, err)
 		return
 	}
-	defer pass.Release(callCost)
+	defer permit.Release(callCost)
 	e.dispatch(w, r)
 }
 
@@ -84,32 +84,32 @@
 	return path + "?" + r.URL.RawQuery
 }
 
-// exchange is one call underway.
-type exchange struct {
+// plainCall is one call underway.
+type plainCall struct {
 	*lifecycle.ActiveCall
 	server *Server
-	// key names an order; "" for none.
-	key    string
+	// idempotencyKey names an order; "" for none.
+	idempotencyKey    string
 	method string
 	path   string
 	header http.Header
 	body   []byte
 }
 
-func (e *exchange) dispatch(w http.ResponseWriter, r *http.Request) {
+func (e *plainCall) dispatch(w http.ResponseWriter, r *http.Request) {
 	if e.Class != admission.Order {
-		e.finish(w)(e.send(r.Context()))
+		e.respond(w)(e.send(r.Context()))
 		return
 	}
 	// A caller who leaves does not take an order back: it may be with the
 	// endpoint already, and its result has to reach the ledger.
-	e.order(context.WithoutCancel(r.Context()), w)
+	e.placeOrder(context.WithoutCancel(r.Context()), w)
 }
 
 // send gets the endpoint's answer. A call that may repeat is sent to other endpoints as
 // long as the budget allows, an order only while every one tried so far provably did
 // nothing.
-func (e *exchange) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
+func (e *plainCall) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
 	kind := ruleset.Repeatable
 	if e.Class == admission.Order {
 		kind = ruleset.Once
@@ -119,50 +119,50 @@
 		deadline = e.Now().Add(defaultTimeout)
 	}
 	timeout := deadline.Sub(e.Arrived)
-	answer, refusal := e.server.Path.Do(ctx, &relay.Request{
+	answer, refusal := e.server.Relay.Do(ctx, &relay.Request{
 		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
-		Targets: endpoints{e.ActiveCall}, Budget: e.Local.Retry,
+		Targets: documentTargets{e.ActiveCall}, Budget: e.Local.Retry,
 		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
 		Arrived: e.Arrived, Deadline: deadline,
 	})
 	if refusal != nil {
-		return nil, told(kind, refusal)
+		return nil, mapRefusal(kind, refusal)
 	}
 	return answer, nil
 }
 
-// told puts a refusal of the data path into the words of this door. An order whose
+// mapRefusal puts a refusal of the data path into the words of this door. An order whose
 // fate is not known stays in doubt.
-func told(kind ruleset.Kind, r *outcome.Refusal) *outcome.Refusal {
+func mapRefusal(kind ruleset.Kind, r *outcome.Refusal) *outcome.Refusal {
 	switch {
 	case r.Code == relay.ReasonCallerGone || r.Code == relay.ReasonOverloaded:
 		return r
 	case r.Outcome == outcome.Unknown && kind == ruleset.Once:
-		return inDoubt("the order was sent and its result is not known: " + r.Message)
+		return inDoubtRefusal("the order was sent and its result is not known: " + r.Message)
 	}
 	return &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: relay.ReasonNoEndpoint, Message: r.Message, Outcome: r.Outcome,
-		RetryAfter: cmp.Or(r.RetryAfter, retryLater),
+		RetryAfter: cmp.Or(r.RetryAfter, noEndpointRetryAfter),
 	}
 }
 
-// finish returns a function that writes either an answer or a refusal.
-func (e *exchange) finish(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
+// respond returns a function that writes either an answer or a refusal.
+func (e *plainCall) respond(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
 	return func(a *relay.Answer, refusal *outcome.Refusal) {
 		if refusal != nil {
 			e.RecordDecision(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
 			e.Refuse(w, refusal)
 			return
 		}
-		e.pass(w, a)
+		e.writeAnswer(w, a)
 	}
 }
 
-// pass hands an endpoint's answer to the caller.
-func (e *exchange) pass(w http.ResponseWriter, a *relay.Answer) {
-	copyHeader(w.Header(), a.Header)
+// writeAnswer hands an endpoint's answer to the caller.
+func (e *plainCall) writeAnswer(w http.ResponseWriter, a *relay.Answer) {
+	copyEndToEndHeaders(w.Header(), a.Header)
 	w.Header().Set(outcome.Header, string(outcome.Done))
 	w.WriteHeader(a.Status)
 	// The caller may have gone; there is nobody left to tell.
