--- a/route/callparser/adapter.go
+++ b/route/callparser/adapter.go
@@ -8,12 +8,12 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// adapterMark stands between a model and an adapter. Names hold none.
-const adapterMark = ":"
+// adapterSeparator stands between a model and an adapter. Names hold none.
+const adapterSeparator = ":"
 
 // SplitModel takes the model of a request apart into service and adapter.
 func SplitModel(model string) (service, adapter string) {
-	service, adapter, _ = strings.Cut(model, adapterMark)
+	service, adapter, _ = strings.Cut(model, adapterSeparator)
 	return service, adapter
 }
 
@@ -25,7 +25,7 @@
 		return nil
 	}
 	if c.Service.Model.Adapter(name) == nil {
-		return refuse(http.StatusNotFound, "unknown_adapter", fmt.Sprintf("service %q has no adapter %q", c.Service.Name, name))
+		return newRefusal(http.StatusNotFound, "unknown_adapter", fmt.Sprintf("service %q has no adapter %q", c.Service.Name, name))
 	}
 	c.Adapter = name
 	return nil
--- a/route/callparser/callparser.go
+++ b/route/callparser/callparser.go
@@ -38,10 +38,10 @@
 	// Adapter is the name of the adapter that a model call uses, if any.
 	Adapter   string
 	Class     admission.Class
-	Arrived   time.Time
+	ArrivedAt   time.Time
 	Directory *docindex.Directory
-	// Start is the latest useful start.
-	Start time.Time
+	// LatestStart is the latest useful start.
+	LatestStart time.Time
 	// Deadline is when the caller stops waiting; zero means no limit.
 	Deadline time.Time
 }
@@ -50,7 +50,7 @@
 func Authenticate(d *docindex.Directory, r *http.Request) (*document.Team, *outcome.Refusal) {
 	team, ok := d.Team(docindex.BearerKey(r))
 	if !ok {
-		return nil, refuse(http.StatusUnauthorized, "unknown_key", "the key belongs to no team of this environment")
+		return nil, newRefusal(http.StatusUnauthorized, "unknown_key", "the key belongs to no team of this environment")
 	}
 	return team, nil
 }
@@ -63,12 +63,12 @@
 	}
 	s, ok := d.Service(service)
 	if !ok {
-		return nil, refuse(http.StatusNotFound, "unknown_service", fmt.Sprintf("no service is named %q", service))
+		return nil, newRefusal(http.StatusNotFound, "unknown_service", fmt.Sprintf("no service is named %q", service))
 	}
 	if !docindex.MayCall(team, service) {
-		return nil, refuse(http.StatusForbidden, "not_allowed", fmt.Sprintf("team %q may not call %q", team.Name, service))
+		return nil, newRefusal(http.StatusForbidden, "not_allowed", fmt.Sprintf("team %q may not call %q", team.Name, service))
 	}
-	c := &Call{ID: NewID(), Team: team, Service: s, Arrived: now, Directory: d}
+	c := &Call{ID: NewRequestID(), Team: team, Service: s, ArrivedAt: now, Directory: d}
 	if refusal := c.readHeaders(r); refusal != nil {
 		return nil, refusal
 	}
@@ -82,9 +82,9 @@
 	case classBatch:
 		c.Class = admission.Batch
 	default:
-		return refuse(http.StatusBadRequest, "bad_class", fmt.Sprintf("%s: %q is neither %q nor %q", outcome.HeaderClass, class, classInteractive, classBatch))
+		return newRefusal(http.StatusBadRequest, "bad_class", fmt.Sprintf("%s: %q is neither %q nor %q", outcome.HeaderClass, class, classInteractive, classBatch))
 	}
-	c.Start = c.Arrived.Add(c.queueDeadline())
+	c.LatestStart = c.ArrivedAt.Add(c.queueDeadline())
 	return c.readTimeout(r.Header.Get(outcome.HeaderTimeout))
 }
 
@@ -101,26 +101,26 @@
 	}
 	ms, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() {
-		return refuse(http.StatusBadRequest, "bad_timeout", fmt.Sprintf("%s: %q is not between 1 and %d", outcome.HeaderTimeout, text, maxTimeout.Milliseconds()))
+		return newRefusal(http.StatusBadRequest, "bad_timeout", fmt.Sprintf("%s: %q is not between 1 and %d", outcome.HeaderTimeout, text, maxTimeout.Milliseconds()))
 	}
-	c.Deadline = c.Arrived.Add(time.Duration(ms) * time.Millisecond)
-	if c.Deadline.Before(c.Start) {
-		c.Start = c.Deadline
+	c.Deadline = c.ArrivedAt.Add(time.Duration(ms) * time.Millisecond)
+	if c.Deadline.Before(c.LatestStart) {
+		c.LatestStart = c.Deadline
 	}
 	return nil
 }
 
-// idBytes makes collisions among the requests of a day improbable.
-const idBytes = 12
+// requestIDBytes makes collisions among the requests of a day improbable.
+const requestIDBytes = 12
 
-// NewID returns a fresh request id.
-func NewID() string {
-	var raw [idBytes]byte
+// NewRequestID returns a fresh request id.
+func NewRequestID() string {
+	var raw [requestIDBytes]byte
 	// crypto/rand.Read never fails on supported systems; it crashes instead.
 	_, _ = rand.Read(raw[:])
 	return hex.EncodeToString(raw[:])
 }
 
-func refuse(status int, code, message string) *outcome.Refusal {
+func newRefusal(status int, code, message string) *outcome.Refusal {
 	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.NotRun}
 }
--- a/route/callparser/callparser_test.go
+++ b/route/callparser/callparser_test.go
@@ -25,7 +25,7 @@
 // What a caller's headers mean for its request: how urgent it is, until when a
 // start is of use and when the caller stops waiting. What can't be understood
 // is refused, not guessed.
-func TestHeaders(t *testing.T) {
+func TestClassAndTimeoutHeaders(t *testing.T) {
 	cases := []struct {
 		name, class, timeout string
 		queueDeadline        int
@@ -55,21 +55,21 @@
 			r.Header.Set(outcome.HeaderTimeout, c.timeout)
 			got, refusal := New(testDirectory(c.queueDeadline), r, "stock-ledger", now)
 			if refusal != nil || c.refused != "" {
-				judgeRefusal(t, refusal, c.refused)
+				checkRefusal(t, refusal, c.refused)
 				return
 			}
 			deadline := time.Time{}
 			if c.deadline > 0 {
 				deadline = now.Add(c.deadline)
 			}
-			if got.Class != c.want || !got.Start.Equal(now.Add(c.start)) || !got.Deadline.Equal(deadline) {
-				t.Errorf("class %v, start after %s, deadline %s", got.Class, got.Start.Sub(now), got.Deadline)
+			if got.Class != c.want || !got.LatestStart.Equal(now.Add(c.start)) || !got.Deadline.Equal(deadline) {
+				t.Errorf("class %v, start after %s, deadline %s", got.Class, got.LatestStart.Sub(now), got.Deadline)
 			}
 		})
 	}
 }
 
-func judgeRefusal(t *testing.T, got *outcome.Refusal, code string) {
+func checkRefusal(t *testing.T, got *outcome.Refusal, code string) {
 	t.Helper()
 	if got == nil || got.Code != code || got.Outcome != outcome.NotRun || got.Status != http.StatusBadRequest {
 		t.Errorf("got %+v, want %q", got, code)
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -107,13 +107,13 @@
 // answer itself takes a part of the work done is for callers who have gone.
 func (v *ActiveCall) latestStart(cost float64) time.Time {
 	if v.Deadline.IsZero() {
-		return v.Start
+		return v.LatestStart
 	}
 	latest := v.Deadline.Add(-v.Local.Expected(cost))
-	if latest.Before(v.Start) {
+	if latest.Before(v.LatestStart) {
 		return latest
 	}
-	return v.Start
+	return v.LatestStart
 }
 
 func (v *ActiveCall) recordAdmission(t *admissionqueue.Permit, cost float64) {
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -118,14 +118,14 @@
 	if deadline.IsZero() {
 		deadline = e.Now().Add(defaultTimeout)
 	}
-	timeout := deadline.Sub(e.Arrived)
+	timeout := deadline.Sub(e.ArrivedAt)
 	answer, refusal := e.server.Relay.Do(ctx, &relay.Request{
 		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
 		Targets: documentTargets{e.ActiveCall}, Budget: e.Local.Retry,
 		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
-		Arrived: e.Arrived, Deadline: deadline,
+		Arrived: e.ArrivedAt, Deadline: deadline,
 	})
 	if refusal != nil {
 		return nil, mapRefusal(kind, refusal)
