--- a/node/site/site.go
+++ b/node/site/site.go
@@ -63,7 +63,7 @@
 	prober  *connprobe.Prober
 	reports *replicareport.Inspector
 	engines *engines.Client
-	door    *ingress.Door
+	door    *ingress.Server
 	// decisions are the latest about requests, for the operators.
 	decisions *decisionlog.Log
 
@@ -146,9 +146,9 @@
 	n.services.init(n)
 	n.bookings = bookings.New(settings.Node, time.Now, n.services.booked, n.services.seen)
 	n.decisions = decisionlog.NewLog(log)
-	n.door = &ingress.Door{
-		Rules: n, Services: &n.services, Leaving: n.leavingFor,
-		Path: &relay.Server{
+	n.door = &ingress.Server{
+		Rules: n, Services: &n.services, DrainingFor: n.leavingFor,
+		Relay: &relay.Server{
 			Headers: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
 			Metrics: n.metrics, Recorder: n.decisions, Log: log, Now: time.Now, SampleEvery: successSample,
 		},
@@ -282,8 +282,8 @@
 // Current implements ingress.Rules.
 func (n *Node) Current() *ruleset.Ruleset { return n.rules.Load() }
 
-// First implements ingress.Rules.
-func (n *Node) First() <-chan struct{} { return n.first }
+// Loaded implements ingress.Rules.
+func (n *Node) Loaded() <-chan struct{} { return n.first }
 
 // Fresh implements relay.ConfigFreshness.
 func (n *Node) Fresh() bool {
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -25,8 +25,8 @@
 	relay.ConfigFreshness
 	// Current returns the newest configuration, or nil if none is known yet.
 	Current() *ruleset.Ruleset
-	// First is closed once one is in force, with the endpoints of its services.
-	First() <-chan struct{}
+	// Loaded is closed once one is in force, with the endpoints of its services.
+	Loaded() <-chan struct{}
 }
 
 // Services gives what is needed to send to a service.
@@ -37,37 +37,37 @@
 	Budget(service string) *retrybudget.Budget
 }
 
-// Door serves a callers' listener. Safe for concurrent use.
-type Door struct {
+// Server serves a callers' listener. Safe for concurrent use.
+type Server struct {
 	Rules    Rules
 	Services Services
-	Path     *relay.Server
-	// Leaving says how long ago the node was told to stop; zero if it was not.
-	Leaving func() time.Duration
+	Relay     *relay.Server
+	// DrainingFor says how long ago the node was told to stop; zero if it was not.
+	DrainingFor func() time.Duration
 }
 
 // ServeHTTP answers one request of a caller.
-func (d *Door) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e := &entry{Door: d, w: w, r: r}
-	e.visit = &relay.Request{Method: r.Method, Target: targetOf(r), Host: r.Host, Header: r.Header, Arrived: d.Path.Now()}
-	if refusal := e.enter(); refusal != nil {
-		d.Path.Refuse(w, e.visit, refusal)
+func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e := &incomingRequest{Server: d, w: w, httpRequest: r}
+	e.request = &relay.Request{Method: r.Method, Target: requestTarget(r), Host: r.Host, Header: r.Header, Arrived: d.Relay.Now()}
+	if refusal := e.checkHead(); refusal != nil {
+		d.Relay.Refuse(w, e.request, refusal)
 		return
 	}
 	if refusal := e.readBody(); refusal != nil {
-		d.Path.Refuse(w, e.visit, refusal)
+		d.Relay.Refuse(w, e.request, refusal)
 		return
 	}
-	d.Path.Serve(r.Context(), w, e.visit)
+	d.Relay.Serve(r.Context(), w, e.request)
 }
 
-// entry is one request on its way in.
-type entry struct {
-	*Door
+// incomingRequest is one request on its way in.
+type incomingRequest struct {
+	*Server
 	w     http.ResponseWriter
-	r     *http.Request
+	httpRequest     *http.Request
 	rules *ruleset.Ruleset
-	visit *relay.Request
+	request *relay.Request
 }
 
 // Reasons of refusals, for logs and metrics.
@@ -75,75 +75,75 @@
 	reasonMalformed = "malformed"
 	reasonNoRules   = "no_configuration"
 	reasonNoRoute   = "no_route"
-	reasonKey       = "unknown_key"
-	reasonStale     = "stale_configuration"
+	reasonUnknownKey       = "unknown_key"
+	reasonStaleRules     = "stale_configuration"
 	reasonTooLarge  = "body_too_large"
 	reasonSlowBody  = "slow_body"
-	reasonNoService = "unknown_service"
-	reasonLeaving   = "leaving"
+	reasonUnknownService = "unknown_service"
+	reasonDraining   = "leaving"
 )
 
 const (
-	// retrySoon is told to callers whom another node can serve a moment later.
-	retrySoon = 100 * time.Millisecond
-	// retryRules is told when the configuration is not known or not proved: the time
+	// drainRetryAfter is told to callers whom another node can serve a moment later.
+	drainRetryAfter = 100 * time.Millisecond
+	// rulesRetryAfter is told when the configuration is not known or not proved: the time
 	// of some reads of the store.
-	retryRules = 500 * time.Millisecond
+	rulesRetryAfter = 500 * time.Millisecond
 )
 
-// enter checks who asks for what. It reads the head only.
-func (e *entry) enter() *outcome.Refusal {
-	v := e.visit
+// checkHead checks who asks for what. It reads the head only.
+func (e *incomingRequest) checkHead() *outcome.Refusal {
+	request := e.request
 	var err error
-	if v.Call, err = e.Path.Headers.Read(e.r.Header); err != nil {
+	if request.Call, err = e.Relay.Headers.Read(e.httpRequest.Header); err != nil {
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, err.Error(), 0)
 	}
-	if e.rules = e.current(v.Call.Patience); e.rules == nil {
-		return relay.NotRun(http.StatusServiceUnavailable, reasonNoRules, "no configuration is known yet", retryRules)
+	if e.rules = e.waitForRules(request.Call.Patience); e.rules == nil {
+		return relay.NotRun(http.StatusServiceUnavailable, reasonNoRules, "no configuration is known yet", rulesRetryAfter)
 	}
-	v.Revision = e.rules.Version
-	if v.Route = e.rules.Match(hostOf(e.r.Host), e.r.URL.Path); v.Route == nil {
+	request.Revision = e.rules.Version
+	if request.Route = e.rules.Match(hostWithoutPort(e.httpRequest.Host), e.httpRequest.URL.Path); request.Route == nil {
 		return relay.NotRun(http.StatusNotFound, reasonNoRoute, "no route matches host and path", 0)
 	}
 	if refusal := e.authorize(); refusal != nil {
 		return refusal
 	}
-	v.Service = v.Route.Pick(rand.Float64())
-	if v.Targets = e.Services.Targets(v.Service); v.Targets == nil {
-		return relay.NotRun(http.StatusServiceUnavailable, reasonNoService, "the route's service has no endpoints yet", retryRules)
+	request.Service = request.Route.Pick(rand.Float64())
+	if request.Targets = e.Services.Targets(request.Service); request.Targets == nil {
+		return relay.NotRun(http.StatusServiceUnavailable, reasonUnknownService, "the route's service has no endpoints yet", rulesRetryAfter)
 	}
-	v.Budget = e.Services.Budget(v.Service)
-	v.Deadline = v.Arrived.Add(v.Route.Timeout)
-	if v.Call.Patience > 0 && v.Call.Patience < v.Route.Timeout {
-		v.Deadline = v.Arrived.Add(v.Call.Patience)
+	request.Budget = e.Services.Budget(request.Service)
+	request.Deadline = request.Arrived.Add(request.Route.Timeout)
+	if request.Call.Patience > 0 && request.Call.Patience < request.Route.Timeout {
+		request.Deadline = request.Arrived.Add(request.Call.Patience)
 	}
-	return e.leaving()
+	return e.refuseWhileDraining()
 }
 
 const (
-	// firstRulesLeast and firstRulesMost bound how long a request waits for the first
+	// minRulesWait and firstRulesMost bound how long a request waits for the first
 	// configuration, firstRulesParts is the part of the caller's time: a node that starts
 	// reads the store within some tenths of a second, and all nodes of a fleet may start
 	// at once, with all callers before them. If the store is away, callers are told so.
-	firstRulesLeast = 150 * time.Millisecond
-	firstRulesMost  = time.Second
-	firstRulesParts = 4
+	minRulesWait = 150 * time.Millisecond
+	maxRulesWait  = time.Second
+	rulesWaitDivisor = 4
 )
 
-// current is the configuration in force. A request that finds none yet waits for a part
+// waitForRules is the configuration in force. A request that finds none yet waits for a part
 // of the time that its caller has.
-func (e *entry) current(patience time.Duration) *ruleset.Ruleset {
+func (e *incomingRequest) waitForRules(callerTimeout time.Duration) *ruleset.Ruleset {
 	select {
-	case <-e.Rules.First():
+	case <-e.Rules.Loaded():
 		return e.Rules.Current()
 	default:
 	}
-	timer := time.NewTimer(min(max(patience/firstRulesParts, firstRulesLeast), firstRulesMost))
+	timer := time.NewTimer(min(max(callerTimeout/rulesWaitDivisor, minRulesWait), maxRulesWait))
 	defer timer.Stop()
 	select {
-	case <-e.Rules.First():
+	case <-e.Rules.Loaded():
 	case <-timer.C:
-	case <-e.r.Context().Done():
+	case <-e.httpRequest.Context().Done():
 	}
 	return e.Rules.Current()
 }
@@ -151,65 +151,65 @@
 // authorize finds the caller's team. A key is judged only by a configuration that is
 // proved to be young: one that was taken away must not run a request on a node that
 // was cut off meanwhile.
-func (e *entry) authorize() *outcome.Refusal {
-	v := e.visit
-	v.Rank = v.Route.Priority
-	team := e.rules.Team(v.Call.Key)
+func (e *incomingRequest) authorize() *outcome.Refusal {
+	request := e.request
+	request.Rank = request.Route.Priority
+	team := e.rules.Team(request.Call.Key)
 	if team != nil {
-		v.Team = team.Name
+		request.Team = team.Name
 		if team.Priority != nil {
-			v.Rank = *team.Priority // goes before the route's
+			request.Rank = *team.Priority // goes before the route's
 		}
 	}
-	if v.Route.Public {
+	if request.Route.Public {
 		return nil
 	}
-	v.Freshness = e.Rules
+	request.Freshness = e.Rules
 	if !e.Rules.Fresh() {
-		return relay.NotRun(http.StatusServiceUnavailable, reasonStale, "keys can't be checked: the configuration store is out of reach", retryRules)
+		return relay.NotRun(http.StatusServiceUnavailable, reasonStaleRules, "keys can't be checked: the configuration store is out of reach", rulesRetryAfter)
 	}
 	if team == nil {
-		return relay.NotRun(http.StatusUnauthorized, reasonKey, "the key is missing or not known", 0)
+		return relay.NotRun(http.StatusUnauthorized, reasonUnknownKey, "the key is missing or not known", 0)
 	}
 	return nil
 }
 
 const (
-	// acceptStreams is how long after it was told to stop a node begins streams:
+	// streamAcceptTime is how long after it was told to stop a node begins streams:
 	// callers have been told to go elsewhere, and a stream of some seconds still
 	// ends in time. One that would be cut is better begun elsewhere.
-	acceptStreams = 2500 * time.Millisecond
-	// acceptOthers is the same for short requests.
-	acceptOthers = 5500 * time.Millisecond
+	streamAcceptTime = 2500 * time.Millisecond
+	// shortRequestAcceptTime is the same for short requests.
+	shortRequestAcceptTime = 5500 * time.Millisecond
 )
 
-// leaving sends callers elsewhere whose answer would not end before the node does.
-func (e *entry) leaving() *outcome.Refusal {
-	since := e.Leaving()
-	if since == 0 {
+// refuseWhileDraining sends callers elsewhere whose answer would not end before the node does.
+func (e *incomingRequest) refuseWhileDraining() *outcome.Refusal {
+	drainingFor := e.DrainingFor()
+	if drainingFor == 0 {
 		return nil
 	}
 	e.w.Header().Set("Connection", "close")
-	bound := acceptOthers
-	if e.visit.Route.Kind == ruleset.Stream {
-		bound = acceptStreams
+	acceptTime := shortRequestAcceptTime
+	if e.request.Route.Kind == ruleset.Stream {
+		acceptTime = streamAcceptTime
 	}
-	if since < bound {
+	if drainingFor < acceptTime {
 		return nil
 	}
-	return relay.NotRun(http.StatusServiceUnavailable, reasonLeaving, "this node is about to stop", retrySoon)
+	return relay.NotRun(http.StatusServiceUnavailable, reasonDraining, "this node is about to stop", drainRetryAfter)
 }
 
-func hostOf(host string) string {
+func hostWithoutPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
 	return host
 }
 
-// targetOf is the path and query as the caller sent them. A target in absolute form
+// requestTarget is the path and query as the caller sent them. A target in absolute form
 // names the host as well.
-func targetOf(r *http.Request) string {
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
@@ -218,32 +218,32 @@
 
 // readBody reads the whole body: it may have to be sent more than once, and an
 // endpoint's connection must not wait for a slow caller.
-func (e *entry) readBody() *outcome.Refusal {
-	most := int64(e.rules.Limits.BodyBytes)
-	if e.r.ContentLength > most {
+func (e *incomingRequest) readBody() *outcome.Refusal {
+	maxBytes := int64(e.rules.Limits.BodyBytes)
+	if e.httpRequest.ContentLength > maxBytes {
 		return relay.NotRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is longer than the configuration allows", 0)
 	}
-	if e.r.Body == nil || e.r.Body == http.NoBody {
+	if e.httpRequest.Body == nil || e.httpRequest.Body == http.NoBody {
 		return nil
 	}
-	control := http.NewResponseController(e.w)
-	if err := control.SetReadDeadline(e.visit.Deadline); err != nil {
-		e.Path.Log.Debug("read deadline", "error", err)
+	controller := http.NewResponseController(e.w)
+	if err := controller.SetReadDeadline(e.request.Deadline); err != nil {
+		e.Relay.Log.Debug("read deadline", "error", err)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.r.Body, most))
-	var long *http.MaxBytesError
+	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.httpRequest.Body, maxBytes))
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &long):
+	case errors.As(err, &tooLarge):
 		return relay.NotRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is longer than the configuration allows", 0)
 	case errors.Is(err, context.DeadlineExceeded) || isTimeout(err):
 		return relay.NotRun(http.StatusRequestTimeout, reasonSlowBody, "the body did not arrive in time", 0)
 	case err != nil:
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, "the body can't be read", 0)
 	}
-	if err := control.SetReadDeadline(time.Time{}); err != nil {
-		e.Path.Log.Debug("read deadline", "error", err)
+	if err := controller.SetReadDeadline(time.Time{}); err != nil {
+		e.Relay.Log.Debug("read deadline", "error", err)
 	}
-	e.visit.Body = body
+	e.request.Body = body
 	return nil
 }
 
--- a/route/ingress/ingress_test.go
+++ b/route/ingress/ingress_test.go
@@ -9,27 +9,27 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-// late is a node whose first configuration comes a while after its first caller.
-type late struct {
+// delayedRules is a node whose first configuration comes a while after its first caller.
+type delayedRules struct {
 	Rules
 	rules *ruleset.Ruleset
-	first chan struct{}
-	// asked is told when a request asks for the first one; it keeps one word, as the
+	loaded chan struct{}
+	// checked is told when a request asks for the first one; it keeps one word, as the
 	// listener may come later.
-	asked chan struct{}
+	checked chan struct{}
 }
 
-func (l *late) First() <-chan struct{} {
+func (l *delayedRules) Loaded() <-chan struct{} {
 	select {
-	case l.asked <- struct{}{}:
+	case l.checked <- struct{}{}:
 	default: // that is known already
 	}
-	return l.first
+	return l.loaded
 }
 
-func (l *late) Current() *ruleset.Ruleset {
+func (l *delayedRules) Current() *ruleset.Ruleset {
 	select {
-	case <-l.first:
+	case <-l.loaded:
 		return l.rules
 	default:
 		return nil
@@ -39,35 +39,35 @@
 // All nodes of a fleet start at once, before all callers. Those who come in the
 // milliseconds before the configuration has been read are not sent away: with nobody else
 // to go to they would all come back late.
-func TestFirstConfigurationIsWaitedFor(t *testing.T) {
-	l := &late{rules: &ruleset.Ruleset{}, first: make(chan struct{}), asked: make(chan struct{}, 1)}
-	e := &entry{Door: &Door{Rules: l}, r: httptest.NewRequest("GET", "/", nil)}
+func TestRequestsWaitForFirstRules(t *testing.T) {
+	l := &delayedRules{rules: &ruleset.Ruleset{}, loaded: make(chan struct{}), checked: make(chan struct{}, 1)}
+	e := &incomingRequest{Server: &Server{Rules: l}, httpRequest: httptest.NewRequest("GET", "/", nil)}
 	got := make(chan *ruleset.Ruleset)
-	go func() { got <- e.current(20 * time.Second) }()
-	<-l.asked // it has looked once, and found none
+	go func() { got <- e.waitForRules(20 * time.Second) }()
+	<-l.checked // it has looked once, and found none
 	select {
 	case <-got:
 		t.Fatal("a caller with time to wait was sent away")
-	case <-time.After(2 * firstRulesLeast):
+	case <-time.After(2 * minRulesWait):
 	}
-	close(l.first)
+	close(l.loaded)
 	if <-got != l.rules {
 		t.Error("a request was let in by no configuration")
 	}
-	if e.current(0) != l.rules {
+	if e.waitForRules(0) != l.rules {
 		t.Error("the one in force is not used")
 	}
 }
 
 // The store is away while a node starts. Its callers are told so soon, however much time
 // they have, and not held.
-func TestNoConfigurationIsToldSoon(t *testing.T) {
-	l := &late{first: make(chan struct{})}
+func TestWaitForFirstRulesIsBounded(t *testing.T) {
+	l := &delayedRules{loaded: make(chan struct{})}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	e := &entry{Door: &Door{Rules: l}, r: httptest.NewRequestWithContext(ctx, "GET", "/", nil)}
-	for _, patience := range []time.Duration{0, time.Second, 10 * time.Minute} {
-		if e.current(patience) != nil {
+	e := &incomingRequest{Server: &Server{Rules: l}, httpRequest: httptest.NewRequestWithContext(ctx, "GET", "/", nil)}
+	for _, callerTimeout := range []time.Duration{0, time.Second, 10 * time.Minute} {
+		if e.waitForRules(callerTimeout) != nil {
 			t.Error("a configuration out of nowhere")
 		}
 	}
