--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -95,10 +95,10 @@
 func (e *incomingRequest) checkHead() *outcome.Refusal {
 	request := e.request
 	var err error
-	if request.Call, err = e.Relay.Headers.Read(e.httpRequest.Header); err != nil {
+	if request.Call, err = e.Relay.Headers.ParseRequest(e.httpRequest.Header); err != nil {
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, err.Error(), 0)
 	}
-	if e.rules = e.waitForRules(request.Call.Patience); e.rules == nil {
+	if e.rules = e.waitForRules(request.Call.Timeout); e.rules == nil {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonNoRules, "no configuration is known yet", rulesRetryAfter)
 	}
 	request.Revision = e.rules.Version
@@ -114,8 +114,8 @@
 	}
 	request.Budget = e.Services.Budget(request.Service)
 	request.Deadline = request.Arrived.Add(request.Route.Timeout)
-	if request.Call.Patience > 0 && request.Call.Patience < request.Route.Timeout {
-		request.Deadline = request.Arrived.Add(request.Call.Patience)
+	if request.Call.Timeout > 0 && request.Call.Timeout < request.Route.Timeout {
+		request.Deadline = request.Arrived.Add(request.Call.Timeout)
 	}
 	return e.refuseWhileDraining()
 }
--- a/route/plainservice/dialect.go
+++ b/route/plainservice/dialect.go
@@ -13,25 +13,25 @@
 // nothing.
 type HeaderCodec struct{}
 
-var _ headers.Dialect = HeaderCodec{}
+var _ headers.Codec = HeaderCodec{}
 
-// Read implements headers.Dialect. Package callparser has read what the caller sent.
-func (HeaderCodec) Read(http.Header) (headers.Call, error) { return headers.Call{}, nil }
+// ParseRequest implements headers.Dialect. Package callparser has read what the caller sent.
+func (HeaderCodec) ParseRequest(http.Header) (headers.CallHead, error) { return headers.CallHead{}, nil }
 
-// Forward implements headers.Dialect.
-func (HeaderCodec) Forward(h http.Header, _ headers.Sending) http.Header { return upstreamHeader(h) }
+// UpstreamHeader implements headers.Dialect.
+func (HeaderCodec) UpstreamHeader(h http.Header, _ headers.UpstreamFields) http.Header { return upstreamHeader(h) }
 
-// Answer implements headers.Dialect.
-func (HeaderCodec) Answer(_ int, h http.Header) headers.Answer {
-	return headers.Answer{NotRun: h.Get(engineapi.HeaderNotRun) != ""}
+// ParseResponse implements headers.Dialect.
+func (HeaderCodec) ParseResponse(_ int, h http.Header) headers.ResponseHead {
+	return headers.ResponseHead{NotRun: h.Get(engineapi.HeaderNotRun) != ""}
 }
 
-// Return implements headers.Dialect.
-func (HeaderCodec) Return(h http.Header) http.Header {
+// DownstreamHeader implements headers.Dialect.
+func (HeaderCodec) DownstreamHeader(h http.Header) http.Header {
 	to := http.Header{}
 	copyEndToEndHeaders(to, h)
 	return to
 }
 
-// Refuse implements headers.Dialect.
-func (HeaderCodec) Refuse(w http.ResponseWriter, _ headers.Call, r *outcome.Refusal) { r.Write(w) }
+// WriteRefusal implements headers.Dialect.
+func (HeaderCodec) WriteRefusal(w http.ResponseWriter, _ headers.CallHead, r *outcome.Refusal) { r.Write(w) }
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -120,7 +120,7 @@
 	}
 	timeout := deadline.Sub(e.ArrivedAt)
 	answer, refusal := e.server.Relay.Do(ctx, &relay.Request{
-		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
+		Call: headers.CallHead{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
 		// A document names no objective: an endpoint may take its whole time.
 		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
 		Targets: documentTargets{e.ActiveCall}, Budget: e.Local.Retry,
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -62,7 +62,7 @@
 	startedAt time.Time
 	// resumeAfter is the id of the last event that the caller has, if the stream is resumed.
 	resumeAfter string
-	head        headers.Answer
+	head        headers.ResponseHead
 }
 
 // send sends the request to the attempt's target and decodes the head of the answer.
@@ -78,8 +78,8 @@
 	exchange, err := req.server.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
 		Method:  req.Method, Target: req.Target, Host: cmp.Or(req.Host, a.target.Address), Body: req.Body,
-		Header: req.server.Headers.Forward(req.Header, headers.Sending{
-			Replica: a.target.Replica, Team: req.Team, Left: remaining - deadlineMargin, After: a.resumeAfter, Path: a.target.Path,
+		Header: req.server.Headers.UpstreamHeader(req.Header, headers.UpstreamFields{
+			ReplicaID: a.target.Replica, Team: req.Team, Remaining: remaining - deadlineMargin, LastEventID: a.resumeAfter, Path: a.target.Path,
 		}),
 		// A non-idempotent request gets a new connection. If the new connection closes before
 		// an answer, an earlier request can't be the cause.
@@ -92,14 +92,14 @@
 		res := a.resultOfError(err)
 		return nil, &res
 	}
-	a.head = req.server.Headers.Answer(exchange.StatusCode, exchange.Header)
+	a.head = req.server.Headers.ParseResponse(exchange.StatusCode, exchange.Header)
 	return exchange, nil
 }
 
 // matchesRequest reports whether the head of an answer belongs to this request. An endpoint
 // that could not parse the request sends a refusal without an id.
 func (a *attempt) matchesRequest(h http.Header) bool {
-	id := a.req.server.Headers.Answer(http.StatusOK, h).ID
+	id := a.req.server.Headers.ParseResponse(http.StatusOK, h).RequestID
 	return id == "" || id == a.req.Call.ID
 }
 
@@ -166,10 +166,10 @@
 	slow := a.req.server.Now().Sub(a.startedAt) > suspectAfter
 	return attemptResult{
 		kind:   resultNotRun,
-		detail: fmt.Sprintf("%d from %s, at fault: %q", status, a.target.Address, a.head.Fault),
+		detail: fmt.Sprintf("%d from %s, at fault: %q", status, a.target.Address, a.head.FaultAddress),
 		feedback: targets.Result{
 			Failure:       upstream.RefusalFailure(status),
-			FaultAddress:  a.head.Fault,
+			FaultAddress:  a.head.FaultAddress,
 			LayersMissing: a.head.Misdirected,
 			Suspected:     slow,
 			NoCapacity:    !a.head.Misdirected && !slow,
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -49,7 +49,7 @@
 // writeHead writes the status and headers; a negative length is omitted.
 func (req *requestState) writeHead(status int, header http.Header, length int) {
 	h := req.w.Header()
-	for name, values := range req.server.Headers.Return(header) {
+	for name, values := range req.server.Headers.DownstreamHeader(header) {
 		h[name] = values
 	}
 	if length >= 0 {
@@ -88,7 +88,7 @@
 	if err != nil {
 		return a.resultOfError(err)
 	}
-	e.KeepAlive(a.head.KeepFor)
+	e.KeepAlive(a.head.IdleTimeout)
 	answer := &Answer{Status: e.StatusCode, Header: e.Header, Body: body}
 	switch {
 	case answer.Status < http.StatusMultipleChoices:
@@ -108,16 +108,16 @@
 // Such an answer must come from the endpoint itself, carry the id of this request and be
 // unmodified.
 func (a *attempt) invalidReason() string {
-	if a.req.Call.Echoed && a.head.ID != a.req.Call.ID {
+	if a.req.Call.IDEchoed && a.head.RequestID != a.req.Call.ID {
 		return "the answer does not carry the request's id"
 	}
-	return a.head.Unsound
+	return a.head.InvalidReason
 }
 
 // discardBody reads the rest of a refusal so that its connection can be reused.
 func (a *attempt) discardBody(e *upstream.Exchange) {
 	if _, err := a.readAll(e); err == nil {
-		e.KeepAlive(a.head.KeepFor)
+		e.KeepAlive(a.head.IdleTimeout)
 	}
 }
 
@@ -145,7 +145,7 @@
 			return attemptResult{kind: resultCallerGone, detail: writeErr.Error()}
 		}
 		if errors.Is(err, io.EOF) {
-			e.KeepAlive(a.head.KeepFor)
+			e.KeepAlive(a.head.IdleTimeout)
 			req.recordFinish(map[string]float64{"status": float64(e.StatusCode)})
 			return attemptResult{kind: resultComplete, feedback: targets.Result{Complete: true}}
 		}
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -57,7 +57,7 @@
 	}
 	res.feedback.Duration = req.server.Now().Sub(a.startedAt)
 	if a.head.Load != nil {
-		res.feedback.Load = &targets.Load{Running: a.head.Load.Running, Waiting: a.head.Load.Waiting}
+		res.feedback.Load = &targets.Load{Running: a.head.Load.RunningRequests, Waiting: a.head.Load.WaitingRequests}
 	}
 	req.Targets.Finish(a.target, res.feedback)
 	req.lastResult = res
@@ -137,26 +137,26 @@
 // expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
 // end.
 func (req *requestState) expectedTokens() float64 {
-	answer := req.Call.Expected
+	answer := req.Call.ExpectedTokens
 	if answer == 0 {
-		answer = req.Call.MaxAnswer
+		answer = req.Call.MaxAnswerTokens
 	}
 	if answer == 0 {
 		answer = defaultAnswerTokens
 	}
-	if req.Call.MaxAnswer > 0 {
-		answer = min(answer, req.Call.MaxAnswer)
+	if req.Call.MaxAnswerTokens > 0 {
+		answer = min(answer, req.Call.MaxAnswerTokens)
 	}
-	return float64(req.Call.Prompt) + reservedAnswerShare*float64(answer)
+	return float64(req.Call.PromptTokens) + reservedAnswerShare*float64(answer)
 }
 
 // prefillTokens is the number of tokens to prefill before the next event: the prompt and, for a
 // resumed stream, the part of the answer that the caller already has.
 func (req *requestState) prefillTokens() float64 {
-	if req.answerStarted || req.Call.After != "" {
+	if req.answerStarted || req.Call.LastEventID != "" {
 		return req.expectedTokens()
 	}
-	return float64(req.Call.Prompt)
+	return float64(req.Call.PromptTokens)
 }
 
 // reservedAnswerShare is the share of an answer's expected length that is reserved. Requests in
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -67,7 +67,7 @@
 // Request is a request that a listener has admitted: its caller's team, its destination and its
 // limits. The data path reads nothing else of what the caller sent.
 type Request struct {
-	Call headers.Call
+	Call headers.CallHead
 	// Team is the caller's team; "" if the route is open to all.
 	Team    string
 	Service string
@@ -101,7 +101,7 @@
 // Server serves requests that a listener has admitted. It is safe for concurrent use; the
 // fields are set before use. Engines, Prober and Reports are needed only for model services.
 type Server struct {
-	Headers  headers.Dialect
+	Headers  headers.Codec
 	Engines  EngineClient
 	Pool     *upstream.Pool
 	Prober   *connprobe.Prober
@@ -236,7 +236,7 @@
 		},
 	})
 	req.server.Metrics.Refused(req.Service, r.Code)
-	req.server.Headers.Refuse(req.w, req.Call, r)
+	req.server.Headers.WriteRefusal(req.w, req.Call, r)
 }
 
 // record adds the request's fields to a decision and records it.
--- a/route/relay/stream.go
+++ b/route/relay/stream.go
@@ -148,7 +148,7 @@
 	}
 	req := a.req
 	req.beginStream(e)
-	e.KeepAlive(a.head.KeepFor)
+	e.KeepAlive(a.head.IdleTimeout)
 	req.recordFinish(map[string]float64{
 		"events": float64(req.eventCount), "parts": float64(len(a.target.Path)), "first_ms": millis(req.timeToFirstEvent),
 		"longest_pause_ms": millis(req.longestPause), "pause_after_event": float64(req.eventsAtLongestPause),
