--- a/e2e/bench/orders.go
+++ b/e2e/bench/orders.go
@@ -44,7 +44,7 @@
 		return orderReply{}, 0
 	}
 	request.Header.Set("Authorization", "Bearer "+team)
-	request.Header.Set(outcome.HeaderOrderKey, key)
+	request.Header.Set(outcome.HeaderIdempotencyKey, key)
 	response, err := client.Do(request)
 	if err != nil {
 		return orderReply{}, time.Since(began)
--- a/e2e/harness/caller.go
+++ b/e2e/harness/caller.go
@@ -152,7 +152,7 @@
 func (c *Caller) Order(ctx context.Context, node, key, body string) (Reply, error) {
 	header := http.Header{}
 	if key != "" {
-		header.Set(outcome.HeaderOrderKey, key)
+		header.Set(outcome.HeaderIdempotencyKey, key)
 	}
 	response, err := c.do(ctx, http.MethodPost, "http://"+node+"/services/"+Plain+"/orders", header, []byte(body))
 	if err != nil {
--- a/route/httpapi/order_test.go
+++ b/route/httpapi/order_test.go
@@ -19,7 +19,7 @@
 func order(key, body string) asked {
 	a := asked{method: http.MethodPost, path: orders, key: teamKey, body: body}
 	if key != "" {
-		a.header = map[string]string{outcome.HeaderOrderKey: key}
+		a.header = map[string]string{outcome.HeaderIdempotencyKey: key}
 	}
 	return a
 }
--- a/route/outcome/outcome.go
+++ b/route/outcome/outcome.go
@@ -30,8 +30,8 @@
 	HeaderReplayed  = "Cicadatack-Replayed"
 	HeaderTimeout   = "Cicadatack-Timeout-Ms"
 	HeaderClass     = "Cicadatack-Class"
-	HeaderOrderKey  = "Idempotency-Key"
-	headerRetry     = "Retry-After"
+	HeaderIdempotencyKey  = "Idempotency-Key"
+	headerRetryAfter     = "Retry-After"
 	contentTypeJSON = "application/json"
 )
 
@@ -80,15 +80,15 @@
 	h.Set("Content-Type", contentTypeJSON)
 	h.Set(Header, string(r.Outcome))
 	if r.RetryAfter > 0 {
-		h.Set(headerRetry, strconv.FormatInt(wholeSeconds(r.RetryAfter), 10))
+		h.Set(headerRetryAfter, strconv.FormatInt(ceilSeconds(r.RetryAfter), 10))
 	}
 	w.WriteHeader(r.Status)
 	// The caller may have gone; there is nobody left to tell.
 	_ = json.NewEncoder(w).Encode(r.JSON())
 }
 
-// wholeSeconds rounds up, as Retry-After has no fractions and coming back too
+// ceilSeconds rounds up, as Retry-After has no fractions and coming back too
 // early only meets another refusal.
-func wholeSeconds(d time.Duration) int64 {
+func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/route/outcome/outcome_test.go
+++ b/route/outcome/outcome_test.go
@@ -8,7 +8,7 @@
 
 // A caller that comes back too early only meets another refusal, so Retry-After,
 // which has no fractions, is rounded up; without a time it is left out.
-func TestRetryAfter(t *testing.T) {
+func TestRetryAfterRoundsUp(t *testing.T) {
 	cases := map[time.Duration]string{
 		0:                       "",
 		time.Millisecond:        "1",
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -31,7 +31,7 @@
 	inProgressRetryAfter = time.Second
 )
 
-var badKeyMessage = fmt.Sprintf("%s: longer than %d bytes", outcome.HeaderOrderKey, ledger.MaxKeyBytes)
+var badKeyMessage = fmt.Sprintf("%s: longer than %d bytes", outcome.HeaderIdempotencyKey, ledger.MaxKeyBytes)
 
 // placeOrder places a call that may run at most once.
 //
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -65,7 +65,7 @@
 		return
 	}
 	e := &plainCall{
-		ActiveCall: active, server: s, idempotencyKey: r.Header.Get(outcome.HeaderOrderKey),
+		ActiveCall: active, server: s, idempotencyKey: r.Header.Get(outcome.HeaderIdempotencyKey),
 		method: r.Method, path: withQuery(path, r), header: r.Header, body: body,
 	}
 	permit, err := e.Admit(r.Context(), callCost)
