--- a/node/cmd/cicadactl/nodes.go
+++ b/node/cmd/cicadactl/nodes.go
@@ -109,8 +109,8 @@
 			fmt.Fprintf(out, "; %s %s", n.Name, n.Text)
 		}
 	}
-	for _, name := range sorted(d.Figures) {
-		fmt.Fprintf(out, "; %s %.4g", name, d.Figures[name])
+	for _, name := range sorted(d.Values) {
+		fmt.Fprintf(out, "; %s %.4g", name, d.Values[name])
 	}
 	fmt.Fprintln(out)
 }
--- a/node/site/operators_test.go
+++ b/node/site/operators_test.go
@@ -57,7 +57,7 @@
 		if got := strings.Join(kinds, " "); got != want {
 			t.Errorf("%s: %s, want %s", id, got, want)
 		}
-		if first := told.Decisions[0]; first.Kind != decisionlog.Route || first.Chosen == "" || first.Figures["proof_age_ms"] < 0 {
+		if first := told.Decisions[0]; first.Kind != decisionlog.Route || first.Chosen == "" || first.Values["proof_age_ms"] < 0 {
 			t.Errorf("%s: %+v", id, first)
 		}
 	}
--- a/route/decisionlog/cost_test.go
+++ b/route/decisionlog/cost_test.go
@@ -8,16 +8,16 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// usual is the decision of where a request to a model is sent.
-func usual(quiet bool) Decision {
+// exampleDecision is the decision of where a request to a model is sent.
+func exampleDecision(quiet bool) Decision {
 	return Decision{
 		At: time.Now(), Request: "9c41d07be2a35f68", Kind: Route, Team: "bogor", Service: "pastry-llm", Chosen: "i-40e75c2659",
-		Reason: "cheapest path with room", Revision: 16, Quiet: quiet,
+		Reason: "cheapest path with room", Revision: 16, SkipLog: quiet,
 		Notes: []Note{
 			{Name: "address", Text: "10.3.64.16:8066"},
 			{Name: "path", Text: "i-40e75c2659:0-14 i-d6abcb5c10:14-28 i-236a4d829b:28-36 i-62b11cb140:36-44 i-6be3e1e180:44-52 i-ddbcef27a2:52-60"},
 		},
-		Figures: map[string]float64{"try": 1, "proof_age_ms": 680.9},
+		Values: map[string]float64{"try": 1, "proof_age_ms": 680.9},
 	}
 }
 
@@ -29,7 +29,7 @@
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				log.Record(usual(quiet))
+				log.Record(exampleDecision(quiet))
 			}
 		})
 	}
--- a/route/decisionlog/decisionlog.go
+++ b/route/decisionlog/decisionlog.go
@@ -28,9 +28,9 @@
 	// Retry is what follows a try that failed.
 	Retry  Kind = "retry"
 	Resume Kind = "resume"
-	// Detour leads a request that is underway around a part of its path.
-	Detour Kind = "detour"
-	Place  Kind = "place"
+	// Reroute leads a request that is underway around a part of its path.
+	Reroute Kind = "detour"
+	PlaceOrder  Kind = "place"
 	Finish Kind = "finish"
 )
 
@@ -39,8 +39,8 @@
 type Alternative struct {
 	Name  string  `json:"name"`
 	Score float64 `json:"score"`
-	// HeldBlocks is how many blocks of the prompt it is thought to have cached.
-	HeldBlocks int `json:"held_blocks,omitempty"`
+	// CachedBlocks is how many blocks of the prompt it is thought to have cached.
+	CachedBlocks int `json:"held_blocks,omitempty"`
 }
 
 // Note is an input of a decision that is no number.
@@ -59,31 +59,31 @@
 	Chosen       string        `json:"chosen,omitempty"`
 	Reason       string        `json:"reason"`
 	Alternatives []Alternative `json:"alternatives,omitempty"`
-	// Figures are the numbers behind the reason, by name and with units.
-	Figures map[string]float64 `json:"figures,omitempty"`
+	// Values are the numbers behind the reason, by name and with units.
+	Values map[string]float64 `json:"figures,omitempty"`
 	Notes   []Note             `json:"notes,omitempty"`
 	// Revision is the version of the document or configuration that was in force.
 	Revision int64 `json:"revision,omitempty"`
-	// Quiet decisions are remembered and not logged: where all went well, one request
+	// SkipLog decisions are remembered and not logged: where all went well, one request
 	// of many is logged as a sample.
-	Quiet bool `json:"-"`
+	SkipLog bool `json:"-"`
 }
 
-// Weighed begins a decision with what a balancer's choice was made over; an empty one
+// FromChoice begins a decision with what a balancer's choice was made over; an empty one
 // for no choice.
-func Weighed(choice *balance.Choice) Decision {
-	d := Decision{Figures: map[string]float64{}}
+func FromChoice(choice *balance.Choice) Decision {
+	d := Decision{Values: map[string]float64{}}
 	if choice == nil {
 		return d
 	}
 	d.Reason = choice.Reason.String()
-	d.Figures["score"] = choice.Score
+	d.Values["score"] = choice.Score
 	if choice.CachedBlocks > 0 {
-		d.Figures["held_blocks"] = float64(choice.CachedBlocks)
+		d.Values["held_blocks"] = float64(choice.CachedBlocks)
 	}
 	for _, other := range choice.Alternatives {
 		if other.ID != "" {
-			d.Alternatives = append(d.Alternatives, Alternative{Name: other.ID, Score: other.Score, HeldBlocks: other.CachedBlocks})
+			d.Alternatives = append(d.Alternatives, Alternative{Name: other.ID, Score: other.Score, CachedBlocks: other.CachedBlocks})
 		}
 	}
 	return d
@@ -96,22 +96,22 @@
 
 const (
 	shardCount = 16
-	// perShard bounds the memory: 16 shards of 256 decisions of about 400 bytes
+	// decisionsPerShard bounds the memory: 16 shards of 256 decisions of about 400 bytes
 	// are 1.6 MB, a fortieth of the node's 64 MB.
-	perShard = 256
+	decisionsPerShard = 256
 )
 
 // Log is the Recorder of a node. State is in shards by request id, each under
 // its own lock, so that recording does not serialise the data path.
 type Log struct {
 	logger hclog.Logger
-	shards [shardCount]shard
+	shards [shardCount]shardOf
 }
 
-type shard struct {
+type shardOf struct {
 	mu     sync.Mutex
-	latest [perShard]Decision
-	next   int
+	latest [decisionsPerShard]Decision
+	nextIndex   int
 }
 
 // NewLog returns a Log that writes its lines to logger at info level.
@@ -121,14 +121,14 @@
 
 // Record logs d and remembers it. Safe for concurrent use.
 func (l *Log) Record(d Decision) {
-	if !d.Quiet && l.logger.IsInfo() {
-		l.logger.Info("decision", fields(d)...)
+	if !d.SkipLog && l.logger.IsInfo() {
+		l.logger.Info("decision", logFields(d)...)
 	}
 	s := l.shard(d.Request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.latest[s.next] = d
-	s.next = (s.next + 1) % perShard
+	s.latest[s.nextIndex] = d
+	s.nextIndex = (s.nextIndex + 1) % decisionsPerShard
 }
 
 // Explain returns what is remembered of a request, oldest first.
@@ -137,8 +137,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []Decision
-	for i := range perShard {
-		d := s.latest[(s.next+i)%perShard]
+	for i := range decisionsPerShard {
+		d := s.latest[(s.nextIndex+i)%decisionsPerShard]
 		if d.Request == request && request != "" {
 			found = append(found, d)
 		}
@@ -146,28 +146,28 @@
 	return found
 }
 
-func (l *Log) shard(request string) *shard {
+func (l *Log) shard(request string) *shardOf {
 	h := fnv.New32a()
 	h.Write([]byte(request))
 	return &l.shards[h.Sum32()%shardCount]
 }
 
-func fields(d Decision) []any {
+func logFields(d Decision) []any {
 	f := []any{"request", d.Request, "kind", d.Kind, "reason", d.Reason}
-	f = appendNamed(f, "team", d.Team)
-	f = appendNamed(f, "service", d.Service)
-	f = appendNamed(f, "chosen", d.Chosen)
+	f = appendNonEmpty(f, "team", d.Team)
+	f = appendNonEmpty(f, "service", d.Service)
+	f = appendNonEmpty(f, "chosen", d.Chosen)
 	for _, a := range d.Alternatives {
 		f = append(f, "alternative."+a.Name, a.Score)
-		if a.HeldBlocks > 0 {
-			f = append(f, "alternative_held_blocks."+a.Name, a.HeldBlocks)
+		if a.CachedBlocks > 0 {
+			f = append(f, "alternative_held_blocks."+a.Name, a.CachedBlocks)
 		}
 	}
-	for name, value := range d.Figures {
+	for name, value := range d.Values {
 		f = append(f, name, value)
 	}
 	for _, n := range d.Notes {
-		f = appendNamed(f, n.Name, n.Text)
+		f = appendNonEmpty(f, n.Name, n.Text)
 	}
 	if d.Revision > 0 {
 		f = append(f, "revision", d.Revision)
@@ -175,7 +175,7 @@
 	return f
 }
 
-func appendNamed(f []any, name, value string) []any {
+func appendNonEmpty(f []any, name, value string) []any {
 	if value == "" {
 		return f
 	}
--- a/route/decisionlog/decisionlog_test.go
+++ b/route/decisionlog/decisionlog_test.go
@@ -11,7 +11,7 @@
 // The operator asks why a request was sent where it was: its own decisions come
 // back in order, whatever else the node decided meanwhile, until newer ones have
 // taken their room.
-func TestExplain(t *testing.T) {
+func TestExplainReturnsARequestsDecisions(t *testing.T) {
 	l := NewLog(hclog.NewNullLogger())
 	for i, kind := range []Kind{Admit, Route, Resume, Finish} {
 		l.Record(Decision{Request: "r", Kind: kind})
@@ -27,7 +27,7 @@
 	if l.Explain("") != nil || l.Explain("unknown") != nil {
 		t.Error("something is remembered of requests that never were")
 	}
-	for i := range shardCount * perShard * 4 {
+	for i := range shardCount * decisionsPerShard * 4 {
 		l.Record(Decision{Request: fmt.Sprint("later-", i)})
 	}
 	if got := l.Explain("r"); got != nil {
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -182,11 +182,11 @@
 func (k *Keeper) recordAdapters(now time.Time, p place, c adapters.Change, unplaced int) {
 	k.cfg.Record.Record(decisionlog.Decision{
 		At:      now,
-		Kind:    decisionlog.Place,
+		Kind:    decisionlog.PlaceOrder,
 		Service: p.model,
 		Chosen:  c.Replica,
 		Reason:  c.Reason + describe(c),
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"holders":   float64(c.Holders),
 			"target":    float64(c.Target),
 			"with_room": float64(c.Alternatives),
--- a/route/layerplans/keeper.go
+++ b/route/layerplans/keeper.go
@@ -308,10 +308,10 @@
 	}
 	k.cfg.Record.Record(decisionlog.Decision{
 		At:      now,
-		Kind:    decisionlog.Place,
+		Kind:    decisionlog.PlaceOrder,
 		Service: kept.open.place.model,
 		Chosen:  kept.open.name,
 		Reason:  reason,
-		Figures: figures,
+		Values: figures,
 	})
 }
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -188,8 +188,8 @@
 
 // RecordChoice records the balancer's choice, with what it was chosen over.
 func (v *ActiveCall) RecordChoice(kind decisionlog.Kind, choice balance.Choice, figures map[string]float64) {
-	weighed := decisionlog.Weighed(&choice)
-	maps.Copy(figures, weighed.Figures)
+	weighed := decisionlog.FromChoice(&choice)
+	maps.Copy(figures, weighed.Values)
 	d := v.newDecision(kind, choice.Replica, weighed.Reason, figures)
 	d.Alternatives = weighed.Alternatives
 	v.manager.Recorder.Record(d)
@@ -204,7 +204,7 @@
 		Service:  v.Service.Name,
 		Chosen:   chosen,
 		Reason:   reason,
-		Figures:  figures,
+		Values:  figures,
 		Revision: v.Directory.Revision,
 	}
 }
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -56,7 +56,7 @@
 		return
 	}
 	e.server.Metrics.Order(e.Service.Name, claim.State.String())
-	e.RecordDecision(decisionlog.Place, claim.Node, "claim is "+claim.State.String(), nil)
+	e.RecordDecision(decisionlog.PlaceOrder, claim.Node, "claim is "+claim.State.String(), nil)
 	switch claim.State {
 	case ledger.Fresh:
 		e.sendClaimedOrder(ctx, w, key, claim)
@@ -104,7 +104,7 @@
 	}
 	if e.allEndpointsCheckKeys() {
 		e.server.Metrics.Order(e.Service.Name, "endpoint checks")
-		e.RecordDecision(decisionlog.Place, "", "no claim, endpoints check keys: "+err.Error(), nil)
+		e.RecordDecision(decisionlog.PlaceOrder, "", "no claim, endpoints check keys: "+err.Error(), nil)
 		e.respond(w)(e.send(ctx))
 		return
 	}
@@ -161,7 +161,7 @@
 		Body:        a.Body,
 	})
 	if err != nil {
-		e.RecordDecision(decisionlog.Place, "", "result not kept yet: "+err.Error(), nil)
+		e.RecordDecision(decisionlog.PlaceOrder, "", "result not kept yet: "+err.Error(), nil)
 	}
 }
 
@@ -170,7 +170,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
 	if err := e.server.Claims.Release(ctx, key, claim); err != nil {
-		e.RecordDecision(decisionlog.Place, "", "claim not released yet: "+err.Error(), nil)
+		e.RecordDecision(decisionlog.PlaceOrder, "", "claim not released yet: "+err.Error(), nil)
 	}
 }
 
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -165,8 +165,8 @@
 	}
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: string(outcome.Done),
-		Notes: req.withRoute(), Figures: figures,
-		Quiet: !req.sampled && req.attemptCount == 1 && !req.late(),
+		Notes: req.withRoute(), Values: figures,
+		SkipLog: !req.sampled && req.attemptCount == 1 && !req.late(),
 	})
 }
 
@@ -199,7 +199,7 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "answer cut: " + reason,
 		Notes: req.withRoute(decisionlog.Note{Name: "last_event", Text: req.lastEvent.String()}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 		},
 	})
--- a/route/relay/final_answer.go
+++ b/route/relay/final_answer.go
@@ -37,7 +37,7 @@
 func (req *requestState) callerGone() *outcome.Refusal {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "the caller left",
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 			"silent_ms": millis(req.silentFor()), "waited_room_ms": millis(req.capacityWait),
 		},
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -83,15 +83,15 @@
 
 // recordRoute records the chosen target and the reason for the choice.
 func (req *requestState) recordRoute(target targets.Target) {
-	d := decisionlog.Weighed(target.Choice)
+	d := decisionlog.FromChoice(target.Choice)
 	d.Kind, d.Chosen = decisionlog.Route, target.Replica
-	d.Figures["try"] = float64(req.attemptCount)
+	d.Values["try"] = float64(req.attemptCount)
 	d.Notes = []decisionlog.Note{{Name: "address", Text: target.Address}}
 	if len(target.Path) > 0 {
 		d.Reason = "cheapest path with capacity"
 		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: target.Path.String()})
 	}
-	d.Quiet = !req.sampled && req.attemptCount == 1
+	d.SkipLog = !req.sampled && req.attemptCount == 1
 	req.record(d)
 }
 
@@ -180,7 +180,7 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
 		},
 	})
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -197,8 +197,8 @@
 		notes = append(notes, decisionlog.Note{Name: "error", Text: err.Error()})
 	}
 	m.attempt.req.record(decisionlog.Decision{
-		Kind: decisionlog.Detour, Chosen: m.attempt.target.Replica, Reason: reason, Notes: notes,
-		Figures: map[string]float64{
+		Kind: decisionlog.Reroute, Chosen: m.attempt.target.Replica, Reason: reason, Notes: notes,
+		Values: map[string]float64{
 			"taken": boolFigure(err == nil), "silent_ms": millis(m.silentFor()), "crossings": float64(path.Crossings()),
 		},
 	})
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -230,7 +230,7 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Refuse, Reason: r.Code,
 		Notes: req.withRoute(decisionlog.Note{Name: "outcome", Text: string(r.Outcome)}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"status": float64(r.Status), "waited_ms": millis(req.server.Now().Sub(req.Arrived)), "sends": float64(req.attemptCount),
 			"retry_after_ms": millis(r.RetryAfter),
 		},
@@ -242,8 +242,8 @@
 // record adds the request's fields to a decision and records it.
 func (req *requestState) record(d decisionlog.Decision) {
 	d.At, d.Request, d.Team, d.Service, d.Revision = req.server.Now(), req.Call.ID, req.Team, req.Service, req.Revision
-	if req.Freshness != nil && d.Figures != nil {
-		d.Figures["proof_age_ms"] = millis(req.Freshness.Age())
+	if req.Freshness != nil && d.Values != nil {
+		d.Values["proof_age_ms"] = millis(req.Freshness.Age())
 	}
 	req.server.Recorder.Record(d)
 }
