--- a/e2e/bench/caller.go
+++ b/e2e/bench/caller.go
@@ -178,8 +178,8 @@
 }
 
 // askEntry asks a node which addresses a team is to use.
-func askEntry(ctx context.Context, address, key string) (httpapi.EntryAnswer, error) {
-	var a httpapi.EntryAnswer
+func askEntry(ctx context.Context, address, key string) (httpapi.EntryResponse, error) {
+	var a httpapi.EntryResponse
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entry", nil)
 	if err != nil {
 		return a, Error.Wrap(err)
@@ -199,12 +199,12 @@
 // entries holds the teams' entry answers, as their callers keep them.
 type entries struct {
 	mu      sync.Mutex
-	answers []httpapi.EntryAnswer
+	answers []httpapi.EntryResponse
 }
 
 // ask gets all teams' answers from a node.
 func (e *entries) ask(ctx context.Context, address string) error {
-	var all []httpapi.EntryAnswer
+	var all []httpapi.EntryResponse
 	for i := range teamCount {
 		a, err := askEntry(ctx, address, teamKey(i))
 		if err != nil {
--- a/e2e/harness/caller.go
+++ b/e2e/harness/caller.go
@@ -37,8 +37,8 @@
 }
 
 // Entry asks a node which entry VMs to use.
-func (c *Caller) Entry(ctx context.Context, node, domain string) (httpapi.EntryAnswer, error) {
-	var answer httpapi.EntryAnswer
+func (c *Caller) Entry(ctx context.Context, node, domain string) (httpapi.EntryResponse, error) {
+	var answer httpapi.EntryResponse
 	response, err := c.do(ctx, http.MethodGet, "http://"+node+"/v1/entry?failure_domain="+domain, nil, nil)
 	if err != nil {
 		return answer, err
--- a/node/cmd/cicadactl/nodes.go
+++ b/node/cmd/cicadactl/nodes.go
@@ -124,7 +124,7 @@
 }
 
 func (c *entryCommand) run(ctx context.Context, args *arguments, out io.Writer) error {
-	var answer httpapi.EntryAnswer
+	var answer httpapi.EntryResponse
 	address := c.Node + "/v1/entry?failure_domain=" + url.QueryEscape(c.FailureDomain)
 	as := caller{key: c.Key, hint: "--key is a key of one of the teams in the document, --node the callers' address of a node"}
 	if err := args.get(ctx, address, as, &answer); err != nil {
--- a/node/server/drain.go
+++ b/node/server/drain.go
@@ -37,13 +37,13 @@
 // answer. After that no new connection is taken, and what is underway finishes.
 func (s *Server) leave() {
 	s.draining.Store(true)
-	s.log.Info("draining", "underway", s.front.Underway())
+	s.log.Info("draining", "underway", s.front.ActiveRequests())
 	ctx, cancel := s.drainContext()
 	defer cancel()
 	s.fleet.Drain(ctx)
 	s.serveOn(ctx)
 	if err := s.callers.Shutdown(ctx); err != nil {
-		s.log.Error("drain limit reached, requests cut off", "underway", s.front.Underway(), "error", err)
+		s.log.Error("drain limit reached, requests cut off", "underway", s.front.ActiveRequests(), "error", err)
 		s.callers.Close()
 	}
 	s.settleLast()
--- a/node/server/entries.go
+++ b/node/server/entries.go
@@ -18,7 +18,7 @@
 }
 
 // Entry implements httpapi.EntryAnswerer.
-func (e *entries) Entry(team *document.Team, failureDomain string) httpapi.EntryAnswer {
+func (e *entries) Entry(team *document.Team, failureDomain string) httpapi.EntryResponse {
 	if failureDomain == "" {
 		failureDomain = e.server.settings.FailureDomain
 	}
@@ -27,7 +27,7 @@
 		FailureDomain: failureDomain,
 		Share:         e.server.teamShare(team),
 	}, e.server.entryMembers())
-	answer := httpapi.EntryAnswer{ValidForMillis: e.server.validFor(result.ValidFor).Milliseconds()}
+	answer := httpapi.EntryResponse{ValidForMillis: e.server.validFor(result.ValidFor).Milliseconds()}
 	for _, a := range result.Addresses {
 		answer.Addresses = append(answer.Addresses, httpapi.EntryAddress{
 			Address:       a.Address,
--- a/node/server/loops.go
+++ b/node/server/loops.go
@@ -38,7 +38,7 @@
 	s.pool.Prune()
 	s.followLeaving()
 	s.shareStore()
-	s.metrics.Underway(s.front.Underway())
+	s.metrics.Underway(s.front.ActiveRequests())
 	s.metrics.Revision(s.revision())
 	s.followMembers()
 }
--- a/node/server/operators.go
+++ b/node/server/operators.go
@@ -59,7 +59,7 @@
 		Reason:        reason,
 		Draining:      s.draining.Load(),
 		Revision:      s.revision(),
-		Underway:      s.front.Underway(),
+		Underway:      s.front.ActiveRequests(),
 		Watching:      spread.Watching,
 		Near:          spread.Near,
 		Slots:         map[string]int{},
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -67,7 +67,7 @@
 	limits     *teamlimiter.Limiter
 	decisions  *decisionlog.Log
 	metrics    *metrics.Metrics
-	front      *httpapi.Front
+	front      *httpapi.Server
 	pool       *upstream.Pool
 	engines    *engineclient.Client
 	streams    *stream.Runner
@@ -175,7 +175,7 @@
 	}
 }
 
-func (s *Server) newFront() *httpapi.Front {
+func (s *Server) newFront() *httpapi.Server {
 	desk := &lifecycle.Manager{
 		Services: s.registry,
 		TeamLimiter:   s.limits,
@@ -183,18 +183,18 @@
 		Metrics:  s.metrics,
 		Now:      time.Now,
 	}
-	return &httpapi.Front{
+	return &httpapi.Server{
 		Directory: s.directory.Load,
 		Now:       time.Now,
-		Entries:   &entries{server: s},
-		Models: &modelservice.Server{
+		EntryProvider:   &entries{server: s},
+		ModelServer: &modelservice.Server{
 			Lifecycle:    desk,
 			Streams: s.streams,
 			Chains:  &chains.Resolver{Plans: s.book},
 			Plans:   planWatcher{s.book, s.keeper},
 			Metrics: s.metrics,
 		},
-		Plains: &plainservice.Server{
+		PlainServer: &plainservice.Server{
 			Lifecycle: desk,
 			Relay: &relay.Server{
 				Headers: plainservice.HeaderCodec{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
--- a/route/httpapi/httpapi.go
+++ b/route/httpapi/httpapi.go
@@ -23,14 +23,14 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// maxBody bounds a caller's request body in bytes.
-const maxBody = 4 << 20
+// maxBodyBytes bounds a caller's request body in bytes.
+const maxBodyBytes = 4 << 20
 
 // servicesPrefix precedes a plain service's name in paths.
 const servicesPrefix = "/services/"
 
-// notReadyRetry is when a caller may ask again while the node has no document.
-const notReadyRetry = time.Second
+// notReadyRetryAfter is when a caller may ask again while the node has no document.
+const notReadyRetryAfter = time.Second
 
 // ModelServer answers calls of model services.
 type ModelServer interface {
@@ -43,13 +43,13 @@
 	ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte)
 }
 
-// EntryAnswerer says which entry VMs a team should use.
-type EntryAnswerer interface {
-	Entry(team *document.Team, failureDomain string) EntryAnswer
+// EntryProvider says which entry VMs a team should use.
+type EntryProvider interface {
+	Entry(team *document.Team, failureDomain string) EntryResponse
 }
 
-// EntryAnswer is the answer to GET /v1/entry.
-type EntryAnswer struct {
+// EntryResponse is the answer to GET /v1/entry.
+type EntryResponse struct {
 	Addresses      []EntryAddress `json:"addresses"`
 	ValidForMillis int64          `json:"valid_for_ms"`
 }
@@ -61,64 +61,64 @@
 	Weight        float64 `json:"weight"`
 }
 
-// Front serves the callers' listener. Safe for concurrent use.
-type Front struct {
+// Server serves the callers' listener. Safe for concurrent use.
+type Server struct {
 	Directory func() *docindex.Directory
-	Models    ModelServer
-	Plains    PlainServer
-	Entries   EntryAnswerer
+	ModelServer    ModelServer
+	PlainServer    PlainServer
+	EntryProvider   EntryProvider
 	Now       func() time.Time
 
-	underway atomic.Int64
+	activeRequests atomic.Int64
 }
 
 // Handler returns the callers' routes.
-func (f *Front) Handler() http.Handler {
+func (f *Server) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(f.count)
-	r.Get("/v1/entry", f.entry)
-	r.Post(engineapi.PathChat, f.chat)
-	r.HandleFunc(servicesPrefix+"{service}", f.plain)
-	r.HandleFunc(servicesPrefix+"{service}/*", f.plain)
+	r.Use(f.countActive)
+	r.Get("/v1/entry", f.handleEntry)
+	r.Post(engineapi.PathChat, f.handleChat)
+	r.HandleFunc(servicesPrefix+"{service}", f.handlePlain)
+	r.HandleFunc(servicesPrefix+"{service}/*", f.handlePlain)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		refusal(http.StatusNotFound, "unknown_path", "no such call: "+r.URL.Path).Write(w)
+		newRefusal(http.StatusNotFound, "unknown_path", "no such call: "+r.URL.Path).Write(w)
 	})
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
-		refusal(http.StatusNotFound, "unknown_path", "no such call: "+r.URL.Path).Write(w)
+		newRefusal(http.StatusNotFound, "unknown_path", "no such call: "+r.URL.Path).Write(w)
 	})
 	r.MethodNotAllowed(func(w http.ResponseWriter, r *http.Request) {
-		refusal(http.StatusMethodNotAllowed, "method_not_allowed", r.Method+" is not a method of "+r.URL.Path).Write(w)
+		newRefusal(http.StatusMethodNotAllowed, "method_not_allowed", r.Method+" is not a method of "+r.URL.Path).Write(w)
 	})
 	return r
 }
 
-// Underway is how many requests are being served now.
-func (f *Front) Underway() int64 {
-	return f.underway.Load()
+// ActiveRequests is how many requests are being served now.
+func (f *Server) ActiveRequests() int64 {
+	return f.activeRequests.Load()
 }
 
-func (f *Front) count(next http.Handler) http.Handler {
+func (f *Server) countActive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.underway.Add(1)
-		defer f.underway.Add(-1)
+		f.activeRequests.Add(1)
+		defer f.activeRequests.Add(-1)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// ready returns the document in force, or refuses: a node that has never seen
+// requireDocument returns the document in force, or refuses: a node that has never seen
 // one would have to guess who may call and what exists.
-func (f *Front) ready(w http.ResponseWriter) *docindex.Directory {
+func (f *Server) requireDocument(w http.ResponseWriter) *docindex.Directory {
 	d := f.Directory()
 	if d == nil {
-		r := refusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
-		r.RetryAfter = notReadyRetry
+		r := newRefusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
+		r.RetryAfter = notReadyRetryAfter
 		r.Write(w)
 	}
 	return d
 }
 
-func (f *Front) entry(w http.ResponseWriter, r *http.Request) {
-	d := f.ready(w)
+func (f *Server) handleEntry(w http.ResponseWriter, r *http.Request) {
+	d := f.requireDocument(w)
 	if d == nil {
 		return
 	}
@@ -130,11 +130,11 @@
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(outcome.Header, string(outcome.Done))
 	// The caller may have gone; there is nobody left to tell.
-	_ = json.NewEncoder(w).Encode(f.Entries.Entry(team, r.URL.Query().Get("failure_domain")))
+	_ = json.NewEncoder(w).Encode(f.EntryProvider.Entry(team, r.URL.Query().Get("failure_domain")))
 }
 
-func (f *Front) chat(w http.ResponseWriter, r *http.Request) {
-	d := f.ready(w)
+func (f *Server) handleChat(w http.ResponseWriter, r *http.Request) {
+	d := f.requireDocument(w)
 	if d == nil {
 		return
 	}
@@ -155,7 +155,7 @@
 		return
 	}
 	if c.Service.Kind != document.KindModel {
-		refusal(http.StatusBadRequest, "not_a_model", fmt.Sprintf("service %q is not a model", service)).Write(w)
+		newRefusal(http.StatusBadRequest, "not_a_model", fmt.Sprintf("service %q is not a model", service)).Write(w)
 		return
 	}
 	if refused := c.UseAdapter(adapter); refused != nil {
@@ -165,7 +165,7 @@
 	// Engines know the model by the service's name.
 	chat.Model = service
 	w.Header().Set(outcome.HeaderRequest, c.ID)
-	f.Models.ServeModel(w, r, c, chat)
+	f.ModelServer.ServeModel(w, r, c, chat)
 }
 
 func readChat(w http.ResponseWriter, r *http.Request) (engineapi.ChatRequest, *outcome.Refusal) {
@@ -175,13 +175,13 @@
 		return chat, refused
 	}
 	if err := json.Unmarshal(body, &chat); err != nil {
-		return chat, refusal(http.StatusBadRequest, "bad_json", err.Error())
+		return chat, newRefusal(http.StatusBadRequest, "bad_json", err.Error())
 	}
 	switch {
 	case len(chat.Messages) == 0:
-		return chat, refusal(http.StatusBadRequest, "no_messages", "messages: at least one is needed")
+		return chat, newRefusal(http.StatusBadRequest, "no_messages", "messages: at least one is needed")
 	case chat.MaxTokens < 0:
-		return chat, refusal(http.StatusBadRequest, "bad_max_tokens", "max_tokens: must not be negative")
+		return chat, newRefusal(http.StatusBadRequest, "bad_max_tokens", "max_tokens: must not be negative")
 	}
 	// A caller must not choose chains or streams for the engines.
 	chat.Pipeline = nil
@@ -189,8 +189,8 @@
 	return chat, nil
 }
 
-func (f *Front) plain(w http.ResponseWriter, r *http.Request) {
-	d := f.ready(w)
+func (f *Server) handlePlain(w http.ResponseWriter, r *http.Request) {
+	d := f.requireDocument(w)
 	if d == nil {
 		return
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	if c.Service.Kind != document.KindPlain {
-		refusal(http.StatusBadRequest, "not_plain", fmt.Sprintf("service %q is a model; use %s", c.Service.Name, engineapi.PathChat)).Write(w)
+		newRefusal(http.StatusBadRequest, "not_plain", fmt.Sprintf("service %q is a model; use %s", c.Service.Name, engineapi.PathChat)).Write(w)
 		return
 	}
 	body, refused := readBody(w, r)
@@ -208,34 +208,34 @@
 		refused.Write(w)
 		return
 	}
-	path := belowService(r.URL)
+	path := pathBelowService(r.URL)
 	if docindex.NonIdempotent(c.Service.Plain, r.Method, path) {
 		c.Class = admission.Order
 	}
 	w.Header().Set(outcome.HeaderRequest, c.ID)
-	f.Plains.ServePlain(w, r, c, path, body)
+	f.PlainServer.ServePlain(w, r, c, path, body)
 }
 
-// belowService is the path below /services/{service}, escaped as the caller
+// pathBelowService is the path below /services/{service}, escaped as the caller
 // wrote it: an escaped # or ? that was decoded here would end the path towards
 // the endpoint and make it another call.
-func belowService(u *url.URL) string {
+func pathBelowService(u *url.URL) string {
 	_, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), servicesPrefix), "/")
 	return "/" + rest
 }
 
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *outcome.Refusal) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, refusal(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("the body is over %d bytes", maxBody))
+		return nil, newRefusal(http.StatusRequestEntityTooLarge, "body_too_large", fmt.Sprintf("the body is over %d bytes", maxBodyBytes))
 	case err != nil:
-		return nil, refusal(http.StatusBadRequest, "body_cut_off", err.Error())
+		return nil, newRefusal(http.StatusBadRequest, "body_cut_off", err.Error())
 	}
 	return body, nil
 }
 
-func refusal(status int, code, message string) *outcome.Refusal {
+func newRefusal(status int, code, message string) *outcome.Refusal {
 	return &outcome.Refusal{Status: status, Code: code, Message: message, Outcome: outcome.NotRun}
 }
--- a/route/httpapi/model_test.go
+++ b/route/httpapi/model_test.go
@@ -17,11 +17,11 @@
 const (
 	prompt       = "Tide windows for the north pens, please"
 	answerTokens = 12
-	// failAt is the token after which a chain is made to fail.
-	failAt = 3
+	// killAfterTokens is the token after which a chain is made to fail.
+	killAfterTokens = 3
 )
 
-func chat(stream bool) asked {
+func chatRequest(stream bool) apiRequest {
 	body, err := json.Marshal(engineapi.ChatRequest{
 		Model:     assistant,
 		Messages:  []engineapi.Message{{Role: "user", Content: prompt}},
@@ -31,10 +31,10 @@
 	if err != nil {
 		panic(err)
 	}
-	return asked{method: http.MethodPost, path: engineapi.PathChat, key: teamKey, body: string(body)}
+	return apiRequest{method: http.MethodPost, path: engineapi.PathChat, key: teamKey, body: string(body)}
 }
 
-func undisturbed() string {
+func referenceAnswer() string {
 	return strings.Join(standinengine.Answer(layers, []engineapi.Message{{Role: "user", Content: prompt}}, answerTokens), "")
 }
 
@@ -48,47 +48,47 @@
 	Error *outcome.BodyError `json:"error"`
 }
 
-// streamed is a streamed answer as a caller reads it.
-type streamed struct {
+// streamedAnswer is a streamedAnswer answer as a caller reads it.
+type streamedAnswer struct {
 	text  string
-	last  event
-	whole bool // the closing marker came, as the last event
+	lastEvent  event
+	complete bool // the closing marker came, as the last event
 }
 
-func readStream(t *testing.T, body string) streamed {
+func readStream(t *testing.T, body string) streamedAnswer {
 	t.Helper()
-	var s streamed
+	var answer streamedAnswer
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
 			continue
 		}
-		s.whole = data == engineapi.DoneMarker
-		if s.whole {
+		answer.complete = data == engineapi.DoneMarker
+		if answer.complete {
 			continue
 		}
-		s.last = event{}
-		if err := json.Unmarshal([]byte(data), &s.last); err != nil {
+		answer.lastEvent = event{}
+		if err := json.Unmarshal([]byte(data), &answer.lastEvent); err != nil {
 			t.Fatal(err)
 		}
-		for _, choice := range s.last.Choices {
-			s.text += choice.Delta.Content
+		for _, choice := range answer.lastEvent.Choices {
+			answer.text += choice.Delta.Content
 		}
 	}
-	return s
+	return answer
 }
 
 // The caller who asks for a stream gets every token, what became of the request
 // in the last event and the trailer, and the closing marker.
 func TestStreamedAnswer(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	got := s.ask(chat(true))
+	s := newTestNode(t, testNodeConfig{chains: 1})
+	got := s.send(chatRequest(true))
 	answer := readStream(t, got.body)
-	if answer.text != undisturbed() || !answer.whole {
-		t.Errorf("whole %t: %q, want %q", answer.whole, answer.text, undisturbed())
+	if answer.text != referenceAnswer() || !answer.complete {
+		t.Errorf("whole %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
-	if r := answer.last.Result; r == nil || r.Outcome != outcome.Done || r.Tokens != answerTokens {
+	if r := answer.lastEvent.Result; r == nil || r.Outcome != outcome.Done || r.Tokens != answerTokens {
 		t.Errorf("last event: %+v", r)
 	}
 	if got.status != http.StatusOK || got.outcome() != outcome.Done || got.header.Get("Content-Type") != "text/event-stream" {
@@ -97,9 +97,9 @@
 }
 
 // The caller who asks for no stream gets the same answer in one piece.
-func TestAnswerInOnePiece(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	got := s.ask(chat(false))
+func TestNonStreamedAnswer(t *testing.T) {
+	s := newTestNode(t, testNodeConfig{chains: 1})
+	got := s.send(chatRequest(false))
 	var answer struct {
 		Object  string
 		Choices []struct {
@@ -113,7 +113,7 @@
 	if err := json.Unmarshal([]byte(got.body), &answer); err != nil {
 		t.Fatalf("%v: %s", err, got.body)
 	}
-	if len(answer.Choices) != 1 || answer.Choices[0].Message.Content != undisturbed() || answer.Choices[0].Finish != "stop" {
+	if len(answer.Choices) != 1 || answer.Choices[0].Message.Content != referenceAnswer() || answer.Choices[0].Finish != "stop" {
 		t.Errorf("got %+v", answer.Choices)
 	}
 	if got.outcome() != outcome.Done || answer.Object != "chat.completion" || answer.Usage.Tokens != answerTokens {
@@ -124,26 +124,26 @@
 // The caller has read a part of the stream when the only chain dies. The status
 // has gone out, so the last event carries the error and the closing marker is
 // left out: no client takes the part for the whole.
-func TestStreamThatCanNotGoOn(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1, step: 20 * time.Millisecond})
-	killed := s.killAfter(failAt)
-	got := s.ask(chat(true))
+func TestInterruptedStream(t *testing.T) {
+	s := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
+	killed := s.killSecondStageAfter(killAfterTokens)
+	got := s.send(chatRequest(true))
 	<-killed
 	answer := readStream(t, got.body)
-	if answer.whole || answer.text == "" || !strings.HasPrefix(undisturbed(), answer.text) {
-		t.Errorf("whole %t: %q, want a beginning of %q", answer.whole, answer.text, undisturbed())
+	if answer.complete || answer.text == "" || !strings.HasPrefix(referenceAnswer(), answer.text) {
+		t.Errorf("whole %t: %q, want a beginning of %q", answer.complete, answer.text, referenceAnswer())
 	}
-	if e := answer.last.Error; e == nil || e.Outcome != outcome.Unknown || got.outcome() != outcome.Unknown {
-		t.Errorf("last event %+v, trailer %v", answer.last, got.trailer)
+	if e := answer.lastEvent.Error; e == nil || e.Outcome != outcome.Unknown || got.outcome() != outcome.Unknown {
+		t.Errorf("last event %+v, trailer %v", answer.lastEvent, got.trailer)
 	}
 }
 
 // The caller asked for the answer in one piece, so nothing has gone out when
 // the only chain dies: the caller gets an error and no part of an answer.
-func TestOnePieceThatCanNotGoOn(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1, step: 20 * time.Millisecond})
-	killed := s.killAfter(failAt)
-	got := s.ask(chat(false))
+func TestInterruptedNonStreamedAnswer(t *testing.T) {
+	s := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
+	killed := s.killSecondStageAfter(killAfterTokens)
+	got := s.send(chatRequest(false))
 	<-killed
 	var body outcome.Body
 	if err := json.Unmarshal([]byte(got.body), &body); err != nil {
@@ -157,9 +157,9 @@
 	}
 }
 
-// killAfter kills the second stage of the first chain once it has run for some
+// killSecondStageAfter kills the second stage of the first chain once it has run for some
 // tokens.
-func (s *site) killAfter(tokens int) <-chan struct{} {
+func (s *testNode) killSecondStageAfter(tokens int) <-chan struct{} {
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
@@ -174,13 +174,13 @@
 
 // No engine can be reached: nothing was sent, so the caller is told not run and
 // when to come back, as a refusal and not as a stream.
-func TestNoChainCanBeReached(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 2})
+func TestUnreachableChains(t *testing.T) {
+	s := newTestNode(t, testNodeConfig{chains: 2})
 	for _, pair := range s.engines {
 		pair[0].Kill()
 	}
-	got := s.ask(chat(true))
-	refusedAs(t, got, http.StatusServiceUnavailable, "no_chain")
+	got := s.send(chatRequest(true))
+	checkRefusal(t, got, http.StatusServiceUnavailable, "no_chain")
 	if got.header.Get("Retry-After") == "" {
 		t.Error("the caller is not told when to come back")
 	}
@@ -189,7 +189,7 @@
 // The caller's own deadline passes: the answer comes then, not later. It says
 // not run only if the engine was still being asked what it holds, so that no
 // work had been sent; an engine at work leaves it unknown.
-func TestDeadlinePasses(t *testing.T) {
+func TestCallerDeadline(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults standinengine.Faults
@@ -201,19 +201,19 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			// The check's own bound would pass at about the same time.
-			s := newSite(t, siteConfig{chains: 1, streams: stream.Options{ReportTimeout: time.Minute}})
+			s := newTestNode(t, testNodeConfig{chains: 1, streamOptions: stream.Options{ReportTimeout: time.Minute}})
 			s.engines[0][0].Engine.SetFaults(c.faults)
-			a := chat(true)
+			a := chatRequest(true)
 			a.header = map[string]string{outcome.HeaderTimeout: "300"}
 			begun := time.Now()
-			got := s.ask(a)
+			got := s.send(a)
 			if got.status != http.StatusGatewayTimeout || got.outcome() != c.want {
 				t.Errorf("%d %s: %s", got.status, got.outcome(), got.body)
 			}
 			if took := time.Since(begun); took > 2*time.Second {
 				t.Errorf("answered after %s", took)
 			}
-			if n := s.opened(); c.want == outcome.NotRun && n != 0 {
+			if n := s.openedStreams(); c.want == outcome.NotRun && n != 0 {
 				t.Errorf("told not run, but %d streams were opened", n)
 			}
 		})
@@ -222,13 +222,13 @@
 
 // A caller who names a chain of its own can't choose engines: the field is the
 // nodes' alone, and another caller's stream might be named there.
-func TestCallersDoNotChooseChains(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	a := chat(true)
+func TestCallerChainFieldsAreIgnored(t *testing.T) {
+	s := newTestNode(t, testNodeConfig{chains: 1})
+	a := chatRequest(true)
 	a.body = strings.Replace(a.body, `{`, `{"priority":9,"cicadatack":{"stream":"of-another","epoch":7,"resume_tokens":[" x"]},`, 1)
-	answer := readStream(t, s.ask(a).body)
-	if answer.text != undisturbed() || !answer.whole {
-		t.Errorf("whole %t: %q, want %q", answer.whole, answer.text, undisturbed())
+	answer := readStream(t, s.send(a).body)
+	if answer.text != referenceAnswer() || !answer.complete {
+		t.Errorf("whole %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 }
 
@@ -236,8 +236,8 @@
 // is lost for a moment before the first token. The silence ends the first epoch in a
 // fraction of a second; there is no other chain, so the same one is tried again
 // rather than the caller told that its call may have run.
-func TestOnlyChainComesBack(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
+func TestOnlyChainIsRetried(t *testing.T) {
+	s := newTestNode(t, testNodeConfig{chains: 1})
 	first := s.engines[0][0].Engine
 	first.SetFaults(standinengine.Faults{CutNext: true})
 	go func() {
@@ -246,8 +246,8 @@
 		}
 		first.SetFaults(standinengine.Faults{})
 	}()
-	answer := readStream(t, s.ask(chat(true)).body)
-	if answer.text != undisturbed() || !answer.whole {
-		t.Errorf("whole %t: %q, want %q", answer.whole, answer.text, undisturbed())
+	answer := readStream(t, s.send(chatRequest(true)).body)
+	if answer.text != referenceAnswer() || !answer.complete {
+		t.Errorf("whole %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 }
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -40,54 +40,54 @@
 
 const (
 	teamKey   = "menteng-key"
-	notesKey  = "senen-key" // its team may call the assistant only
+	assistantOnlyKey  = "senen-key" // its team may call the assistant only
 	assistant = "pastry-llm"
-	stock     = "stock-ledger"
+	stockLedger     = "stock-ledger"
 	layers    = 8
 )
 
-// site is the callers' side of a node before stand-ins. Everything but the
+// testNode is the callers' side of a node before stand-ins. Everything but the
 // fleet is the shipped code.
-type site struct {
+type testNode struct {
 	t         *testing.T
-	front     *httpapi.Front
+	server     *httpapi.Server
 	url       string
 	document  *document.Document
 	directory atomic.Pointer[docindex.Directory]
 	store     *storetest.Client
-	plains    []*standinplain.Server
+	plainEndpoints    []*standinplain.Server
 	engines   [][2]*standinengine.Server
 	// respond, if set, answers the plain service's calls in place of the stand-in.
 	respond http.HandlerFunc
-	// ended gets a value each time that the node is through with a call.
-	ended chan struct{}
+	// handledCalls gets a value each time that the node is through with a call.
+	handledCalls chan struct{}
 
 	mu sync.Mutex
-	// seen are the calls that reached any instance of the plain service.
-	seen []*http.Request
+	// plainRequests are the calls that reached any instance of the plain service.
+	plainRequests []*http.Request
 }
 
-// siteConfig sizes a site. checksKeys says that the plain endpoints do.
-type siteConfig struct {
+// testNodeConfig sizes a site. checksKeys says that the plain endpoints do.
+type testNodeConfig struct {
 	chains     int
 	checksKeys bool
-	step       time.Duration
-	streams    stream.Options
+	tokenTime       time.Duration
+	streamOptions    stream.Options
 }
 
-func newSite(t *testing.T, cfg siteConfig) *site {
-	s := &site{t: t, ended: make(chan struct{}, 1000)}
+func newTestNode(t *testing.T, cfg testNodeConfig) *testNode {
+	s := &testNode{t: t, handledCalls: make(chan struct{}, 1000)}
 	s.document = &document.Document{
 		Format:      document.Format,
 		Environment: "java",
 		Teams: []document.Team{
 			{Name: "menteng", Weight: 1, KeySHA256: []string{digest(teamKey)}},
-			{Name: "senen", Weight: 1, KeySHA256: []string{digest(notesKey)}, Services: []string{assistant}},
+			{Name: "senen", Weight: 1, KeySHA256: []string{digest(assistantOnlyKey)}, Services: []string{assistant}},
 		},
 	}
 	s.document.Services = []document.Service{s.startModel(cfg), s.startPlain(cfg)}
 	s.directory.Store(docindex.Build(s.document, 1, "digest"))
-	s.wire(cfg.streams)
+	s.startNode(cfg.streamOptions)
 	return s
 }
 
@@ -96,7 +96,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (s *site) startModel(cfg siteConfig) document.Service {
+func (s *testNode) startModel(cfg testNodeConfig) document.Service {
 	m := &document.Model{Layers: layers}
 	for i := range cfg.chains {
 		replica := document.Replica{Name: fmt.Sprintf("replica-%d", i)}
@@ -105,7 +105,7 @@
 			name := fmt.Sprintf("engine-%d-%d", i, stage)
 			first := stage * layers / 2
 			last := first + layers/2 - 1
-			pair[stage] = s.startEngine(standinengine.Config{Name: name, Model: assistant, First: first, Last: last, Step: cfg.step})
+			pair[stage] = s.startEngine(standinengine.Config{Name: name, Model: assistant, First: first, Last: last, Step: cfg.tokenTime})
 			s.document.Endpoints = append(s.document.Endpoints, document.Endpoint{Name: name, Address: pair[stage].Address})
 			replica.Stages = append(replica.Stages, document.Stage{Endpoint: name, Layers: []int{first, last}})
 		}
@@ -115,7 +115,7 @@
 	return document.Service{Name: assistant, Kind: document.KindModel, Model: m}
 }
 
-func (s *site) startEngine(cfg standinengine.Config) *standinengine.Server {
+func (s *testNode) startEngine(cfg standinengine.Config) *standinengine.Server {
 	server, err := standinengine.Start("127.0.0.1:0", cfg)
 	if err != nil {
 		s.t.Fatal(err)
@@ -124,27 +124,27 @@
 	return server
 }
 
-func (s *site) startPlain(cfg siteConfig) document.Service {
+func (s *testNode) startPlain(cfg testNodeConfig) document.Service {
 	p := &document.Plain{NonIdempotent: []document.Call{{Method: http.MethodPost, Path: "/orders"}}}
 	for i := range 2 {
 		name := fmt.Sprintf("ledger-%d", i)
 		standin := standinplain.New(name, 64)
-		server := httptest.NewServer(s.noting(standin))
+		server := httptest.NewServer(s.recordRequests(standin))
 		s.t.Cleanup(server.Close)
-		s.plains = append(s.plains, standin)
+		s.plainEndpoints = append(s.plainEndpoints, standin)
 		s.document.Endpoints = append(s.document.Endpoints, document.Endpoint{
 			Name: name, Address: server.Listener.Addr().String(), ChecksKeys: cfg.checksKeys,
 		})
 		p.Endpoints = append(p.Endpoints, name)
 	}
-	return document.Service{Name: stock, Kind: document.KindPlain, Plain: p}
+	return document.Service{Name: stockLedger, Kind: document.KindPlain, Plain: p}
 }
 
-// noting notes each call that reaches an endpoint.
-func (s *site) noting(next http.Handler) http.Handler {
+// recordRequests notes each call that reaches an endpoint.
+func (s *testNode) recordRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.seen = append(s.seen, r.Clone(context.Background()))
+		s.plainRequests = append(s.plainRequests, r.Clone(context.Background()))
 		s.mu.Unlock()
 		if s.respond != nil {
 			s.respond(w, r)
@@ -154,8 +154,8 @@
 	})
 }
 
-// wire puts the node's parts together as node/server does.
-func (s *site) wire(streams stream.Options) {
+// startNode puts the node's parts together as node/server does.
+func (s *testNode) startNode(streams stream.Options) {
 	memory := storetest.NewMemory()
 	s.t.Cleanup(memory.Close)
 	s.store = storetest.NewClient(memory)
@@ -169,78 +169,78 @@
 	s.t.Cleanup(pool.Close)
 	client := engineclient.New(nil)
 	s.t.Cleanup(client.CloseIdle)
-	desk := &lifecycle.Manager{Services: registry, TeamLimiter: limit, Recorder: record, Metrics: noFigures{}, Now: time.Now}
-	s.front = &httpapi.Front{
+	desk := &lifecycle.Manager{Services: registry, TeamLimiter: limit, Recorder: record, Metrics: discardMetrics{}, Now: time.Now}
+	s.server = &httpapi.Server{
 		Directory: s.directory.Load,
 		Now:       time.Now,
-		Models: &modelservice.Server{
+		ModelServer: &modelservice.Server{
 			Lifecycle: desk, Streams: stream.New(client, nil, streams),
-			Chains: &chains.Resolver{}, Plans: noPlans{}, Metrics: noFigures{},
+			Chains: &chains.Resolver{}, Plans: discardPlans{}, Metrics: discardMetrics{},
 		},
-		Plains: &plainservice.Server{
-			Lifecycle: desk, Claims: claims, Metrics: noFigures{},
+		PlainServer: &plainservice.Server{
+			Lifecycle: desk, Claims: claims, Metrics: discardMetrics{},
 			Relay: &relay.Server{
-				Headers: plainservice.HeaderCodec{}, Pool: pool, Metrics: noFigures{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
+				Headers: plainservice.HeaderCodec{}, Pool: pool, Metrics: discardMetrics{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
 				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 		},
 	}
-	handler := s.front.Handler()
+	handler := s.server.Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer func() { s.ended <- struct{}{} }()
+		defer func() { s.handledCalls <- struct{}{} }()
 		handler.ServeHTTP(w, r)
 	}))
 	s.t.Cleanup(server.Close)
 	s.url = server.URL
 }
 
-type noPlans struct{}
+type discardPlans struct{}
 
-func (noPlans) Suspect(string, string)               {}
-func (noPlans) Observe(string, string, []stream.Hop) {}
+func (discardPlans) Suspect(string, string)               {}
+func (discardPlans) Observe(string, string, []stream.Hop) {}
 
-type noFigures struct{}
+type discardMetrics struct{}
 
-func (noFigures) Request(string, string, string)   {}
-func (noFigures) Refused(string, string)           {}
-func (noFigures) FirstToken(string, time.Duration) {}
-func (noFigures) Waited(string, time.Duration)     {}
-func (noFigures) Tokens(string, int)               {}
-func (noFigures) Resumed(string, string)           {}
-func (noFigures) Dropped(string, string)           {}
-func (noFigures) Retried(string, string)           {}
-func (noFigures) Order(string, string)             {}
+func (discardMetrics) Request(string, string, string)   {}
+func (discardMetrics) Refused(string, string)           {}
+func (discardMetrics) FirstToken(string, time.Duration) {}
+func (discardMetrics) Waited(string, time.Duration)     {}
+func (discardMetrics) Tokens(string, int)               {}
+func (discardMetrics) Resumed(string, string)           {}
+func (discardMetrics) Dropped(string, string)           {}
+func (discardMetrics) Retried(string, string)           {}
+func (discardMetrics) Order(string, string)             {}
 
-// asked is one call of a caller.
-type asked struct {
+// apiRequest is one call of a caller.
+type apiRequest struct {
 	method, path, key, body string
 	header                  map[string]string
 }
 
-// received is the answer as the caller has it.
-type received struct {
+// apiResponse is the answer as the caller has it.
+type apiResponse struct {
 	status  int
 	header  http.Header
 	trailer http.Header
 	body    string
 }
 
-func (r received) outcome() outcome.Outcome {
+func (r apiResponse) outcome() outcome.Outcome {
 	return outcome.Outcome(r.header.Get(outcome.Header) + r.trailer.Get(outcome.Header))
 }
 
-func (s *site) ask(a asked) received {
-	got, err := s.askWith(context.Background(), a)
+func (s *testNode) send(a apiRequest) apiResponse {
+	got, err := s.sendWithContext(context.Background(), a)
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	return got
 }
 
-func (s *site) askWith(ctx context.Context, a asked) (received, error) {
+func (s *testNode) sendWithContext(ctx context.Context, a apiRequest) (apiResponse, error) {
 	request, err := http.NewRequestWithContext(ctx, a.method, s.url+a.path, bytes.NewReader([]byte(a.body)))
 	if err != nil {
-		return received{}, err
+		return apiResponse{}, err
 	}
 	if a.key != "" {
 		request.Header.Set("Authorization", "Bearer "+a.key)
@@ -250,38 +250,38 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return received{}, err
+		return apiResponse{}, err
 	}
 	defer response.Body.Close()
 	body, err := io.ReadAll(response.Body)
-	return received{response.StatusCode, response.Header, response.Trailer, string(body)}, err
+	return apiResponse{response.StatusCode, response.Header, response.Trailer, string(body)}, err
 }
 
-// arrived returns the orders that reached any instance of the plain service.
-func (s *site) arrived() int {
-	n := 0
-	for _, p := range s.plains {
-		n += len(p.Orders())
+// orderCount returns the orders that reached any instance of the plain service.
+func (s *testNode) orderCount() int {
+	count := 0
+	for _, p := range s.plainEndpoints {
+		count += len(p.Orders())
 	}
-	return n
+	return count
 }
 
-// opened is how many streams took a slot of any engine.
-func (s *site) opened() int {
-	n := 0
+// openedStreams is how many streams took a slot of any engine.
+func (s *testNode) openedStreams() int {
+	count := 0
 	for _, pair := range s.engines {
-		n += pair[0].Engine.Stats().Opened
+		count += pair[0].Engine.Stats().Opened
 	}
-	return n
+	return count
 }
 
-// misbehave puts faults in force on every instance of the plain service.
-func (s *site) misbehave(f standinplain.Faults) {
-	for _, p := range s.plains {
+// setPlainFaults puts faults in force on every instance of the plain service.
+func (s *testNode) setPlainFaults(f standinplain.Faults) {
+	for _, p := range s.plainEndpoints {
 		p.SetFaults(f)
 	}
 }
 
-func (s *site) storeDown(down bool) {
+func (s *testNode) setStoreDown(down bool) {
 	s.store.SetFault(func(storetest.Call) storetest.Fault { return storetest.Fault{Unavailable: down} })
 }
