--- a/route/admissionqueue/admissionqueue.go
+++ b/route/admissionqueue/admissionqueue.go
@@ -1,12 +1,13 @@
-// Package admissionqueue lets requests of one service wait for room, in the order that
-// decide/admission says, and tells at once those that will not be served.
+// Package admissionqueue holds the requests of one service until they get a slot, in
+// the order that decide/admission chooses. Requests that will not be served are
+// rejected at once.
 //
-//	ticket, err := q.Enter(ctx, Request{Team: "menteng", Cost: 200})
-//	if err != nil { ... } // *outcome.Refusal: not run, with Retry-After
-//	defer ticket.Leave(actualCost)
+//	permit, err := queue.Acquire(ctx, Request{Team: "menteng", Cost: 200})
+//	if err != nil { ... } // *RefusedError: not run, with Retry-After
+//	defer permit.Release(actualCost)
 //
-// The gate adds to the pure queue only what the queue must not have: a lock, a
-// timer and channels for those who wait.
+// admission.Queue makes the decisions and has neither locks nor timers. This package
+// adds a lock, a timer and a channel for each waiting request.
 package admissionqueue
 
 import (
@@ -19,52 +20,55 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// Request is one call that asks for room.
+// Request is one call that needs a slot.
 type Request struct {
 	Team  string
 	Class admission.Class
 	// Cost is the expected work in tokens.
 	Cost float64
-	// Deadline is the latest useful start; zero takes the queue's default.
+	// Deadline is the latest useful start of the request; zero means the default of
+	// admission.Queue.
 	Deadline time.Time
 }
 
-// Permit is the room that a request was given.
+// Permit is the right of an admitted request to run. The request holds a slot until its
+// permit is released.
 type Permit struct {
 	queue *Queue
-	id   uint64
-	once sync.Once
-	// Verdict is the decision that let the request in.
+	id    uint64
+	once  sync.Once
+	// Verdict is the decision that admitted the request.
 	Verdict admission.Verdict
 }
 
-// Queue is the queue of one service on one node. Safe for concurrent use.
+// Queue is the admission queue of one service on one node. Safe for concurrent use.
 type Queue struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	policy   *admission.Queue
+	mu              sync.Mutex
+	policy          *admission.Queue
 	pendingVerdicts map[uint64]chan admission.Verdict
-	lastID  uint64
-	timer   *time.Timer
-	closed  bool
+	lastID          uint64
+	timer           *time.Timer
+	closed          bool
 }
 
-// New returns a gate around queue. now is the clock, time.Now outside tests.
-func New(queue *admission.Queue, now func() time.Time) *Queue {
+// New returns a Queue that follows the decisions of policy. now is the clock, time.Now
+// outside tests.
+func New(policy *admission.Queue, now func() time.Time) *Queue {
 	return &Queue{
-		now:     now,
-		policy:   queue,
+		now:             now,
+		policy:          policy,
 		pendingVerdicts: map[uint64]chan admission.Verdict{},
 	}
 }
 
-// Acquire waits until the request may run. It fails with *outcome.Refusal when
-// the queue refuses, and with the context's error when the caller left.
+// Acquire waits until the request may run. It fails with *RefusedError if the queue
+// rejects the request, and with the context's error if the caller cancels.
 func (q *Queue) Acquire(ctx context.Context, r Request) (*Permit, error) {
-	id, answer := q.offer(r)
+	id, verdicts := q.offer(r)
 	select {
-	case v := <-answer:
+	case v := <-verdicts:
 		return q.permitOrError(id, v)
 	case <-ctx.Done():
 		q.cancel(id)
@@ -77,8 +81,8 @@
 	defer q.mu.Unlock()
 	q.lastID++
 	id := q.lastID
-	answer := make(chan admission.Verdict, 1)
-	q.pendingVerdicts[id] = answer
+	verdicts := make(chan admission.Verdict, 1)
+	q.pendingVerdicts[id] = verdicts
 	q.deliverAndSchedule(q.policy.Offer(q.now(), admission.Request{
 		ID:       id,
 		Team:     r.Team,
@@ -86,7 +90,7 @@
 		Cost:     r.Cost,
 		Deadline: r.Deadline,
 	}))
-	return id, answer
+	return id, verdicts
 }
 
 func (q *Queue) permitOrError(id uint64, v admission.Verdict) (*Permit, error) {
@@ -96,9 +100,8 @@
 	return nil, &RefusedError{Verdict: v}
 }
 
-// cancel takes back a request whose caller left. The queue knows whether it
-// still waited or had just been let in, so a verdict that crossed with the
-// caller's leaving frees its room as well.
+// cancel removes a request whose caller has canceled. If the policy admits the request
+// at the same moment, Cancel frees the slot.
 func (q *Queue) cancel(id uint64) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -106,10 +109,10 @@
 	q.deliverAndSchedule(q.policy.Cancel(q.now(), id))
 }
 
-// Release frees the room. cost is the work that was really done, in tokens. Only
-// the first call counts.
-func (t *Permit) Release(cost float64) {
-	t.once.Do(func() { t.queue.finish(t.id, cost) })
+// Release frees the slot. cost is the work done, in tokens. Only the first call of
+// Release or ReleaseTruncated has an effect.
+func (p *Permit) Release(cost float64) {
+	p.once.Do(func() { p.queue.finish(p.id, cost) })
 }
 
 func (q *Queue) finish(id uint64, cost float64) {
@@ -118,26 +121,27 @@
 	q.deliverAndSchedule(q.policy.Finish(q.now(), id, cost))
 }
 
-// ReleaseTruncated frees the room of a request whose answer ended early. Only the first call
-// of Leave or ReleaseTruncated counts.
-func (t *Permit) ReleaseTruncated(cost float64) {
-	t.once.Do(func() {
-		t.queue.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
-			return q.FinishTruncated(now, t.id, cost)
+// ReleaseTruncated frees the slot of a request whose answer ended early. Such an answer
+// does not count in the service's measured rate. Only the first call of Release or
+// ReleaseTruncated has an effect.
+func (p *Permit) ReleaseTruncated(cost float64) {
+	p.once.Do(func() {
+		p.queue.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+			return q.FinishTruncated(now, p.id, cost)
 		})
 	})
 }
 
-// Configure runs change on the queue under the gate's lock and hands out the
-// verdicts that follow from it.
+// Configure runs change on the policy under the queue's lock and delivers the verdicts
+// that change returns.
 func (q *Queue) Configure(change func(now time.Time, q *admission.Queue) []admission.Verdict) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.deliverAndSchedule(change(q.now(), q.policy))
 }
 
-// deliverAndSchedule hands each verdict to whom it concerns and sets the timer for the
-// queue's next own event. The caller holds the lock.
+// deliverAndSchedule delivers verdicts to the waiting requests and sets the timer for
+// the policy's next tick. The caller holds the lock.
 func (q *Queue) deliverAndSchedule(verdicts []admission.Verdict) {
 	q.deliver(verdicts)
 	more, next := q.policy.Tick(q.now())
@@ -147,12 +151,12 @@
 
 func (q *Queue) deliver(verdicts []admission.Verdict) {
 	for _, v := range verdicts {
-		answer, ok := q.pendingVerdicts[v.ID]
+		waiter, ok := q.pendingVerdicts[v.ID]
 		if !ok {
 			continue
 		}
 		delete(q.pendingVerdicts, v.ID)
-		answer <- v // buffered: one verdict per request
+		waiter <- v // buffered: one verdict for each request
 	}
 }
 
@@ -173,7 +177,7 @@
 	q.deliverAndSchedule(nil)
 }
 
-// Close stops the timer. Requests still waiting keep waiting for room.
+// Close stops the timer. Waiting requests keep waiting for a slot.
 func (q *Queue) Close() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -181,18 +185,18 @@
 	q.scheduleTick(time.Time{})
 }
 
-// RefusedError is the error of a request that the queue did not let in. It was not
+// RefusedError is the error of a request that the queue rejected. The request was not
 // run.
 type RefusedError struct {
 	Verdict admission.Verdict
 }
 
-// Error names the queue's reason.
+// Error returns the reason of the verdict.
 func (r *RefusedError) Error() string {
 	return "refused: " + r.Verdict.Reason.String()
 }
 
-// Refusal is the answer that the caller gets, at once.
+// Refusal returns the answer for the caller.
 func (r *RefusedError) Refusal() *outcome.Refusal {
 	return &outcome.Refusal{
 		Status:     http.StatusTooManyRequests,
--- a/route/admissionqueue/admissionqueue_test.go
+++ b/route/admissionqueue/admissionqueue_test.go
@@ -27,7 +27,7 @@
 
 func request() Request { return Request{Team: team, Cost: 1} }
 
-// runningRequests is how many requests hold a slot.
+// runningRequests returns the number of requests that hold a slot.
 func (q *Queue) runningRequests() int {
 	n := 0
 	q.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
@@ -39,27 +39,27 @@
 
 func acquire(t *testing.T, q *Queue) *Permit {
 	t.Helper()
-	ticket, err := q.Acquire(context.Background(), request())
+	permit, err := q.Acquire(context.Background(), request())
 	if err != nil {
 		t.Fatal(err)
 	}
-	return ticket
+	return permit
 }
 
-// The caller is refused while others could wait: the answer comes at once, says
-// that nothing was run and when to come back.
+// If requests that can't run were held, their callers would wait for nothing. The
+// rejection comes at once, says that nothing was run and carries Retry-After.
 func TestFullQueueRejectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(0)
 		defer q.Close()
-		begun := time.Now()
+		start := time.Now()
 		_, err := q.Acquire(context.Background(), request())
 		var refused *RefusedError
 		if !errors.As(err, &refused) {
 			t.Fatalf("got %v", err)
 		}
-		if took := time.Since(begun); took != 0 {
-			t.Errorf("held back for %s", took)
+		if took := time.Since(start); took != 0 {
+			t.Errorf("rejected after %s, want at once", took)
 		}
 		w := httptest.NewRecorder()
 		refused.Refusal().Write(w)
@@ -69,8 +69,8 @@
 	})
 }
 
-// The caller waits behind a request that does not end. At its deadline, or
-// before it once that is foreseen, it is told so; it does not wait on.
+// A request waits behind one that does not end. Without a rejection at its deadline,
+// the caller would go on waiting.
 func TestWaitingRequestIsRejectedByItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
@@ -84,78 +84,77 @@
 			t.Fatalf("got %v", err)
 		}
 		if late := time.Since(r.Deadline); late > admission.TickInterval {
-			t.Errorf("told %s after its deadline", late)
+			t.Errorf("rejected %s after its deadline", late)
 		}
 		first.Release(1)
 		if n := q.runningRequests(); n != 0 {
-			t.Errorf("%d still hold a slot", n)
+			t.Errorf("%d requests still hold a slot", n)
 		}
 	})
 }
 
-// The caller leaves while it waits. Its place is given up: the slot goes to the
-// next caller, not to the one who left.
+// If a canceled request kept its place, the next free slot would go to a caller that
+// has left, and no other request could use the slot.
 func TestCanceledWaiterGetsNoSlot(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newQueue(1)
 		defer q.Close()
 		first := acquire(t, q)
-		ctx, leave := context.WithCancel(context.Background())
-		left := make(chan error)
+		ctx, cancel := context.WithCancel(context.Background())
+		result := make(chan error)
 		go func() {
 			_, err := q.Acquire(ctx, request())
-			left <- err
+			result <- err
 		}()
 		synctest.Wait()
-		leave()
-		if err := <-left; !errors.Is(err, context.Canceled) {
+		cancel()
+		if err := <-result; !errors.Is(err, context.Canceled) {
 			t.Errorf("got %v", err)
 		}
 		first.Release(1)
 		acquire(t, q).Release(1)
 		if n := q.runningRequests(); n != 0 {
-			t.Errorf("%d still hold a slot", n)
+			t.Errorf("%d requests still hold a slot", n)
 		}
 	})
 }
 
-// The caller leaves at the moment at which the slot becomes free. Whichever
-// comes first, the slot is free afterwards: a verdict that crossed with the
-// caller's leaving would else keep it for good, and after as many as there are
-// slots the service would stand still.
+// A caller cancels while the slot becomes free. If a request that is admitted at that
+// moment kept the slot, each such race would lose one slot, until the service runs
+// nothing.
 func TestCancelDuringAdmissionFreesSlot(t *testing.T) {
 	const rounds = 2000
 	q := newQueue(1)
 	defer q.Close()
-	letIn := 0
+	admitted := 0
 	for range rounds {
 		first := acquire(t, q)
-		ctx, leave := context.WithCancel(context.Background())
-		var both sync.WaitGroup
-		begin := make(chan struct{})
-		both.Go(func() {
-			<-begin
+		ctx, cancel := context.WithCancel(context.Background())
+		var wg sync.WaitGroup
+		startRace := make(chan struct{})
+		wg.Go(func() {
+			<-startRace
 			first.Release(1)
 		})
-		both.Go(func() {
-			<-begin
-			leave()
+		wg.Go(func() {
+			<-startRace
+			cancel()
 		})
-		close(begin)
-		ticket, err := q.Acquire(ctx, request())
+		close(startRace)
+		permit, err := q.Acquire(ctx, request())
 		if err == nil {
-			letIn++
-			ticket.Release(1)
+			admitted++
+			permit.Release(1)
 		}
-		both.Wait()
+		wg.Wait()
 		if n := q.runningRequests(); n != 0 {
-			t.Fatalf("%d still hold the slot", n)
+			t.Fatalf("%d requests still hold the slot", n)
 		}
 	}
-	t.Logf("let in %d of %d", letIn, rounds)
+	t.Logf("admitted %d of %d requests", admitted, rounds)
 }
 
-// A ticket given back twice must not free the slot of another request.
+// If a second release of a permit counted, it would free the slot of another request.
 func TestReleaseCountsOnce(t *testing.T) {
 	q := newQueue(1)
 	defer q.Close()
@@ -164,7 +163,7 @@
 	second := acquire(t, q)
 	first.Release(1)
 	if n := q.runningRequests(); n != 1 {
-		t.Errorf("%d run, want the second alone", n)
+		t.Errorf("%d requests run, want only the second", n)
 	}
 	second.Release(1)
 }
