--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -1,10 +1,13 @@
-// Package lifecycle is what calls of all kinds of service have in common: a call
-// is let in, or refused at once; its decisions are recorded; its end is counted.
+// Package lifecycle holds what calls of all kinds of service have in common: a call is
+// admitted or refused, its decisions are recorded, and its outcome is counted.
 //
-//	visit, refusal := desk.Visit(c)
-//	pass, err := visit.Enter(ctx, cost)
-//	if err != nil { visit.Refuse(w, ...) }
-//	defer pass.Leave(used)
+//	active, refusal := manager.Begin(call)
+//	if refusal != nil { active.Refuse(w, refusal); return }
+//	permit, err := active.Admit(ctx, expectedCost)
+//	if err != nil { active.RespondNotAdmitted(w, err); return }
+//	defer permit.Release(work)
+//
+// Costs and work are in tokens.
 package lifecycle
 
 import (
@@ -23,46 +26,48 @@
 	"github.com/cicadatack/cicadatack/route/teamlimiter"
 )
 
-// setupRetryAfter is when a caller may ask again for a service that the document
-// names and this node is just setting up.
+// setupRetryAfter is the Retry-After of calls to a service that the document names and
+// that this node is still setting up.
 const setupRetryAfter = time.Second
 
-// Metrics is told what became of calls; metrics implement it.
+// Metrics counts calls by outcome and refusals by reason, and measures waiting times in
+// the admission queue.
 type Metrics interface {
 	Request(service, team, outcome string)
 	Refused(service, reason string)
 	Waited(service string, d time.Duration)
 }
 
-// Manager lets calls in. Safe for concurrent use.
+// Manager admits calls. Safe for concurrent use.
 type Manager struct {
-	Services *service.Registry
-	TeamLimiter   *teamlimiter.Limiter
-	Recorder   decisionlog.Recorder
-	Metrics  Metrics
-	Now      func() time.Time
+	Services    *service.Registry
+	TeamLimiter *teamlimiter.Limiter
+	Recorder    decisionlog.Recorder
+	Metrics     Metrics
+	Now         func() time.Time
 }
 
-// ActiveCall is one call on its way through the node. It is for one goroutine.
+// ActiveCall is a call that this node is serving. It is used by one goroutine.
 type ActiveCall struct {
 	*callparser.Call
-	// Local is the service as this node has it; Spec, in the Call, is the
-	// document's.
+	// Local is this node's state of the service. Call.Service is the document's
+	// definition of the service.
 	Local   *service.Service
 	manager *Manager
 }
 
-// Permit is a call's right to run.
+// Permit is the right of an admitted call to run.
 type Permit struct {
-	call  *ActiveCall
-	queuePermit *admissionqueue.Permit
-	expectedCost   float64
-	admittedAt  time.Time
+	call         *ActiveCall
+	queuePermit  *admissionqueue.Permit
+	expectedCost float64
+	admittedAt   time.Time
 }
 
-// Begin begins a call.
-func (d *Manager) Begin(c *callparser.Call) (*ActiveCall, *outcome.Refusal) {
-	call := &ActiveCall{Call: c, Local: d.Services.Get(c.Service.Name), manager: d}
+// Begin returns the call as an ActiveCall. It also returns a refusal if this node has
+// not set up the service yet.
+func (m *Manager) Begin(c *callparser.Call) (*ActiveCall, *outcome.Refusal) {
+	call := &ActiveCall{Call: c, Local: m.Services.Get(c.Service.Name), manager: m}
 	if call.Local != nil {
 		return call, nil
 	}
@@ -75,136 +80,138 @@
 	}
 }
 
-// Admit books the expected cost, in tokens, against the team's limit and waits
-// for room. It fails with an *outcome.Refusal, or with the context's error if
-// the caller left.
-func (v *ActiveCall) Admit(ctx context.Context, cost float64) (*Permit, error) {
-	usage, refusal := v.manager.TeamLimiter.Allow(v.Team.Name, cost)
+// Admit charges the expected cost, in tokens, to the team's limit and waits for a slot.
+// It fails with an *outcome.Refusal, or with the context's error if the caller cancels.
+func (c *ActiveCall) Admit(ctx context.Context, cost float64) (*Permit, error) {
+	usage, refusal := c.manager.TeamLimiter.Allow(c.Team.Name, cost)
 	if refusal != nil {
-		v.RecordDecision(decisionlog.Refuse, "", "team limit used up", map[string]float64{
+		c.RecordDecision(decisionlog.Refuse, "", "team limit used up", map[string]float64{
 			"limit_tokens_per_s": usage.Limit,
 			"share_tokens_per_s": usage.Rate,
 			"cost_tokens":        cost,
 			"retry_after_ms":     float64(refusal.RetryAfter.Milliseconds()),
 		})
-		v.manager.Metrics.Refused(v.Service.Name, refusal.Code)
+		c.manager.Metrics.Refused(c.Service.Name, refusal.Code)
 		return nil, refusal
 	}
-	queuePermit, err := v.Local.Gate.Acquire(ctx, admissionqueue.Request{
-		Team: v.Team.Name, Class: v.Class, Cost: cost, Deadline: v.latestStart(cost),
+	queuePermit, err := c.Local.Gate.Acquire(ctx, admissionqueue.Request{
+		Team: c.Team.Name, Class: c.Class, Cost: cost, Deadline: c.latestStart(cost),
 	})
 	if err != nil {
-		v.manager.TeamLimiter.Correct(v.Team.Name, -cost)
-		return nil, v.recordRejection(err)
+		c.manager.TeamLimiter.Correct(c.Team.Name, -cost)
+		return nil, c.recordRejection(err)
 	}
-	v.recordAdmission(queuePermit, cost)
-	return &Permit{call: v, queuePermit: queuePermit, expectedCost: cost, admittedAt: v.Now()}, nil
+	c.recordAdmission(queuePermit, cost)
+	return &Permit{call: c, queuePermit: queuePermit, expectedCost: cost, admittedAt: c.Now()}, nil
 }
 
-// latestStart is when the call must start to be of use. A caller that stops
-// waiting at its deadline has no use of an answer that starts just before it: in
-// overload nearly all starts are late ones, so that without the time that the
-// answer itself takes a part of the work done is for callers who have gone.
-func (v *ActiveCall) latestStart(cost float64) time.Time {
-	if v.Deadline.IsZero() {
-		return v.LatestStart
+// latestStart returns the time by which the call must start so that its answer is
+// complete at the deadline, or Call.LatestStart if that is earlier. In overload, nearly
+// all calls start just before their latest start. If the run time were not subtracted
+// from the deadline, part of the work would be for callers that have stopped waiting.
+func (c *ActiveCall) latestStart(cost float64) time.Time {
+	if c.Deadline.IsZero() {
+		return c.LatestStart
 	}
-	latest := v.Deadline.Add(-v.Local.Expected(cost))
-	if latest.Before(v.LatestStart) {
+	latest := c.Deadline.Add(-c.Local.Expected(cost))
+	if latest.Before(c.LatestStart) {
 		return latest
 	}
-	return v.LatestStart
+	return c.LatestStart
 }
 
-func (v *ActiveCall) recordAdmission(t *admissionqueue.Permit, cost float64) {
-	v.manager.Metrics.Waited(v.Service.Name, t.Verdict.Waited)
-	v.RecordDecision(decisionlog.Admit, "", t.Verdict.Reason.String(), map[string]float64{
-		"waited_ms":   float64(t.Verdict.Waited.Microseconds()) / 1000,
-		"waiting":     float64(t.Verdict.QueueLength),
+func (c *ActiveCall) recordAdmission(permit *admissionqueue.Permit, cost float64) {
+	c.manager.Metrics.Waited(c.Service.Name, permit.Verdict.Waited)
+	c.RecordDecision(decisionlog.Admit, "", permit.Verdict.Reason.String(), map[string]float64{
+		"waited_ms":   float64(permit.Verdict.Waited.Microseconds()) / 1000,
+		"waiting":     float64(permit.Verdict.QueueLength),
 		"cost_tokens": cost,
 	})
 }
 
-func (v *ActiveCall) recordRejection(err error) error {
+func (c *ActiveCall) recordRejection(err error) error {
 	var refused *admissionqueue.RefusedError
 	if !errors.As(err, &refused) {
 		return err
 	}
 	verdict := refused.Verdict
-	v.RecordDecision(decisionlog.Refuse, "", verdict.Reason.String(), map[string]float64{
+	c.RecordDecision(decisionlog.Refuse, "", verdict.Reason.String(), map[string]float64{
 		"predicted_ms":       float64(verdict.Predicted.Milliseconds()),
 		"waiting":            float64(verdict.QueueLength),
 		"drain_tokens_per_s": verdict.DrainRate,
 		"retry_after_ms":     float64(verdict.RetryAfter.Milliseconds()),
 	})
-	v.manager.Metrics.Refused(v.Service.Name, verdict.Reason.String())
+	c.manager.Metrics.Refused(c.Service.Name, verdict.Reason.String())
 	return refused.Refusal()
 }
 
-// Now reads the desk's clock.
-func (v *ActiveCall) Now() time.Time {
-	return v.manager.Now()
+// Now returns the time of the manager's clock.
+func (c *ActiveCall) Now() time.Time {
+	return c.manager.Now()
 }
 
-// Release gives the room back. used is the work that was really done, in tokens.
-func (p *Permit) Release(used float64) {
-	p.queuePermit.Release(used)
-	p.call.Local.Served(p.expectedCost, used, p.call.Now().Sub(p.admittedAt))
-	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, used-p.expectedCost)
+// Release frees the slot of a call whose answer is complete. work is the work done, in
+// tokens.
+func (p *Permit) Release(work float64) {
+	p.queuePermit.Release(work)
+	p.call.Local.Served(p.expectedCost, work, p.call.Now().Sub(p.admittedAt))
+	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, work-p.expectedCost)
 }
 
-// ReleaseTruncated gives the room back of a call whose answer ended early.
-func (p *Permit) ReleaseTruncated(used float64) {
-	p.queuePermit.ReleaseTruncated(used)
-	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, used-p.expectedCost)
+// ReleaseTruncated frees the slot of a call whose answer ended early. The run time of
+// this call does not change the expected run time of others.
+func (p *Permit) ReleaseTruncated(work float64) {
+	p.queuePermit.ReleaseTruncated(work)
+	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, work-p.expectedCost)
 }
 
-// RespondNotAdmitted answers a call that Enter failed with err. A caller who has left
-// gets nothing; the call still counts as not run.
-func (v *ActiveCall) RespondNotAdmitted(w http.ResponseWriter, err error) {
+// RespondNotAdmitted ends a call for which Admit returned err. A caller that has
+// canceled gets no answer, and its call counts as not run.
+func (c *ActiveCall) RespondNotAdmitted(w http.ResponseWriter, err error) {
 	var refusal *outcome.Refusal
 	if errors.As(err, &refusal) {
-		v.Refuse(w, refusal)
+		c.Refuse(w, refusal)
 		return
 	}
-	v.CountOutcome(outcome.NotRun)
+	c.CountOutcome(outcome.NotRun)
 }
 
-// Refuse answers the call with a refusal.
-func (v *ActiveCall) Refuse(w http.ResponseWriter, refusal *outcome.Refusal) {
+// Refuse answers the call with a refusal and counts its outcome.
+func (c *ActiveCall) Refuse(w http.ResponseWriter, refusal *outcome.Refusal) {
 	refusal.Write(w)
-	v.CountOutcome(refusal.Outcome)
+	c.CountOutcome(refusal.Outcome)
 }
 
-// CountOutcome counts the call's end.
-func (v *ActiveCall) CountOutcome(o outcome.Outcome) {
-	v.manager.Metrics.Request(v.Service.Name, v.Team.Name, string(o))
+// CountOutcome counts the call by its outcome.
+func (c *ActiveCall) CountOutcome(callOutcome outcome.Outcome) {
+	c.manager.Metrics.Request(c.Service.Name, c.Team.Name, string(callOutcome))
 }
 
 // RecordDecision records a decision about the call.
-func (v *ActiveCall) RecordDecision(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) {
-	v.manager.Recorder.Record(v.newDecision(kind, chosen, reason, figures))
+func (c *ActiveCall) RecordDecision(kind decisionlog.Kind, chosen, reason string, values map[string]float64) {
+	c.manager.Recorder.Record(c.newDecision(kind, chosen, reason, values))
 }
 
-// RecordChoice records the balancer's choice, with what it was chosen over.
-func (v *ActiveCall) RecordChoice(kind decisionlog.Kind, choice balance.Choice, figures map[string]float64) {
-	weighed := decisionlog.FromChoice(&choice)
-	maps.Copy(figures, weighed.Values)
-	d := v.newDecision(kind, choice.Replica, weighed.Reason, figures)
-	d.Alternatives = weighed.Alternatives
-	v.manager.Recorder.Record(d)
+// RecordChoice records a choice of the balancer with the alternatives that it
+// considered.
+func (c *ActiveCall) RecordChoice(kind decisionlog.Kind, choice balance.Choice, values map[string]float64) {
+	choiceDecision := decisionlog.FromChoice(&choice)
+	maps.Copy(values, choiceDecision.Values)
+	d := c.newDecision(kind, choice.Replica, choiceDecision.Reason, values)
+	d.Alternatives = choiceDecision.Alternatives
+	c.manager.Recorder.Record(d)
 }
 
-func (v *ActiveCall) newDecision(kind decisionlog.Kind, chosen, reason string, figures map[string]float64) decisionlog.Decision {
+func (c *ActiveCall) newDecision(kind decisionlog.Kind, chosen, reason string, values map[string]float64) decisionlog.Decision {
 	return decisionlog.Decision{
-		At:       v.manager.Now(),
-		Request:  v.ID,
+		At:       c.manager.Now(),
+		Request:  c.ID,
 		Kind:     kind,
-		Team:     v.Team.Name,
-		Service:  v.Service.Name,
+		Team:     c.Team.Name,
+		Service:  c.Service.Name,
 		Chosen:   chosen,
 		Reason:   reason,
-		Values:  figures,
-		Revision: v.Directory.Revision,
+		Values:   values,
+		Revision: c.Directory.Revision,
 	}
 }
