--- a/route/modelservice/adapter.go
+++ b/route/modelservice/adapter.go
@@ -12,18 +12,18 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// adapterRetryAfter is when a caller may come back for an adapter that no replica is
-// planned to hold: the keeper of the plans looks each second, the order takes
-// another, and some hundred megabytes at some hundred a second a few more.
+// adapterRetryAfter is the Retry-After for an adapter that no replica is planned to
+// hold. The planner checks once a second, its order takes another second, and loading
+// some hundred megabytes at some hundred megabytes per second takes a few more.
 const adapterRetryAfter = 5 * time.Second
 
-// replicasWithoutAdapter lists the replicas that this node uses and that are not to hold a
-// call's adapter. If none is to, the call is refused at once.
+// replicasWithoutAdapter lists the replicas of this node's subset whose plans lack the
+// call's adapter. If all of them lack it, the call is refused at once.
 //
-// Weighed: letting the call wait for the load. Loads take seconds to minutes at the
-// weight store's rate, one after the other, and nobody knows how long; the calls of
-// one adapter that is on its way would fill the queue before the calls of all
-// others. The adapter is loaded without them, as the document names it.
+// The call does not wait for the adapter. Adapters are loaded one after the other at
+// the weight store's rate, so a load takes seconds to minutes and its end is not known.
+// Calls that wait for one adapter would fill the queue in front of all other calls. The
+// adapter is loaded without waiting calls, because the document names it.
 func (s *Server) replicasWithoutAdapter(c *callparser.Call, call *lifecycle.ActiveCall) ([]string, *outcome.Refusal) {
 	if c.Adapter == "" {
 		return nil, nil
@@ -40,7 +40,7 @@
 		return without, nil
 	}
 	for _, replica := range subset {
-		s.Plans.Suspect(c.Service.Name, replica) // this node may know an old plan
+		s.Plans.Suspect(c.Service.Name, replica) // this node's plan may be outdated
 	}
 	return nil, &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: "no_adapter",
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -14,17 +14,17 @@
 	"github.com/cicadatack/cicadatack/state/wait"
 )
 
-// waitForRetry asks the budget and waits out the back-off. A model call may always
-// run twice: the stream's positions keep its tokens from reaching the caller
+// waitForRetry asks the retry budget and waits for the backoff. A model call may always
+// run twice: each token has a position in the stream, so no token reaches the caller
 // twice.
 func (c *chainChooser) waitForRetry(ctx context.Context) error {
-	d := c.modelCall.Local.Retry.Allow(retry.Attempt{
+	d := c.call.Local.Retry.Allow(retry.Attempt{
 		AttemptsMade: c.countedAttempts(),
 		Failure:      c.retryCause(),
 		Idempotent:   true,
 		NotRun:       c.lastResult.NotRun,
-		Deadline:     c.modelCall.Deadline,
-		Alternatives: 1, // Choose finds out whether there is one
+		Deadline:     c.call.Deadline,
+		Alternatives: 1, // Choose finds out whether another replica is available
 	})
 	if !d.Retry {
 		return fmt.Errorf("not tried again: %s", d.Reason)
@@ -36,34 +36,36 @@
 }
 
 const (
-	// maxConsecutiveFailures bounds the chains tried in a row, with no token from any,
-	// for an answer that the caller has a part of.
+	// maxConsecutiveFailures bounds the consecutive chains without a token when retries
+	// are extended (see extendsRetries).
 	maxConsecutiveFailures = 6
-	// minExtendedBackoff and partwayPauseCeiling bound the pause before such a
-	// try; it doubles. All together they outlast a pause of every chain of some
-	// seconds.
-	minExtendedBackoff   = 100 * time.Millisecond
+	// minExtendedBackoff and maxExtendedBackoff bound the backoff of extended retries,
+	// which doubles with each retry. All retries together outlast a pause of every
+	// chain of some seconds.
+	minExtendedBackoff = 100 * time.Millisecond
 	maxExtendedBackoff = time.Second
 )
 
-// hasPartialAnswer says whether the caller has a part of the answer already.
+// hasPartialAnswer says whether the caller already has part of the answer.
 func (c *chainChooser) hasPartialAnswer() bool {
 	return slices.ContainsFunc(c.epochs, func(r epochState) bool { return r.gotFirstToken })
 }
 
-// hadUnresponsiveChain says whether a chain that had the request was not heard of any more before
-// its first token. It may have run a part, so the caller can't be told otherwise.
+// hadUnresponsiveChain says whether a chain received the request and became
+// unresponsive before its first token. The chain may have run part of the request, so
+// the caller can't be told that the request was not run.
 func (c *chainChooser) hadUnresponsiveChain() bool {
 	return slices.ContainsFunc(c.epochs, func(r epochState) bool { return r.unresponsive })
 }
 
-// extendsRetries says whether the answer is tried for longer than a call that provably
-// did not run. A silence is judged after a quarter of a second; when all chains
-// stand still for a moment, as behind a switch that starts again, three tries are
-// over within a second and the caller would be told "unknown".
+// extendsRetries says whether the call is retried for longer than a call that provably
+// was not run. A chain counts as unresponsive after a quarter of a second. If all
+// chains pause for a moment, for example behind a switch that restarts, three attempts
+// are over within a second, and the caller would get the outcome "unknown".
 func (c *chainChooser) extendsRetries() bool { return c.hasPartialAnswer() || c.hadUnresponsiveChain() }
 
-// trailingFailures is how many of the last chains brought no token.
+// trailingFailures returns the number of consecutive chains without a token, counted
+// back from the last chain.
 func (c *chainChooser) trailingFailures() int {
 	n := 0
 	for i := len(c.epochs) - 1; i >= 0 && !c.epochs[i].gotFirstToken; i-- {
@@ -72,13 +74,15 @@
 	return n
 }
 
-// countedAttempts is the number that the budget's bound on attempts is held
-// against. Before the first token it is all, unless a chain fell silent. Partway, an answer given up is lost
-// to the caller with what it has: a failover that brought tokens is a success,
-// and when all chains stand still for a moment, three tries of 0.3 s are over
-// before the first of them is back. So only tries in a row without a token
-// count there, up to a bound of their own; the budget's share of retries stays
-// in force, which is what keeps a service that is down from a storm.
+// countedAttempts returns the number of attempts that the retry budget compares with
+// its maximum. Unless retries are extended, all attempts count.
+//
+// With extended retries, a chain that brought tokens is a success, and only the
+// consecutive chains without a token are bounded, by maxConsecutiveFailures. If all
+// attempts counted, a pause of all chains would use up three attempts of 0.3 s before
+// the first chain is back, and the caller would lose the part of the answer that it
+// has. The budget's ratio of retries to requests still applies and prevents a retry
+// storm when a service is down.
 func (c *chainChooser) countedAttempts() int {
 	if !c.extendsRetries() {
 		return len(c.epochs)
@@ -89,8 +93,8 @@
 	return 1
 }
 
-// extendedBackoff is nothing for the first failover: the caller sees the gap. After
-// that every other chain may be standing still too.
+// extendedBackoff is zero for the first failover, because the caller notices the gap.
+// Later failovers wait, because all other chains may be paused too.
 func (c *chainChooser) extendedBackoff() time.Duration {
 	failures := c.trailingFailures()
 	if failures == 0 {
@@ -99,9 +103,9 @@
 	return min(minExtendedBackoff<<(failures-1), maxExtendedBackoff)
 }
 
-// retryCause is the failure that calls for another chain. While one is still
-// underway the stream asks for a chain to leave it for, because it has turned
-// slow.
+// retryCause returns the failure that makes another chain necessary. If the current
+// epoch has not ended, the stream asks for another chain because the current chain has
+// become slow.
 func (c *chainChooser) retryCause() health.Failure {
 	if c.endedEpochs < len(c.epochs) {
 		return health.Timeout
@@ -109,7 +113,8 @@
 	return healthFailure(c.lastResult)
 }
 
-// healthFailure maps the end of an epoch to what it says of the replica's health.
+// healthFailure maps the end of an epoch to a failure for the replica's outlier
+// detection.
 func healthFailure(r stream.AttemptResult) health.Failure {
 	switch r.End {
 	case stream.EndDone:
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -14,32 +14,33 @@
 
 var errNoReplica = errors.New("no replica may be used now")
 
-// chainChooser chooses the chain of each epoch of one answer. It is used by one
-// goroutine at a time.
+// chainChooser chooses the chain of each epoch of one call. It is used by one goroutine
+// at a time.
 type chainChooser struct {
-	modelCall *answer
-	// epochs are the chains chosen, one for each epoch in order; ended counts
-	// those given up.
-	epochs  []epochState
+	call *modelCall
+	// epochs are the epochs of the call in order; endedEpochs is the number of those
+	// that have ended.
+	epochs      []epochState
 	endedEpochs int
 	lastResult  stream.AttemptResult
-	// prefixHashCache are the names of the prompt's prefixHashCache; nil until they are needed.
+	// prefixHashCache holds the hashes of the prompt's prefixes; nil until they are
+	// needed.
 	prefixHashCache []uint64
 }
 
-// maxPrefixes bounds the prefixes of a prompt that are looked for: 512 words tell
-// system prompts and templates apart.
+// maxPrefixes bounds the prefixes of a prompt that are looked up in the prefix index:
+// 512 words distinguish system prompts and templates.
 const maxPrefixes = 32
 
 func (c *chainChooser) prefixHashes() []uint64 {
 	if c.prefixHashCache == nil {
-		c.prefixHashCache = engineapi.PrefixHashes(c.modelCall.chat.Messages, maxPrefixes)
+		c.prefixHashCache = engineapi.PrefixHashes(c.call.chat.Messages, maxPrefixes)
 	}
 	return c.prefixHashCache
 }
 
-// Choose picks a replica that is none of exclude. From the second epoch on the
-// retry budget must allow it.
+// Choose picks a replica that is not in exclude. From the second epoch on, Choose first
+// asks the retry budget and waits for the backoff.
 func (c *chainChooser) Choose(ctx context.Context, exclude []string) (stream.Chain, error) {
 	if len(c.epochs) > 0 {
 		if err := c.waitForRetry(ctx); err != nil {
@@ -48,26 +49,26 @@
 	}
 	chain, err := c.pickUsableChain(ctx, exclude)
 	if errors.Is(err, errNoReplica) && len(exclude) > 1 && c.extendsRetries() {
-		// Every chain has failed this answer once. The one that failed last is the
-		// only one known to be bad now.
+		// Every chain has failed this call once. Only the chain that failed last is
+		// known to be failing now.
 		chain, err = c.pickUsableChain(ctx, exclude[len(exclude)-1:])
 	}
 	if errors.Is(err, errNoReplica) && len(c.epochs) == c.endedEpochs && c.hadUnresponsiveChain() {
-		// There is one chain only, and it was silent for a fraction of a second.
+		// There is only one chain, and it was unresponsive for a fraction of a second.
 		return c.pickUsableChain(ctx, nil)
 	}
 	return chain, err
 }
 
-// pickUsableChain picks until a replica's chain is known. Each replica is looked
-// at once.
+// pickUsableChain picks replicas until one has a usable chain. Each replica is tried
+// once.
 func (c *chainChooser) pickUsableChain(ctx context.Context, exclude []string) (stream.Chain, error) {
-	exclude = slices.Concat(exclude, c.modelCall.without)
+	exclude = slices.Concat(exclude, c.call.excluded)
 	for {
 		choice, chain, err := c.pickChain(ctx, exclude)
 		if err == nil {
 			c.epochs = append(c.epochs, epochState{
-				replica: choice.Replica, firstEndpoint: chain.Stages[0].Endpoint, startedAt: c.modelCall.Now(), artifact: chain.Artifact,
+				replica: choice.Replica, firstEndpoint: chain.Stages[0].Endpoint, startedAt: c.call.Now(), artifact: chain.Artifact,
 			})
 			c.recordChoice(choice)
 			return chain, nil
@@ -79,15 +80,15 @@
 	}
 }
 
-// pickChain asks the balancer for a replica and resolves its chain. A replica whose
-// layers have no plan yet, or that cannot go on with this answer, is passed over:
-// that says nothing of its health.
+// pickChain asks the balancer for a replica and resolves its chain. A replica that has
+// no plan yet, or that can't continue this answer, is skipped without an effect on its
+// health.
 func (c *chainChooser) pickChain(ctx context.Context, exclude []string) (balance.Choice, stream.Chain, error) {
-	a := c.modelCall
-	choice, ok := a.Local.Picker.Pick(balance.Query{
-		Prefix:  firstMessageHash(a.chat.Messages),
-		Holders: a.Local.Prefixes.Holders(c.prefixHashes()),
-		Cost:    a.cost,
+	call := c.call
+	choice, ok := call.Local.Picker.Pick(balance.Query{
+		Prefix:  firstMessageHash(call.chat.Messages),
+		Holders: call.Local.Prefixes.Holders(c.prefixHashes()),
+		Cost:    call.expectedCost,
 		Exclude: exclude,
 	})
 	if !ok {
@@ -95,35 +96,36 @@
 	}
 	chain, err := c.resolveChain(ctx, choice.Replica)
 	if err != nil {
-		a.Local.Picker.Finished(choice.Replica, balance.Result{Cost: a.cost, Failure: health.Canceled})
+		call.Local.Picker.Finished(choice.Replica, balance.Result{Cost: call.expectedCost, Failure: health.Canceled})
 	}
 	return choice, chain, err
 }
 
 var (
-	errWrongArtifact = errors.New("the replica has other weights or another adapter than the answer so far")
-	errMismatchesPlan       = errors.New("the replica's engines differ from its plan")
+	errWrongArtifact  = errors.New("the replica has other weights or another adapter than the answer so far")
+	errMismatchesPlan = errors.New("the replica's engines differ from its plan")
 )
 
-// resolveChain returns a replica's chain if it can go on with this answer.
+// resolveChain returns a replica's chain if the chain can continue this answer.
 func (c *chainChooser) resolveChain(ctx context.Context, replica string) (stream.Chain, error) {
-	a := c.modelCall
-	chain, err := a.server.Chains.Chain(a.Call, replica)
+	call := c.call
+	chain, err := call.server.Chains.Chain(call.Call, replica)
 	if err != nil {
 		return chain, err
 	}
 	if answerArtifact, ok := c.answerArtifact(); ok && chain.Artifact != answerArtifact {
 		return chain, errWrongArtifact
 	}
-	if a.server.Streams.MismatchesPlan(ctx, a.chat.Model, a.Service.Model.Layers, chain) {
-		a.server.Plans.Suspect(a.Service.Name, replica)
+	if call.server.Streams.MismatchesPlan(ctx, call.chat.Model, call.Service.Model.Layers, chain) {
+		call.server.Plans.Suspect(call.Service.Name, replica)
 		return chain, errMismatchesPlan
 	}
 	return chain, nil
 }
 
-// answerArtifact is what made the tokens that the caller has, if it has any. The stream
-// itself refuses to go on with another; here it is a matter of not trying in vain.
+// answerArtifact returns the artifact (versions of weights and adapter) that produced
+// the tokens that the caller has, if there are any. The stream refuses to continue with
+// another artifact; the check here saves the attempt.
 func (c *chainChooser) answerArtifact() (engineapi.Artifact, bool) {
 	for _, r := range c.epochs {
 		if r.gotFirstToken {
@@ -133,32 +135,32 @@
 	return engineapi.Artifact{}, false
 }
 
-// Ended tells the balancer how the epoch went.
+// Ended reports the result of an epoch to the balancer and to the planner.
 func (c *chainChooser) Ended(chain stream.Chain, r stream.AttemptResult) {
 	c.lastResult = r
 	c.endedEpochs++
 	c.epochs[r.Epoch-1].unresponsive = r.Unresponsive
 	epoch := c.epochs[r.Epoch-1]
-	c.modelCall.Local.Picker.Finished(chain.Replica, balance.Result{
-		Cost:             c.modelCall.cost,
+	c.call.Local.Picker.Finished(chain.Replica, balance.Result{
+		Cost:             c.call.expectedCost,
 		TimeToFirstToken: r.FirstToken,
-		TotalTime:        c.modelCall.Now().Sub(epoch.startedAt),
+		TotalTime:        c.call.Now().Sub(epoch.startedAt),
 		Started:          epoch.gotFirstToken,
 		Failure:          healthFailure(r),
 	})
 	if r.End == stream.EndMismatch || r.Reason == stream.WrongArtifact {
-		c.modelCall.server.Plans.Suspect(c.modelCall.Service.Name, chain.Replica)
+		c.call.server.Plans.Suspect(c.call.Service.Name, chain.Replica)
 	}
 	for i := range r.Hops {
-		// Without it a slow link looks like slow layers, and the plan leaves the
-		// engine out in place of the link.
-		r.Hops[i].StepMicros = float64(c.modelCall.Local.Step(r.Hops[i].Endpoint).Microseconds())
+		// Without the time per token of the endpoint itself, a slow link looks like
+		// slow layers, and the plan leaves out the engine instead of the link.
+		r.Hops[i].StepMicros = float64(c.call.Local.Step(r.Hops[i].Endpoint).Microseconds())
 	}
 	if len(r.Hops) > 0 {
-		c.modelCall.server.Plans.Observe(c.modelCall.Service.Name, chain.Replica, r.Hops)
+		c.call.server.Plans.Observe(c.call.Service.Name, chain.Replica, r.Hops)
 	}
 	if r.Load != nil {
-		c.modelCall.Local.ReportLoad(chain.Stages[0].Endpoint, *r.Load)
+		c.call.Local.ReportLoad(chain.Stages[0].Endpoint, *r.Load)
 	}
 }
 
@@ -167,5 +169,5 @@
 	if len(c.epochs) > 1 {
 		kind = decisionlog.Resume
 	}
-	c.modelCall.RecordChoice(kind, choice, map[string]float64{"epoch": float64(len(c.epochs))})
+	c.call.RecordChoice(kind, choice, map[string]float64{"epoch": float64(len(c.epochs))})
 }
--- a/route/modelservice/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -17,8 +17,8 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// fakeReplicas are chains of one engine by name, with the version that the plan says;
-// the engine reports the version that its address names.
+// fakeReplicas has chains of one engine each. plannedVersions gives the planned version
+// of the weights by replica. An engine reports the version at the start of its address.
 type fakeReplicas struct {
 	plannedVersions   map[string]string
 	suspectedReplicas []string
@@ -38,12 +38,13 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(data)))}, err
 }
 
-func (r *fakeReplicas) Suspect(_, replica string)            { r.suspectedReplicas = append(r.suspectedReplicas, replica) }
+func (r *fakeReplicas) Suspect(_, replica string) {
+	r.suspectedReplicas = append(r.suspectedReplicas, replica)
+}
 func (r *fakeReplicas) Observe(string, string, []stream.Hop) {}
 
-// The caller's answer goes on where it can. Passing over a replica costs nothing;
-// trying it uses up one of a few tries, takes from the budget of retries and counts
-// against a replica that is well.
+// If a replica that can't continue the answer were tried, the attempt would use up part
+// of the retry budget and count against a healthy replica. Such a replica is skipped.
 func TestUnusableChainsAreSkipped(t *testing.T) {
 	cases := []struct {
 		name, replica, planned, begun string
@@ -58,10 +59,10 @@
 	for _, c := range cases {
 		r := &fakeReplicas{plannedVersions: map[string]string{c.replica: c.planned}}
 		service := &document.Service{Name: "pastry-llm", Model: &document.Model{Layers: 1}}
-		chooser := &chainChooser{modelCall: &answer{
-			ActiveCall:  &lifecycle.ActiveCall{Call: &callparser.Call{Service: service}},
-			server: &Server{Chains: r, Plans: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
-			chat:   engineapi.ChatRequest{Model: "pastry-llm"},
+		chooser := &chainChooser{call: &modelCall{
+			ActiveCall: &lifecycle.ActiveCall{Call: &callparser.Call{Service: service}},
+			server:     &Server{Chains: r, Plans: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
+			chat:       engineapi.ChatRequest{Model: "pastry-llm"},
 		}}
 		if c.begun != "" {
 			chooser.epochs = []epochState{{artifact: engineapi.Artifact{Weights: "v0"}}, {gotFirstToken: true, artifact: engineapi.Artifact{Weights: c.begun}}}
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -1,6 +1,11 @@
-// Package modelservice answers calls of model services: it lets a call in, chooses a
-// chain of engines for each epoch of its stream and passes the checked tokens
-// to the caller as they come.
+// Package modelservice serves calls of model services. It admits a call, chooses a
+// chain of engines for it and passes the checked tokens to the caller as they arrive.
+//
+// A chain is the engines of one replica: each engine runs some layers of the model and
+// sends its output to the next engine. If a chain fails, the answer continues on
+// another chain after the last token that the caller has. The part of an answer that
+// one chain produces is an epoch. Package stream runs the epochs; this package chooses
+// their chains and decides about retries.
 package modelservice
 
 import (
@@ -18,7 +23,8 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// Metrics is told what became of model calls; metrics implement it.
+// Metrics counts the tokens of model calls, their failovers by cause (Resumed) and
+// their rejected tokens by reason (Dropped).
 type Metrics interface {
 	FirstToken(service string, d time.Duration)
 	Tokens(service string, n int)
@@ -26,39 +32,39 @@
 	Dropped(service, reason string)
 }
 
-// Chains turns a replica of a model into the chain to send along.
+// Chains resolves a replica of a model to its chain of engines.
 type Chains interface {
 	Chain(c *callparser.Call, replica string) (stream.Chain, error)
 }
 
-// Plans is told how replicas do, for the planner.
+// Plans receives observations of replicas for the planner of their layers.
 type Plans interface {
-	// Suspect says that an engine holds something else than the plan.
+	// Suspect says that an engine of the replica does not hold what the plan says.
 	Suspect(model, replica string)
-	// Observe takes the mean times of a stream's hops.
+	// Observe takes the mean times of the hops of a stream.
 	Observe(model, replica string, hops []stream.Hop)
 }
 
-// Server answers model calls. Safe for concurrent use.
+// Server serves calls of model services. Safe for concurrent use.
 type Server struct {
-	Lifecycle    *lifecycle.Manager
-	Streams *stream.Runner
-	Chains  Chains
-	Plans   Plans
-	Metrics Metrics
+	Lifecycle *lifecycle.Manager
+	Streams   *stream.Runner
+	Chains    Chains
+	Plans     Plans
+	Metrics   Metrics
 }
 
 const (
-	// defaultMaxTokens is what a call without max_tokens is expected to cost.
+	// defaultMaxTokens is the max_tokens of a call that sets none.
 	defaultMaxTokens = 256
-	// bytesPerToken is the usual length of a token of European languages.
+	// bytesPerToken is the usual length of a token in European languages.
 	bytesPerToken = 4
-	// promptTokenCost is the cost of a prompt token against a generated one: a
-	// prompt is processed in parallel, many times quicker.
+	// promptTokenCost is the cost of a prompt token relative to a generated token.
+	// Engines process prompt tokens in parallel, many times faster.
 	promptTokenCost = 0.1
 )
 
-// ServeModel answers one call, streamed or whole.
+// ServeModel answers one call, as a stream or in one piece.
 func (s *Server) ServeModel(w http.ResponseWriter, r *http.Request, c *callparser.Call, chat engineapi.ChatRequest) {
 	active, refusal := s.Lifecycle.Begin(c)
 	if refusal != nil {
@@ -73,13 +79,13 @@
 	if chat.MaxTokens == 0 {
 		chat.MaxTokens = defaultMaxTokens
 	}
-	a := &answer{ActiveCall: active, server: s, chat: chat, cost: expectedCost(chat), without: excluded}
-	permit, err := a.Admit(r.Context(), a.cost)
+	m := &modelCall{ActiveCall: active, server: s, chat: chat, expectedCost: expectedCost(chat), excluded: excluded}
+	permit, err := m.Admit(r.Context(), m.expectedCost)
 	if err != nil {
-		a.RespondNotAdmitted(w, err)
+		m.RespondNotAdmitted(w, err)
 		return
 	}
-	work, complete := a.run(w, r)
+	work, complete := m.run(w, r)
 	if complete {
 		permit.Release(work)
 	} else {
@@ -87,7 +93,7 @@
 	}
 }
 
-// expectedCost is the work of a call in generated tokens.
+// expectedCost returns the work of a call in generated tokens.
 func expectedCost(chat engineapi.ChatRequest) float64 {
 	promptBytes := 0
 	for _, m := range chat.Messages {
@@ -96,76 +102,77 @@
 	return float64(chat.MaxTokens) + promptTokenCost*float64(promptBytes)/bytesPerToken
 }
 
-// answer is one call underway.
-type answer struct {
+// modelCall is a call of a model service that is being served.
+type modelCall struct {
 	*lifecycle.ActiveCall
-	server *Server
-	chat   engineapi.ChatRequest
-	cost   float64
-	// without are the replicas that do not hold the call's adapter.
-	without []string
+	server       *Server
+	chat         engineapi.ChatRequest
+	expectedCost float64
+	// excluded are the replicas without the call's adapter.
+	excluded []string
 }
 
-// run sends the call along chains until its answer is whole, and returns the
-// work done in tokens and whether it is.
-func (a *answer) run(w http.ResponseWriter, r *http.Request) (used float64, whole bool) {
-	sink := newResponseWriter(w, a.Call, a.chat)
-	chooser := &chainChooser{modelCall: a}
-	summary, err := a.server.Streams.Run(r.Context(), stream.Request{
-		StreamID:          a.ID,
-		Layers:            a.Service.Model.Layers,
-		Chat:              a.chat,
-		FirstTokenTimeout: millis(a.policy().FirstTokenMillis),
-		MaxStallTimeout:   millis(a.policy().TokenStallMillis),
-		Deadline:          a.Deadline,
+// run sends the call along chains until its answer is complete or the call fails. It
+// returns the work done, in tokens, and whether the answer is complete.
+func (m *modelCall) run(w http.ResponseWriter, r *http.Request) (work float64, complete bool) {
+	response := newResponseWriter(w, m.Call, m.chat)
+	chooser := &chainChooser{call: m}
+	summary, err := m.server.Streams.Run(r.Context(), stream.Request{
+		StreamID:          m.ID,
+		Layers:            m.Service.Model.Layers,
+		Chat:              m.chat,
+		FirstTokenTimeout: millis(m.policy().FirstTokenMillis),
+		MaxStallTimeout:   millis(m.policy().TokenStallMillis),
+		Deadline:          m.Deadline,
 		Chooser:           chooser,
 	}, func(token string, trace engineapi.TokenTrace) error {
 		chooser.recordToken(trace)
-		return sink.writeToken(token)
+		return response.writeToken(token)
 	})
-	a.count(summary)
-	what := toCallOutcome(summary.Outcome)
+	m.countMetrics(summary)
+	finalOutcome := toCallOutcome(summary.Outcome)
 	if err == nil {
-		a.Local.Retry.Success()
-		sink.finish(summary.FinishReason, what)
+		m.Local.Retry.Success()
+		response.finish(summary.FinishReason, finalOutcome)
 	} else {
-		sink.fail(refusalFor(err, summary.LastResult.Status, what))
+		response.fail(refusalFor(err, summary.LastResult.Status, finalOutcome))
 	}
-	a.recordEnd(summary, err, what)
-	a.CountOutcome(what)
-	return a.used(summary), err == nil
+	m.recordEnd(summary, err, finalOutcome)
+	m.CountOutcome(finalOutcome)
+	return m.completedWork(summary), err == nil
 }
 
-func (a *answer) policy() document.Policy {
-	return a.Directory.Document.Policy
+func (m *modelCall) policy() document.Policy {
+	return m.Directory.Document.Policy
 }
 
-// used is the work done: the prompt if any token came, and the tokens.
-func (a *answer) used(s stream.Summary) float64 {
-	if s.Outcome == stream.OutcomeNotRun {
+// completedWork returns the work done, in tokens: the prompt's cost and the generated
+// tokens. A call that was not run has none.
+func (m *modelCall) completedWork(summary stream.Summary) float64 {
+	if summary.Outcome == stream.OutcomeNotRun {
 		return 0
 	}
-	prompt := a.cost - float64(a.chat.MaxTokens)
-	return prompt + float64(s.Tokens)
+	promptWork := m.expectedCost - float64(m.chat.MaxTokens)
+	return promptWork + float64(summary.Tokens)
 }
 
-func (a *answer) count(s stream.Summary) {
-	name := a.Service.Name
-	if s.FirstToken > 0 {
-		a.server.Metrics.FirstToken(name, s.FirstToken)
+func (m *modelCall) countMetrics(summary stream.Summary) {
+	name := m.Service.Name
+	if summary.FirstToken > 0 {
+		m.server.Metrics.FirstToken(name, summary.FirstToken)
 	}
-	a.server.Metrics.Tokens(name, s.Tokens)
-	for _, recovery := range s.Recoveries {
-		a.server.Metrics.Resumed(name, recovery.Cause.String())
+	m.server.Metrics.Tokens(name, summary.Tokens)
+	for _, recovery := range summary.Recoveries {
+		m.server.Metrics.Resumed(name, recovery.Cause.String())
 		if recovery.Cause == stream.EndInvalidToken {
-			a.server.Metrics.Dropped(name, recovery.Reason.String())
+			m.server.Metrics.Dropped(name, recovery.Reason.String())
 		}
 	}
 }
 
-// refusalFor is the answer to a call that could not be completed; status is that of
-// the last engine's refusal, if there was one. An engine's plea for less load is
-// passed on as one.
+// refusalFor returns the answer to a call that failed with err. status is that of the
+// last engine's refusal, if there was one. If the engine refused with 429, the caller
+// gets 429 as well.
 func refusalFor(err error, status int, callOutcome outcome.Outcome) *outcome.Refusal {
 	switch {
 	case errors.Is(err, stream.ErrDeadline):
@@ -180,23 +187,23 @@
 }
 
 const (
-	// statusCallerGone is logged only; nobody is left to read it.
+	// statusCallerGone is used for logs only, as the caller has disconnected.
 	statusCallerGone = 499
-	// noChainRetryAfter is when a replica may have come back: about the time in
-	// which an ejected one is tried again.
+	// noChainRetryAfter is about the time after which an ejected replica is tried
+	// again.
 	noChainRetryAfter = time.Second
 )
 
-func (a *answer) recordEnd(s stream.Summary, err error, what outcome.Outcome) {
-	reason := string(what)
+func (m *modelCall) recordEnd(summary stream.Summary, err error, callOutcome outcome.Outcome) {
+	reason := string(callOutcome)
 	if err != nil {
 		reason += ": " + err.Error()
 	}
-	a.RecordDecision(decisionlog.Finish, s.LastResult.End.String(), reason, map[string]float64{
-		"tokens":         float64(s.Tokens),
-		"epochs":         float64(s.Epochs),
-		"stray_tokens":   float64(s.StrayTokens),
-		"first_token_ms": float64(s.FirstToken.Microseconds()) / 1000,
+	m.RecordDecision(decisionlog.Finish, summary.LastResult.End.String(), reason, map[string]float64{
+		"tokens":         float64(summary.Tokens),
+		"epochs":         float64(summary.Epochs),
+		"stray_tokens":   float64(summary.StrayTokens),
+		"first_token_ms": float64(summary.FirstToken.Microseconds()) / 1000,
 	})
 }
 
--- a/route/modelservice/prefix.go
+++ b/route/modelservice/prefix.go
@@ -6,12 +6,12 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// prefixBytes is how much of the first message names a prompt's prefix: the
-// system prompts and templates that callers share are longer than this.
+// prefixBytes is how many bytes of the first message are hashed. System prompts and
+// templates that callers share are longer.
 const prefixBytes = 256
 
-// firstMessageHash names the part of a prompt that engines are likely to have cached;
-// zero means none.
+// firstMessageHash returns the hash of the start of the first message, which engines
+// are likely to have in their prefix cache. Zero means that there is no message.
 func firstMessageHash(messages []engineapi.Message) uint64 {
 	if len(messages) == 0 {
 		return 0
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -6,47 +6,47 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// epochState is one chain's part of the answer.
+// epochState is the state of one epoch: the part of the answer that one chain produces.
 type epochState struct {
-	replica string
-	firstEndpoint   string // the chain's first endpoint, which tells the load
-	startedAt   time.Time
-	// artifact is what the chain's engines run.
+	replica       string
+	firstEndpoint string // the chain's first endpoint, which reports the load
+	startedAt     time.Time
+	// artifact is what the chain's engines run: versions of weights and adapter.
 	artifact engineapi.Artifact
-	// unresponsive is set if the chain had the request and then was not heard of before
-	// its first token.
-	unresponsive bool
-	// gotFirstToken is set with the first token; reported and tokens are the time and
-	// the number of tokens since the balancer was last told of the pace.
-	gotFirstToken  bool
-	lastProgressAt time.Time
-	tokensSinceProgress   int
+	// unresponsive is set if the chain received the request and became unresponsive
+	// before its first token.
+	unresponsive  bool
+	gotFirstToken bool
+	// lastProgressAt is the time of the last progress report to the balancer;
+	// tokensSinceProgress is the number of tokens since that report.
+	lastProgressAt      time.Time
+	tokensSinceProgress int
 }
 
-// progressInterval is how often the balancer hears of a long answer's pace. An
-// answer of seconds on a replica that turned slow would otherwise tell of it
-// only at its end.
+// progressInterval is the interval of progress reports to the balancer. Without them,
+// the balancer would learn that a replica has become slow only at the end of an answer,
+// which may take many seconds.
 const progressInterval = time.Second
 
-// recordToken tells the balancer how a chain gets on.
+// recordToken reports the progress of a chain and the load in the token's trace.
 func (c *chainChooser) recordToken(trace engineapi.TokenTrace) {
 	if int(trace.Epoch) > len(c.epochs) || trace.Epoch == 0 {
 		return
 	}
 	r := &c.epochs[trace.Epoch-1]
 	if trace.Load != nil {
-		c.modelCall.Local.ReportLoad(r.firstEndpoint, *trace.Load)
+		c.call.Local.ReportLoad(r.firstEndpoint, *trace.Load)
 	}
-	now := c.modelCall.Now()
+	now := c.call.Now()
 	if !r.gotFirstToken {
 		r.gotFirstToken = true
 		r.lastProgressAt = now
-		c.modelCall.Local.Picker.Started(r.replica, now.Sub(r.startedAt))
+		c.call.Local.Picker.Started(r.replica, now.Sub(r.startedAt))
 		return
 	}
 	r.tokensSinceProgress++
 	if elapsed := now.Sub(r.lastProgressAt); elapsed >= progressInterval {
-		c.modelCall.Local.Picker.Progress(r.replica, elapsed/time.Duration(r.tokensSinceProgress))
+		c.call.Local.Picker.Progress(r.replica, elapsed/time.Duration(r.tokensSinceProgress))
 		r.lastProgressAt = now
 		r.tokensSinceProgress = 0
 	}
--- a/route/modelservice/sink_test.go
+++ b/route/modelservice/response_test.go
@@ -17,15 +17,15 @@
 	return newResponseWriter(w, c, engineapi.ChatRequest{Stream: true})
 }
 
-// Tokens hold quotes, line ends, markup and bytes that are no UTF-8. A client
-// that reads the events by a JSON library gets each token as the library itself
-// would have written it, and one event a token.
+// Tokens contain quotes, line breaks, markup and invalid UTF-8. If such a token broke
+// its event, clients could not parse the stream. Each token gives one event, encoded as
+// the JSON library encodes it.
 func TestTokenEventsAreValidJSON(t *testing.T) {
 	tokens := []string{"kue ", `"lapis"`, "a\nb\r\n", "<b>&</b>", "\u2028", "é", "\xff\x00", ""}
 	w := httptest.NewRecorder()
-	s := newTestWriter(w)
+	rw := newTestWriter(w)
 	for _, token := range tokens {
-		if err := s.writeToken(token); err != nil {
+		if err := rw.writeToken(token); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -34,7 +34,7 @@
 		t.Fatalf("%d events for %d tokens: %q", len(events), len(tokens), w.Body)
 	}
 	for i, token := range tokens {
-		want, err := json.Marshal(s.chunk(engineapi.Delta{Content: token}, nil))
+		want, err := json.Marshal(rw.chunk(engineapi.Delta{Content: token}, nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,7 +59,7 @@
 	return string(text)
 }
 
-// discardWriter takes answers without keeping them.
+// discardWriter is a response writer that discards its input.
 type discardWriter struct{ header http.Header }
 
 func (n discardWriter) Header() http.Header            { return n.header }
@@ -68,10 +68,10 @@
 func (n discardWriter) Flush()                         {}
 
 func BenchmarkWriteToken(b *testing.B) {
-	s := newTestWriter(discardWriter{http.Header{}})
+	rw := newTestWriter(discardWriter{http.Header{}})
 	b.ReportAllocs()
 	for b.Loop() {
-		if err := s.writeToken(" flour.bd25"); err != nil {
+		if err := rw.writeToken(" flour.bd25"); err != nil {
 			b.Fatal(err)
 		}
 	}
