--- a/route/plainservice/headers.go
+++ b/route/plainservice/headers.go
@@ -19,8 +19,9 @@
 	"Expect",
 }
 
-// upstreamHeader is the part of a caller's headers that an endpoint gets. The team's
-// key stays on the node: an endpoint that leaks it would open every service.
+// upstreamHeader returns the headers of a caller that are sent to an endpoint. The
+// team's key is left out, because an endpoint that leaks it would open every service of
+// the team.
 func upstreamHeader(from http.Header) http.Header {
 	to := http.Header{}
 	copyEndToEndHeaders(to, from)
@@ -28,8 +29,8 @@
 	return to
 }
 
-// copyEndToEndHeaders adds the end-to-end headers of from. What Connection names is left
-// out with the fixed ones.
+// copyEndToEndHeaders copies the end-to-end headers. Hop-by-hop headers and the headers
+// that Connection names are left out.
 func copyEndToEndHeaders(to, from http.Header) {
 	skip := map[string]bool{"Content-Length": true}
 	for _, name := range hopByHopHeaders {
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -16,66 +16,67 @@
 )
 
 const (
-	// recordTimeout bounds the write of a result. The order itself is placed;
-	// a result that can't be written leaves the claim in doubt, which is safe.
+	// recordTimeout bounds the write of a result. The order itself has been sent. If
+	// its result can't be written, the claim stays without a result, and the order is
+	// not sent again.
 	recordTimeout = 5 * time.Second
-	// claimRetryAfter is when a caller may try an order again that could not be
-	// claimed.
+	// claimRetryAfter is the Retry-After of an order that could not be claimed.
 	claimRetryAfter = 2 * time.Second
-	// inProgressTime is how long after its claim an order counts as underway. Most
-	// have their result within a second, and a paused node goes on when it wakes;
-	// one that has none after this time is thought lost with its node.
+	// inProgressTime is how long after its claim an order without a result counts as in
+	// progress. Most orders have their results within a second, and a paused node
+	// continues when it wakes. After this time, the order is assumed to be lost with
+	// its node.
 	inProgressTime = 10 * time.Second
-	// inProgressRetryAfter is when a caller may ask again for an order that is underway.
-	// Each question costs a read of the shard, which others share.
+	// inProgressRetryAfter is the Retry-After of an order in progress. Each retry reads
+	// the ledger's shard, which other orders share.
 	inProgressRetryAfter = time.Second
 )
 
 var badKeyMessage = fmt.Sprintf("%s: longer than %d bytes", outcome.HeaderIdempotencyKey, ledger.MaxKeyBytes)
 
-// placeOrder places a call that may run at most once.
+// placeOrder sends a call that may run at most once.
 //
-// With a key, the claim is written before the placeOrder is sent, so that no node,
-// also one that was paused for long, sends an placeOrder that another has claimed:
-// compare-and-swap lets only one claim through. Without a key there is nothing
-// to claim by, and the placeOrder is sent once and never again.
-func (e *plainCall) placeOrder(ctx context.Context, w http.ResponseWriter) {
-	if e.idempotencyKey == "" {
-		e.server.Metrics.Order(e.Service.Name, "without key")
-		e.respond(w)(e.send(ctx))
+// With an idempotency key, the claim is written before the order is sent. Claims are
+// written by compare-and-swap, so only one node can claim an order. Even a node that
+// was paused for long sends no order that another node has claimed. Without a key no
+// claim is possible, and the order is sent once and never again.
+func (p *plainCall) placeOrder(ctx context.Context, w http.ResponseWriter) {
+	if p.idempotencyKey == "" {
+		p.server.Metrics.Order(p.Service.Name, "without key")
+		p.respond(w)(p.send(ctx))
 		return
 	}
-	// The ledger keeps of an answer its status, type and body. A compressed body
-	// would be replayed without the header that says how to read it.
-	e.header = e.header.Clone()
-	e.header.Set("Accept-Encoding", "identity")
-	key := ledger.Key{Team: e.Team.Name, Service: e.Service.Name, Key: e.idempotencyKey}
-	claim, err := e.server.Claims.Claim(ctx, key, e.fingerprint())
+	// Of an answer, the ledger keeps status, content type and body. A compressed body
+	// would be replayed without its Content-Encoding header.
+	p.header = p.header.Clone()
+	p.header.Set("Accept-Encoding", "identity")
+	key := ledger.Key{Team: p.Team.Name, Service: p.Service.Name, Key: p.idempotencyKey}
+	claim, err := p.server.Claims.Claim(ctx, key, p.fingerprint())
 	if err != nil {
-		e.handleClaimError(ctx, w, err)
+		p.handleClaimError(ctx, w, err)
 		return
 	}
-	e.server.Metrics.Order(e.Service.Name, claim.State.String())
-	e.RecordDecision(decisionlog.PlaceOrder, claim.Node, "claim is "+claim.State.String(), nil)
+	p.server.Metrics.Order(p.Service.Name, claim.State.String())
+	p.RecordDecision(decisionlog.PlaceOrder, claim.Node, "claim is "+claim.State.String(), nil)
 	switch claim.State {
 	case ledger.Fresh:
-		e.sendClaimedOrder(ctx, w, key, claim)
+		p.sendClaimedOrder(ctx, w, key, claim)
 	case ledger.Done:
-		e.replayResult(w, claim.Result)
+		p.replayResult(w, claim.Result)
 	case ledger.Mismatch:
-		e.respond(w)(nil, &outcome.Refusal{Status: http.StatusUnprocessableEntity, Code: "key_reused", Message: "the key was used for another order", Outcome: outcome.NotRun})
+		p.respond(w)(nil, &outcome.Refusal{Status: http.StatusUnprocessableEntity, Code: "key_reused", Message: "the key was used for another order", Outcome: outcome.NotRun})
 	default:
-		e.respond(w)(nil, noResultRefusal(e.Now().Sub(claim.ClaimedAt)))
+		p.respond(w)(nil, noResultRefusal(p.Now().Sub(claim.ClaimedAt)))
 	}
 }
 
-// noResultRefusal is the answer to an order that was claimed before and has no result.
+// noResultRefusal answers an order that was claimed before and has no result.
 //
-// A caller who heard nothing for a second and asks again, at another node too,
-// mostly comes upon its own first request, still underway. Were it told "in
-// doubt" for good, someone would have to look at the booking side for an order
-// whose result is there a moment later. So a young claim has a time to come back.
-// Nothing is sent in either case, and clocks that differ only shift the moment.
+// A caller that gets no answer for a second and repeats its order, perhaps at another
+// node, mostly finds its own first request still in progress. If the answer were "in
+// doubt", a person would have to check an order whose result arrives a moment later. A
+// recent claim therefore gets a Retry-After. The order is not sent in either case, so
+// clocks that differ between nodes only shift the time at which the answer changes.
 func noResultRefusal(age time.Duration) *outcome.Refusal {
 	if age >= inProgressTime {
 		return inDoubtRefusal("the order was sent before and its result is not known")
@@ -89,27 +90,27 @@
 	}
 }
 
-// fingerprint tells an order from another under the same key.
-func (e *plainCall) fingerprint() string {
-	sum := sha256.Sum256(e.body)
-	return e.method + " " + e.path + " " + hex.EncodeToString(sum[:])
+// fingerprint distinguishes different orders under the same key.
+func (p *plainCall) fingerprint() string {
+	sum := sha256.Sum256(p.body)
+	return p.method + " " + p.path + " " + hex.EncodeToString(sum[:])
 }
 
-// handleClaimError answers an order whose claim could not be written. If every
-// endpoint of the service checks keys itself, it may be sent all the same.
-func (e *plainCall) handleClaimError(ctx context.Context, w http.ResponseWriter, err error) {
+// handleClaimError answers an order whose claim could not be written. If every endpoint
+// of the service checks idempotency keys itself, the order is sent without a claim.
+func (p *plainCall) handleClaimError(ctx context.Context, w http.ResponseWriter, err error) {
 	if errors.Is(err, ledger.ErrBadKey) {
-		e.respond(w)(nil, &outcome.Refusal{Status: http.StatusBadRequest, Code: "bad_key", Message: badKeyMessage, Outcome: outcome.NotRun})
+		p.respond(w)(nil, &outcome.Refusal{Status: http.StatusBadRequest, Code: "bad_key", Message: badKeyMessage, Outcome: outcome.NotRun})
 		return
 	}
-	if e.allEndpointsCheckKeys() {
-		e.server.Metrics.Order(e.Service.Name, "endpoint checks")
-		e.RecordDecision(decisionlog.PlaceOrder, "", "no claim, endpoints check keys: "+err.Error(), nil)
-		e.respond(w)(e.send(ctx))
+	if p.allEndpointsCheckKeys() {
+		p.server.Metrics.Order(p.Service.Name, "endpoint checks")
+		p.RecordDecision(decisionlog.PlaceOrder, "", "no claim, endpoints check keys: "+err.Error(), nil)
+		p.respond(w)(p.send(ctx))
 		return
 	}
-	e.server.Metrics.Order(e.Service.Name, "not claimed")
-	e.respond(w)(nil, &outcome.Refusal{
+	p.server.Metrics.Order(p.Service.Name, "not claimed")
+	p.respond(w)(nil, &outcome.Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       "not_claimed",
 		Message:    "this request was not sent; try again with the same key: " + err.Error(),
@@ -118,9 +119,9 @@
 	})
 }
 
-func (e *plainCall) allEndpointsCheckKeys() bool {
-	for _, name := range e.Service.Plain.Endpoints {
-		endpoint, known := e.Directory.Endpoint(name)
+func (p *plainCall) allEndpointsCheckKeys() bool {
+	for _, name := range p.Service.Plain.Endpoints {
+		endpoint, known := p.Directory.Endpoint(name)
 		if !known || !endpoint.ChecksKeys {
 			return false
 		}
@@ -128,20 +129,20 @@
 	return true
 }
 
-// sendClaimedOrder sends a claimed order and keeps its result.
-func (e *plainCall) sendClaimedOrder(ctx context.Context, w http.ResponseWriter, key ledger.Key, claim ledger.Claim) {
-	a, refusal := e.send(ctx)
+// sendClaimedOrder sends a claimed order and records its result.
+func (p *plainCall) sendClaimedOrder(ctx context.Context, w http.ResponseWriter, key ledger.Key, claim ledger.Claim) {
+	a, refusal := p.send(ctx)
 	switch {
 	case a != nil:
-		e.recordResult(ctx, key, claim, a)
+		p.recordResult(ctx, key, claim, a)
 	case refusal.Outcome == outcome.NotRun:
-		e.releaseClaim(ctx, key, claim)
+		p.releaseClaim(ctx, key, claim)
 	}
-	e.respond(w)(a, refusal)
+	p.respond(w)(a, refusal)
 }
 
-// inDoubtRefusal is the answer to an order that may have been placed. It carries no
-// Retry-After: asking again with this key does not send it again.
+// inDoubtRefusal answers an order that may have run. The answer has no Retry-After,
+// because a retry with this key does not send the order again.
 func inDoubtRefusal(message string) *outcome.Refusal {
 	return &outcome.Refusal{
 		Status:  http.StatusConflict,
@@ -151,35 +152,37 @@
 	}
 }
 
-// recordResult writes the result, so that a caller who asks again gets the same answer.
-func (e *plainCall) recordResult(ctx context.Context, key ledger.Key, claim ledger.Claim, a *relay.Answer) {
+// recordResult writes the result to the ledger, so that a repeated order gets the same
+// answer.
+func (p *plainCall) recordResult(ctx context.Context, key ledger.Key, claim ledger.Claim, a *relay.Answer) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	err := e.server.Claims.Record(ctx, key, claim, ledger.Result{
+	err := p.server.Claims.Record(ctx, key, claim, ledger.Result{
 		Status:      a.Status,
 		ContentType: a.Header.Get("Content-Type"),
 		Body:        a.Body,
 	})
 	if err != nil {
-		e.RecordDecision(decisionlog.PlaceOrder, "", "result not kept yet: "+err.Error(), nil)
+		p.RecordDecision(decisionlog.PlaceOrder, "", "result not kept yet: "+err.Error(), nil)
 	}
 }
 
-// releaseClaim gives the key free after an order that provably was not run.
-func (e *plainCall) releaseClaim(ctx context.Context, key ledger.Key, claim ledger.Claim) {
+// releaseClaim frees the key of an order that provably was not run.
+func (p *plainCall) releaseClaim(ctx context.Context, key ledger.Key, claim ledger.Claim) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), recordTimeout)
 	defer cancel()
-	if err := e.server.Claims.Release(ctx, key, claim); err != nil {
-		e.RecordDecision(decisionlog.PlaceOrder, "", "claim not released yet: "+err.Error(), nil)
+	if err := p.server.Claims.Release(ctx, key, claim); err != nil {
+		p.RecordDecision(decisionlog.PlaceOrder, "", "claim not released yet: "+err.Error(), nil)
 	}
 }
 
-// replayResult answers a caller who asks again for an order that is placed. Where the
-// answer's body was not kept it says so: an empty one would look like the whole.
-func (e *plainCall) replayResult(w http.ResponseWriter, r *ledger.Result) {
+// replayResult answers a repeated order with the recorded result. If the answer's body
+// was too long to record, the refusal says so: an empty body would look like the whole
+// answer.
+func (p *plainCall) replayResult(w http.ResponseWriter, r *ledger.Result) {
 	if r.Truncated {
 		w.Header().Set(outcome.HeaderReplayed, "1")
-		e.respond(w)(nil, &outcome.Refusal{
+		p.respond(w)(nil, &outcome.Refusal{
 			Status:  r.Status,
 			Code:    "answer_not_kept",
 			Message: "the order was placed; its answer was too long to keep",
@@ -192,5 +195,5 @@
 		header.Set("Content-Type", r.ContentType)
 	}
 	header.Set(outcome.HeaderReplayed, "1")
-	e.writeAnswer(w, &relay.Answer{Status: r.Status, Header: header, Body: r.Body})
+	p.writeAnswer(w, &relay.Answer{Status: r.Status, Header: header, Body: r.Body})
 }
--- a/route/plainservice/order_test.go
+++ b/route/plainservice/order_test.go
@@ -7,23 +7,23 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// A caller asks again for an order without a result. While the first request may
-// still be underway it is told when to come back; later that it is in doubt, with
-// no time to come back, as the result will not come. Neither says "not run".
+// If an order in progress were in doubt at once, a person would have to check an order
+// whose result arrives a moment later. If a lost order stayed in progress, its caller
+// would retry for good. Neither answer says "not run".
 func TestOrderWithoutResult(t *testing.T) {
 	for _, c := range []struct {
-		age  time.Duration
-		code string
-		back bool
+		age           time.Duration
+		code          string
+		hasRetryAfter bool
 	}{
-		{-time.Second, "in_progress", true}, // the claiming node's clock is ahead
+		{-time.Second, "in_progress", true}, // the clock of the claiming node is ahead
 		{0, "in_progress", true},
 		{inProgressTime - 1, "in_progress", true},
 		{inProgressTime, "in_doubt", false},
 		{time.Hour, "in_doubt", false},
 	} {
 		got := noResultRefusal(c.age)
-		if got.Code != c.code || got.RetryAfter > 0 != c.back || got.Outcome != outcome.Unknown {
+		if got.Code != c.code || got.RetryAfter > 0 != c.hasRetryAfter || got.Outcome != outcome.Unknown {
 			t.Errorf("after %v: %+v", c.age, got)
 		}
 	}
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -1,7 +1,7 @@
-// Package plainservice answers calls of plain services. Limits and queue are the entrance's,
-// the way from the choice of an endpoint to its checked answer is relay's; what is left
-// here is what is peculiar to orders: they are claimed in the ledger before they are
-// sent, and their results are kept.
+// Package plainservice serves calls of plain services. Package lifecycle admits a call;
+// package relay chooses an endpoint, sends the call and checks the answer. This package
+// adds what orders need. An order is a call that may run at most once: it is claimed in
+// the ledger before it is sent, and its result is recorded in the ledger.
 package plainservice
 
 import (
@@ -22,38 +22,39 @@
 	"github.com/cicadatack/cicadatack/state/ledger"
 )
 
-// Claims is the part of the ledger that orders need.
+// Claims is the part of the ledger that this package uses.
 type Claims interface {
 	Claim(ctx context.Context, key ledger.Key, fingerprint string) (ledger.Claim, error)
 	Record(ctx context.Context, key ledger.Key, claim ledger.Claim, result ledger.Result) error
 	Release(ctx context.Context, key ledger.Key, claim ledger.Claim) error
 }
 
-// Metrics is told what became of calls; metrics implement it.
+// Metrics counts orders by the state of their claims.
 type Metrics interface {
 	Order(service, state string)
 }
 
-// Server answers plain calls. Safe for concurrent use.
+// Server serves calls of plain services. Safe for concurrent use.
 type Server struct {
 	Lifecycle *lifecycle.Manager
-	// Relay speaks this package's Dialect and holds answers up to MaxAnswer.
-	Relay    *relay.Server
+	// Relay uses HeaderCodec and buffers answers of up to MaxAnswerBytes.
+	Relay   *relay.Server
 	Claims  Claims
 	Metrics Metrics
 }
 
 const (
-	// callCost is the cost of one plain call in the unit of a token. Plain
-	// calls have queues of their own, so only their ratio to each other counts.
+	// callCost is the cost of one plain call. Plain services have admission queues of
+	// their own, so only the ratio of the costs of plain calls matters.
 	callCost = 1
-	// defaultTimeout bounds a call without a deadline of its own.
+	// defaultTimeout bounds a call without a deadline.
 	defaultTimeout = 30 * time.Second
-	// MaxAnswerBytes bounds an endpoint's answer in bytes. It is read whole before
-	// any of it is passed on, so that a broken answer can still be retried.
+	// MaxAnswerBytes bounds an endpoint's answer. The answer is read whole before any
+	// byte of it is sent to the caller, so that the call can be retried if the answer
+	// breaks off.
 	MaxAnswerBytes = 8 << 20
-	// noEndpointRetryAfter is what a caller is told when no endpoint could take a call:
-	// about the time in which an ejected endpoint is tried again.
+	// noEndpointRetryAfter is the Retry-After when no endpoint could take a call: about
+	// the time after which an ejected endpoint is tried again.
 	noEndpointRetryAfter = time.Second
 )
 
@@ -64,17 +65,17 @@
 		active.Refuse(w, refusal)
 		return
 	}
-	e := &plainCall{
+	p := &plainCall{
 		ActiveCall: active, server: s, idempotencyKey: r.Header.Get(outcome.HeaderIdempotencyKey),
 		method: r.Method, path: withQuery(path, r), header: r.Header, body: body,
 	}
-	permit, err := e.Admit(r.Context(), callCost)
+	permit, err := p.Admit(r.Context(), callCost)
 	if err != nil {
-		e.RespondNotAdmitted(w, err)
+		p.RespondNotAdmitted(w, err)
 		return
 	}
 	defer permit.Release(callCost)
-	e.dispatch(w, r)
+	p.dispatch(w, r)
 }
 
 func withQuery(path string, r *http.Request) string {
@@ -84,48 +85,49 @@
 	return path + "?" + r.URL.RawQuery
 }
 
-// plainCall is one call underway.
+// plainCall is a call of a plain service that is being served.
 type plainCall struct {
 	*lifecycle.ActiveCall
 	server *Server
-	// idempotencyKey names an order; "" for none.
-	idempotencyKey    string
-	method string
-	path   string
-	header http.Header
-	body   []byte
+	// idempotencyKey identifies an order; empty if the caller sent none.
+	idempotencyKey string
+	method         string
+	path           string
+	header         http.Header
+	body           []byte
 }
 
-func (e *plainCall) dispatch(w http.ResponseWriter, r *http.Request) {
-	if e.Class != admission.Order {
-		e.respond(w)(e.send(r.Context()))
+func (p *plainCall) dispatch(w http.ResponseWriter, r *http.Request) {
+	if p.Class != admission.Order {
+		p.respond(w)(p.send(r.Context()))
 		return
 	}
-	// A caller who leaves does not take an order back: it may be with the
-	// endpoint already, and its result has to reach the ledger.
-	e.placeOrder(context.WithoutCancel(r.Context()), w)
+	// A caller that cancels does not cancel its order: the endpoint may already have
+	// the order, and its result has to reach the ledger.
+	p.placeOrder(context.WithoutCancel(r.Context()), w)
 }
 
-// send gets the endpoint's answer. A call that may repeat is sent to other endpoints as
-// long as the budget allows, an order only while every one tried so far provably did
-// nothing.
-func (e *plainCall) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
+// send returns the endpoint's answer. A call that may repeat is retried at other
+// endpoints as long as the retry budget allows it. An order is retried only while every
+// endpoint tried so far provably did not run it.
+func (p *plainCall) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
 	kind := ruleset.Repeatable
-	if e.Class == admission.Order {
+	if p.Class == admission.Order {
 		kind = ruleset.Once
 	}
-	deadline := e.Deadline
+	deadline := p.Deadline
 	if deadline.IsZero() {
-		deadline = e.Now().Add(defaultTimeout)
+		deadline = p.Now().Add(defaultTimeout)
 	}
-	timeout := deadline.Sub(e.ArrivedAt)
-	answer, refusal := e.server.Relay.Do(ctx, &relay.Request{
-		Call: headers.CallHead{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
-		// A document names no objective: an endpoint may take its whole time.
-		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
-		Targets: documentTargets{e.ActiveCall}, Budget: e.Local.Retry,
-		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
-		Arrived: e.ArrivedAt, Deadline: deadline,
+	timeout := deadline.Sub(p.ArrivedAt)
+	answer, refusal := p.server.Relay.Do(ctx, &relay.Request{
+		Call: headers.CallHead{ID: p.ID}, Team: p.Team.Name, Service: p.Service.Name, Revision: p.Directory.Revision,
+		// The document sets no latency objective, so an endpoint may use the whole
+		// timeout.
+		Route:   &ruleset.Route{Name: p.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
+		Targets: documentTargets{p.ActiveCall}, Budget: p.Local.Retry,
+		Method: p.method, Target: p.path, Header: p.header, Body: p.body,
+		Arrived: p.ArrivedAt, Deadline: deadline,
 	})
 	if refusal != nil {
 		return nil, mapRefusal(kind, refusal)
@@ -133,8 +135,8 @@
 	return answer, nil
 }
 
-// mapRefusal puts a refusal of the data path into the words of this door. An order whose
-// fate is not known stays in doubt.
+// mapRefusal maps a refusal of package relay to the codes of this package. An order
+// that may have run is in doubt.
 func mapRefusal(kind ruleset.Kind, r *outcome.Refusal) *outcome.Refusal {
 	switch {
 	case r.Code == relay.ReasonCallerGone || r.Code == relay.ReasonOverloaded:
@@ -149,24 +151,24 @@
 }
 
 // respond returns a function that writes either an answer or a refusal.
-func (e *plainCall) respond(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
+func (p *plainCall) respond(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
 	return func(a *relay.Answer, refusal *outcome.Refusal) {
 		if refusal != nil {
-			e.RecordDecision(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
-			e.Refuse(w, refusal)
+			p.RecordDecision(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
+			p.Refuse(w, refusal)
 			return
 		}
-		e.writeAnswer(w, a)
+		p.writeAnswer(w, a)
 	}
 }
 
-// writeAnswer hands an endpoint's answer to the caller.
-func (e *plainCall) writeAnswer(w http.ResponseWriter, a *relay.Answer) {
+// writeAnswer sends an endpoint's answer to the caller.
+func (p *plainCall) writeAnswer(w http.ResponseWriter, a *relay.Answer) {
 	copyEndToEndHeaders(w.Header(), a.Header)
 	w.Header().Set(outcome.Header, string(outcome.Done))
 	w.WriteHeader(a.Status)
-	// The caller may have gone; there is nobody left to tell.
+	// A write error means that the caller has disconnected, so there is nobody to tell.
 	_, _ = w.Write(a.Body)
-	e.CountOutcome(outcome.Done)
-	e.RecordDecision(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
+	p.CountOutcome(outcome.Done)
+	p.RecordDecision(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
 }
