--- a/route/callparser/adapter.go
+++ b/route/callparser/adapter.go
@@ -8,17 +8,18 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// adapterSeparator stands between a model and an adapter. Names hold none.
+// adapterSeparator stands between the service and the adapter in the model field of a
+// request. Names don't contain it.
 const adapterSeparator = ":"
 
-// SplitModel takes the model of a request apart into service and adapter.
+// SplitModel splits the model field of a request into service and adapter.
 func SplitModel(model string) (service, adapter string) {
 	service, adapter, _ = strings.Cut(model, adapterSeparator)
 	return service, adapter
 }
 
-// UseAdapter has the call use the adapter that it asks for or, if it asks for none,
-// its team's.
+// UseAdapter sets the call's adapter: the named one or, if name is empty, the adapter
+// of the caller's team. An unknown adapter is refused.
 func (c *Call) UseAdapter(name string) *outcome.Refusal {
 	if name == "" {
 		c.Adapter = c.Service.Model.AdapterOf(c.Team.Name)
--- a/route/callparser/adapter_test.go
+++ b/route/callparser/adapter_test.go
@@ -6,8 +6,8 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// A caller gets the adapter that it asks for, its team's if it asks for none, and no
-// other: one that does not exist is refused, or the bare model would answer.
+// If an unknown adapter were not refused, the model without an adapter would answer. A
+// call that names no adapter gets its team's.
 func TestUseAdapter(t *testing.T) {
 	service := &document.Service{Name: "pastry-llm", Model: &document.Model{Adapters: []document.Adapter{
 		{Name: "notes"}, {Name: "plans", Teams: []string{"menteng"}},
--- a/route/callparser/callparser.go
+++ b/route/callparser/callparser.go
@@ -1,5 +1,5 @@
-// Package callparser turns an HTTP request into a checked Call: whose it is, which
-// service it names, how urgent it is and until when it is of use.
+// Package callparser turns an HTTP request into a checked Call: its team, its service,
+// its class (interactive or batch), its latest start and its deadline.
 package callparser
 
 import (
@@ -16,12 +16,12 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// defaultQueueDeadline is how long a request without a deadline of its own may
-// wait when the document says nothing: a caller of an interactive assistant
-// has turned away by then.
+// defaultQueueDeadline is how long a request may wait in the admission queue if the
+// document sets no limit. Callers of an interactive assistant have given up after this
+// time.
 const defaultQueueDeadline = 10 * time.Second
 
-// maxTimeout bounds what a caller may ask for.
+// maxTimeout is the longest timeout that a caller may set.
 const maxTimeout = time.Hour
 
 // Values of the class header.
@@ -38,15 +38,15 @@
 	// Adapter is the name of the adapter that a model call uses, if any.
 	Adapter   string
 	Class     admission.Class
-	ArrivedAt   time.Time
+	ArrivedAt time.Time
 	Directory *docindex.Directory
-	// LatestStart is the latest useful start.
+	// LatestStart is the latest time at which the call may leave the admission queue.
 	LatestStart time.Time
 	// Deadline is when the caller stops waiting; zero means no limit.
 	Deadline time.Time
 }
 
-// Authenticate returns the team that r's key belongs to.
+// Authenticate returns the team that the request's key belongs to.
 func Authenticate(d *docindex.Directory, r *http.Request) (*document.Team, *outcome.Refusal) {
 	team, ok := d.Team(docindex.BearerKey(r))
 	if !ok {
@@ -55,7 +55,7 @@
 	return team, nil
 }
 
-// New checks r against the document and returns it as a Call of a service.
+// New checks the request against the document and returns a Call of the service.
 func New(d *docindex.Directory, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
 	team, refusal := Authenticate(d, r)
 	if refusal != nil {
@@ -110,10 +110,10 @@
 	return nil
 }
 
-// requestIDBytes makes collisions among the requests of a day improbable.
+// requestIDBytes are enough to make equal IDs among the requests of a day improbable.
 const requestIDBytes = 12
 
-// NewRequestID returns a fresh request id.
+// NewRequestID returns a random request ID.
 func NewRequestID() string {
 	var raw [requestIDBytes]byte
 	// crypto/rand.Read never fails on supported systems; it crashes instead.
--- a/route/callparser/callparser_test.go
+++ b/route/callparser/callparser_test.go
@@ -22,27 +22,26 @@
 	}, 1, "digest")
 }
 
-// What a caller's headers mean for its request: how urgent it is, until when a
-// start is of use and when the caller stops waiting. What can't be understood
-// is refused, not guessed.
+// If an invalid class or timeout were replaced by a default, the call would get an
+// urgency or deadline that its caller did not ask for. Invalid headers are refused.
 func TestClassAndTimeoutHeaders(t *testing.T) {
 	cases := []struct {
 		name, class, timeout string
 		queueDeadline        int
 		want                 admission.Class
-		start, deadline      time.Duration // from the arrival; deadline 0: none
+		start, deadline      time.Duration // after the arrival; a deadline of 0 means none
 		refused              string
 	}{
 		{name: "none", want: admission.Interactive, start: defaultQueueDeadline},
 		{name: "interactive", class: "interactive", want: admission.Interactive, start: defaultQueueDeadline},
 		{name: "batch", class: "batch", want: admission.Batch, start: defaultQueueDeadline},
-		{name: "callers can't claim orders", class: "order", refused: "bad_class"},
+		{name: "order is not a class for callers", class: "order", refused: "bad_class"},
 		{name: "the document's queue deadline", queueDeadline: 500, want: admission.Interactive, start: 500 * time.Millisecond},
 		{name: "a long timeout", timeout: "60000", want: admission.Interactive, start: defaultQueueDeadline, deadline: time.Minute},
 		{name: "a timeout before the queue's", timeout: "200", want: admission.Interactive, start: 200 * time.Millisecond, deadline: 200 * time.Millisecond},
 		{name: "the longest timeout", timeout: "3600000", want: admission.Interactive, start: defaultQueueDeadline, deadline: time.Hour},
 		{name: "a longer timeout", timeout: "3600001", refused: "bad_timeout"},
-		{name: "no time at all", timeout: "0", refused: "bad_timeout"},
+		{name: "a timeout of zero", timeout: "0", refused: "bad_timeout"},
 		{name: "a negative timeout", timeout: "-5", refused: "bad_timeout"},
 		{name: "a timeout that overflows", timeout: "9223372036854775808", refused: "bad_timeout"},
 		{name: "a timeout with a unit", timeout: "5s", refused: "bad_timeout"},
