--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -1,6 +1,7 @@
-// Package ingress lets callers' requests in by a ruleset: it reads the head, finds the
-// route, checks the key and the bounds, reads the body, and hands what it let in to the
-// data path. What it does not let in is refused at once, as not run.
+// Package ingress accepts callers' requests by the rules of package ruleset. It reads
+// the headers, finds the route, checks the key and the limits, reads the body, and
+// passes the request to package relay, which sends it to an endpoint. A request that is
+// not accepted is refused at once, with the outcome "not run".
 package ingress
 
 import (
@@ -20,20 +21,21 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// Rules gives the configuration in force.
+// Rules gives the current configuration.
 type Rules interface {
 	relay.ConfigFreshness
-	// Current returns the newest configuration, or nil if none is known yet.
+	// Current returns the newest configuration, or nil if none has been loaded yet.
 	Current() *ruleset.Ruleset
-	// Loaded is closed once one is in force, with the endpoints of its services.
+	// Loaded returns a channel that is closed when the first configuration is in force
+	// and the endpoints of its services are known.
 	Loaded() <-chan struct{}
 }
 
-// Services gives what is needed to send to a service.
+// Services gives what is needed to send requests to a service.
 type Services interface {
-	// Targets returns the service's endpoints, or nil if it is not known.
+	// Targets returns the service's endpoints, or nil if the service is unknown.
 	Targets(service string) targets.Targets
-	// Budget returns the service's budget of further tries.
+	// Budget returns the service's retry budget.
 	Budget(service string) *retrybudget.Budget
 }
 
@@ -41,131 +43,138 @@
 type Server struct {
 	Rules    Rules
 	Services Services
-	Relay     *relay.Server
-	// DrainingFor says how long ago the node was told to stop; zero if it was not.
+	Relay    *relay.Server
+	// DrainingFor returns the time since the node was told to stop, or zero if it was
+	// not.
 	DrainingFor func() time.Duration
 }
 
 // ServeHTTP answers one request of a caller.
-func (d *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	e := &incomingRequest{Server: d, w: w, httpRequest: r}
-	e.request = &relay.Request{Method: r.Method, Target: requestTarget(r), Host: r.Host, Header: r.Header, Arrived: d.Relay.Now()}
-	if refusal := e.checkHead(); refusal != nil {
-		d.Relay.Refuse(w, e.request, refusal)
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	in := &incomingRequest{Server: s, w: w, httpRequest: r}
+	in.request = &relay.Request{Method: r.Method, Target: requestTarget(r), Host: r.Host, Header: r.Header, Arrived: s.Relay.Now()}
+	if refusal := in.checkHead(); refusal != nil {
+		s.Relay.Refuse(w, in.request, refusal)
 		return
 	}
-	if refusal := e.readBody(); refusal != nil {
-		d.Relay.Refuse(w, e.request, refusal)
+	if refusal := in.readBody(); refusal != nil {
+		s.Relay.Refuse(w, in.request, refusal)
 		return
 	}
-	d.Relay.Serve(r.Context(), w, e.request)
+	s.Relay.Serve(r.Context(), w, in.request)
 }
 
-// incomingRequest is one request on its way in.
+// incomingRequest is a request that is being checked.
 type incomingRequest struct {
 	*Server
-	w     http.ResponseWriter
-	httpRequest     *http.Request
-	rules *ruleset.Ruleset
-	request *relay.Request
+	w           http.ResponseWriter
+	httpRequest *http.Request
+	rules       *ruleset.Ruleset
+	request     *relay.Request
 }
 
 // Reasons of refusals, for logs and metrics.
 const (
-	reasonMalformed = "malformed"
-	reasonNoRules   = "no_configuration"
-	reasonNoRoute   = "no_route"
-	reasonUnknownKey       = "unknown_key"
+	reasonMalformed      = "malformed"
+	reasonNoRules        = "no_configuration"
+	reasonNoRoute        = "no_route"
+	reasonUnknownKey     = "unknown_key"
 	reasonStaleRules     = "stale_configuration"
-	reasonTooLarge  = "body_too_large"
-	reasonSlowBody  = "slow_body"
+	reasonTooLarge       = "body_too_large"
+	reasonSlowBody       = "slow_body"
 	reasonUnknownService = "unknown_service"
-	reasonDraining   = "leaving"
+	reasonDraining       = "leaving"
 )
 
 const (
-	// drainRetryAfter is told to callers whom another node can serve a moment later.
+	// drainRetryAfter is the Retry-After of a draining node: another node can serve the
+	// caller a moment later.
 	drainRetryAfter = 100 * time.Millisecond
-	// rulesRetryAfter is told when the configuration is not known or not proved: the time
-	// of some reads of the store.
+	// rulesRetryAfter is the Retry-After while no recent configuration is known: the
+	// time of a few reads of the store.
 	rulesRetryAfter = 500 * time.Millisecond
 )
 
-// checkHead checks who asks for what. It reads the head only.
-func (e *incomingRequest) checkHead() *outcome.Refusal {
-	request := e.request
+// checkHead reads the request's headers, finds the route and the service, and checks
+// the caller's key.
+func (in *incomingRequest) checkHead() *outcome.Refusal {
+	request := in.request
 	var err error
-	if request.Call, err = e.Relay.Headers.ParseRequest(e.httpRequest.Header); err != nil {
+	if request.Call, err = in.Relay.Headers.ParseRequest(in.httpRequest.Header); err != nil {
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, err.Error(), 0)
 	}
-	if e.rules = e.waitForRules(request.Call.Timeout); e.rules == nil {
+	if in.rules = in.waitForRules(request.Call.Timeout); in.rules == nil {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonNoRules, "no configuration is known yet", rulesRetryAfter)
 	}
-	request.Revision = e.rules.Version
-	if request.Route = e.rules.Match(hostWithoutPort(e.httpRequest.Host), e.httpRequest.URL.Path); request.Route == nil {
+	request.Revision = in.rules.Version
+	if request.Route = in.rules.Match(hostWithoutPort(in.httpRequest.Host), in.httpRequest.URL.Path); request.Route == nil {
 		return relay.NotRun(http.StatusNotFound, reasonNoRoute, "no route matches host and path", 0)
 	}
-	if refusal := e.authorize(); refusal != nil {
+	if refusal := in.authorize(); refusal != nil {
 		return refusal
 	}
 	request.Service = request.Route.Pick(rand.Float64())
-	if request.Targets = e.Services.Targets(request.Service); request.Targets == nil {
+	if request.Targets = in.Services.Targets(request.Service); request.Targets == nil {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonUnknownService, "the route's service has no endpoints yet", rulesRetryAfter)
 	}
-	request.Budget = e.Services.Budget(request.Service)
+	request.Budget = in.Services.Budget(request.Service)
 	request.Deadline = request.Arrived.Add(request.Route.Timeout)
 	if request.Call.Timeout > 0 && request.Call.Timeout < request.Route.Timeout {
 		request.Deadline = request.Arrived.Add(request.Call.Timeout)
 	}
-	return e.refuseWhileDraining()
+	return in.refuseWhileDraining()
 }
 
 const (
-	// minRulesWait and firstRulesMost bound how long a request waits for the first
-	// configuration, firstRulesParts is the part of the caller's time: a node that starts
-	// reads the store within some tenths of a second, and all nodes of a fleet may start
-	// at once, with all callers before them. If the store is away, callers are told so.
-	minRulesWait = 150 * time.Millisecond
-	maxRulesWait  = time.Second
+	// A request that arrives before the first configuration is loaded waits for its
+	// caller's timeout divided by rulesWaitDivisor, but at least minRulesWait and at
+	// most maxRulesWait.
+	//
+	// A node that starts reads the store within some tenths of a second. All nodes of a
+	// fleet may start at once while callers already send; refused callers would find no
+	// other node. If the store can't be reached, the callers are refused after the
+	// wait.
+	minRulesWait     = 150 * time.Millisecond
+	maxRulesWait     = time.Second
 	rulesWaitDivisor = 4
 )
 
-// waitForRules is the configuration in force. A request that finds none yet waits for a part
-// of the time that its caller has.
-func (e *incomingRequest) waitForRules(callerTimeout time.Duration) *ruleset.Ruleset {
+// waitForRules returns the current configuration. If none is loaded yet, waitForRules
+// waits for the first one.
+func (in *incomingRequest) waitForRules(callerTimeout time.Duration) *ruleset.Ruleset {
 	select {
-	case <-e.Rules.Loaded():
-		return e.Rules.Current()
+	case <-in.Rules.Loaded():
+		return in.Rules.Current()
 	default:
 	}
 	timer := time.NewTimer(min(max(callerTimeout/rulesWaitDivisor, minRulesWait), maxRulesWait))
 	defer timer.Stop()
 	select {
-	case <-e.Rules.Loaded():
+	case <-in.Rules.Loaded():
 	case <-timer.C:
-	case <-e.httpRequest.Context().Done():
+	case <-in.httpRequest.Context().Done():
 	}
-	return e.Rules.Current()
+	return in.Rules.Current()
 }
 
-// authorize finds the caller's team. A key is judged only by a configuration that is
-// proved to be young: one that was taken away must not run a request on a node that
-// was cut off meanwhile.
-func (e *incomingRequest) authorize() *outcome.Refusal {
-	request := e.request
+// authorize finds the caller's team. Keys are checked only with a configuration that is
+// confirmed to be recent. Otherwise, a node that is cut off from the store would serve
+// requests with revoked keys.
+func (in *incomingRequest) authorize() *outcome.Refusal {
+	request := in.request
 	request.Rank = request.Route.Priority
-	team := e.rules.Team(request.Call.Key)
+	team := in.rules.Team(request.Call.Key)
 	if team != nil {
 		request.Team = team.Name
 		if team.Priority != nil {
-			request.Rank = *team.Priority // goes before the route's
+			request.Rank = *team.Priority // overrides the route's
 		}
 	}
 	if request.Route.Public {
 		return nil
 	}
-	request.Freshness = e.Rules
-	if !e.Rules.Fresh() {
+	request.Freshness = in.Rules
+	if !in.Rules.Fresh() {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonStaleRules, "keys can't be checked: the configuration store is out of reach", rulesRetryAfter)
 	}
 	if team == nil {
@@ -175,23 +184,25 @@
 }
 
 const (
-	// streamAcceptTime is how long after it was told to stop a node begins streams:
-	// callers have been told to go elsewhere, and a stream of some seconds still
-	// ends in time. One that would be cut is better begun elsewhere.
+	// streamAcceptTime is how long a draining node accepts streams. Callers have been
+	// told to use other nodes, and a stream of some seconds still ends before the node
+	// stops. A longer stream would be cut, so it is better started at another node.
 	streamAcceptTime = 2500 * time.Millisecond
-	// shortRequestAcceptTime is the same for short requests.
+	// shortRequestAcceptTime is how long a draining node accepts requests that are not
+	// streams.
 	shortRequestAcceptTime = 5500 * time.Millisecond
 )
 
-// refuseWhileDraining sends callers elsewhere whose answer would not end before the node does.
-func (e *incomingRequest) refuseWhileDraining() *outcome.Refusal {
-	drainingFor := e.DrainingFor()
+// refuseWhileDraining refuses requests whose answers would not end before the node
+// stops.
+func (in *incomingRequest) refuseWhileDraining() *outcome.Refusal {
+	drainingFor := in.DrainingFor()
 	if drainingFor == 0 {
 		return nil
 	}
-	e.w.Header().Set("Connection", "close")
+	in.w.Header().Set("Connection", "close")
 	acceptTime := shortRequestAcceptTime
-	if e.request.Route.Kind == ruleset.Stream {
+	if in.request.Route.Kind == ruleset.Stream {
 		acceptTime = streamAcceptTime
 	}
 	if drainingFor < acceptTime {
@@ -207,8 +218,8 @@
 	return host
 }
 
-// requestTarget is the path and query as the caller sent them. A target in absolute form
-// names the host as well.
+// requestTarget returns path and query as the caller sent them. A target in absolute
+// form also has a host, which is left out.
 func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
@@ -216,21 +227,22 @@
 	return r.URL.RequestURI()
 }
 
-// readBody reads the whole body: it may have to be sent more than once, and an
-// endpoint's connection must not wait for a slow caller.
-func (e *incomingRequest) readBody() *outcome.Refusal {
-	maxBytes := int64(e.rules.Limits.BodyBytes)
-	if e.httpRequest.ContentLength > maxBytes {
+// readBody reads the whole body before the request is sent to an endpoint. The body may
+// have to be sent more than once, and the connection to an endpoint must not wait for a
+// slow caller.
+func (in *incomingRequest) readBody() *outcome.Refusal {
+	maxBytes := int64(in.rules.Limits.BodyBytes)
+	if in.httpRequest.ContentLength > maxBytes {
 		return relay.NotRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is longer than the configuration allows", 0)
 	}
-	if e.httpRequest.Body == nil || e.httpRequest.Body == http.NoBody {
+	if in.httpRequest.Body == nil || in.httpRequest.Body == http.NoBody {
 		return nil
 	}
-	controller := http.NewResponseController(e.w)
-	if err := controller.SetReadDeadline(e.request.Deadline); err != nil {
-		e.Relay.Log.Debug("read deadline", "error", err)
+	controller := http.NewResponseController(in.w)
+	if err := controller.SetReadDeadline(in.request.Deadline); err != nil {
+		in.Relay.Log.Debug("can't set the read deadline of the body", "error", err)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(e.w, e.httpRequest.Body, maxBytes))
+	body, err := io.ReadAll(http.MaxBytesReader(in.w, in.httpRequest.Body, maxBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
@@ -241,9 +253,9 @@
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, "the body can't be read", 0)
 	}
 	if err := controller.SetReadDeadline(time.Time{}); err != nil {
-		e.Relay.Log.Debug("read deadline", "error", err)
+		in.Relay.Log.Debug("can't set the read deadline of the body", "error", err)
 	}
-	e.request.Body = body
+	in.request.Body = body
 	return nil
 }
 
--- a/route/ingress/ingress_test.go
+++ b/route/ingress/ingress_test.go
@@ -9,20 +9,20 @@
 	"github.com/cicadatack/cicadatack/route/ruleset"
 )
 
-// delayedRules is a node whose first configuration comes a while after its first caller.
+// delayedRules has no configuration until loaded is closed.
 type delayedRules struct {
 	Rules
-	rules *ruleset.Ruleset
+	rules  *ruleset.Ruleset
 	loaded chan struct{}
-	// checked is told when a request asks for the first one; it keeps one word, as the
-	// listener may come later.
+	// checked receives a value when a request looks for the first configuration. The
+	// buffer of one value allows for a receiver that comes later.
 	checked chan struct{}
 }
 
 func (l *delayedRules) Loaded() <-chan struct{} {
 	select {
 	case l.checked <- struct{}{}:
-	default: // that is known already
+	default: // the buffer already has a value
 	}
 	return l.loaded
 }
@@ -36,42 +36,42 @@
 	}
 }
 
-// All nodes of a fleet start at once, before all callers. Those who come in the
-// milliseconds before the configuration has been read are not sent away: with nobody else
-// to go to they would all come back late.
+// All nodes of a fleet start at once while callers already send. If requests were
+// refused in the milliseconds before the configuration is read, their callers would
+// find no other node, and all would retry late.
 func TestRequestsWaitForFirstRules(t *testing.T) {
 	l := &delayedRules{rules: &ruleset.Ruleset{}, loaded: make(chan struct{}), checked: make(chan struct{}, 1)}
-	e := &incomingRequest{Server: &Server{Rules: l}, httpRequest: httptest.NewRequest("GET", "/", nil)}
+	in := &incomingRequest{Server: &Server{Rules: l}, httpRequest: httptest.NewRequest("GET", "/", nil)}
 	got := make(chan *ruleset.Ruleset)
-	go func() { got <- e.waitForRules(20 * time.Second) }()
-	<-l.checked // it has looked once, and found none
+	go func() { got <- in.waitForRules(20 * time.Second) }()
+	<-l.checked // the request has found no configuration
 	select {
 	case <-got:
-		t.Fatal("a caller with time to wait was sent away")
+		t.Fatal("a request was not held although its caller had time to wait")
 	case <-time.After(2 * minRulesWait):
 	}
 	close(l.loaded)
 	if <-got != l.rules {
-		t.Error("a request was let in by no configuration")
+		t.Error("waitForRules did not return the loaded configuration")
 	}
-	if e.waitForRules(0) != l.rules {
-		t.Error("the one in force is not used")
+	if in.waitForRules(0) != l.rules {
+		t.Error("waitForRules did not return the current configuration")
 	}
 }
 
-// The store is away while a node starts. Its callers are told so soon, however much time
-// they have, and not held.
+// If the store can't be reached while a node starts, callers with long timeouts would
+// be held for nothing. They are refused after a short wait.
 func TestWaitForFirstRulesIsBounded(t *testing.T) {
 	l := &delayedRules{loaded: make(chan struct{})}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	e := &incomingRequest{Server: &Server{Rules: l}, httpRequest: httptest.NewRequestWithContext(ctx, "GET", "/", nil)}
+	in := &incomingRequest{Server: &Server{Rules: l}, httpRequest: httptest.NewRequestWithContext(ctx, "GET", "/", nil)}
 	for _, callerTimeout := range []time.Duration{0, time.Second, 10 * time.Minute} {
-		if e.waitForRules(callerTimeout) != nil {
-			t.Error("a configuration out of nowhere")
+		if in.waitForRules(callerTimeout) != nil {
+			t.Error("got a configuration although none was loaded")
 		}
 	}
 	if ctx.Err() != nil {
-		t.Error("the caller was held")
+		t.Error("the requests were held for a minute")
 	}
 }
