--- a/route/headers/headers.go
+++ b/route/headers/headers.go
@@ -1,6 +1,6 @@
-// Package headers names what the data path must know of a request and an answer,
-// whatever the headers that carry it are called. An adapter implements Dialect for
-// the protocol that callers and endpoints speak; the data path knows no header of it.
+// Package headers describes what package relay has to know of requests and responses,
+// independent of the names of the HTTP headers that carry it. A Codec translates the
+// headers of one protocol; package relay itself knows none of these headers.
 package headers
 
 import (
@@ -11,73 +11,84 @@
 	"github.com/cicadatack/cicadatack/route/outcome"
 )
 
-// CallHead is one request as its caller described it.
+// CallHead is what the headers of a caller's request say.
 type CallHead struct {
-	// ID is the name of this request; Echoed says that endpoints tell it back.
-	ID     string
+	// ID identifies the request. IDEchoed says that endpoints repeat the ID in their
+	// responses.
+	ID       string
 	IDEchoed bool
-	// Key is the caller's credential, "" if there is none.
+	// Key is the caller's API key; empty if there is none.
 	Key string
-	// Timeout is how long the caller waits; zero if it did not say.
+	// Timeout is how long the caller waits for the answer; zero if not stated.
 	Timeout time.Duration
-	// LastEventID is the last event that the caller has of a stream, "" if none.
+	// LastEventID is the ID of the last event that the caller has of a stream; empty if
+	// none.
 	LastEventID string
-	// PromptTokens is the prompt's length and MaxAnswerTokens the most tokens to generate; zero
-	// if the caller did not say.
+	// PromptTokens is the length of the prompt, MaxAnswerTokens the maximum number of
+	// tokens to generate; zero if not stated.
 	PromptTokens, MaxAnswerTokens int
-	// ExpectedTokens is the caller's estimate of the tokens that will be generated; right
-	// at the median and often far off. Zero if there is none.
+	// ExpectedTokens is the caller's estimate of the number of tokens that will be
+	// generated; zero if there is none. The estimates are right at the median, but
+	// single estimates are often far off.
 	ExpectedTokens int
 }
 
-// UpstreamFields is what the data path adds to a request for one endpoint.
+// UpstreamFields is what package relay adds to a request that it sends to an endpoint.
 type UpstreamFields struct {
-	// ReplicaID is the endpoint's id: another endpoint at the same address refuses.
+	// ReplicaID is the endpoint's ID. If another endpoint has taken over the address,
+	// it refuses the request because of this ID.
 	ReplicaID string
-	// Team holds the caller's key; "" for none.
+	// Team is the team that the caller's key belongs to; empty if there is none.
 	Team string
-	// Remaining is the time in which an answer is of use.
+	// Remaining is how much longer an answer is of use.
 	Remaining time.Duration
-	// LastEventID replaces Call.LastEventID where an answer is resumed.
+	// LastEventID replaces CallHead.LastEventID when package relay resumes a stream.
 	LastEventID string
-	// Path is empty for endpoints that serve alone.
+	// Path is the chain of replicas that serves the request; empty for an endpoint that
+	// serves alone.
 	Path paths.Path
 }
 
-// LoadReport is what an endpoint says of itself along with an answer.
+// LoadReport is the load that an endpoint reports in a response.
 type LoadReport struct{ RunningRequests, WaitingRequests, Slots int }
 
-// ResponseHead is what an answer's head says.
+// ResponseHead is what the status and the headers of an endpoint's response say.
 type ResponseHead struct {
-	// RequestID is the request that it belongs to; "" if it does not say.
+	// RequestID is the ID of the request that the response belongs to; empty if not
+	// stated.
 	RequestID string
-	// InvalidReason says what keeps a success from being the endpoint's own as it made it;
-	// "" if nothing does.
+	// InvalidReason says why a successful response can't be the endpoint's own,
+	// unmodified response; empty if it can.
 	InvalidReason string
 	// NotRun says that the endpoint has not run the request and never will.
 	NotRun bool
-	// Misdirected says that another endpoint has the address, or that a part of the
+	// Misdirected says that another endpoint has the address, or that a replica of the
 	// path does not hold its layers.
 	Misdirected bool
-	// FaultAddress is the address of the part of the path that is at fault; "" if not said.
+	// FaultAddress is the address of the replica of the path that failed; empty if not
+	// stated.
 	FaultAddress string
-	// Load is nil if the endpoint did not tell it.
+	// Load is nil if the response contains no load report.
 	Load *LoadReport
-	// IdleTimeout is how long the endpoint keeps the connection idle; zero if not said.
+	// IdleTimeout is how long the endpoint keeps an idle connection open; zero if not
+	// stated.
 	IdleTimeout time.Duration
 }
 
-// Codec translates heads of requests and answers. Implementations hold no state.
+// Codec translates the headers of one protocol. Implementations hold no state.
 type Codec interface {
-	// ParseRequest decodes a caller's request. The error is for the caller to read.
+	// ParseRequest decodes the headers of a caller's request. The text of the error is
+	// sent to the caller.
 	ParseRequest(h http.Header) (CallHead, error)
-	// UpstreamHeader returns the head to send to an endpoint: the caller's, without what
-	// concerns one connection or is the data path's to say, and with s.
+	// UpstreamHeader returns the headers to send to an endpoint: the caller's headers
+	// with fields added. Headers of a single connection, and headers that only package
+	// relay may set, are removed from the caller's.
 	UpstreamHeader(h http.Header, s UpstreamFields) http.Header
-	// ParseResponse decodes the head of an endpoint's answer.
+	// ParseResponse decodes the status and the headers of an endpoint's response.
 	ParseResponse(status int, h http.Header) ResponseHead
-	// DownstreamHeader removes from an endpoint's head what concerns one connection only.
+	// DownstreamHeader returns an endpoint's headers without those of a single
+	// connection.
 	DownstreamHeader(h http.Header) http.Header
-	// WriteRefusal writes an answer of the data path's own.
+	// WriteRefusal writes a refusal by package relay itself.
 	WriteRefusal(w http.ResponseWriter, call CallHead, r *outcome.Refusal)
 }
