--- a/route/outcome/outcome.go
+++ b/route/outcome/outcome.go
@@ -1,8 +1,8 @@
-// Package outcome says what became of a request, and writes it to the caller.
+// Package outcome says whether a request was run, and writes refusals to callers.
 //
-// Every final answer carries one Outcome. NotRun may be claimed only from a
-// state that proves it: the request was never sent, the connection was
-// refused, or the endpoint itself refused before any work.
+// Every final answer carries one Outcome. NotRun needs proof: the request was never
+// sent, the connection was refused, or the endpoint refused the request before any
+// work.
 package outcome
 
 import (
@@ -12,41 +12,42 @@
 	"time"
 )
 
-// Outcome is what became of a request.
+// Outcome says whether a request was run.
 type Outcome string
 
-// The three outcomes.
+// Outcomes of a request. A request with the outcome Unknown may have been run.
 const (
 	Done    Outcome = "done"
 	NotRun  Outcome = "not-run"
 	Unknown Outcome = "unknown"
 )
 
-// Headers of every final answer.
+// Headers of requests and answers.
 const (
-	Header          = "Cicadatack-Outcome"
-	HeaderRequest   = "Cicadatack-Request"
-	HeaderReplica   = "Cicadatack-Replica"
-	HeaderReplayed  = "Cicadatack-Replayed"
-	HeaderTimeout   = "Cicadatack-Timeout-Ms"
-	HeaderClass     = "Cicadatack-Class"
-	HeaderIdempotencyKey  = "Idempotency-Key"
+	Header               = "Cicadatack-Outcome"
+	HeaderRequest        = "Cicadatack-Request"
+	HeaderReplica        = "Cicadatack-Replica"
+	HeaderReplayed       = "Cicadatack-Replayed"
+	HeaderTimeout        = "Cicadatack-Timeout-Ms"
+	HeaderClass          = "Cicadatack-Class"
+	HeaderIdempotencyKey = "Idempotency-Key"
 	headerRetryAfter     = "Retry-After"
-	contentTypeJSON = "application/json"
+	contentTypeJSON      = "application/json"
 )
 
-// Refusal is an answer that carries no result: why, what became of the
-// request, and when it makes sense to come back.
+// Refusal is an answer without a result. It says why there is none, whether the request
+// was run, and when to retry.
 type Refusal struct {
 	Status  int
 	Code    string
 	Message string
 	Outcome Outcome
-	// RetryAfter is how long the caller should wait; zero says nothing.
+	// RetryAfter is how long the caller should wait before a retry. If it is zero, the
+	// answer has no Retry-After header.
 	RetryAfter time.Duration
 }
 
-// Error makes a Refusal usable as an error.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return r.Code + ": " + r.Message
 }
@@ -64,7 +65,7 @@
 	RetryAfterMillis int64   `json:"retry_after_ms,omitempty"`
 }
 
-// JSON returns the refusal as a caller reads it.
+// JSON returns the body of the answer.
 func (r *Refusal) JSON() Body {
 	return Body{Error: BodyError{
 		Code:             r.Code,
@@ -74,7 +75,7 @@
 	}}
 }
 
-// Write sends the refusal as the whole answer.
+// Write sends the refusal to the caller.
 func (r *Refusal) Write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", contentTypeJSON)
@@ -83,12 +84,12 @@
 		h.Set(headerRetryAfter, strconv.FormatInt(ceilSeconds(r.RetryAfter), 10))
 	}
 	w.WriteHeader(r.Status)
-	// The caller may have gone; there is nobody left to tell.
+	// A write error means that the caller has disconnected, so there is nobody to tell.
 	_ = json.NewEncoder(w).Encode(r.JSON())
 }
 
-// ceilSeconds rounds up, as Retry-After has no fractions and coming back too
-// early only meets another refusal.
+// ceilSeconds rounds up: Retry-After has no fractions of a second, and a caller that
+// retries too early is only refused again.
 func ceilSeconds(d time.Duration) int64 {
 	return int64((d + time.Second - 1) / time.Second)
 }
--- a/route/outcome/outcome_test.go
+++ b/route/outcome/outcome_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A caller that comes back too early only meets another refusal, so Retry-After,
-// which has no fractions, is rounded up; without a time it is left out.
+// If Retry-After, which has no fractions of a second, were rounded down, callers would
+// retry too early and be refused again.
 func TestRetryAfterRoundsUp(t *testing.T) {
 	cases := map[time.Duration]string{
 		0:                       "",
