--- a/route/decisionlog/decisionlog.go
+++ b/route/decisionlog/decisionlog.go
@@ -1,6 +1,6 @@
-// Package decisionlog records why a request was sent where it was, made to wait
-// or refused: one log line each, and a bounded memory of the latest for
-// `cicadactl explain`.
+// Package decisionlog records why a request was sent to an endpoint, delayed or
+// refused. Each decision is written as one log line. The latest decisions also stay in
+// memory for `cicadactl explain`.
 package decisionlog
 
 import (
@@ -13,11 +13,13 @@
 	"github.com/cicadatack/cicadatack/decide/balance"
 )
 
-// LogFormat is the version of the lines that a node writes; it tells it as it starts.
-// Readers of lines need it: since 2, late answers say what they were late by.
+// LogFormat is the version of the log lines that a node writes. The node logs LogFormat
+// when it starts, because programs that read the lines need it. Since version 2, the
+// line of an answer that missed an objective gives the objectives and the waiting
+// times.
 const LogFormat = 2
 
-// Kind is what was decided.
+// Kind says what was decided.
 type Kind string
 
 // Kinds of decision.
@@ -25,25 +27,27 @@
 	Admit  Kind = "admit"
 	Refuse Kind = "refuse"
 	Route  Kind = "route"
-	// Retry is what follows a try that failed.
+	// Retry decides what follows a failed attempt.
 	Retry  Kind = "retry"
 	Resume Kind = "resume"
-	// Reroute leads a request that is underway around a part of its path.
+	// Reroute replaces part of the path of a request that is being served.
 	Reroute Kind = "detour"
-	PlaceOrder  Kind = "place"
-	Finish Kind = "finish"
+	// PlaceOrder concerns an order: a call that may run at most once.
+	PlaceOrder Kind = "place"
+	Finish     Kind = "finish"
 )
 
-// Alternative is a candidate that was weighed, with its figure: lower is
-// better.
+// Alternative is a candidate of the balancer with its score. The lowest score is the
+// best.
 type Alternative struct {
 	Name  string  `json:"name"`
 	Score float64 `json:"score"`
-	// CachedBlocks is how many blocks of the prompt it is thought to have cached.
+	// CachedBlocks is the estimated number of the prompt's blocks in the candidate's
+	// prefix cache.
 	CachedBlocks int `json:"held_blocks,omitempty"`
 }
 
-// Note is an input of a decision that is no number.
+// Note is an input of a decision that is not a number.
 type Note struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
@@ -59,18 +63,19 @@
 	Chosen       string        `json:"chosen,omitempty"`
 	Reason       string        `json:"reason"`
 	Alternatives []Alternative `json:"alternatives,omitempty"`
-	// Values are the numbers behind the reason, by name and with units.
+	// Values are the numbers behind the decision, by name. Names of quantities include
+	// the unit.
 	Values map[string]float64 `json:"figures,omitempty"`
-	Notes   []Note             `json:"notes,omitempty"`
+	Notes  []Note             `json:"notes,omitempty"`
 	// Revision is the version of the document or configuration that was in force.
 	Revision int64 `json:"revision,omitempty"`
-	// SkipLog decisions are remembered and not logged: where all went well, one request
-	// of many is logged as a sample.
+	// SkipLog keeps the decision out of the log but not out of memory. Of the requests
+	// without a retry, only a sample is logged.
 	SkipLog bool `json:"-"`
 }
 
-// FromChoice begins a decision with what a balancer's choice was made over; an empty one
-// for no choice.
+// FromChoice returns a Decision with the reason, score and alternatives of a balancer's
+// choice. If choice is nil, the Decision is empty.
 func FromChoice(choice *balance.Choice) Decision {
 	d := Decision{Values: map[string]float64{}}
 	if choice == nil {
@@ -89,29 +94,29 @@
 	return d
 }
 
-// Recorder logs decisions and remembers the latest.
+// Recorder logs decisions and keeps the latest in memory.
 type Recorder interface {
 	Record(Decision)
 }
 
 const (
 	shardCount = 16
-	// decisionsPerShard bounds the memory: 16 shards of 256 decisions of about 400 bytes
-	// are 1.6 MB, a fortieth of the node's 64 MB.
+	// decisionsPerShard bounds the memory: 16 shards of 256 decisions of about 400
+	// bytes take 1.6 MB, a fortieth of the node's 64 MB.
 	decisionsPerShard = 256
 )
 
-// Log is the Recorder of a node. State is in shards by request id, each under
-// its own lock, so that recording does not serialise the data path.
+// Log is the Recorder of a node. Decisions are kept in shards by request ID. Each shard
+// has its own lock, so that recording does not serialize all requests.
 type Log struct {
 	logger hclog.Logger
 	shards [shardCount]shardOf
 }
 
 type shardOf struct {
-	mu     sync.Mutex
-	latest [decisionsPerShard]Decision
-	nextIndex   int
+	mu        sync.Mutex
+	latest    [decisionsPerShard]Decision
+	nextIndex int
 }
 
 // NewLog returns a Log that writes its lines to logger at info level.
@@ -119,7 +124,7 @@
 	return &Log{logger: logger}
 }
 
-// Record logs d and remembers it. Safe for concurrent use.
+// Record logs the decision and keeps it in memory. Safe for concurrent use.
 func (l *Log) Record(d Decision) {
 	if !d.SkipLog && l.logger.IsInfo() {
 		l.logger.Info("decision", logFields(d)...)
@@ -131,7 +136,7 @@
 	s.nextIndex = (s.nextIndex + 1) % decisionsPerShard
 }
 
-// Explain returns what is remembered of a request, oldest first.
+// Explain returns the decisions about a request that are still in memory, oldest first.
 func (l *Log) Explain(request string) []Decision {
 	s := l.shard(request)
 	s.mu.Lock()
--- a/route/decisionlog/decisionlog_test.go
+++ b/route/decisionlog/decisionlog_test.go
@@ -8,9 +8,9 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// The operator asks why a request was sent where it was: its own decisions come
-// back in order, whatever else the node decided meanwhile, until newer ones have
-// taken their room.
+// Operators would be misled if decisions of other requests were mixed in, and the node
+// would run out of memory if no decision were ever dropped. Explain returns a request's
+// own decisions in order until newer decisions replace them.
 func TestExplainReturnsARequestsDecisions(t *testing.T) {
 	l := NewLog(hclog.NewNullLogger())
 	for i, kind := range []Kind{Admit, Route, Resume, Finish} {
@@ -25,12 +25,12 @@
 		t.Errorf("got %v, want %v", kinds, want)
 	}
 	if l.Explain("") != nil || l.Explain("unknown") != nil {
-		t.Error("something is remembered of requests that never were")
+		t.Error("Explain returned decisions of an unknown request")
 	}
 	for i := range shardCount * decisionsPerShard * 4 {
 		l.Record(Decision{Request: fmt.Sprint("later-", i)})
 	}
 	if got := l.Explain("r"); got != nil {
-		t.Errorf("the memory is not bounded: %v", got)
+		t.Errorf("decisions stay in memory although newer ones should have replaced them: %v", got)
 	}
 }
