--- a/node/server/entries.go
+++ b/node/server/entries.go
@@ -17,7 +17,7 @@
 	server *Server
 }
 
-// Entry implements httpapi.EntryAnswerer.
+// Entry implements httpapi.EntryProvider.
 func (e *entries) Entry(team *document.Team, failureDomain string) httpapi.EntryResponse {
 	if failureDomain == "" {
 		failureDomain = e.server.settings.FailureDomain
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -177,22 +177,22 @@
 
 func (s *Server) newFront() *httpapi.Server {
 	desk := &lifecycle.Manager{
-		Services: s.registry,
-		TeamLimiter:   s.limits,
-		Recorder:   s.decisions,
-		Metrics:  s.metrics,
-		Now:      time.Now,
+		Services:    s.registry,
+		TeamLimiter: s.limits,
+		Recorder:    s.decisions,
+		Metrics:     s.metrics,
+		Now:         time.Now,
 	}
 	return &httpapi.Server{
-		Directory: s.directory.Load,
-		Now:       time.Now,
-		EntryProvider:   &entries{server: s},
+		Directory:     s.directory.Load,
+		Now:           time.Now,
+		EntryProvider: &entries{server: s},
 		ModelServer: &modelservice.Server{
-			Lifecycle:    desk,
-			Streams: s.streams,
-			Chains:  &chains.Resolver{Plans: s.book},
-			Plans:   planWatcher{s.book, s.keeper},
-			Metrics: s.metrics,
+			Lifecycle: desk,
+			Streams:   s.streams,
+			Chains:    &chains.Resolver{Plans: s.book},
+			Plans:     planWatcher{s.book, s.keeper},
+			Metrics:   s.metrics,
 		},
 		PlainServer: &plainservice.Server{
 			Lifecycle: desk,
--- a/route/httpapi/httpapi.go
+++ b/route/httpapi/httpapi.go
@@ -1,5 +1,6 @@
-// Package httpapi is the callers' side of a node: it checks keys, answers which
-// entry VMs to use and hands calls to the model and plain services.
+// Package httpapi is the HTTP API for callers. It checks their keys, tells them which
+// entry VMs to use, and passes calls to the model and plain services. An entry VM is a
+// VM that callers connect to.
 package httpapi
 
 import (
@@ -23,13 +24,13 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// maxBodyBytes bounds a caller's request body in bytes.
+// maxBodyBytes bounds the body of a caller's request.
 const maxBodyBytes = 4 << 20
 
-// servicesPrefix precedes a plain service's name in paths.
+// servicesPrefix precedes the name of a plain service in paths.
 const servicesPrefix = "/services/"
 
-// notReadyRetryAfter is when a caller may ask again while the node has no document.
+// notReadyRetryAfter is the Retry-After while the node has no environment document.
 const notReadyRetryAfter = time.Second
 
 // ModelServer answers calls of model services.
@@ -37,13 +38,13 @@
 	ServeModel(w http.ResponseWriter, r *http.Request, c *callparser.Call, chat engineapi.ChatRequest)
 }
 
-// PlainServer answers calls of plain services. path is the part below the
-// service's name, escaped as the caller wrote it.
+// PlainServer answers calls of plain services. path is the part of the URL path after
+// the service's name, escaped as the caller wrote it.
 type PlainServer interface {
 	ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte)
 }
 
-// EntryProvider says which entry VMs a team should use.
+// EntryProvider returns the entry VMs that a team should use.
 type EntryProvider interface {
 	Entry(team *document.Team, failureDomain string) EntryResponse
 }
@@ -54,7 +55,7 @@
 	ValidForMillis int64          `json:"valid_for_ms"`
 }
 
-// EntryAddress is one entry VM and its share of the caller's connections.
+// EntryAddress is one entry VM. Weight is its share of the caller's connections.
 type EntryAddress struct {
 	Address       string  `json:"address"`
 	FailureDomain string  `json:"failure_domain"`
@@ -63,23 +64,23 @@
 
 // Server serves the callers' listener. Safe for concurrent use.
 type Server struct {
-	Directory func() *docindex.Directory
-	ModelServer    ModelServer
-	PlainServer    PlainServer
-	EntryProvider   EntryProvider
-	Now       func() time.Time
+	Directory     func() *docindex.Directory
+	ModelServer   ModelServer
+	PlainServer   PlainServer
+	EntryProvider EntryProvider
+	Now           func() time.Time
 
 	activeRequests atomic.Int64
 }
 
-// Handler returns the callers' routes.
-func (f *Server) Handler() http.Handler {
+// Handler returns the routes of the API.
+func (s *Server) Handler() http.Handler {
 	r := chi.NewRouter()
-	r.Use(f.countActive)
-	r.Get("/v1/entry", f.handleEntry)
-	r.Post(engineapi.PathChat, f.handleChat)
-	r.HandleFunc(servicesPrefix+"{service}", f.handlePlain)
-	r.HandleFunc(servicesPrefix+"{service}/*", f.handlePlain)
+	r.Use(s.countActive)
+	r.Get("/v1/entry", s.handleEntry)
+	r.Post(engineapi.PathChat, s.handleChat)
+	r.HandleFunc(servicesPrefix+"{service}", s.handlePlain)
+	r.HandleFunc(servicesPrefix+"{service}/*", s.handlePlain)
 	r.NotFound(func(w http.ResponseWriter, r *http.Request) {
 		newRefusal(http.StatusNotFound, "unknown_path", "no such call: "+r.URL.Path).Write(w)
 	})
@@ -92,23 +93,23 @@
 	return r
 }
 
-// ActiveRequests is how many requests are being served now.
-func (f *Server) ActiveRequests() int64 {
-	return f.activeRequests.Load()
+// ActiveRequests returns the number of requests that are being served.
+func (s *Server) ActiveRequests() int64 {
+	return s.activeRequests.Load()
 }
 
-func (f *Server) countActive(next http.Handler) http.Handler {
+func (s *Server) countActive(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		f.activeRequests.Add(1)
-		defer f.activeRequests.Add(-1)
+		s.activeRequests.Add(1)
+		defer s.activeRequests.Add(-1)
 		next.ServeHTTP(w, r)
 	})
 }
 
-// requireDocument returns the document in force, or refuses: a node that has never seen
-// one would have to guess who may call and what exists.
-func (f *Server) requireDocument(w http.ResponseWriter) *docindex.Directory {
-	d := f.Directory()
+// requireDocument returns the document in force. A node that has not received a
+// document can't check keys and does not know the services, so the request is refused.
+func (s *Server) requireDocument(w http.ResponseWriter) *docindex.Directory {
+	d := s.Directory()
 	if d == nil {
 		r := newRefusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
 		r.RetryAfter = notReadyRetryAfter
@@ -117,8 +118,8 @@
 	return d
 }
 
-func (f *Server) handleEntry(w http.ResponseWriter, r *http.Request) {
-	d := f.requireDocument(w)
+func (s *Server) handleEntry(w http.ResponseWriter, r *http.Request) {
+	d := s.requireDocument(w)
 	if d == nil {
 		return
 	}
@@ -129,16 +130,17 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set(outcome.Header, string(outcome.Done))
-	// The caller may have gone; there is nobody left to tell.
-	_ = json.NewEncoder(w).Encode(f.EntryProvider.Entry(team, r.URL.Query().Get("failure_domain")))
+	// A write error means that the caller has disconnected, so there is nobody to tell.
+	_ = json.NewEncoder(w).Encode(s.EntryProvider.Entry(team, r.URL.Query().Get("failure_domain")))
 }
 
-func (f *Server) handleChat(w http.ResponseWriter, r *http.Request) {
-	d := f.requireDocument(w)
+func (s *Server) handleChat(w http.ResponseWriter, r *http.Request) {
+	d := s.requireDocument(w)
 	if d == nil {
 		return
 	}
-	// The key is looked at before the body, so that strangers cost little.
+	// The key is checked before the body is read, so that callers without a valid key
+	// cost little.
 	if _, refused := callparser.Authenticate(d, r); refused != nil {
 		refused.Write(w)
 		return
@@ -149,7 +151,7 @@
 		return
 	}
 	service, adapter := callparser.SplitModel(chat.Model)
-	c, refused := callparser.New(d, r, service, f.Now())
+	c, refused := callparser.New(d, r, service, s.Now())
 	if refused != nil {
 		refused.Write(w)
 		return
@@ -165,7 +167,7 @@
 	// Engines know the model by the service's name.
 	chat.Model = service
 	w.Header().Set(outcome.HeaderRequest, c.ID)
-	f.ModelServer.ServeModel(w, r, c, chat)
+	s.ModelServer.ServeModel(w, r, c, chat)
 }
 
 func readChat(w http.ResponseWriter, r *http.Request) (engineapi.ChatRequest, *outcome.Refusal) {
@@ -183,18 +185,18 @@
 	case chat.MaxTokens < 0:
 		return chat, newRefusal(http.StatusBadRequest, "bad_max_tokens", "max_tokens: must not be negative")
 	}
-	// A caller must not choose chains or streams for the engines.
+	// Callers must not choose engines, streams or priorities.
 	chat.Pipeline = nil
 	chat.Priority = 0
 	return chat, nil
 }
 
-func (f *Server) handlePlain(w http.ResponseWriter, r *http.Request) {
-	d := f.requireDocument(w)
+func (s *Server) handlePlain(w http.ResponseWriter, r *http.Request) {
+	d := s.requireDocument(w)
 	if d == nil {
 		return
 	}
-	c, refused := callparser.New(d, r, chi.URLParam(r, "service"), f.Now())
+	c, refused := callparser.New(d, r, chi.URLParam(r, "service"), s.Now())
 	if refused != nil {
 		refused.Write(w)
 		return
@@ -213,12 +215,12 @@
 		c.Class = admission.Order
 	}
 	w.Header().Set(outcome.HeaderRequest, c.ID)
-	f.PlainServer.ServePlain(w, r, c, path, body)
+	s.PlainServer.ServePlain(w, r, c, path, body)
 }
 
-// pathBelowService is the path below /services/{service}, escaped as the caller
-// wrote it: an escaped # or ? that was decoded here would end the path towards
-// the endpoint and make it another call.
+// pathBelowService returns the path after /services/{service}, escaped as the caller
+// wrote it. If an escaped # or ? were decoded here, the endpoint would receive a
+// shorter path and run a different call.
 func pathBelowService(u *url.URL) string {
 	_, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), servicesPrefix), "/")
 	return "/" + rest
--- a/route/httpapi/model_test.go
+++ b/route/httpapi/model_test.go
@@ -17,7 +17,8 @@
 const (
 	prompt       = "Tide windows for the north pens, please"
 	answerTokens = 12
-	// killAfterTokens is the token after which a chain is made to fail.
+	// killAfterTokens is the number of tokens after which a test kills a chain's
+	// engine.
 	killAfterTokens = 3
 )
 
@@ -38,7 +39,7 @@
 	return strings.Join(standinengine.Answer(layers, []engineapi.Message{{Role: "user", Content: prompt}}, answerTokens), "")
 }
 
-// event is any event of a stream towards a caller.
+// event is any event of a stream that a caller receives.
 type event struct {
 	Choices []engineapi.Choice `json:"choices"`
 	Result  *struct {
@@ -48,11 +49,11 @@
 	Error *outcome.BodyError `json:"error"`
 }
 
-// streamedAnswer is a streamedAnswer answer as a caller reads it.
+// streamedAnswer is a streamed answer as a caller reads it.
 type streamedAnswer struct {
-	text  string
-	lastEvent  event
-	complete bool // the closing marker came, as the last event
+	text      string
+	lastEvent event
+	complete  bool // the closing marker was the last event
 }
 
 func readStream(t *testing.T, body string) streamedAnswer {
@@ -79,14 +80,14 @@
 	return answer
 }
 
-// The caller who asks for a stream gets every token, what became of the request
-// in the last event and the trailer, and the closing marker.
+// Without the outcome and the closing marker, the caller of a stream could not tell a
+// complete answer from a partial one. The last event and the trailer say the outcome.
 func TestStreamedAnswer(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1})
-	got := s.send(chatRequest(true))
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	got := n.send(chatRequest(true))
 	answer := readStream(t, got.body)
 	if answer.text != referenceAnswer() || !answer.complete {
-		t.Errorf("whole %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
+		t.Errorf("complete %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 	if r := answer.lastEvent.Result; r == nil || r.Outcome != outcome.Done || r.Tokens != answerTokens {
 		t.Errorf("last event: %+v", r)
@@ -96,10 +97,10 @@
 	}
 }
 
-// The caller who asks for no stream gets the same answer in one piece.
+// Callers that don't ask for a stream get the same answer in one piece.
 func TestNonStreamedAnswer(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1})
-	got := s.send(chatRequest(false))
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	got := n.send(chatRequest(false))
 	var answer struct {
 		Object  string
 		Choices []struct {
@@ -121,29 +122,29 @@
 	}
 }
 
-// The caller has read a part of the stream when the only chain dies. The status
-// has gone out, so the last event carries the error and the closing marker is
-// left out: no client takes the part for the whole.
+// The only chain is killed when the caller has part of the stream. The status has been
+// sent already, so clients could take the partial answer for a complete one. The last
+// event carries the error, and the closing marker is left out.
 func TestInterruptedStream(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
-	killed := s.killSecondStageAfter(killAfterTokens)
-	got := s.send(chatRequest(true))
+	n := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
+	killed := n.killSecondStageAfter(killAfterTokens)
+	got := n.send(chatRequest(true))
 	<-killed
 	answer := readStream(t, got.body)
 	if answer.complete || answer.text == "" || !strings.HasPrefix(referenceAnswer(), answer.text) {
-		t.Errorf("whole %t: %q, want a beginning of %q", answer.complete, answer.text, referenceAnswer())
+		t.Errorf("complete %t: %q, want a beginning of %q", answer.complete, answer.text, referenceAnswer())
 	}
 	if e := answer.lastEvent.Error; e == nil || e.Outcome != outcome.Unknown || got.outcome() != outcome.Unknown {
 		t.Errorf("last event %+v, trailer %v", answer.lastEvent, got.trailer)
 	}
 }
 
-// The caller asked for the answer in one piece, so nothing has gone out when
-// the only chain dies: the caller gets an error and no part of an answer.
+// The only chain is killed during an answer in one piece. Nothing has been sent to the
+// caller yet, so it gets an error and no part of the answer.
 func TestInterruptedNonStreamedAnswer(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
-	killed := s.killSecondStageAfter(killAfterTokens)
-	got := s.send(chatRequest(false))
+	n := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
+	killed := n.killSecondStageAfter(killAfterTokens)
+	got := n.send(chatRequest(false))
 	<-killed
 	var body outcome.Body
 	if err := json.Unmarshal([]byte(got.body), &body); err != nil {
@@ -153,42 +154,43 @@
 		t.Errorf("%d %+v", got.status, body)
 	}
 	if got.header.Get("Retry-After") == "" {
-		t.Error("the caller is not told when to come back")
+		t.Error("Retry-After is missing")
 	}
 }
 
-// killSecondStageAfter kills the second stage of the first chain once it has run for some
+// killSecondStageAfter kills the second engine of the first chain after a number of
 // tokens.
-func (s *testNode) killSecondStageAfter(tokens int) <-chan struct{} {
+func (n *testNode) killSecondStageAfter(tokens int) <-chan struct{} {
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
-		second := s.engines[0][1]
+		second := n.engines[0][1]
 		for second.Engine.Stats().Steps < tokens {
-			time.Sleep(time.Millisecond) // nothing tells of a step
+			time.Sleep(time.Millisecond) // the engine has no event for a token
 		}
 		second.Kill()
 	}()
 	return killed
 }
 
-// No engine can be reached: nothing was sent, so the caller is told not run and
-// when to come back, as a refusal and not as a stream.
+// No engine can be reached, so nothing is sent. If the answer were a broken stream,
+// callers would not know that a retry is safe. They get a refusal with the outcome "not
+// run" and a Retry-After.
 func TestUnreachableChains(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 2})
-	for _, pair := range s.engines {
+	n := newTestNode(t, testNodeConfig{chains: 2})
+	for _, pair := range n.engines {
 		pair[0].Kill()
 	}
-	got := s.send(chatRequest(true))
+	got := n.send(chatRequest(true))
 	checkRefusal(t, got, http.StatusServiceUnavailable, "no_chain")
 	if got.header.Get("Retry-After") == "" {
-		t.Error("the caller is not told when to come back")
+		t.Error("Retry-After is missing")
 	}
 }
 
-// The caller's own deadline passes: the answer comes then, not later. It says
-// not run only if the engine was still being asked what it holds, so that no
-// work had been sent; an engine at work leaves it unknown.
+// If the answer came after the caller's deadline, nobody would read it. The outcome is
+// "not run" only if the engine had not yet reported what it holds, because no work is
+// sent before that. If the engine was working, the outcome is "unknown".
 func TestCallerDeadline(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -200,45 +202,45 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			// The check's own bound would pass at about the same time.
-			s := newTestNode(t, testNodeConfig{chains: 1, streamOptions: stream.Options{ReportTimeout: time.Minute}})
-			s.engines[0][0].Engine.SetFaults(c.faults)
+			// The default timeout of the engine report would pass at about the same
+			// time.
+			n := newTestNode(t, testNodeConfig{chains: 1, streamOptions: stream.Options{ReportTimeout: time.Minute}})
+			n.engines[0][0].Engine.SetFaults(c.faults)
 			a := chatRequest(true)
 			a.header = map[string]string{outcome.HeaderTimeout: "300"}
-			begun := time.Now()
-			got := s.send(a)
+			start := time.Now()
+			got := n.send(a)
 			if got.status != http.StatusGatewayTimeout || got.outcome() != c.want {
 				t.Errorf("%d %s: %s", got.status, got.outcome(), got.body)
 			}
-			if took := time.Since(begun); took > 2*time.Second {
+			if took := time.Since(start); took > 2*time.Second {
 				t.Errorf("answered after %s", took)
 			}
-			if n := s.openedStreams(); c.want == outcome.NotRun && n != 0 {
-				t.Errorf("told not run, but %d streams were opened", n)
+			if n := n.openedStreams(); c.want == outcome.NotRun && n != 0 {
+				t.Errorf("the outcome is not run, but %d streams were opened", n)
 			}
 		})
 	}
 }
 
-// A caller who names a chain of its own can't choose engines: the field is the
-// nodes' alone, and another caller's stream might be named there.
+// If a caller could set the fields that nodes use to address engines, it could choose
+// engines or name the stream of another caller. These fields are ignored.
 func TestCallerChainFieldsAreIgnored(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1})
+	n := newTestNode(t, testNodeConfig{chains: 1})
 	a := chatRequest(true)
 	a.body = strings.Replace(a.body, `{`, `{"priority":9,"cicadatack":{"stream":"of-another","epoch":7,"resume_tokens":[" x"]},`, 1)
-	answer := readStream(t, s.send(a).body)
+	answer := readStream(t, n.send(a).body)
 	if answer.text != referenceAnswer() || !answer.complete {
-		t.Errorf("whole %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
+		t.Errorf("complete %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 }
 
-// The caller gets a whole answer from the only chain, whose link between the stages
-// is lost for a moment before the first token. The silence ends the first epoch in a
-// fraction of a second; there is no other chain, so the same one is tried again
-// rather than the caller told that its call may have run.
+// The link between the stages of the only chain is lost for a moment before the first
+// token. Without a retry at the same chain, the caller would be told that its call may
+// have run, although the chain is back in a fraction of a second.
 func TestOnlyChainIsRetried(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1})
-	first := s.engines[0][0].Engine
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	first := n.engines[0][0].Engine
 	first.SetFaults(standinengine.Faults{CutNext: true})
 	go func() {
 		for first.Stats().Ended < 1 {
@@ -246,8 +248,8 @@
 		}
 		first.SetFaults(standinengine.Faults{})
 	}()
-	answer := readStream(t, s.send(chatRequest(true)).body)
+	answer := readStream(t, n.send(chatRequest(true)).body)
 	if answer.text != referenceAnswer() || !answer.complete {
-		t.Errorf("whole %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
+		t.Errorf("complete %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 }
--- a/route/httpapi/refusal_test.go
+++ b/route/httpapi/refusal_test.go
@@ -10,18 +10,18 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// The caller gets a refusal that it can act on: a status, a code, and the
-// statement that nothing was run, which is true, as no endpoint saw the call.
+// If a refused call reached an endpoint, the outcome "not run" would be false, and a
+// retry could run the call twice. Each refusal has a status, a code and the outcome.
 func TestRefusedCallsReachNoEndpoint(t *testing.T) {
 	const chat = "/v1/chat/completions"
 	const orders = "/services/stock-ledger/orders"
 	good := `{"model":"pastry-llm","messages":[{"role":"user","content":"flour"}]}`
 	huge := strings.Repeat("x", 4<<20+1)
 	cases := []struct {
-		name   string
-		ask    apiRequest
-		status int
-		code   string
+		name    string
+		request apiRequest
+		status  int
+		code    string
 	}{
 		{"no key", apiRequest{http.MethodPost, chat, "", good, nil}, 401, "unknown_key"},
 		{"unknown key", apiRequest{http.MethodPost, chat, "no-key", good, nil}, 401, "unknown_key"},
@@ -32,40 +32,41 @@
 		{"negative length", apiRequest{http.MethodPost, chat, teamKey, `{"messages":[{}],"max_tokens":-1}`, nil}, 400, "bad_max_tokens"},
 		{"unknown model", apiRequest{http.MethodPost, chat, teamKey, `{"model":"x","messages":[{}]}`, nil}, 404, "unknown_service"},
 		{"unknown adapter", apiRequest{http.MethodPost, chat, teamKey, `{"model":"pastry-llm:x","messages":[{}]}`, nil}, 404, "unknown_adapter"},
-		{"adapter that nobody holds", apiRequest{http.MethodPost, chat, teamKey, `{"model":"pastry-llm:notes","messages":[{}]}`, nil}, 503, "no_adapter"},
+		{"adapter that no replica holds", apiRequest{http.MethodPost, chat, teamKey, `{"model":"pastry-llm:notes","messages":[{}]}`, nil}, 503, "no_adapter"},
 		{"unknown service", apiRequest{http.MethodPost, "/services/x/orders", teamKey, "", nil}, 404, "unknown_service"},
 		{"unknown path", apiRequest{http.MethodGet, "/v2", teamKey, "", nil}, 404, "unknown_path"},
 		{"wrong method", apiRequest{http.MethodGet, chat, teamKey, "", nil}, 405, "method_not_allowed"},
 		{"unknown method", apiRequest{"BREW", orders, teamKey, "", nil}, 405, "method_not_allowed"},
 		{"model that is plain", apiRequest{http.MethodPost, chat, teamKey, `{"model":"stock-ledger","messages":[{}]}`, nil}, 400, "not_a_model"},
 		{"plain that is a model", apiRequest{http.MethodPost, "/services/pastry-llm/x", teamKey, "", nil}, 400, "not_plain"},
-		{"service of others", apiRequest{http.MethodPost, orders, assistantOnlyKey, "", nil}, 403, "not_allowed"},
+		{"service that the team may not call", apiRequest{http.MethodPost, orders, assistantOnlyKey, "", nil}, 403, "not_allowed"},
 		{"prompt too large", apiRequest{http.MethodPost, chat, teamKey, huge, nil}, 413, "body_too_large"},
 		{"order too large", apiRequest{http.MethodPost, orders, teamKey, huge, nil}, 413, "body_too_large"},
 		{"bad class", apiRequest{http.MethodPost, chat, teamKey, good, map[string]string{outcome.HeaderClass: "urgent"}}, 400, "bad_class"},
 		{"bad timeout", apiRequest{http.MethodPost, orders, teamKey, "", map[string]string{outcome.HeaderTimeout: "soon"}}, 400, "bad_timeout"},
 	}
-	s := newTestNode(t, testNodeConfig{chains: 1})
-	s.document.Services[0].Model.Adapters = []document.Adapter{{Name: "notes", Version: "1"}}
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	n.document.Services[0].Model.Adapters = []document.Adapter{{Name: "notes", Version: "1"}}
 	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { checkRefusal(t, s.send(c.ask), c.status, c.code) })
+		t.Run(c.name, func(t *testing.T) { checkRefusal(t, n.send(c.request), c.status, c.code) })
 	}
-	if n := len(s.plainRequests) + s.openedStreams(); n != 0 {
+	if n := len(n.plainRequests) + n.openedStreams(); n != 0 {
 		t.Errorf("%d refused calls reached an endpoint", n)
 	}
 }
 
-// The caller of a node that has no document yet is told to come back, whatever
-// it asks: the node would have to guess who may call and what exists.
+// A node without a document can't check keys and does not know the services. If it
+// answered 401 or 404, valid callers would take the refusal for final. Every call gets
+// a Retry-After.
 func TestNodeWithoutDocumentRefuses(t *testing.T) {
-	s := newTestNode(t, testNodeConfig{chains: 1})
-	s.directory.Store(nil)
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	n.directory.Store(nil)
 	for _, path := range []string{"/v1/entry", "/v1/chat/completions", "/services/stock-ledger/orders"} {
 		method := http.MethodPost
 		if path == "/v1/entry" {
 			method = http.MethodGet
 		}
-		got := s.send(apiRequest{method, path, teamKey, "{}", nil})
+		got := n.send(apiRequest{method, path, teamKey, "{}", nil})
 		checkRefusal(t, got, http.StatusServiceUnavailable, "not_ready")
 		if got.header.Get("Retry-After") != "1" {
 			t.Errorf("%s: Retry-After is %q", path, got.header.Get("Retry-After"))
@@ -73,7 +74,8 @@
 	}
 }
 
-// checkRefusal checks a refusal that says, in header and body, that nothing ran.
+// checkRefusal checks the status and the code of a refusal, and that header and body
+// give the outcome "not run".
 func checkRefusal(t *testing.T, got apiResponse, status int, code string) {
 	t.Helper()
 	var body outcome.Body
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/testnode_test.go
@@ -39,45 +39,46 @@
 )
 
 const (
-	teamKey   = "menteng-key"
-	assistantOnlyKey  = "senen-key" // its team may call the assistant only
-	assistant = "pastry-llm"
-	stockLedger     = "stock-ledger"
-	layers    = 8
+	teamKey          = "menteng-key"
+	assistantOnlyKey = "senen-key" // the key of a team that may call only the assistant
+	assistant        = "pastry-llm"
+	stockLedger      = "stock-ledger"
+	layers           = 8
 )
 
-// testNode is the callers' side of a node before stand-ins. Everything but the
-// fleet is the shipped code.
+// testNode is a node's HTTP API in front of stand-in endpoints. Only the endpoints and
+// the metrics are replaced; the rest is the shipped code.
 type testNode struct {
-	t         *testing.T
-	server     *httpapi.Server
-	url       string
-	document  *document.Document
-	directory atomic.Pointer[docindex.Directory]
-	store     *storetest.Client
-	plainEndpoints    []*standinplain.Server
-	engines   [][2]*standinengine.Server
-	// respond, if set, answers the plain service's calls in place of the stand-in.
+	t              *testing.T
+	server         *httpapi.Server
+	url            string
+	document       *document.Document
+	directory      atomic.Pointer[docindex.Directory]
+	store          *storetest.Client
+	plainEndpoints []*standinplain.Server
+	engines        [][2]*standinengine.Server
+	// respond, if set, answers the calls of the plain service instead of the stand-in.
 	respond http.HandlerFunc
-	// handledCalls gets a value each time that the node is through with a call.
+	// handledCalls receives a value each time that the node has handled a call.
 	handledCalls chan struct{}
 
 	mu sync.Mutex
-	// plainRequests are the calls that reached any instance of the plain service.
+	// plainRequests are the requests that reached any endpoint of the plain service.
 	plainRequests []*http.Request
 }
 
-// testNodeConfig sizes a site. checksKeys says that the plain endpoints do.
+// testNodeConfig is the configuration of a testNode. checksKeys says that the endpoints
+// of the plain service check idempotency keys.
 type testNodeConfig struct {
-	chains     int
-	checksKeys bool
-	tokenTime       time.Duration
-	streamOptions    stream.Options
+	chains        int
+	checksKeys    bool
+	tokenTime     time.Duration
+	streamOptions stream.Options
 }
 
 func newTestNode(t *testing.T, cfg testNodeConfig) *testNode {
-	s := &testNode{t: t, handledCalls: make(chan struct{}, 1000)}
-	s.document = &document.Document{
+	n := &testNode{t: t, handledCalls: make(chan struct{}, 1000)}
+	n.document = &document.Document{
 		Format:      document.Format,
 		Environment: "java",
 		Teams: []document.Team{
@@ -85,10 +86,10 @@
 			{Name: "senen", Weight: 1, KeySHA256: []string{digest(assistantOnlyKey)}, Services: []string{assistant}},
 		},
 	}
-	s.document.Services = []document.Service{s.startModel(cfg), s.startPlain(cfg)}
-	s.directory.Store(docindex.Build(s.document, 1, "digest"))
-	s.startNode(cfg.streamOptions)
-	return s
+	n.document.Services = []document.Service{n.startModel(cfg), n.startPlain(cfg)}
+	n.directory.Store(docindex.Build(n.document, 1, "digest"))
+	n.startNode(cfg.streamOptions)
+	return n
 }
 
 func digest(key string) string {
@@ -96,7 +97,7 @@
 	return hex.EncodeToString(sum[:])
 }
 
-func (s *testNode) startModel(cfg testNodeConfig) document.Service {
+func (n *testNode) startModel(cfg testNodeConfig) document.Service {
 	m := &document.Model{Layers: layers}
 	for i := range cfg.chains {
 		replica := document.Replica{Name: fmt.Sprintf("replica-%d", i)}
@@ -105,34 +106,34 @@
 			name := fmt.Sprintf("engine-%d-%d", i, stage)
 			first := stage * layers / 2
 			last := first + layers/2 - 1
-			pair[stage] = s.startEngine(standinengine.Config{Name: name, Model: assistant, First: first, Last: last, Step: cfg.tokenTime})
-			s.document.Endpoints = append(s.document.Endpoints, document.Endpoint{Name: name, Address: pair[stage].Address})
+			pair[stage] = n.startEngine(standinengine.Config{Name: name, Model: assistant, First: first, Last: last, Step: cfg.tokenTime})
+			n.document.Endpoints = append(n.document.Endpoints, document.Endpoint{Name: name, Address: pair[stage].Address})
 			replica.Stages = append(replica.Stages, document.Stage{Endpoint: name, Layers: []int{first, last}})
 		}
-		s.engines = append(s.engines, pair)
+		n.engines = append(n.engines, pair)
 		m.Replicas = append(m.Replicas, replica)
 	}
 	return document.Service{Name: assistant, Kind: document.KindModel, Model: m}
 }
 
-func (s *testNode) startEngine(cfg standinengine.Config) *standinengine.Server {
+func (n *testNode) startEngine(cfg standinengine.Config) *standinengine.Server {
 	server, err := standinengine.Start("127.0.0.1:0", cfg)
 	if err != nil {
-		s.t.Fatal(err)
+		n.t.Fatal(err)
 	}
-	s.t.Cleanup(server.Close)
+	n.t.Cleanup(server.Close)
 	return server
 }
 
-func (s *testNode) startPlain(cfg testNodeConfig) document.Service {
+func (n *testNode) startPlain(cfg testNodeConfig) document.Service {
 	p := &document.Plain{NonIdempotent: []document.Call{{Method: http.MethodPost, Path: "/orders"}}}
 	for i := range 2 {
 		name := fmt.Sprintf("ledger-%d", i)
 		standin := standinplain.New(name, 64)
-		server := httptest.NewServer(s.recordRequests(standin))
-		s.t.Cleanup(server.Close)
-		s.plainEndpoints = append(s.plainEndpoints, standin)
-		s.document.Endpoints = append(s.document.Endpoints, document.Endpoint{
+		server := httptest.NewServer(n.recordRequests(standin))
+		n.t.Cleanup(server.Close)
+		n.plainEndpoints = append(n.plainEndpoints, standin)
+		n.document.Endpoints = append(n.document.Endpoints, document.Endpoint{
 			Name: name, Address: server.Listener.Addr().String(), ChecksKeys: cfg.checksKeys,
 		})
 		p.Endpoints = append(p.Endpoints, name)
@@ -140,58 +141,58 @@
 	return document.Service{Name: stockLedger, Kind: document.KindPlain, Plain: p}
 }
 
-// recordRequests notes each call that reaches an endpoint.
-func (s *testNode) recordRequests(next http.Handler) http.Handler {
+// recordRequests records each request that reaches an endpoint.
+func (n *testNode) recordRequests(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		s.mu.Lock()
-		s.plainRequests = append(s.plainRequests, r.Clone(context.Background()))
-		s.mu.Unlock()
-		if s.respond != nil {
-			s.respond(w, r)
+		n.mu.Lock()
+		n.plainRequests = append(n.plainRequests, r.Clone(context.Background()))
+		n.mu.Unlock()
+		if n.respond != nil {
+			n.respond(w, r)
 			return
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// startNode puts the node's parts together as node/server does.
-func (s *testNode) startNode(streams stream.Options) {
+// startNode starts the API with the parts that node/server uses.
+func (n *testNode) startNode(streams stream.Options) {
 	memory := storetest.NewMemory()
-	s.t.Cleanup(memory.Close)
-	s.store = storetest.NewClient(memory)
-	claims := ledger.New(s.store, "java", ledger.Config{CallTimeout: 100 * time.Millisecond})
-	s.t.Cleanup(claims.Close)
+	n.t.Cleanup(memory.Close)
+	n.store = storetest.NewClient(memory)
+	claims := ledger.New(n.store, "java", ledger.Config{CallTimeout: 100 * time.Millisecond})
+	n.t.Cleanup(claims.Close)
 	registry := service.NewRegistry(service.Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
-	registry.Apply(s.directory.Load())
-	limit := teamlimiter.New(limits.New(limits.Config{Self: "entry-1"}), time.Now)
-	record := decisionlog.NewLog(hclog.NewNullLogger())
+	registry.Apply(n.directory.Load())
+	limiter := teamlimiter.New(limits.New(limits.Config{Self: "entry-1"}), time.Now)
+	recorder := decisionlog.NewLog(hclog.NewNullLogger())
 	pool := upstream.New(time.Now)
-	s.t.Cleanup(pool.Close)
+	n.t.Cleanup(pool.Close)
 	client := engineclient.New(nil)
-	s.t.Cleanup(client.CloseIdle)
-	desk := &lifecycle.Manager{Services: registry, TeamLimiter: limit, Recorder: record, Metrics: discardMetrics{}, Now: time.Now}
-	s.server = &httpapi.Server{
-		Directory: s.directory.Load,
+	n.t.Cleanup(client.CloseIdle)
+	manager := &lifecycle.Manager{Services: registry, TeamLimiter: limiter, Recorder: recorder, Metrics: discardMetrics{}, Now: time.Now}
+	n.server = &httpapi.Server{
+		Directory: n.directory.Load,
 		Now:       time.Now,
 		ModelServer: &modelservice.Server{
-			Lifecycle: desk, Streams: stream.New(client, nil, streams),
+			Lifecycle: manager, Streams: stream.New(client, nil, streams),
 			Chains: &chains.Resolver{}, Plans: discardPlans{}, Metrics: discardMetrics{},
 		},
 		PlainServer: &plainservice.Server{
-			Lifecycle: desk, Claims: claims, Metrics: discardMetrics{},
+			Lifecycle: manager, Claims: claims, Metrics: discardMetrics{},
 			Relay: &relay.Server{
-				Headers: plainservice.HeaderCodec{}, Pool: pool, Metrics: discardMetrics{}, Recorder: record, Log: hclog.NewNullLogger(), Now: time.Now,
+				Headers: plainservice.HeaderCodec{}, Pool: pool, Metrics: discardMetrics{}, Recorder: recorder, Log: hclog.NewNullLogger(), Now: time.Now,
 				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 		},
 	}
-	handler := s.server.Handler()
+	handler := n.server.Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		defer func() { s.handledCalls <- struct{}{} }()
+		defer func() { n.handledCalls <- struct{}{} }()
 		handler.ServeHTTP(w, r)
 	}))
-	s.t.Cleanup(server.Close)
-	s.url = server.URL
+	n.t.Cleanup(server.Close)
+	n.url = server.URL
 }
 
 type discardPlans struct{}
@@ -211,13 +212,13 @@
 func (discardMetrics) Retried(string, string)           {}
 func (discardMetrics) Order(string, string)             {}
 
-// apiRequest is one call of a caller.
+// apiRequest is one request of a caller.
 type apiRequest struct {
 	method, path, key, body string
 	header                  map[string]string
 }
 
-// apiResponse is the answer as the caller has it.
+// apiResponse is the answer that the caller receives.
 type apiResponse struct {
 	status  int
 	header  http.Header
@@ -229,16 +230,16 @@
 	return outcome.Outcome(r.header.Get(outcome.Header) + r.trailer.Get(outcome.Header))
 }
 
-func (s *testNode) send(a apiRequest) apiResponse {
-	got, err := s.sendWithContext(context.Background(), a)
+func (n *testNode) send(a apiRequest) apiResponse {
+	got, err := n.sendWithContext(context.Background(), a)
 	if err != nil {
-		s.t.Fatal(err)
+		n.t.Fatal(err)
 	}
 	return got
 }
 
-func (s *testNode) sendWithContext(ctx context.Context, a apiRequest) (apiResponse, error) {
-	request, err := http.NewRequestWithContext(ctx, a.method, s.url+a.path, bytes.NewReader([]byte(a.body)))
+func (n *testNode) sendWithContext(ctx context.Context, a apiRequest) (apiResponse, error) {
+	request, err := http.NewRequestWithContext(ctx, a.method, n.url+a.path, bytes.NewReader([]byte(a.body)))
 	if err != nil {
 		return apiResponse{}, err
 	}
@@ -257,31 +258,32 @@
 	return apiResponse{response.StatusCode, response.Header, response.Trailer, string(body)}, err
 }
 
-// orderCount returns the orders that reached any instance of the plain service.
-func (s *testNode) orderCount() int {
+// orderCount returns the number of orders that reached any endpoint of the plain
+// service.
+func (n *testNode) orderCount() int {
 	count := 0
-	for _, p := range s.plainEndpoints {
+	for _, p := range n.plainEndpoints {
 		count += len(p.Orders())
 	}
 	return count
 }
 
-// openedStreams is how many streams took a slot of any engine.
-func (s *testNode) openedStreams() int {
+// openedStreams returns the number of streams that took a slot of an engine.
+func (n *testNode) openedStreams() int {
 	count := 0
-	for _, pair := range s.engines {
+	for _, pair := range n.engines {
 		count += pair[0].Engine.Stats().Opened
 	}
 	return count
 }
 
-// setPlainFaults puts faults in force on every instance of the plain service.
-func (s *testNode) setPlainFaults(f standinplain.Faults) {
-	for _, p := range s.plainEndpoints {
+// setPlainFaults sets the faults of every endpoint of the plain service.
+func (n *testNode) setPlainFaults(f standinplain.Faults) {
+	for _, p := range n.plainEndpoints {
 		p.SetFaults(f)
 	}
 }
 
-func (s *testNode) setStoreDown(down bool) {
-	s.store.SetFault(func(storetest.Call) storetest.Fault { return storetest.Fault{Unavailable: down} })
+func (n *testNode) setStoreDown(down bool) {
+	n.store.SetFault(func(storetest.Call) storetest.Fault { return storetest.Fault{Unavailable: down} })
 }
