--- a/decide/admission/step.go
+++ b/decide/admission/step.go
@@ -6,29 +6,32 @@
 )
 
 const (
-	// stepWindow is the time constant of the recent total demand, by which a step is
-	// detected.
-	stepWindow = time.Second
-	// stepMinAge is the shortest time over which the recent demand is calculated.
-	stepMinAge = stepWindow / 2
-	// stepResetPause is the time without requests after which the recent demand is reset.
-	stepResetPause = 3 * stepWindow
-	// stepFactor is the ratio of the recent demand to the demand over rateWindow above which
-	// a step is detected. At 64 requests a second, random variation changes the recent demand
-	// by 9% (standard deviation).
-	stepFactor = 1.5
+	// stepTimeConstant is the time constant of the recent total demand. A step is a sudden
+	// rise of this demand.
+	stepTimeConstant = time.Second
+	// minStepWindow is the shortest time over which the recent total demand is calculated.
+	minStepWindow = stepTimeConstant / 2
+	// stepResetPause is the time without an offered request after which the recent total
+	// demand restarts from zero.
+	stepResetPause = 3 * stepTimeConstant
+	// stepDemandRatio is the ratio of the recent total demand to the measured total demand
+	// above which a step is detected. The measured total demand has the time constant
+	// rateTimeConstant. At 64 requests a second, random variation changes the recent total
+	// demand by 9% (standard deviation).
+	stepDemandRatio = 1.5
 )
 
-// stepDetector detects a sudden rise of the total demand.
+// stepDetector detects a sudden rise of the total demand of all teams.
 //
-// After a quiet period, the demand measured over rateWindow takes seconds to show such a
-// rise. Without this detector, a node that was offered twice its capacity after a pause of
-// 8 s predicted waits that were too short: it assumed that each team could use the rate
-// that the other teams did not seem to need. One refusal in ten came after three seconds.
+// After a quiet period, the demand measured with the time constant rateTimeConstant takes
+// seconds to show such a rise. Without this detector, a node that is offered twice its
+// capacity after a pause of 8 s predicts waits that are too short: the node expects each
+// team to get the part of the drain rate that the other teams do not seem to need. One
+// refusal in ten then comes more than three seconds after the offer.
 type stepDetector struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
-	firstAddAt time.Time // time of the first add after a pause
+	firstAddAt time.Time // time of the first add after the last pause longer than stepResetPause
 }
 
 func (s *stepDetector) add(now time.Time, x float64) {
@@ -40,15 +43,16 @@
 }
 
 func (s *stepDetector) valueAt(now time.Time) float64 {
-	return s.sum * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/stepWindow.Seconds())
+	return s.sum * math.Exp(-max(now.Sub(s.updatedAt), 0).Seconds()/stepTimeConstant.Seconds())
 }
 
-// riseFactor returns the ratio of the recent demand to the measured demand, or 1 if random
-// variation may explain it.
+// riseFactor returns the ratio of the recent total demand to measuredDemand, the total
+// demand measured with the time constant rateTimeConstant. It returns 1 if random variation
+// may explain the difference.
 func (s *stepDetector) riseFactor(now time.Time, measuredDemand float64) float64 {
-	age := max(now.Sub(s.firstAddAt), stepMinAge).Seconds() / stepWindow.Seconds()
-	recentDemand := s.valueAt(now) / (stepWindow.Seconds() * (1 - math.Exp(-age)))
-	if recentDemand <= stepFactor*measuredDemand || measuredDemand == 0 {
+	age := max(now.Sub(s.firstAddAt), minStepWindow).Seconds() / stepTimeConstant.Seconds()
+	recentDemand := s.valueAt(now) / (stepTimeConstant.Seconds() * (1 - math.Exp(-age)))
+	if recentDemand <= stepDemandRatio*measuredDemand || measuredDemand == 0 {
 		return 1
 	}
 	return recentDemand / measuredDemand
--- a/decide/freshness/freshness.go
+++ b/decide/freshness/freshness.go
@@ -18,7 +18,12 @@
 // lasts. A node whose machine was suspended serves the requests queued at its sockets
 // before it reads the store again.
 //
-// # Grounds for the rules
+// # Rule
+//
+// A node may serve requests only while the age of its newest confirmation is below a limit
+// (Lease.MaxAge).
+//
+// # Grounds for the rule
 //
 // All times are readings of one clock that continues while the machine is suspended. With
 // a monotonic clock that stops during suspension, an old confirmation would look recent.
@@ -26,7 +31,8 @@
 // The age of a confirmation counts from the start of its read, because the store may have
 // produced the answer at any time after the start. A newer configuration that the node
 // doesn't know can't have been in force for longer than this age, however long the answer
-// or the node was delayed. So nodes need not agree with each other.
+// or the node was delayed. So each node can apply the rule by itself, without an agreement
+// with other nodes.
 package freshness
 
 import "time"
@@ -35,22 +41,22 @@
 // confirmation is not fresh. A Lease is not safe for concurrent use; the caller locks.
 type Lease struct {
 	// MaxAge is the age at which a confirmation expires.
-	MaxAge      time.Duration
-	confirmedAt time.Duration // start of the read of the newest confirmation
-	confirmed   bool          // whether there has been a confirmation
+	MaxAge          time.Duration
+	newestReadStart time.Duration // start of the read of the newest confirmation
+	hasConfirmation bool          // whether there has been any confirmation
 }
 
-// Renew records a confirmation whose read was started at readStart. Confirmations may be
-// recorded in another order than that of their reads.
+// Renew records a confirmation whose read was started at readStart. A confirmation whose read
+// was started earlier than that of a recorded confirmation changes nothing.
 func (l *Lease) Renew(readStart time.Duration) {
-	if !l.confirmed || readStart > l.confirmedAt {
-		l.confirmedAt, l.confirmed = readStart, true
+	if !l.hasConfirmation || readStart > l.newestReadStart {
+		l.newestReadStart, l.hasConfirmation = readStart, true
 	}
 }
 
 // Age returns the age of the newest confirmation; ok is false if there has been none.
 func (l *Lease) Age(now time.Duration) (age time.Duration, ok bool) {
-	return now - l.confirmedAt, l.confirmed
+	return now - l.newestReadStart, l.hasConfirmation
 }
 
 // Fresh reports whether the node may serve requests by its configuration at the time now.
--- a/decide/limits/exchangepeers.go
+++ b/decide/limits/exchangepeers.go
@@ -7,29 +7,30 @@
 	"time"
 )
 
-// renewAfterShare is the part of a lease after which a loan in use is requested again,
-// before any new lender is asked. Otherwise existing loans would expire while the node
-// looks for more, and it would never reach its demand.
+// renewAfterShare is a part of the lease: a loan in use is requested again when this part
+// of its lease has passed. Renewal has priority over requests to new lenders. Otherwise
+// existing loans would expire while the node looks for more lenders, and the node would
+// never borrow as much as it needs.
 const renewAfterShare = 0.7
 
-// candidate is a peer with which this node should exchange for a team's limit.
+// candidate is a peer with which this node should exchange because of a team's limit.
 type candidate struct {
 	node string
-	// renew is set if a loan has to be renewed or released.
-	renew       bool
-	lastRequest time.Time
+	// renew is set if a loan from the peer has to be renewed or released.
+	renew         bool
+	lastRequestAt time.Time
 }
 
 // ExchangePeers returns the peers that this node should exchange with for its teams'
 // limits, the most urgent first. Peers whose loans are due for renewal or release come
-// first. While a team's demand here exceeds its rate, the team's other homes follow, the
-// least recently asked first.
+// first. If a team's demand on this node exceeds the team's rate here, the team's other
+// homes follow, the least recently asked first.
 //
-// Without it, a node contacts all homes of its teams in turn, whether or not it needs
-// them. With 2,200 nodes these are 144 homes, each contacted every 576 s, while loans
-// last 20 s: the loans expire and only the even split is left. A node that requests only
-// what it lacks needs few lenders, because it can serve only a few times its even share
-// itself.
+// Without ExchangePeers, a node would contact all homes of its teams in turn, whether or
+// not it needs loans. With 2,200 nodes the teams of a node have 144 homes together, and
+// the node contacts each of them every 576 s. Loans last 20 s, so they expire long
+// before, and each home has only its even share. A node that requests only what it lacks
+// needs few lenders, because it can itself serve only a few times its even share.
 func (s *Splitter) ExchangePeers(now time.Time) []string {
 	byNode := map[string]candidate{}
 	for _, name := range slices.Sorted(maps.Keys(s.teams)) {
@@ -46,12 +47,12 @@
 }
 
 // candidates returns the peers to exchange with for this team. A node that is not a home
-// borrows like a home.
+// borrows in the same way as a home.
 func (t *team) candidates(now time.Time, cfg Config) []candidate {
 	if len(t.peers) == 0 && t.offered.decayedSum == 0 {
 		return nil
 	}
-	short := cfg.Headroom*t.offered.perSecond(now, cfg.DemandWindow) > t.rate(now)
+	needsMore := cfg.Headroom*t.offered.tokensPerSecond(now, cfg.DemandWindow) > t.rate(now)
 	var all []candidate
 	for _, node := range t.homes {
 		if node == cfg.Self {
@@ -60,11 +61,11 @@
 		c := candidate{node: node}
 		borrowing := false
 		if p := t.findPeer(node); p != nil {
-			c.lastRequest = p.lastRequest
+			c.lastRequestAt = p.lastRequestAt
 			borrowing = p.borrowedLoan.rateAt(now) > 0
 		}
-		c.renew = borrowing && now.Sub(c.lastRequest) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
-		if c.renew || short && !borrowing {
+		c.renew = borrowing && now.Sub(c.lastRequestAt) > time.Duration(renewAfterShare*float64(t.borrowerLease(cfg)))
+		if c.renew || needsMore && !borrowing {
 			all = append(all, c)
 		}
 	}
@@ -74,8 +75,8 @@
 // merge combines the candidates of two teams for the same peer.
 func (c candidate) merge(other candidate) candidate {
 	c.renew = c.renew || other.renew
-	if other.lastRequest.After(c.lastRequest) {
-		c.lastRequest = other.lastRequest
+	if other.lastRequestAt.After(c.lastRequestAt) {
+		c.lastRequestAt = other.lastRequestAt
 	}
 	return c
 }
@@ -87,5 +88,5 @@
 		}
 		return 1
 	}
-	return cmp.Or(a.lastRequest.Compare(b.lastRequest), cmp.Compare(a.node, b.node))
+	return cmp.Or(a.lastRequestAt.Compare(b.lastRequestAt), cmp.Compare(a.node, b.node))
 }
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -19,7 +19,8 @@
 	cost  = 100.0   // tokens per request
 )
 
-// policy decides on requests at each node: the splitter or a baseline.
+// policy decides which requests each node admits. The tests compare the Splitters of this
+// package with baselines.
 type policy interface {
 	allow(now time.Time, node int) bool
 	exchange(now time.Time, from, to int)
@@ -31,9 +32,9 @@
 
 func name(i int) string { return fmt.Sprintf("node-%d", i) }
 
-func newHomes(n int, rate float64) homes { return newLeasedHomes(n, rate, limits.Config{}) }
+func newHomes(n int, teamLimit float64) homes { return newLeasedHomes(n, teamLimit, limits.Config{}) }
 
-func newLeasedHomes(n int, rate float64, cfg limits.Config) homes {
+func newLeasedHomes(n int, teamLimit float64, cfg limits.Config) homes {
 	var names []string
 	for i := range n {
 		names = append(names, name(i))
@@ -42,7 +43,7 @@
 	for i := range h {
 		cfg.Self = name(i)
 		h[i] = limits.New(cfg)
-		h[i].SetTeam(team, rate, names)
+		h[i].SetTeam(team, teamLimit, names)
 	}
 	return h
 }
@@ -60,38 +61,42 @@
 func (h homes) demand(time.Time, int, float64) {}
 
 // lastKnownDemand is the baseline in which each node computes its share from the last
-// demands that it received. A node that receives none takes the whole limit.
+// demands that it received from the others. A node that has received none takes the whole
+// limit.
 type lastKnownDemand struct {
 	homes
-	known [][]float64 // by receiving node, then by sending node
+	knownDemands [][]float64 // [a][b] is the demand of node b that node a knows
 }
 
 func newLastKnownDemand(n int) *lastKnownDemand {
 	b := &lastKnownDemand{homes: newHomes(n, limit)}
 	for range n {
-		b.known = append(b.known, make([]float64, n))
+		b.knownDemands = append(b.knownDemands, make([]float64, n))
 	}
 	return b
 }
 
-func (b *lastKnownDemand) demand(_ time.Time, node int, rate float64) { b.known[node][node] = rate }
+func (b *lastKnownDemand) demand(_ time.Time, node int, tokensPerSecond float64) {
+	b.knownDemands[node][node] = tokensPerSecond
+}
 
 func (b *lastKnownDemand) exchange(_ time.Time, from, to int) {
-	b.known[from][to] = b.known[to][to]
+	b.knownDemands[from][to] = b.knownDemands[to][to]
 }
 
 func (b *lastKnownDemand) allow(now time.Time, node int) bool {
 	sum := 0.0
-	for _, d := range b.known[node] {
+	for _, d := range b.knownDemands[node] {
 		sum += d
 	}
-	b.homes[node].SetTeam(team, limit*b.known[node][node]/sum, []string{name(node)})
+	b.homes[node].SetTeam(team, limit*b.knownDemands[node][node]/sum, []string{name(node)})
 	return b.homes.allow(now, node)
 }
 
-// simulate offers the nodes' demands for a minute. Nodes that are connected exchange once
-// a second. It returns the tokens per second let through between from and to.
-func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, from, to float64) float64 {
+// simulate sends the given demand to the nodes for a minute. Nodes that are connected
+// exchange once a second. simulate returns the mean number of tokens per second admitted
+// between fromSecond and toSecond.
+func simulate(s policy, demand func(at float64, node int) float64, connected func(at float64, from, to int) bool, n int, fromSecond, toSecond float64) float64 {
 	rng := rand.New(rand.NewPCG(3, 4))
 	sum := 0.0
 	const step = 0.01
@@ -104,42 +109,47 @@
 				s.exchange(now, node, peer)
 			}
 			for calls := demand(at, node) * step / cost; rng.Float64() < calls; calls-- {
-				if s.allow(now, node) && at >= from && at < to {
+				if s.allow(now, node) && at >= fromSecond && at < toSecond {
 					sum += cost
 				}
 			}
 		}
 	}
-	return sum / (to - from)
+	return sum / (toSecond - fromSecond)
 }
 
 func always(float64, int, int) bool           { return true }
 func overloaded(at float64, node int) float64 { return 2 * limit }
 func skewed(at float64, node int) float64     { return limit * []float64{0.9, 0.05, 0.05}[node] }
-func skewMoves(at float64, node int) float64  { return skewed(at, (node+int(at/20))%3) }
+func movingSkew(at float64, node int) float64 { return skewed(at, (node+int(at/20))%3) }
 func connectedUntil(t float64) func(float64, int, int) bool {
 	return func(at float64, _, _ int) bool { return at < t }
 }
 
 // Guards against two failures: callers that get only a part of their limit when most of
 // them connect to one home, and a team that gets more than its limit when the homes lose
-// contact. The baselines show both. The whole limit at each node gives a multiple of the
-// limit. Even shares give a third of it when all callers connect to one home. Shares
-// computed from the last known demand give a multiple as soon as nodes lose contact.
+// contact. Three baselines show these failures. If each home allows the whole limit, the
+// team gets a multiple of it. With even shares, callers that all connect to one home get
+// a third of the limit. With shares computed from the last known demands, the team gets a
+// multiple of its limit as soon as nodes lose contact.
 func TestTeamLimitAcrossHomes(t *testing.T) {
 	Convey("Three homes", t, func() {
 		for _, c := range []struct {
-			name                       string
-			demand                     func(float64, int) float64
-			connected                  func(float64, int, int) bool
-			from, to                   float64
-			minPart                    float64 // part of the limit that is let through
-			minWholeEach, minLastKnown float64 // minimum that the baselines let through
-			maxEven                    float64 // maximum that the even split lets through
+			name                 string
+			demand               func(float64, int) float64
+			connected            func(float64, int, int) bool
+			fromSecond, toSecond float64
+			// Each of these bounds is a part of the limit. minThrough is the minimum that
+			// the Splitters admit. minWholeEach is the minimum that nodes admit if each
+			// allows the whole limit, minLastKnown the minimum with lastKnownDemand.
+			// maxEven is the maximum with disconnectedHomes.
+			minThrough                 float64
+			minWholeEach, minLastKnown float64
+			maxEven                    float64
 		}{
 			{"demand above the limit everywhere", overloaded, always, 10, 60, 0.98, 2.9, 0.98, 1.01},
 			{"most callers at one home", skewed, always, 10, 60, 0.95, 0.98, 0.95, 0.5},
-			{"most callers at another home every 20 s", skewMoves, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
+			{"most callers at another home every 20 s", movingSkew, always, 10, 60, 0.8, 0.98, 0.9, 0.5},
 			{"no contact after 20 s, skewed demand before and even demand after", func(at float64, n int) float64 {
 				if at < 20 {
 					return skewed(at, n)
@@ -148,16 +158,16 @@
 			}, connectedUntil(20), 30, 60, 0.98, 2.9, 1.5, 1.01},
 			{"the first home receives nothing", overloaded, func(_ float64, from, _ int) bool { return from != 0 }, 10, 60, 0.98, 2.9, 1.3, 1.01},
 		} {
-			part := func(s policy) float64 { return simulate(s, c.demand, c.connected, 3, c.from, c.to) / limit }
+			partThrough := func(s policy) float64 { return simulate(s, c.demand, c.connected, 3, c.fromSecond, c.toSecond) / limit }
 			wholeEach := homes{}
 			for i := range 3 {
 				h := limits.New(limits.Config{Self: name(i)})
 				h.SetTeam(team, limit, []string{name(i)})
 				wholeEach = append(wholeEach, h)
 			}
-			got, wholeEachPart, lastKnownPart, evenPart := part(newHomes(3, limit)), part(wholeEach), part(newLastKnownDemand(3)), part(disconnectedHomes{newHomes(3, limit)})
+			got, wholeEachPart, lastKnownPart, evenPart := partThrough(newHomes(3, limit)), partThrough(wholeEach), partThrough(newLastKnownDemand(3)), partThrough(disconnectedHomes{newHomes(3, limit)})
 			t.Logf("%s: part of the limit let through %.3f; whole limit each %.2f, last known demand %.2f, even shares %.2f", c.name, got, wholeEachPart, lastKnownPart, evenPart)
-			So(got, ShouldBeBetweenOrEqual, c.minPart, 1+1/(c.to-c.from)+0.001) // Burst is one second
+			So(got, ShouldBeBetweenOrEqual, c.minThrough, 1+1/(c.toSecond-c.fromSecond)+0.001) // the upper bound includes the tokens of Burst, one second
 			So(wholeEachPart, ShouldBeGreaterThan, c.minWholeEach)
 			So(lastKnownPart, ShouldBeGreaterThan, c.minLastKnown)
 			So(evenPart, ShouldBeLessThan, c.maxEven)
@@ -165,7 +175,8 @@
 	})
 }
 
-// disconnectedHomes never exchange, so each keeps its even share.
+// disconnectedHomes is the baseline in which nodes never exchange, so each keeps its even
+// share.
 type disconnectedHomes struct{ homes }
 
 func (disconnectedHomes) exchange(time.Time, int, int) {}
@@ -182,8 +193,8 @@
 
 func checkBound(t *rapid.T) {
 	n := rapid.IntRange(2, 7).Draw(t, "homes")
-	perHome := time.Duration(rapid.IntRange(0, 3).Draw(t, "lease")) * time.Second
-	h := newLeasedHomes(n, limit, limits.Config{LeasePerHome: perHome})
+	leasePerHome := time.Duration(rapid.IntRange(0, 3).Draw(t, "lease")) * time.Second
+	h := newLeasedHomes(n, limit, limits.Config{LeasePerHome: leasePerHome})
 	now := sim.Start
 	clock := func(node int) time.Time { return now.Add(time.Duration(node) * time.Hour) }
 	type message struct {
@@ -198,9 +209,9 @@
 	}
 	var requests, answers []message
 	var admissions []admitted
-	largest := 0.0
+	largestCost := 0.0
 	node := rapid.IntRange(0, n-1)
-	// pickRecent returns one of the last five messages, so messages arrive late,
+	// pickRecent returns one of the last five messages. So messages arrive late,
 	// repeatedly or never.
 	pickRecent := func(t *rapid.T, from []message) (m message, ok bool) {
 		if len(from) == 0 {
@@ -216,7 +227,7 @@
 				cost := rapid.Float64Range(1, 3000).Draw(t, "cost")
 				if ok, _, _ := h[i].Allow(clock(i), team, cost); ok {
 					admissions = append(admissions, admitted{now, cost})
-					largest = max(largest, cost)
+					largestCost = max(largestCost, cost)
 				}
 			}
 		},
@@ -252,7 +263,7 @@
 			through := 0.0
 			for i := len(admissions) - 1; i >= 0; i-- {
 				through += admissions[i].cost
-				bound := limit*(now.Sub(admissions[i].at).Seconds()+1) + float64(n)*largest
+				bound := limit*(now.Sub(admissions[i].at).Seconds()+1) + float64(n)*largestCost
 				if through > bound*(1+1e-9) {
 					t.Fatalf("%v let through in %v, bound %v", through, now.Sub(admissions[i].at), bound)
 				}
@@ -262,11 +273,12 @@
 }
 
 // Guards against a lender that no longer counts a loan which the borrower still uses, so
-// that the team gets more than its limit. A delayed request is answered after the
-// following one. The loan granted for it must not replace the later loan, because a
-// repeat of the later request states that the earlier loan is unused.
-func TestLateRequestKeepsLaterLoan(t *testing.T) {
-	Convey("A delayed request and a repeated one do not hide a loan", t, func() {
+// that the team gets more than its limit. Request 1 is delayed, so the lender answers
+// request 2 first, and then grants a loan for request 1. This loan must not replace the
+// loan for request 2. Otherwise a repeat of request 2, which states that no earlier loan
+// is in use, releases the only loan that the lender counts.
+func TestDelayedRequestDoesNotEndNewerLoan(t *testing.T) {
+	Convey("The lender still counts the loan after a delayed and a repeated request", t, func() {
 		h := newHomes(2, limit)
 		now := sim.Start
 		h[0].Allow(now, team, 5*limit)
@@ -286,8 +298,9 @@
 
 func TestLoansAreCountedOnce(t *testing.T) {
 	at := func(s float64) time.Time { return sim.Start.Add(time.Duration(s * float64(time.Second))) }
-	Convey("A rate lent to one home is not lent to another", t, func() {
-		// Otherwise the second borrower would get the rate that the first one uses.
+	Convey("A rate lent to one home is not lent to another home", t, func() {
+		// If it were, the second borrower would get a rate that the first borrower uses
+		// already.
 		h := newHomes(3, limit)
 		sum := 0.0
 		for _, borrower := range []int{1, 2} {
@@ -301,8 +314,9 @@
 		So(sum, ShouldAlmostEqual, limit, 1e-6)
 	})
 	Convey("A loan counts until its end, not until the next request", t, func() {
-		// After the loan has ended, a home in debt pays it off at its own rate. At the
-		// rate with the loan, both homes would use the same capacity.
+		// The home has overdrawn its bucket. After the loan has ended, the home pays off
+		// the debt at its own rate alone. If the home still used the rate of the loan,
+		// borrower and lender would both use that rate.
 		h := newHomes(2, limit)
 		h[0].Allow(at(0), team, 5*limit)
 		h.exchange(at(0), 0, 1)
@@ -319,7 +333,7 @@
 		s := newHomes(1, limit)[0]
 		ok, _, share := s.Allow(sim.Start, team, 3*limit)
 		So(ok, ShouldBeTrue)
-		So(share, ShouldResemble, limits.Share{Limit: limit, Rate: limit, Even: limit, Demand: share.Demand, Home: true})
+		So(share, ShouldResemble, limits.Share{Limit: limit, Rate: limit, EvenShare: limit, Demand: share.Demand, IsHome: true})
 		for k := range 100 {
 			ok, wait, _ := s.Allow(sim.Start, team, cost)
 			So(ok, ShouldBeFalse)
@@ -341,7 +355,7 @@
 		ok, wait, share := s.Allow(sim.Start, team, 1)
 		So(ok, ShouldBeFalse)
 		So(wait, ShouldBeGreaterThan, 0)
-		So(share.Home, ShouldBeFalse)
+		So(share.IsHome, ShouldBeFalse)
 		s.SetTeam(team, 0, nil)
 		_, limited := s.Share(sim.Start, team)
 		So(limited, ShouldBeFalse)
--- a/decide/shardowner/shardowner_test.go
+++ b/decide/shardowner/shardowner_test.go
@@ -24,8 +24,9 @@
 	return p
 }
 
-// Guards against uneven shards, and against shards that move when other nodes join or
-// leave. After each move two nodes write the same shard for a while.
+// Guards against shards that are distributed unevenly, and against shards that move when
+// a node which does not own them joins or leaves. After a shard has moved, two nodes
+// write it for a while.
 func TestPick(t *testing.T) {
 	Convey("Given nine nodes and 256 shards", t, func() {
 		nine, eight, owned, moved := newPicker(names(9)), newPicker(names(8)), map[string]int{}, 0
@@ -33,7 +34,7 @@
 			shard := fmt.Sprint(i)
 			before := nine.Pick(start, shard)
 			owned[before]++
-			if now := eight.Pick(start, shard); now != before && before != "vm-8" {
+			if after := eight.Pick(start, shard); after != before && before != "vm-8" {
 				moved++
 			}
 		}
@@ -48,10 +49,10 @@
 	})
 }
 
-// Guards against orders that wait for a frozen node more often than once per backoff. The
-// owner of a shard stops answering, and a hundred operations that waited for it fail
-// together. The next node takes the shard, and one operation per backoff detects whether
-// the owner is back.
+// Guards against a frozen node that delays more than one order per backoff period. The
+// owner of a shard stops answering, and a hundred operations that waited for the owner
+// fail together. The next node takes the shard, and one operation per backoff period
+// detects whether the owner is back.
 func TestUnresponsiveOwner(t *testing.T) {
 	Convey("Given a shard whose owner has not answered", t, func() {
 		p := newPicker(names(3))
@@ -63,7 +64,7 @@
 		second := p.Pick(start, "7")
 		So(second, ShouldNotEqual, first)
 
-		Convey("one operation tries it after each backoff, which doubles", func() {
+		Convey("one operation tries the owner after each backoff, which doubles", func() {
 			at := start
 			for _, backoff := range []time.Duration{1, 2, 4, 8, 16, 16} {
 				at = at.Add(backoff * time.Second)
@@ -72,12 +73,12 @@
 				So(p.RecordFailure(at, first), ShouldEqual, min(2*backoff*time.Second, MaxBackoff))
 			}
 		})
-		Convey("it is used again once it has answered", func() {
+		Convey("the owner is used again once it has answered", func() {
 			p.RecordAnswer(first)
 			So(p.Pick(start, "7"), ShouldEqual, first)
 			So(p.Pick(start, "7"), ShouldEqual, first)
 		})
-		Convey("a new list of members keeps its backoff", func() {
+		Convey("a new list of live nodes keeps the owner's backoff", func() {
 			p.SetLive(names(4))
 			So(p.Pick(start, "7"), ShouldNotEqual, first)
 		})
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -75,12 +75,12 @@
 	peerFiles  *tlsfiles.Files
 	orders     *ledger.Ledger
 	orderPeers *orderPeers
-	book       *layerplans.Book
-	keeper     *layerplans.Keeper
+	book       *layerplans.Cache
+	keeper     *layerplans.Controller
 
 	// parser is used by apply only, which the fleet calls one at a time.
 	parser    document.Parser
-	directory atomic.Pointer[docindex.Directory]
+	directory atomic.Pointer[docindex.Index]
 	draining  atomic.Bool
 	// listed is how many entry VMs the platform's list last had; zero: not read.
 	listed    atomic.Int64
@@ -121,10 +121,10 @@
 	s.metrics = metrics.New(s.settings.Name, func(err error) { s.log.Error("metric not registered", "error", err) })
 	s.decisions = decisionlog.NewLog(s.log)
 	s.registry = service.NewRegistry(service.Config{
-		Node:          s.settings.Name,
-		FailureDomain: s.settings.FailureDomain,
-		Now:           time.Now,
-		OnSlots:       s.metrics.Slots,
+		Node:           s.settings.Name,
+		FailureDomain:  s.settings.FailureDomain,
+		Now:            time.Now,
+		OnSlotsChanged: s.metrics.Slots,
 	})
 	s.limits = teamlimiter.New(limits.New(limits.Config{
 		Self:         s.settings.Name,
@@ -156,7 +156,7 @@
 // cacheLost passes on that a stage of a model's replica has lost its cache.
 func (s *Server) cacheLost(model, replica string) {
 	if service := s.registry.Get(model); service != nil {
-		service.Prefixes.Lost(replica)
+		service.PrefixIndex.Clear(replica)
 		s.log.Info("cache lost by a stage", "service", model, "replica", replica)
 	}
 }
@@ -197,7 +197,7 @@
 		PlainServer: &plainservice.Server{
 			Lifecycle: desk,
 			Relay: &relay.Server{
-				Headers: plainservice.HeaderCodec{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
+				HeaderCodec: plainservice.HeaderCodec{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
 				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 			Claims:  s.orders,
--- a/node/site/services.go
+++ b/node/site/services.go
@@ -23,7 +23,7 @@
 	mu      sync.Mutex
 	models  map[string]*targets.ModelTargets
 	plain   map[string]*targets.PlainTargets
-	keepers map[string]*layerorders.Keeper
+	keepers map[string]*layerorders.Controller
 	budgets map[string]*retrybudget.Budget
 }
 
@@ -31,7 +31,7 @@
 	s.node = n
 	s.models = map[string]*targets.ModelTargets{}
 	s.plain = map[string]*targets.PlainTargets{}
-	s.keepers = map[string]*layerorders.Keeper{}
+	s.keepers = map[string]*layerorders.Controller{}
 	s.budgets = map[string]*retrybudget.Budget{}
 }
 
@@ -116,7 +116,7 @@
 	return p
 }
 
-func (s *services) keeper(name string) *layerorders.Keeper {
+func (s *services) keeper(name string) *layerorders.Controller {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	k, ok := s.keepers[name]
@@ -172,7 +172,7 @@
 		n.noteStill(begun, recheckEvery)
 		for service, model := range n.services.allModels() {
 			for _, r := range model.Suspects() {
-				if !n.prober.Reachable(ctx, connprobe.Again, r.Address) {
+				if !n.prober.Reachable(ctx, connprobe.ReasonRecheck, r.Address) {
 					model.RecordUnreachable(r.ID)
 				} else if model.MarkAlive(r.ID) {
 					n.log.Info("replica reached again", "replica", r.ID, "service", service, "address", r.Address)
@@ -194,12 +194,12 @@
 				if model.HasRecentPeerReport(r.ID) {
 					continue
 				}
-				account, _, err := n.reports.Ask(ctx, r.Address, r.ID)
+				account, _, err := n.reports.Get(ctx, r.Address, r.ID)
 				if err != nil {
 					continue // the next request that meets it, or the list, tells
 				}
-				if model.SetSlowdown(r.ID, account.Pace) {
-					n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Pace)
+				if model.SetSlowdown(r.ID, account.Slowdown) {
+					n.log.Info("replica's pace", "service", service, "replica", r.ID, "domain", r.Domain, "pace", account.Slowdown)
 				}
 			}
 		}
@@ -247,7 +247,7 @@
 		model := n.services.model(service.Name)
 		for domain := range domains {
 			if n.keeps(domain) {
-				n.services.keeper(service.Name).Step(ctx, time.Now(), service.Model, domain, revision, own, model.LayersLost)
+				n.services.keeper(service.Name).Reconcile(ctx, time.Now(), service.Model, domain, revision, own, model.LayersLost)
 			}
 		}
 	}
--- a/node/site/site.go
+++ b/node/site/site.go
@@ -61,7 +61,7 @@
 	store   *store.Client
 	pool    *upstream.Pool
 	prober  *connprobe.Prober
-	reports *replicareport.Inspector
+	reports *replicareport.Cache
 	engines *engines.Client
 	door    *ingress.Server
 	// decisions are the latest about requests, for the operators.
@@ -149,7 +149,7 @@
 	n.door = &ingress.Server{
 		Rules: n, Services: &n.services, DrainingFor: n.leavingFor,
 		Relay: &relay.Server{
-			Headers: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
+			HeaderCodec: callers.Dialect{}, Engines: n.engines, Pool: n.pool, Prober: n.prober, Reports: n.reports,
 			Metrics: n.metrics, Recorder: n.decisions, Log: log, Now: time.Now, SampleEvery: successSample,
 		},
 	}
--- a/route/callparser/callparser.go
+++ b/route/callparser/callparser.go
@@ -39,7 +39,7 @@
 	Adapter   string
 	Class     admission.Class
 	ArrivedAt time.Time
-	Directory *docindex.Directory
+	Directory *docindex.Index
 	// LatestStart is the latest time at which the call may leave the admission queue.
 	LatestStart time.Time
 	// Deadline is when the caller stops waiting; zero means no limit.
@@ -47,7 +47,7 @@
 }
 
 // Authenticate returns the team that the request's key belongs to.
-func Authenticate(d *docindex.Directory, r *http.Request) (*document.Team, *outcome.Refusal) {
+func Authenticate(d *docindex.Index, r *http.Request) (*document.Team, *outcome.Refusal) {
 	team, ok := d.Team(docindex.BearerKey(r))
 	if !ok {
 		return nil, newRefusal(http.StatusUnauthorized, "unknown_key", "the key belongs to no team of this environment")
@@ -56,7 +56,7 @@
 }
 
 // New checks the request against the document and returns a Call of the service.
-func New(d *docindex.Directory, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
+func New(d *docindex.Index, r *http.Request, service string, now time.Time) (*Call, *outcome.Refusal) {
 	team, refusal := Authenticate(d, r)
 	if refusal != nil {
 		return nil, refusal
--- a/route/engineclient/client_test.go
+++ b/route/engineclient/client_test.go
@@ -17,7 +17,7 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the run if any test leaves a goroutine behind.
+// TestMain fails the run if a test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 func startEngine(t *testing.T, cfg standin.Config) *standin.Server {
@@ -39,8 +39,8 @@
 	}
 }
 
-func TestCalls(t *testing.T) {
-	Convey("A client talks to an engine", t, func() {
+func TestClientCalls(t *testing.T) {
+	Convey("Each call of the client succeeds or fails with the engine's status", t, func() {
 		srv := startEngine(t, standin.Config{CheckFencing: true})
 		defer srv.Close()
 		client := New(nil)
@@ -78,10 +78,11 @@
 	})
 }
 
-// The caller is told "not run" only when that is proved: nothing listened, or
-// the engine says that it refused. A connection that took the request and then
-// broke proves nothing, and neither does an error status alone.
-func TestStateOfFailedSends(t *testing.T) {
+// If a request that ran is reported as "not run", its caller may run it twice. The
+// state is "not run" only if nothing listened or the engine says that it refused the
+// request. A connection that broke after the request was sent, a timeout or an error
+// status alone does not prove that.
+func TestFailedSendIsNotRunOnlyIfCertain(t *testing.T) {
 	refusing := startEngine(t, standin.Config{})
 	defer refusing.Close()
 	refusing.Engine.SetFaults(standin.Faults{Drain: true})
@@ -90,7 +91,7 @@
 	frozen.Engine.SetFaults(standin.Faults{Freeze: true})
 	dead := startEngine(t, standin.Config{})
 	dead.Close()
-	hangsUp, stop := listenAndHangUp(t)
+	disconnecting, stop := listenAndDisconnect(t)
 	defer stop()
 	cases := []struct {
 		name    string
@@ -100,9 +101,9 @@
 		{"nothing listens", dead.Address, true},
 		{"refused with the header", refusing.Address, true},
 		{"frozen", frozen.Address, false},
-		{"connection breaks after the request", hangsUp, false},
+		{"connection breaks after the request", disconnecting, false},
 	}
-	Convey("The state of a failed send is what is proved", t, func() {
+	Convey("A failed send is \"not run\" only if that is certain", t, func() {
 		client := New(nil)
 		defer client.CloseIdle()
 		for _, c := range cases {
@@ -115,10 +116,10 @@
 	})
 }
 
-// The engine hears every cancel, also the first after its connections were
-// cut: the client's kept connections are broken then without its knowing.
-func TestCallsAfterACut(t *testing.T) {
-	Convey("Each call after a cut gets through", t, func() {
+// If calls are not repeated on a new connection, the first cancel after a network cut
+// is lost: the client's idle connections are broken and the client does not know.
+func TestCallsSucceedAfterConnectionsBreak(t *testing.T) {
+	Convey("Each call after its connections were cut reaches the engine", t, func() {
 		srv := startEngine(t, standin.Config{})
 		defer srv.Close()
 		client := New(nil)
@@ -130,14 +131,15 @@
 	})
 }
 
-// The operator is told that an order may have been taken. The engine reads the
-// order on a kept connection and dies before it answers; the transport sends it
-// again, and the engine, just restarted, refuses. That refusal proves nothing.
-func TestRefusedSecondTry(t *testing.T) {
-	calls := 0
+// If a refusal of the second attempt counted as "not run", an order that the engine
+// has carried out would be reported as not run. The engine reads the order on an idle
+// connection and crashes before it answers. The transport sends the order again, and
+// the restarted engine refuses it.
+func TestRefusalOfSecondAttemptLeavesStateUnknown(t *testing.T) {
+	attempts := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		io.Copy(io.Discard, r.Body)
-		switch calls++; calls {
+		switch attempts++; attempts {
 		case 1:
 			w.WriteHeader(http.StatusNoContent)
 		case 2:
@@ -148,21 +150,21 @@
 		}
 	}))
 	defer srv.Close()
-	Convey("A refusal after a broken first try does not mean not run", t, func() {
+	Convey("A refusal after a broken first attempt does not mean \"not run\"", t, func() {
 		client := New(nil)
 		defer client.CloseIdle()
 		address := srv.Listener.Addr().String()
 		So(client.Order(context.Background(), address, engineapi.Order{}), ShouldBeNil)
 		err := client.Order(context.Background(), address, engineapi.Order{})
-		So(calls, ShouldEqual, 3)
+		So(attempts, ShouldEqual, 3)
 		So(Status(err), ShouldEqual, http.StatusServiceUnavailable)
 		So(NotRun(err), ShouldBeFalse)
 	})
 }
 
-// listenAndHangUp accepts connections, reads a little of the request and
-// closes them without an answer.
-func listenAndHangUp(t *testing.T) (string, func()) {
+// listenAndDisconnect accepts connections, reads the first byte of the request
+// and closes the connection without an answer.
+func listenAndDisconnect(t *testing.T) (string, func()) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/route/httpapi/httpapi.go
+++ b/route/httpapi/httpapi.go
@@ -64,7 +64,7 @@
 
 // Server serves the callers' listener. Safe for concurrent use.
 type Server struct {
-	Directory     func() *docindex.Directory
+	Directory     func() *docindex.Index
 	ModelServer   ModelServer
 	PlainServer   PlainServer
 	EntryProvider EntryProvider
@@ -108,7 +108,7 @@
 
 // requireDocument returns the document in force. A node that has not received a
 // document can't check keys and does not know the services, so the request is refused.
-func (s *Server) requireDocument(w http.ResponseWriter) *docindex.Directory {
+func (s *Server) requireDocument(w http.ResponseWriter) *docindex.Index {
 	d := s.Directory()
 	if d == nil {
 		r := newRefusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
--- a/route/httpapi/testnode_test.go
+++ b/route/httpapi/testnode_test.go
@@ -53,7 +53,7 @@
 	server         *httpapi.Server
 	url            string
 	document       *document.Document
-	directory      atomic.Pointer[docindex.Directory]
+	directory      atomic.Pointer[docindex.Index]
 	store          *storetest.Client
 	plainEndpoints []*standinplain.Server
 	engines        [][2]*standinengine.Server
@@ -181,7 +181,7 @@
 		PlainServer: &plainservice.Server{
 			Lifecycle: manager, Claims: claims, Metrics: discardMetrics{},
 			Relay: &relay.Server{
-				Headers: plainservice.HeaderCodec{}, Pool: pool, Metrics: discardMetrics{}, Recorder: recorder, Log: hclog.NewNullLogger(), Now: time.Now,
+				HeaderCodec: plainservice.HeaderCodec{}, Pool: pool, Metrics: discardMetrics{}, Recorder: recorder, Log: hclog.NewNullLogger(), Now: time.Now,
 				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 		},
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -100,7 +100,7 @@
 func (in *incomingRequest) checkHead() *outcome.Refusal {
 	request := in.request
 	var err error
-	if request.Call, err = in.Relay.Headers.ParseRequest(in.httpRequest.Header); err != nil {
+	if request.Call, err = in.Relay.HeaderCodec.ParseRequest(in.httpRequest.Header); err != nil {
 		return relay.NotRun(http.StatusBadRequest, reasonMalformed, err.Error(), 0)
 	}
 	if in.rules = in.waitForRules(request.Call.Timeout); in.rules == nil {
@@ -113,7 +113,7 @@
 	if refusal := in.authorize(); refusal != nil {
 		return refusal
 	}
-	request.Service = request.Route.Pick(rand.Float64())
+	request.Service = request.Route.PickService(rand.Float64())
 	if request.Targets = in.Services.Targets(request.Service); request.Targets == nil {
 		return relay.NotRun(http.StatusServiceUnavailable, reasonUnknownService, "the route's service has no endpoints yet", rulesRetryAfter)
 	}
@@ -231,7 +231,7 @@
 // have to be sent more than once, and the connection to an endpoint must not wait for a
 // slow caller.
 func (in *incomingRequest) readBody() *outcome.Refusal {
-	maxBytes := int64(in.rules.Limits.BodyBytes)
+	maxBytes := int64(in.rules.Limits.MaxBodyBytes)
 	if in.httpRequest.ContentLength > maxBytes {
 		return relay.NotRun(http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is longer than the configuration allows", 0)
 	}
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -13,185 +13,185 @@
 	"github.com/cicadatack/cicadatack/state/plan"
 )
 
-// booking is the time at the weight store that an order was given.
-type booking struct {
-	order engineapi.Order
-	start time.Time
+// reservation is an order with the reserved start of its load at the weight store.
+type reservation struct {
+	order    engineapi.Order
+	startsAt time.Time
 }
 
-// due is an order that an engine's report asks for.
-type due struct {
+// pendingOrder is an order that is due because the engine's report differs from the plan.
+type pendingOrder struct {
 	endpoint document.Endpoint
 	order    engineapi.Order
-	holding  engineapi.Report
+	report   engineapi.Report
 }
 
-// order tells each engine whose holding differs from the plan to follow it, once
-// the weight store has time for what it must fetch. An engine that restarted empty
-// is found the same way, so a rack that comes back is paced too.
-func (k *Keeper) order(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica) {
-	agreed, ok := k.cfg.Book.Agreed(kept.open.place.model, kept.open.name)
+// orderLayers sends orders to the engines whose layers differ from the plan, once their
+// reserved load time has come. Engines that restart without layers are found the same
+// way, so the loads of a restarted rack are scheduled too.
+func (k *Controller) orderLayers(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica) {
+	replicaPlan, ok := k.cfg.Cache.Agreed(replica.spec.key.model, replica.spec.name)
 	if !ok {
 		return
 	}
-	differ := k.differing(ctx, d, kept, agreed)
-	kept.noteUses(now, agreed.Stages[0].Endpoint)
-	if len(differ) == 0 {
-		kept.drained = time.Time{}
-		if kept.state == placement.Ready {
-			k.orderAdapters(ctx, now, d, kept, agreed)
+	pending := k.pendingOrders(ctx, d, replica, replicaPlan)
+	replica.updateUseRates(now, replicaPlan.Stages[0].Endpoint)
+	if len(pending) == 0 {
+		replica.drainStartedAt = time.Time{}
+		if replica.state == placement.Ready {
+			k.orderAdapters(ctx, now, d, replica, replicaPlan)
 		}
 		return
 	}
-	kept.state = placement.Loading
-	if !k.drain(ctx, now, kept, differ) {
-		kept.checked = time.Time{} // looked at first in the next round
+	replica.state = placement.Loading
+	if !k.drain(ctx, now, replica, pending) {
+		replica.checkedAt = time.Time{} // check this replica first in the next round
 		return
 	}
-	if err := k.book(ctx, now, d, kept, differ); err != nil {
-		k.cfg.Log.Warn("loads not booked", "model", kept.open.place.model, "replica", kept.open.name, "error", err)
+	if err := k.reserveLayerLoads(ctx, now, d, replica, pending); err != nil {
+		k.cfg.Log.Warn("loads not reserved", "model", replica.spec.key.model, "replica", replica.spec.name, "error", err)
 		return
 	}
-	for _, each := range differ {
-		if !now.Before(kept.booked[each.endpoint.Name].start) {
-			k.send(ctx, kept.open, each)
+	for _, each := range pending {
+		if !now.Before(replica.reservations[each.endpoint.Name].startsAt) {
+			k.sendOrder(ctx, replica.spec, each)
 		}
 	}
 }
 
-// differing asks the engines of a replica what they hold, notes how it stands to its
-// plan, and returns the orders that are due.
-func (k *Keeper) differing(ctx context.Context, d *docindex.Directory, kept *keptReplica, agreed plan.Replica) []due {
-	var differ []due
-	kept.state = placement.Ready
-	for _, s := range agreed.Stages {
+// pendingOrders fetches the reports of a replica's engines and updates the replica's
+// state. It returns the orders for the engines that differ from the plan.
+func (k *Controller) pendingOrders(ctx context.Context, d *docindex.Index, replica *managedReplica, replicaPlan plan.Replica) []pendingOrder {
+	var pending []pendingOrder
+	replica.state = placement.Ready
+	for _, s := range replicaPlan.Stages {
 		e, known := d.Endpoint(s.Endpoint)
 		if !known {
-			kept.state = placement.Unknown
+			replica.state = placement.Unknown
 			continue
 		}
-		holding, err := k.holding(ctx, e)
+		report, err := k.fetchReport(ctx, e)
 		if err != nil {
-			kept.state = placement.Unknown // asked again in the next round
-			delete(kept.reports, e.Name)
+			replica.state = placement.Unknown // fetched again in the next round
+			delete(replica.reports, e.Name)
 			continue
 		}
-		kept.reports[e.Name] = holding
+		replica.reports[e.Name] = report
 		order := engineapi.Order{
-			Model: kept.open.place.model, Weights: agreed.Weights, First: s.First, Last: s.Last,
-			PlacementVersion: agreed.Version,
+			Model: replica.spec.key.model, Weights: replicaPlan.Weights, First: s.First, Last: s.Last,
+			PlacementVersion: replicaPlan.Version,
 		}
-		if holding.Holding == engineapi.Holding(order) {
-			delete(kept.booked, e.Name)
+		if report.Holding == engineapi.Holding(order) {
+			delete(replica.reservations, e.Name)
 			continue
 		}
-		differ = append(differ, due{e, order, holding})
+		pending = append(pending, pendingOrder{e, order, report})
 	}
-	return differ
+	return pending
 }
 
-func (k *Keeper) holding(ctx context.Context, e document.Endpoint) (engineapi.Report, error) {
+func (k *Controller) fetchReport(ctx context.Context, e document.Endpoint) (engineapi.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	return k.cfg.Engines.Holding(ctx, e.Address)
+	return k.cfg.EngineClient.Holding(ctx, e.Address)
 }
 
-// book gives each order that has none yet its time at the weight store, all of them
-// in one write.
-func (k *Keeper) book(ctx context.Context, now time.Time, d *docindex.Directory, kept *keptReplica, differ []due) error {
-	model, _ := shapeOf(d, kept.open)
+// reserveLayerLoads reserves load time at the weight store for the orders that have none
+// yet, all in one write.
+func (k *Controller) reserveLayerLoads(ctx context.Context, now time.Time, d *docindex.Index, replica *managedReplica, pending []pendingOrder) error {
+	model, _ := plannerInput(d, replica.spec)
 	rate := int64(d.Document.Policy.WeightMegabytesPerSecond) * megabyte
-	var fresh []due
-	var takes []time.Duration
+	var unreserved []pendingOrder
+	var fetchTimes []time.Duration
 	longest := time.Duration(0)
-	for _, each := range differ {
-		if kept.booked[each.endpoint.Name].order == each.order {
+	for _, each := range pending {
+		if replica.reservations[each.endpoint.Name].order == each.order {
 			continue
 		}
-		fresh = append(fresh, each)
-		take := placement.FetchTime(placement.FetchBytes(model, held(each), wanted(each.order)), rate)
-		takes = append(takes, take)
-		longest = max(longest, take)
+		unreserved = append(unreserved, each)
+		fetchTime := placement.FetchTime(placement.FetchBytes(model, heldStage(each), orderedStage(each.order)), rate)
+		fetchTimes = append(fetchTimes, fetchTime)
+		longest = max(longest, fetchTime)
 	}
-	starts := make([]time.Time, len(fresh)) // long past: at once
+	starts := make([]time.Time, len(unreserved)) // the zero time: start at once
 	if longest > 0 {
 		var err error
-		if starts, err = k.bookTimes(ctx, now, takes); err != nil {
+		if starts, err = k.reserveLoads(ctx, now, fetchTimes); err != nil {
 			return err
 		}
 	}
-	for i, each := range fresh {
-		kept.booked[each.endpoint.Name] = booking{each.order, starts[i]}
+	for i, each := range unreserved {
+		replica.reservations[each.endpoint.Name] = reservation{each.order, starts[i]}
 		if starts[i].After(now) {
-			k.cfg.Log.Info("load waits", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", starts[i].Sub(now).Milliseconds())
+			k.cfg.Log.Info("load waits for the weight store", "endpoint", each.endpoint.Name, "version", each.order.PlacementVersion, "wait_ms", starts[i].Sub(now).Milliseconds())
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) bookTimes(ctx context.Context, now time.Time, takes []time.Duration) ([]time.Time, error) {
-	ctx, cancel := context.WithTimeout(ctx, agreeTimeout)
+func (k *Controller) reserveLoads(ctx context.Context, now time.Time, durations []time.Duration) ([]time.Time, error) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	return plan.Book(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment), k.cfg.Node, now, takes)
+	return plan.Book(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment), k.cfg.Node, now, durations)
 }
 
-// held is what an engine has of the ordered model.
-func held(d due) placement.Stage {
-	if d.holding.Model != d.order.Model || d.holding.Weights != d.order.Weights {
+// heldStage returns the layers of the ordered model and weights that an engine holds.
+func heldStage(pending pendingOrder) placement.Stage {
+	if pending.report.Model != pending.order.Model || pending.report.Weights != pending.order.Weights {
 		return placement.Stage{First: 0, Last: -1}
 	}
-	return placement.Stage{First: d.holding.First, Last: d.holding.Last}
+	return placement.Stage{First: pending.report.First, Last: pending.report.Last}
 }
 
-func wanted(o engineapi.Order) placement.Stage {
+func orderedStage(o engineapi.Order) placement.Stage {
 	return placement.Stage{First: o.First, Last: o.Last}
 }
 
-func (k *Keeper) send(ctx context.Context, open openReplica, d due) {
+func (k *Controller) sendOrder(ctx context.Context, spec replicaSpec, pending pendingOrder) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	if err := k.cfg.Engines.Order(ctx, d.endpoint.Address, d.order); err != nil {
-		k.cfg.Log.Warn("order not taken", "endpoint", d.endpoint.Name, "version", d.order.PlacementVersion, "error", err)
+	if err := k.cfg.EngineClient.Order(ctx, pending.endpoint.Address, pending.order); err != nil {
+		k.cfg.Log.Warn("order not accepted", "endpoint", pending.endpoint.Name, "version", pending.order.PlacementVersion, "error", err)
 		if engineclient.Status(err) == http.StatusConflict {
-			k.raise(open, d.holding.PlacementVersion)
+			k.raiseVersion(spec, pending.report.PlacementVersion)
 		}
 		return
 	}
-	k.cfg.Log.Info("order", "endpoint", d.endpoint.Name, "model", d.order.Model, "weights", d.order.Weights, "first", d.order.First, "last", d.order.Last, "role", d.order.Role, "version", d.order.PlacementVersion)
+	k.cfg.Log.Info("order", "endpoint", pending.endpoint.Name, "model", pending.order.Model, "weights", pending.order.Weights, "first", pending.order.First, "last", pending.order.Last, "role", pending.order.Role, "version", pending.order.PlacementVersion)
 }
 
-// raise puts the replica's plan above a fencing number that an engine took from
-// someone else; the next round orders by the new number.
-func (k *Keeper) raise(open openReplica, above int64) {
-	k.change(open, func(r *plan.Record) bool { return r.Raise(open.name, above) })
+// raiseVersion raises the plan's version above a version that an engine accepted from
+// another source. The next round sends orders with the new version.
+func (k *Controller) raiseVersion(spec replicaSpec, above int64) {
+	k.updateRecord(spec, func(r *plan.Record) bool { return r.Raise(spec.name, above) })
 }
 
-// change agrees on a change of a replica's plan by which later orders are taken.
-func (k *Keeper) change(open openReplica, change func(*plan.Record) bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), agreeTimeout)
+// updateRecord writes a change of a replica's plan to the store and the cache.
+func (k *Controller) updateRecord(spec replicaSpec, change func(*plan.Record) bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), commitTimeout)
 	defer cancel()
-	key := plan.Key(k.cfg.Environment, open.place.model, open.place.domain)
+	key := plan.Key(k.cfg.Environment, spec.key.model, spec.key.domain)
 	record, err := plan.Agree(ctx, k.cfg.Store, key, k.cfg.Node, change)
 	if err != nil {
-		k.cfg.Log.Warn("plan not raised", "replica", open.name, "error", err)
+		k.cfg.Log.Warn("plan version not raised", "replica", spec.name, "error", err)
 		return
 	}
-	k.cfg.Book.take(open.place, record)
+	k.cfg.Cache.update(spec.key, record)
 }
 
-// mayMove says whether a replica may stop serving for a better plan: the others of
-// its model and failure domain must carry its callers meanwhile, and the weight
-// store must be free, or the chain would stand empty until its turn.
-func (k *Keeper) mayMove(ctx context.Context, now time.Time, kept *keptReplica) (bool, error) {
+// mayReload reports whether a replica may stop serving for a better plan. The other
+// replicas of its model and failure domain must serve its requests meanwhile. The weight
+// store must be free, or the replica would be out of service until its reserved time.
+func (k *Controller) mayReload(ctx context.Context, now time.Time, replica *managedReplica) (bool, error) {
 	var others []placement.ReplicaState
-	for _, other := range k.kept {
-		if other != kept && other.open.place == kept.open.place {
+	for _, other := range k.replicas {
+		if other != replica && other.spec.key == replica.spec.key {
 			others = append(others, other.state)
 		}
 	}
 	if !placement.MayReload(others) {
 		return false, nil
 	}
-	pace, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
-	return err == nil && pace.Free(now), err
+	schedule, _, err := plan.LoadPace(ctx, k.cfg.Store, plan.PaceKey(k.cfg.Environment))
+	return err == nil && schedule.Free(now), err
 }
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -94,7 +94,7 @@
 		c.manager.Metrics.Refused(c.Service.Name, refusal.Code)
 		return nil, refusal
 	}
-	queuePermit, err := c.Local.Gate.Acquire(ctx, admissionqueue.Request{
+	queuePermit, err := c.Local.Admission.Acquire(ctx, admissionqueue.Request{
 		Team: c.Team.Name, Class: c.Class, Cost: cost, Deadline: c.latestStart(cost),
 	})
 	if err != nil {
@@ -113,7 +113,7 @@
 	if c.Deadline.IsZero() {
 		return c.LatestStart
 	}
-	latest := c.Deadline.Add(-c.Local.Expected(cost))
+	latest := c.Deadline.Add(-c.Local.ExpectedRunTime(cost))
 	if latest.Before(c.LatestStart) {
 		return latest
 	}
@@ -154,7 +154,7 @@
 // tokens.
 func (p *Permit) Release(work float64) {
 	p.queuePermit.Release(work)
-	p.call.Local.Served(p.expectedCost, work, p.call.Now().Sub(p.admittedAt))
+	p.call.Local.RecordRun(p.expectedCost, work, p.call.Now().Sub(p.admittedAt))
 	p.call.manager.TeamLimiter.Correct(p.call.Team.Name, work-p.expectedCost)
 }
 
@@ -197,7 +197,7 @@
 func (c *ActiveCall) RecordChoice(kind decisionlog.Kind, choice balance.Choice, values map[string]float64) {
 	choiceDecision := decisionlog.FromChoice(&choice)
 	maps.Copy(values, choiceDecision.Values)
-	d := c.newDecision(kind, choice.Replica, choiceDecision.Reason, values)
+	d := c.newDecision(kind, choice.ReplicaID, choiceDecision.Reason, values)
 	d.Alternatives = choiceDecision.Alternatives
 	c.manager.Recorder.Record(d)
 }
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -18,7 +18,7 @@
 // run twice: each token has a position in the stream, so no token reaches the caller
 // twice.
 func (c *chainChooser) waitForRetry(ctx context.Context) error {
-	d := c.call.Local.Retry.Allow(retry.Attempt{
+	d := c.call.Local.RetryBudget.Allow(retry.Attempt{
 		AttemptsMade: c.countedAttempts(),
 		Failure:      c.retryCause(),
 		Idempotent:   true,
@@ -130,7 +130,7 @@
 	case stream.EndMismatch:
 		return health.Internal
 	default:
-		return health.Broken
+		return health.BrokenResponse
 	}
 }
 
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -68,15 +68,15 @@
 		choice, chain, err := c.pickChain(ctx, exclude)
 		if err == nil {
 			c.epochs = append(c.epochs, epochState{
-				replica: choice.Replica, firstEndpoint: chain.Stages[0].Endpoint, startedAt: c.call.Now(), artifact: chain.Artifact,
+				replica: choice.ReplicaID, firstEndpoint: chain.Stages[0].Endpoint, startedAt: c.call.Now(), artifact: chain.Artifact,
 			})
 			c.recordChoice(choice)
 			return chain, nil
 		}
-		if choice.Replica == "" {
+		if choice.ReplicaID == "" {
 			return stream.Chain{}, err
 		}
-		exclude = append(slices.Clone(exclude), choice.Replica)
+		exclude = append(slices.Clone(exclude), choice.ReplicaID)
 	}
 }
 
@@ -87,16 +87,16 @@
 	call := c.call
 	choice, ok := call.Local.Picker.Pick(balance.Query{
 		Prefix:  firstMessageHash(call.chat.Messages),
-		Holders: call.Local.Prefixes.Holders(c.prefixHashes()),
+		Holders: call.Local.PrefixIndex.Holders(c.prefixHashes()),
 		Cost:    call.expectedCost,
 		Exclude: exclude,
 	})
 	if !ok {
 		return balance.Choice{}, stream.Chain{}, errNoReplica
 	}
-	chain, err := c.resolveChain(ctx, choice.Replica)
+	chain, err := c.resolveChain(ctx, choice.ReplicaID)
 	if err != nil {
-		call.Local.Picker.Finished(choice.Replica, balance.Result{Cost: call.expectedCost, Failure: health.Canceled})
+		call.Local.Picker.Finished(choice.ReplicaID, balance.Result{Cost: call.expectedCost, Failure: health.Canceled})
 	}
 	return choice, chain, err
 }
@@ -154,13 +154,13 @@
 	for i := range r.Hops {
 		// Without the time per token of the endpoint itself, a slow link looks like
 		// slow layers, and the plan leaves out the engine instead of the link.
-		r.Hops[i].StepMicros = float64(c.call.Local.Step(r.Hops[i].Endpoint).Microseconds())
+		r.Hops[i].StepMicros = float64(c.call.Local.TokenTime(r.Hops[i].Endpoint).Microseconds())
 	}
 	if len(r.Hops) > 0 {
 		c.call.server.Plans.Observe(c.call.Service.Name, chain.Replica, r.Hops)
 	}
 	if r.Load != nil {
-		c.call.Local.ReportLoad(chain.Stages[0].Endpoint, *r.Load)
+		c.call.Local.RecordLoad(chain.Stages[0].Endpoint, *r.Load)
 	}
 }
 
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -132,7 +132,7 @@
 	m.countMetrics(summary)
 	finalOutcome := toCallOutcome(summary.Outcome)
 	if err == nil {
-		m.Local.Retry.Success()
+		m.Local.RetryBudget.Success()
 		response.finish(summary.FinishReason, finalOutcome)
 	} else {
 		response.fail(refusalFor(err, summary.LastResult.Status, finalOutcome))
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -35,7 +35,7 @@
 	}
 	r := &c.epochs[trace.Epoch-1]
 	if trace.Load != nil {
-		c.call.Local.ReportLoad(r.firstEndpoint, *trace.Load)
+		c.call.Local.RecordLoad(r.firstEndpoint, *trace.Load)
 	}
 	now := c.call.Now()
 	if !r.gotFirstToken {
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -111,9 +111,9 @@
 // endpoints as long as the retry budget allows it. An order is retried only while every
 // endpoint tried so far provably did not run it.
 func (p *plainCall) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
-	kind := ruleset.Repeatable
+	kind := ruleset.Idempotent
 	if p.Class == admission.Order {
-		kind = ruleset.Once
+		kind = ruleset.NonIdempotent
 	}
 	deadline := p.Deadline
 	if deadline.IsZero() {
@@ -124,8 +124,8 @@
 		Call: headers.CallHead{ID: p.ID}, Team: p.Team.Name, Service: p.Service.Name, Revision: p.Directory.Revision,
 		// The document sets no latency objective, so an endpoint may use the whole
 		// timeout.
-		Route:   &ruleset.Route{Name: p.Service.Name, Kind: kind, Timeout: timeout, Objective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
-		Targets: documentTargets{p.ActiveCall}, Budget: p.Local.Retry,
+		Route:   &ruleset.Route{Name: p.Service.Name, Kind: kind, Timeout: timeout, LatencyObjective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
+		Targets: documentTargets{p.ActiveCall}, Budget: p.Local.RetryBudget,
 		Method: p.method, Target: p.path, Header: p.header, Body: p.body,
 		Arrived: p.ArrivedAt, Deadline: deadline,
 	})
@@ -137,11 +137,11 @@
 
 // mapRefusal maps a refusal of package relay to the codes of this package. An order
 // that may have run is in doubt.
-func mapRefusal(kind ruleset.Kind, r *outcome.Refusal) *outcome.Refusal {
+func mapRefusal(kind ruleset.RouteKind, r *outcome.Refusal) *outcome.Refusal {
 	switch {
 	case r.Code == relay.ReasonCallerGone || r.Code == relay.ReasonOverloaded:
 		return r
-	case r.Outcome == outcome.Unknown && kind == ruleset.Once:
+	case r.Outcome == outcome.Unknown && kind == ruleset.NonIdempotent:
 		return inDoubtRefusal("the order was sent and its result is not known: " + r.Message)
 	}
 	return &outcome.Refusal{
--- a/route/plainservice/targets.go
+++ b/route/plainservice/targets.go
@@ -22,13 +22,13 @@
 		if !ok {
 			return targets.Target{}, targets.ErrNoEndpoint
 		}
-		endpoint, known := d.call.Directory.Endpoint(choice.Replica)
+		endpoint, known := d.call.Directory.Endpoint(choice.ReplicaID)
 		if known {
-			return targets.Target{Replica: choice.Replica, Address: endpoint.Address, Domain: endpoint.FailureDomain, Choice: &choice}, nil
+			return targets.Target{Replica: choice.ReplicaID, Address: endpoint.Address, Domain: endpoint.FailureDomain, Choice: &choice}, nil
 		}
 		// The endpoint was added by a later document than the one that the call uses.
-		d.call.Local.Picker.Finished(choice.Replica, balance.Result{Cost: callCost, Failure: health.Canceled})
-		exclude = append(exclude[:len(exclude):len(exclude)], choice.Replica)
+		d.call.Local.Picker.Finished(choice.ReplicaID, balance.Result{Cost: callCost, Failure: health.Canceled})
+		exclude = append(exclude[:len(exclude):len(exclude)], choice.ReplicaID)
 	}
 }
 
--- a/route/relay/attempt.go
+++ b/route/relay/attempt.go
@@ -14,8 +14,8 @@
 	"github.com/cicadatack/cicadatack/route/upstream"
 )
 
-// deadlineMargin is subtracted from the time that is passed on to the endpoint, so that the
-// endpoint's own timeout comes before this node's.
+// deadlineMargin is subtracted from the remaining time that is passed on to the endpoint, so
+// that the endpoint's own timeout comes before this node's.
 const deadlineMargin = 5 * time.Millisecond
 
 // resultKind classifies how an attempt ended.
@@ -78,7 +78,7 @@
 	exchange, err := req.server.Pool.Send(ctx, upstream.Request{
 		Address: a.target.Address,
 		Method:  req.Method, Target: req.Target, Host: cmp.Or(req.Host, a.target.Address), Body: req.Body,
-		Header: req.server.Headers.UpstreamHeader(req.Header, headers.UpstreamFields{
+		Header: req.server.HeaderCodec.UpstreamHeader(req.Header, headers.UpstreamFields{
 			ReplicaID: a.target.Replica, Team: req.Team, Remaining: remaining - deadlineMargin, LastEventID: a.resumeAfter, Path: a.target.Path,
 		}),
 		// A non-idempotent request gets a new connection. If the new connection closes before
@@ -92,14 +92,14 @@
 		res := a.resultOfError(err)
 		return nil, &res
 	}
-	a.head = req.server.Headers.ParseResponse(exchange.StatusCode, exchange.Header)
+	a.head = req.server.HeaderCodec.ParseResponse(exchange.StatusCode, exchange.Header)
 	return exchange, nil
 }
 
 // matchesRequest reports whether the head of an answer belongs to this request. An endpoint
 // that could not parse the request sends a refusal without an id.
 func (a *attempt) matchesRequest(h http.Header) bool {
-	id := a.req.server.Headers.ParseResponse(http.StatusOK, h).RequestID
+	id := a.req.server.HeaderCodec.ParseResponse(http.StatusOK, h).RequestID
 	return id == "" || id == a.req.Call.ID
 }
 
@@ -109,7 +109,7 @@
 		return attemptResult{kind: kind, detail: err.Error(), feedback: targets.Result{Failure: a.endpointFailure(kind)}}
 	}
 	var f *upstream.Failure
-	res := attemptResult{kind: resultUnknown, detail: err.Error(), feedback: targets.Result{Failure: health.Broken}}
+	res := attemptResult{kind: resultUnknown, detail: err.Error(), feedback: targets.Result{Failure: health.BrokenResponse}}
 	if !errors.As(err, &f) {
 		return res
 	}
@@ -132,16 +132,17 @@
 // time. There is no other way to detect an endpoint that hangs.
 func (a *attempt) endpointFailure(kind resultKind) health.Failure {
 	total := a.req.Deadline.Sub(a.req.Arrived)
-	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangDivisor {
+	if kind == resultDeadline && a.req.server.Now().Sub(a.startedAt) >= total/hangTimeoutDivisor {
 		return health.Timeout
 	}
 	return health.Canceled
 }
 
-// hangDivisor divides the total time of a request, from its arrival to its deadline. An
-// endpoint that has not answered for that part of the time, one half, counts as hung. If the
-// attempt was shorter, the cause may be a caller with a short deadline.
-const hangDivisor = 2
+// hangTimeoutDivisor divides the total time of a request, from its arrival to its deadline. If
+// an attempt that took at least that part of the total time, one half, reaches the deadline, its
+// endpoint counts as hung. If the attempt was shorter, the cause may be a caller with a short
+// deadline.
+const hangTimeoutDivisor = 2
 
 // endedLocally reports whether this node ended the request: the caller left or the deadline is
 // reached.
@@ -156,9 +157,9 @@
 	return 0, false
 }
 
-// suspectAfter separates two kinds of refusals by the time until they arrive. A refusal for
-// lack of capacity arrives at once. If a stage of the path does not answer, the refusal arrives
-// only after the engine's own timeout.
+// suspectAfter is the duration of an attempt after which its refusal means that a stage of the
+// path does not answer. Such a refusal arrives only after the engine's own timeout. A refusal
+// for lack of capacity arrives at once.
 const suspectAfter = time.Second
 
 // refusedResult classifies a refusal: an answer that says that the request did not run.
--- a/route/relay/attempt_test.go
+++ b/route/relay/attempt_test.go
@@ -11,28 +11,28 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// If a non-idempotent request that may have run were retried, it could run twice. Such a
-// request is retried only if it provably did not run. An idempotent request is retried in both
-// cases, at no more replicas than its route allows.
+// If a non-idempotent request that may have run were retried, it could run twice. Such a request
+// is retried only if it provably did not run. An idempotent request is also retried if it may
+// have run, at no more replicas than its route allows.
 func TestOnlySafeRetriesAreMade(t *testing.T) {
-	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.Broken}}
+	broken := attemptResult{kind: resultUnknown, feedback: targets.Result{Failure: health.BrokenResponse}}
 	refused := attemptResult{kind: resultNotRun, feedback: targets.Result{Failure: health.Unreachable}}
 	unsent := attemptResult{kind: resultNotSent, feedback: targets.Result{Failure: health.Unreachable}}
 	failed := attemptResult{kind: resultFailed, feedback: targets.Result{Failure: health.Internal}}
 	for _, c := range []struct {
 		name            string
-		kind            ruleset.Kind
+		kind            ruleset.RouteKind
 		mayHaveRunCount int
 		last            attemptResult
 		wantRetry       bool
 	}{
-		{"order, unknown", ruleset.Once, 1, broken, false},
-		{"order, failed", ruleset.Once, 1, failed, false},
-		{"order, refused", ruleset.Once, 0, refused, true},
-		{"order, not sent", ruleset.Once, 0, unsent, true},
-		{"read, unknown", ruleset.Repeatable, 1, broken, true},
-		{"read, failed", ruleset.Repeatable, 2, failed, true},
-		{"read, replica limit reached", ruleset.Repeatable, 3, failed, false},
+		{"order, unknown", ruleset.NonIdempotent, 1, broken, false},
+		{"order, failed", ruleset.NonIdempotent, 1, failed, false},
+		{"order, refused", ruleset.NonIdempotent, 0, refused, true},
+		{"order, not sent", ruleset.NonIdempotent, 0, unsent, true},
+		{"read, unknown", ruleset.Idempotent, 1, broken, true},
+		{"read, failed", ruleset.Idempotent, 2, failed, true},
+		{"read, replica limit reached", ruleset.Idempotent, 3, failed, false},
 	} {
 		now := time.Now()
 		req := &requestState{
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -20,9 +20,9 @@
 	// DefaultMaxBufferedBytes bounds the answers that are buffered until they are complete.
 	// Longer answers are passed on as they arrive, and aborted if they end early.
 	DefaultMaxBufferedBytes = 1 << 20
-	// headTimeoutFactor times the route's objective is the time after which an unanswered
-	// idempotent request is retried at another endpoint. With a lower factor, slow requests
-	// that are still within the usual range would be retried too.
+	// headTimeoutFactor is multiplied by the route's objective. The product is the time after
+	// which an unanswered idempotent request is retried at another endpoint. With a lower
+	// factor, slow requests that are still within the usual range would be retried too.
 	headTimeoutFactor = 3
 	headerLength      = "Content-Length"
 )
@@ -49,7 +49,7 @@
 // writeHead writes the status and headers; a negative length is omitted.
 func (req *requestState) writeHead(status int, header http.Header, length int) {
 	h := req.w.Header()
-	for name, values := range req.server.Headers.DownstreamHeader(header) {
+	for name, values := range req.server.HeaderCodec.DownstreamHeader(header) {
 		h[name] = values
 	}
 	if length >= 0 {
@@ -65,7 +65,7 @@
 func (a *attempt) runBuffered() attemptResult {
 	headTimeout := a.req.Deadline.Sub(a.req.server.Now())
 	if a.req.Route.Idempotent() && a.req.Route.MaxReplicas > 1 {
-		headTimeout = headTimeoutFactor * a.req.Route.Objective
+		headTimeout = headTimeoutFactor * a.req.Route.LatencyObjective
 	}
 	exchange, failed := a.send(a.req.ctx, headTimeout)
 	if failed != nil {
@@ -75,7 +75,9 @@
 	return a.readBuffered(exchange)
 }
 
-// readBuffered reads the body of an answer.
+// readBuffered reads the whole body of an answer into memory and classifies the attempt. An
+// answer that exceeds the buffer limit is passed to the caller of Serve as it arrives; for Do,
+// the attempt fails.
 func (a *attempt) readBuffered(e *upstream.Exchange) attemptResult {
 	if a.head.NotRun || a.head.Misdirected {
 		a.discardBody(e)
@@ -174,11 +176,11 @@
 // and for the retry budget.
 func (req *requestState) addLateness(figures map[string]float64) {
 	figures["late"] = 1
-	figures["objective_ms"] = millis(req.Route.Objective)
+	figures["objective_ms"] = millis(req.Route.LatencyObjective)
 	figures["waited_room_ms"] = millis(req.capacityWait)
 	figures["waited_budget_ms"] = millis(req.budgetWait)
 	if req.Route.Kind == ruleset.Stream {
-		figures["pause_limit_ms"] = millis(req.Route.MaxPause)
+		figures["pause_limit_ms"] = millis(req.Route.MaxEventGap)
 	}
 	if active := req.lastTarget.Active; active != nil {
 		figures["slowest_pace"] = active.MaxSlowdown()
@@ -188,9 +190,9 @@
 // late reports whether the answer missed an objective of its route.
 func (req *requestState) late() bool {
 	if req.Route.Kind == ruleset.Stream {
-		return req.timeToFirstEvent > req.Route.Objective || req.Route.MaxPause > 0 && req.longestPause > req.Route.MaxPause
+		return req.timeToFirstEvent > req.Route.LatencyObjective || req.Route.MaxEventGap > 0 && req.longestPause > req.Route.MaxEventGap
 	}
-	return req.server.Now().Sub(req.Arrived) > req.Route.Objective
+	return req.server.Now().Sub(req.Arrived) > req.Route.LatencyObjective
 }
 
 // abort ends an answer that has begun and can't be completed. The connection is closed so that
--- a/route/relay/events_bench_test.go
+++ b/route/relay/events_bench_test.go
@@ -24,7 +24,7 @@
 // on.
 func BenchmarkPassEvent(b *testing.B) {
 	req := &requestState{
-		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, Objective: time.Second, MaxPause: time.Second}},
+		Request: &Request{Route: &ruleset.Route{Kind: ruleset.Stream, LatencyObjective: time.Second, MaxEventGap: time.Second}},
 		server:  &Server{Now: time.Now}, w: discardWriter{http.Header{}}, answerStarted: true,
 	}
 	a := &attempt{req: req, startedAt: time.Now()}
@@ -49,5 +49,6 @@
 	}
 }
 
-// resetPosition makes the stream begin again.
+// resetPosition forgets the last event. Otherwise the events that the benchmark repeats would be
+// dropped, because they count as already passed on.
 func (req *requestState) resetPosition() { req.lastEvent = eventPosition{} }
--- a/route/relay/monitor.go
+++ b/route/relay/monitor.go
@@ -22,8 +22,8 @@
 	// routes that set none.
 	defaultMaxPause = 200 * time.Millisecond
 	// aliveWindow is how long a stage counts as alive after an event of another request that
-	// runs through it. It is about the interval between two events of a stream, and shorter
-	// than any silence that starts a check.
+	// runs through it. The window is about the interval between two events of a stream, and
+	// shorter than any silence that starts a check.
 	aliveWindow = 30 * time.Millisecond
 	// recheckInterval is the time between two checks of a path that stays silent.
 	recheckInterval = 400 * time.Millisecond
@@ -75,7 +75,7 @@
 		return m
 	}
 	m.setMigrationFilter(a.req)
-	m.timer = time.AfterFunc(a.req.Route.Objective/firstCheckDivisor, m.checkPath)
+	m.timer = time.AfterFunc(a.req.Route.LatencyObjective/firstCheckDivisor, m.checkPath)
 	a.target.Active.SetCallbacks(
 		func(replica string) { m.reroute("a part of the path is lost: "+replica, false) },
 		func(replica string) { m.reroute("a part of the path is draining: "+replica, true) },
@@ -85,18 +85,18 @@
 
 // setMigrationFilter decides which replicas may continue the request after this attempt. A
 // stream that can't be resumed does not migrate. Once this attempt uses the last replica that
-// the route allows, the stream may only return to an earlier replica. It does so only if its
-// present first replica is lost, not for speed.
+// the route allows, the stream may only return to an earlier replica. The stream returns only if
+// its present first replica is lost, not because an earlier replica would continue it sooner.
 func (m *pathMonitor) setMigrationFilter(req *requestState) {
 	if !req.Route.Idempotent() {
 		return
 	}
 	if len(req.mayHaveRunOn)+1 < req.Route.MaxReplicas {
 		m.filter.Exclude = slices.Clone(req.failedReplicas)
-		m.mayReplace, m.mayMigrate = true, req.attemptCount < maxAttempts
+		m.mayReplace, m.mayMigrate = true, req.attemptCount < attemptLimit
 		return
 	}
-	m.filter.FirstReplicas = slices.Clone(req.mayHaveRunOn)
+	m.filter.AllowedFirstReplicas = slices.Clone(req.mayHaveRunOn)
 	m.mayReplace = len(req.mayHaveRunOn) > 0
 }
 
@@ -120,11 +120,11 @@
 
 // maxPause is the longest pause between two events that counts as on time.
 func (req *requestState) maxPause() time.Duration {
-	return cmp.Or(req.Route.MaxPause, defaultMaxPause)
+	return cmp.Or(req.Route.MaxEventGap, defaultMaxPause)
 }
 
 // silentFor is the time since the last event of this attempt or, before the first event, since
-// its start.
+// the start of the attempt.
 func (m *pathMonitor) silentFor() time.Duration {
 	return m.attempt.req.server.Now().Sub(m.attempt.startedAt) - time.Duration(m.lastEventAt.Load())
 }
@@ -157,7 +157,7 @@
 		addresses[i] = stage.Address
 		replicas[stage.Address] = stage.Replica
 	}
-	lost := m.attempt.req.server.Prober.Lost(m.ctx, connprobe.Silence, addresses)
+	lost := m.attempt.req.server.Prober.FindUnreachable(m.ctx, connprobe.ReasonStalledStream, addresses)
 	if len(lost) == 0 {
 		m.recheckLater(path)
 		return
@@ -166,9 +166,9 @@
 	for _, loss := range lost {
 		replica := replicas[loss.Address]
 		// Suspecting the replica reroutes all requests that run through it.
-		if m.attempt.target.Active.Suspect(replica, loss.Silent) {
+		if m.attempt.target.Active.Suspect(replica, loss.HostUnreachable) {
 			newlySuspected = true
-			m.attempt.req.log.Info("replica out of reach", "service", m.attempt.req.Service, "replica", replica, "address", loss.Address, "silent", loss.Silent)
+			m.attempt.req.log.Info("replica out of reach", "service", m.attempt.req.Service, "replica", replica, "address", loss.Address, "silent", loss.HostUnreachable)
 		}
 	}
 	if !newlySuspected {
@@ -177,8 +177,8 @@
 }
 
 // recheckLater schedules the next check of a silent path after a check that reached all
-// replicas. The next check comes when the silence has doubled, or when the pause becomes late
-// if that is sooner. Once the pause is late, the checks come every recheckInterval, and the
+// replicas. The next check comes when the silence has doubled, or when the silence reaches
+// maxPause if that is sooner. From then on, the checks come every recheckInterval, and the
 // replicas are asked for their slowdown. These queries have a cost, so they are not made
 // earlier.
 func (m *pathMonitor) recheckLater(path paths.Path) {
@@ -192,18 +192,17 @@
 	m.querySlowdown(path)
 }
 
-// querySlowdown asks each replica of a path how much slower it is than its kind of accelerator,
-// and records the answer.
+// querySlowdown asks each replica of a path for its slowdown and records the replica's answer.
 func (m *pathMonitor) querySlowdown(path paths.Path) {
 	req := m.attempt.req
 	for _, stage := range path {
 		go func() {
-			report, asked, err := req.server.Reports.Ask(m.ctx, stage.Address, stage.Replica)
+			report, asked, err := req.server.Reports.Get(m.ctx, stage.Address, stage.Replica)
 			if err != nil || !asked {
 				return // another request has already asked the replica, or the replica gave no report
 			}
-			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Pace) {
-				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Pace)
+			if m.attempt.target.Active.SetSlowdown(stage.Replica, report.Slowdown) {
+				req.log.Info("replica's pace", "service", req.Service, "replica", stage.Replica, "domain", stage.Domain, "pace", report.Slowdown)
 			}
 		}()
 	}
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// maxAttempts bounds the attempts of one request, including those that did not run.
-	maxAttempts = 5
+	// attemptLimit bounds the attempts of one request, including those that did not run.
+	attemptLimit = 5
 	// defaultAnswerTokens is the assumed length of the answer if the caller gave neither an
 	// estimate nor a limit.
 	defaultAnswerTokens = 200
@@ -75,8 +75,8 @@
 	if replica == "" {
 		return
 	}
-	lost := req.server.Prober.Lost(req.ctx, connprobe.Named, []string{address})
-	if len(lost) > 0 && target.Active.Suspect(replica, lost[0].Silent) {
+	lost := req.server.Prober.FindUnreachable(req.ctx, connprobe.ReasonReportedFault, []string{address})
+	if len(lost) > 0 && target.Active.Suspect(replica, lost[0].HostUnreachable) {
 		req.log.Info("replica out of reach", "service", req.Service, "replica", replica, "address", address)
 	}
 }
@@ -95,8 +95,9 @@
 	req.record(d)
 }
 
-// choose returns the reserved target or, if that is nil, a new one from Targets. Once as many
-// replicas as the route allows may have run the request, only these replicas may get it again.
+// choose returns the reserved target or, if that is nil, a new one from Targets. If the request
+// may already have run on as many replicas as the route allows, only these replicas may get the
+// request again.
 func (req *requestState) choose(reserved *targets.Target) (targets.Target, error) {
 	if reserved != nil {
 		return *reserved, nil
@@ -110,7 +111,7 @@
 		query.WaitUntil = begun.Add(resumeTimeout)
 	}
 	if len(req.mayHaveRunOn) >= req.Route.MaxReplicas {
-		query.FirstReplicas, query.Exclude = req.mayHaveRunOn, nil
+		query.AllowedFirstReplicas, query.Exclude = req.mayHaveRunOn, nil
 	}
 	t, err := req.Targets.Choose(req.ctx, query)
 	if waited := req.server.Now().Sub(begun); waited > time.Millisecond {
@@ -126,12 +127,12 @@
 
 // onTimeWait is how long a request can wait for capacity and still be answered on time.
 func (req *requestState) onTimeWait() time.Duration {
-	return req.Route.Objective * 6 / 10
+	return req.Route.LatencyObjective * 6 / 10
 }
 
-// maxWaitFactor times onTimeWait is the longest wait for capacity. A late answer has part of
-// the value of an answer on time, and a refusal has none. Callers leave a little after the
-// longest wait.
+// maxWaitFactor is multiplied by onTimeWait; the product is the longest wait for capacity. A
+// late answer has part of the value of an answer on time, and a refusal has none. Callers leave
+// a little after the longest wait.
 const maxWaitFactor = 2
 
 // expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
@@ -159,9 +160,10 @@
 	return float64(req.Call.PromptTokens)
 }
 
-// reservedAnswerShare is the share of an answer's expected length that is reserved. Requests in
-// progress are spread over all points of their answers, so on average each holds half of its
-// answer. The share above half is a margin for answers that are longer than expected.
+// reservedAnswerShare is the share of an answer's expected length for which KV cache memory is
+// reserved. At any moment, requests in progress are on average halfway through their answers, so
+// each of them holds about half of its answer. The share above half is a margin for answers
+// that are longer than expected.
 const reservedAnswerShare = 0.6
 
 // decideRetry decides whether to make another attempt. While the retry budget is spent it
@@ -181,7 +183,7 @@
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
 		Values: map[string]float64{
-			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.Remaining),
+			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.RetriesLeft),
 		},
 	})
 	if d.Retry {
@@ -238,7 +240,7 @@
 	switch {
 	case res.migrateTo != nil:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
-	case req.attemptCount >= maxAttempts, len(req.mayHaveRunOn) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
+	case req.attemptCount >= attemptLimit, len(req.mayHaveRunOn) >= req.Route.MaxReplicas && req.Route.Kind != ruleset.Stream:
 		return retry.Decision{Reason: retry.TooManyAttempts}
 	case res.kind == resultNotSent:
 		return retry.Decision{Retry: true, Reason: retry.Allowed}
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -84,8 +84,8 @@
 	Targets targets.Targets
 	Budget  *retrybudget.Budget
 
-	// Method, Target (path and query), Host and Header are sent to the endpoint. An empty Host
-	// stands for the endpoint's own address.
+	// Method, Target (the URL path and query), Host and Header are sent to the endpoint. An
+	// empty Host stands for the endpoint's own address.
 	Method string
 	Target string
 	Host   string
@@ -101,20 +101,20 @@
 // Server serves requests that a listener has admitted. It is safe for concurrent use; the
 // fields are set before use. Engines, Prober and Reports are needed only for model services.
 type Server struct {
-	Headers  headers.Codec
-	Engines  EngineClient
-	Pool     *upstream.Pool
-	Prober   *connprobe.Prober
-	Reports  *replicareport.Inspector
-	Metrics  Metrics
-	Recorder decisionlog.Recorder
-	Log      hclog.Logger
-	Now      func() time.Time
+	HeaderCodec headers.Codec
+	Engines     EngineClient
+	Pool        *upstream.Pool
+	Prober      *connprobe.Prober
+	Reports     *replicareport.Cache
+	Metrics     Metrics
+	Recorder    decisionlog.Recorder
+	Log         hclog.Logger
+	Now         func() time.Time
 	// MaxBufferedBytes bounds the answers that are buffered until they are complete. Zero
 	// stands for DefaultMaxBufferedBytes.
 	MaxBufferedBytes int
-	// SampleEvery is the number of successful requests of which one is logged. The other
-	// requests are only kept in memory. Zero logs all requests.
+	// One of every SampleEvery successful requests is logged. The other successful requests are
+	// only kept in memory. Zero logs all requests.
 	SampleEvery uint64
 
 	requestCount atomic.Uint64
@@ -174,8 +174,8 @@
 	}
 }
 
-// Do returns the complete answer to a request, for a listener that writes it itself. A final
-// failure is returned as a refusal, which carries the outcome of the request. Do does not
+// Do returns the complete answer to a request, for a listener that writes the answer itself. A
+// final failure is returned as a refusal, which carries the outcome of the request. Do does not
 // support streams.
 func (s *Server) Do(ctx context.Context, r *Request) (*Answer, *outcome.Refusal) {
 	state, cancel := s.newRequestState(ctx, nil, r)
@@ -236,7 +236,7 @@
 		},
 	})
 	req.server.Metrics.Refused(req.Service, r.Code)
-	req.server.Headers.WriteRefusal(req.w, req.Call, r)
+	req.server.HeaderCodec.WriteRefusal(req.w, req.Call, r)
 }
 
 // record adds the request's fields to a decision and records it.
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -1,7 +1,12 @@
-// Package service holds what a node keeps of each service in the document: the
-// gate that lets requests in, the picker that places them and the budget of
-// retries. All three live on over document changes, so that a new revision does
-// not forget who waits, what is underway or which endpoint was slow.
+// Package service holds a node's state of each service in the document: the admission
+// queue, the picker that chooses replicas, the retry budget and the index of cached
+// prompt prefixes. The state outlives changes of the document, so that a new revision
+// does not lose the waiting and running requests or the measured times of endpoints.
+//
+// A replica of a model is a chain of engines, its stages; a replica of a plain service is
+// one endpoint. The subset is the list of replicas that this node sends requests to. An
+// endpoint is leaving while the platform, an operator or the endpoint itself says that
+// the endpoint will stop.
 package service
 
 import (
@@ -21,51 +26,55 @@
 	"github.com/cicadatack/cicadatack/state/document"
 )
 
-// defaultSlots is how many requests a replica is given at once when the
-// document says nothing: a common batch size of engines.
+// defaultSlots is the number of concurrent requests of a replica if the document names
+// none: a common batch size of engines.
 const defaultSlots = 16
 
-// Service is one service on this node. Safe for concurrent use.
+// Service is the state of one service on this node. Safe for concurrent use.
 type Service struct {
-	Name   string
-	Gate   *admissionqueue.Queue
-	Picker *replicapicker.Picker
-	// Retry is the budget of further tries.
-	Retry *retrybudget.Budget
-	// Prefixes are hints at what the engines have cached; empty for a plain
-	// service.
-	Prefixes *Prefixes
+	Name      string
+	Admission *admissionqueue.Queue
+	Picker    *replicapicker.Picker
+	// RetryBudget limits the retries of failed requests.
+	RetryBudget *retrybudget.Budget
+	// PrefixIndex estimates which prompt prefixes the engines have cached. It is empty for
+	// a plain service.
+	PrefixIndex *PrefixIndex
 
 	mu sync.Mutex
 	// replicasOf maps each endpoint to the replicas that need it, stagesOf each
 	// replica to its endpoints.
 	replicasOf map[string][]string
 	stagesOf   map[string][]string
-	// applied is what the balancer was last given, of which specification.
-	applied []balance.Replica
-	spec    *document.Service
-	marks   map[leavingMark]bool
-	// quiet orders the endpoints of the subset quietOf by when each last told its
-	// load, or was last asked.
-	quiet   balance.PollSchedule
-	quietOf uint64
-	// steps is each endpoint's own report of its time for a token.
-	steps   map[string]time.Duration
-	assumed float64
-	// usedPart is the mean part of the expected cost that answers really take.
-	usedPart float64
-	// stretch is the mean time of an answer over that of its tokens.
-	stretch float64
-	now     func() time.Time
+	// appliedReplicas is the balancer's present list of replicas, and spec the
+	// specification that it comes from.
+	appliedReplicas []balance.Replica
+	spec            *document.Service
+	leavingMarks    map[leavingKey]bool
+	// loadPolls orders the endpoints by the time of their last load report or poll.
+	// loadPollsVersion is the version of the subset that the endpoints belong to.
+	loadPolls        balance.PollSchedule
+	loadPollsVersion uint64
+	// tokenTimes is the time per token that each endpoint has reported.
+	tokenTimes map[string]time.Duration
+	// assumedTokenRate is the mean token rate of a slot that the queue was last told, in
+	// tokens per second.
+	assumedTokenRate float64
+	// costRatio is the mean ratio of an answer's actual cost to its expected cost.
+	costRatio float64
+	// runTimeRatio is the mean ratio of an answer's run time to the time of its tokens.
+	runTimeRatio float64
+	now          func() time.Time
 }
 
-// Config names the node that the services are on.
+// Config describes the node that the services run on.
 type Config struct {
 	Node          string
 	FailureDomain string
 	Now           func() time.Time
-	// OnSlots is told of each change of a service's usable slots; may be nil.
-	OnSlots func(service string, slots int)
+	// OnSlotsChanged is called when the number of usable slots of a service changes. It
+	// may be nil.
+	OnSlotsChanged func(service string, slots int)
 }
 
 // Registry holds the services of the document in force. Safe for concurrent
@@ -75,7 +84,7 @@
 
 	mu       sync.RWMutex
 	services map[string]*Service
-	// teams are the weights last applied, to see which teams went.
+	// teams are the weights last applied. They show which teams a new document removes.
 	teams map[string]float64
 }
 
@@ -102,78 +111,78 @@
 	return all
 }
 
-// Apply puts a document in force. Requests underway keep their tickets, also
-// when their service has gone.
-func (r *Registry) Apply(d *docindex.Directory) {
+// Apply puts a document in force. Running requests keep their tickets, even if the
+// document no longer has their service.
+func (r *Registry) Apply(d *docindex.Index) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	teams := weights(d.Document)
-	kept := map[string]*Service{}
+	teams := teamWeights(d.Document)
+	services := map[string]*Service{}
 	for i := range d.Document.Services {
 		spec := &d.Document.Services[i]
 		s := r.services[spec.Name]
 		if s == nil {
 			s = r.newService(spec.Name)
 		}
-		s.Retry.SetShare(d.Document.Policy.RetryBudget)
+		s.RetryBudget.SetRetryRatio(d.Document.Policy.RetryBudget)
 		s.applyTeams(teams, r.teams)
 		s.applyReplicas(d, spec)
-		kept[spec.Name] = s
+		services[spec.Name] = s
 	}
 	for name, s := range r.services {
-		if kept[name] == nil {
-			s.Gate.Close()
+		if services[name] == nil {
+			s.Admission.Close()
 		}
 	}
-	r.services = kept
+	r.services = services
 	r.teams = teams
 }
 
-func weights(doc *document.Document) map[string]float64 {
-	w := make(map[string]float64, len(doc.Teams))
+func teamWeights(doc *document.Document) map[string]float64 {
+	weights := make(map[string]float64, len(doc.Teams))
 	for _, t := range doc.Teams {
-		w[t.Name] = t.Weight
+		weights[t.Name] = t.Weight
 	}
-	return w
+	return weights
 }
 
 func (r *Registry) newService(name string) *Service {
 	seed := hash(r.cfg.Node + "/" + name)
 	s := &Service{
-		Name:  name,
-		Gate:  admissionqueue.New(admission.New(admission.Config{}), r.cfg.Now),
-		Retry: retrybudget.New(retry.Config{Seed: seed}, r.cfg.Now),
-		marks: map[leavingMark]bool{},
+		Name:         name,
+		Admission:    admissionqueue.New(admission.New(admission.Config{}), r.cfg.Now),
+		RetryBudget:  retrybudget.New(retry.Config{Seed: seed}, r.cfg.Now),
+		leavingMarks: map[leavingKey]bool{},
 
-		Prefixes: newPrefixes(r.cfg.Now),
+		PrefixIndex: newPrefixIndex(r.cfg.Now),
 
-		steps: map[string]time.Duration{},
+		tokenTimes: map[string]time.Duration{},
 
-		usedPart: 1,
-		stretch:  1,
-		now:      r.cfg.Now,
+		costRatio:    1,
+		runTimeRatio: 1,
+		now:          r.cfg.Now,
 	}
 	balancer := balance.New(balance.Config{Node: r.cfg.Node, FailureDomain: r.cfg.FailureDomain, Seed: seed})
 	s.Picker = replicapicker.New(balancer, r.cfg.Now, func() {
-		s.followCapacity()
-		if r.cfg.OnSlots != nil {
-			r.cfg.OnSlots(name, s.Picker.Slots())
+		s.updateCapacity()
+		if r.cfg.OnSlotsChanged != nil {
+			r.cfg.OnSlotsChanged(name, s.Picker.Slots())
 		}
 	})
 	return s
 }
 
-func (s *Service) followCapacity() {
-	s.Gate.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
-		slots, whole := s.Picker.Share()
-		return q.SetShare(now, slots, whole)
+func (s *Service) updateCapacity() {
+	s.Admission.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+		slots, total := s.Picker.SlotShare()
+		return q.SetShare(now, slots, total)
 	})
 }
 
-func (s *Service) applyTeams(teams, before map[string]float64) {
-	s.Gate.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
+func (s *Service) applyTeams(teams, previous map[string]float64) {
+	s.Admission.Configure(func(now time.Time, q *admission.Queue) []admission.Verdict {
 		var verdicts []admission.Verdict
-		for name := range before {
+		for name := range previous {
 			if _, stays := teams[name]; !stays {
 				verdicts = append(verdicts, q.RemoveTeam(now, name)...)
 			}
@@ -185,31 +194,32 @@
 	})
 }
 
-func (s *Service) applyReplicas(d *docindex.Directory, spec *document.Service) {
+func (s *Service) applyReplicas(d *docindex.Index, spec *document.Service) {
 	slots := d.Document.Policy.ConcurrentPerReplica
 	if slots <= 0 {
 		slots = defaultSlots
 	}
-	replicas := replicasOf(d, spec, slots)
+	replicas := balancedReplicas(d, spec, slots)
 	s.mu.Lock()
-	same := s.spec != nil && slices.Equal(s.applied, replicas) && sameStages(s.spec, spec)
-	// Also if nothing changed: the former specification holds its whole document.
-	s.applied, s.spec = replicas, spec
-	if same {
-		// Most changes are of other services, or of an endpoint's address. To
-		// choose the subset anew took a third of a change's time.
+	unchanged := s.spec != nil && slices.Equal(s.appliedReplicas, replicas) && sameStages(s.spec, spec)
+	// Replace the specification even if nothing changed: the old one would keep its whole
+	// document in memory.
+	s.appliedReplicas, s.spec = replicas, spec
+	if unchanged {
+		// Most documents change other services or an endpoint's address. Choosing the
+		// subset again would take a third of the time to apply a document.
 		s.mu.Unlock()
 		return
 	}
-	s.stagesOf = stagesOf(spec)
-	s.replicasOf = inverted(s.stagesOf)
-	maps.DeleteFunc(s.steps, func(e string, _ time.Duration) bool { return len(s.replicasOf[e]) == 0 })
+	s.stagesOf = endpointsByReplica(spec)
+	s.replicasOf = replicasByEndpoint(s.stagesOf)
+	maps.DeleteFunc(s.tokenTimes, func(e string, _ time.Duration) bool { return len(s.replicasOf[e]) == 0 })
 	s.mu.Unlock()
 	s.Picker.SetReplicas(replicas)
 }
 
-// sameStages says whether two specifications, whose replicas have the same
-// names, also have the same endpoints in the same order.
+// sameStages reports whether two specifications whose replicas have the same names also
+// have the same endpoints in the same order.
 func sameStages(a, b *document.Service) bool {
 	if a.Kind != b.Kind || a.Kind != document.KindModel {
 		return a.Kind == b.Kind
@@ -219,9 +229,9 @@
 	})
 }
 
-// replicasOf lists what the balancer chooses among: chains of a model, or single
-// endpoints of a plain service.
-func replicasOf(d *docindex.Directory, spec *document.Service, slots int) []balance.Replica {
+// balancedReplicas lists the replicas that the balancer chooses from: the chains of a model,
+// or the endpoints of a plain service.
+func balancedReplicas(d *docindex.Index, spec *document.Service, slots int) []balance.Replica {
 	var replicas []balance.Replica
 	add := func(name, first string) {
 		e, _ := d.Endpoint(first)
@@ -240,8 +250,8 @@
 	return replicas
 }
 
-// stagesOf lists the endpoints that each replica needs.
-func stagesOf(spec *document.Service) map[string][]string {
+// endpointsByReplica lists the endpoints of each replica's stages.
+func endpointsByReplica(spec *document.Service) map[string][]string {
 	stages := map[string][]string{}
 	if spec.Kind != document.KindModel {
 		for _, name := range spec.Plain.Endpoints {
@@ -257,14 +267,14 @@
 	return stages
 }
 
-// IsModel says whether the service's replicas are chains of engines.
+// IsModel reports whether the service's replicas are chains of engines.
 func (s *Service) IsModel() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.spec != nil && s.spec.Kind == document.KindModel
 }
 
-func inverted(stages map[string][]string) map[string][]string {
+func replicasByEndpoint(stages map[string][]string) map[string][]string {
 	replicas := map[string][]string{}
 	for name, endpoints := range stages {
 		for _, e := range endpoints {
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -17,15 +17,15 @@
 	check     TokenCheck
 	startedAt time.Time
 
-	delivered          []string
-	exclude            []string
-	executions         int    // chains that may have run part of the answer
+	deliveredTokens    []string
+	excludedReplicas   []string
+	executions         int    // number of chains that may have run part of the answer
 	nextChain          *Chain // already chosen by leaveSlowChain, or nil
 	leftSlowChain      bool
 	stalls             int
-	unresponsiveChains int                // chains that stopped answering probes before their first token
-	lastTokenAt        time.Time          // last delivered token, or start of the epoch
-	failedAt           time.Time          // failure not yet followed by a token, or zero
+	unresponsiveChains int                // number of chains that became unresponsive before their first token
+	lastTokenAt        time.Time          // time of the epoch's last delivered token, or start of the epoch
+	failedAt           time.Time          // time of a failure that no delivered token has followed yet, or zero
 	kvHandle           string             // exported KV cache for the next epoch, or empty
 	artifact           engineapi.Artifact // artifact of the delivered tokens, if any
 	exportTime         time.Duration
@@ -49,13 +49,14 @@
 		case EndDeadline:
 			return ErrDeadline
 		}
-		a.exclude = append(a.exclude, chain.Replica)
+		a.excludedReplicas = append(a.excludedReplicas, chain.Replica)
 		a.prepareResume(ctx, chain, result)
 	}
 	return errors.Join(ErrAttemptsExhausted, a.summary.LastResult.Err)
 }
 
-// mayAttempt reports whether an epoch with this number is within the bounds.
+// mayAttempt reports whether MaxExecutions and MaxAttempts allow an epoch with this
+// number.
 func (a *answer) mayAttempt(epoch uint32) bool {
 	return a.executions < a.runner.options.MaxExecutions && int(epoch) <= a.runner.options.MaxAttempts
 }
@@ -72,7 +73,7 @@
 // chooser.
 func (a *answer) choose(ctx context.Context) (Chain, error) {
 	if a.nextChain == nil {
-		return a.chooser().Choose(ctx, a.exclude)
+		return a.chooser().Choose(ctx, a.excludedReplicas)
 	}
 	chain := *a.nextChain
 	a.nextChain = nil
@@ -90,8 +91,8 @@
 	return errors.Join(ErrNoChain, err, a.summary.LastResult.Err)
 }
 
-// outcome derives the outcome from AttemptResult.NotRun of each epoch, never from
-// the error's text. OutcomeNotRun requires that every chain provably ran nothing.
+// outcome returns OutcomeNotRun for a failed request only if every chain provably ran
+// nothing. It uses AttemptResult.NotRun of each epoch, never the error's text.
 func (a *answer) outcome(err error) Outcome {
 	switch {
 	case err == nil:
@@ -109,7 +110,7 @@
 	a.check.RequireArtifact(chain.Artifact)
 	a.summary.Epochs = int(number)
 	e := &epoch{answer: a, chain: chain, number: number, gap: a.runner.gaps.get(chain.Replica)}
-	e.slowness.baseline = time.Duration(e.gap.mean)
+	e.slowness.baselineGap = time.Duration(e.gap.meanNanos)
 	a.lastTokenAt = time.Now()
 	e.run(ctx)
 	e.result.Epoch = number
@@ -125,7 +126,7 @@
 func (a *answer) recordDelivered(token string, artifact engineapi.Artifact) {
 	now := time.Now()
 	a.artifact = artifact
-	a.delivered = append(a.delivered, token)
+	a.deliveredTokens = append(a.deliveredTokens, token)
 	a.lastTokenAt = now
 	if a.summary.FirstToken == 0 {
 		a.summary.FirstToken = now.Sub(a.startedAt)
@@ -139,19 +140,20 @@
 	a.failedAt = time.Time{}
 }
 
-// contextTokens estimates the tokens of the prompt and of the answer so far, which
-// a chain needs in its KV cache to continue.
+// contextTokens estimates the number of tokens of the prompt and of the answer so far.
+// A chain needs all of them in its KV cache to continue the answer.
 func (a *answer) contextTokens() int {
 	bytes := 0
 	for _, m := range a.req.Chat.Messages {
 		bytes += len(m.Content)
 	}
-	return bytes/bytesPerToken + len(a.delivered)
+	return bytes/bytesPerToken + len(a.deliveredTokens)
 }
 
 const bytesPerToken = 4
 
-// recordFailure starts measuring a recovery.
+// recordFailure adds a Recovery to the summary. recordDelivered completes it when the
+// next token is delivered.
 func (a *answer) recordFailure(result AttemptResult) {
 	now := time.Now()
 	a.summary.Recoveries = append(a.summary.Recoveries, Recovery{
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -14,16 +14,16 @@
 	OldEpoch
 	// FutureEpoch tokens name an epoch that was never started.
 	FutureEpoch
-	// WrongPosition tokens repeat a position or skip one.
+	// WrongPosition tokens have another position than the next one.
 	WrongPosition
-	// SkippedLayer tokens were computed without one of the layers.
+	// SkippedLayer tokens were computed without some layer of the model.
 	SkippedLayer
 	// RepeatedLayer tokens were computed with a layer twice or out of order.
 	RepeatedLayer
 	// BadSpan tokens name layers that the model does not have.
 	BadSpan
-	// TooLong tokens exceed the maximum number of tokens of an answer.
-	TooLong
+	// AnswerTooLong tokens exceed the maximum number of tokens of an answer.
+	AnswerTooLong
 	// WrongArtifact tokens were computed, on at least one stage, with other weights
 	// or another adapter than the chain's.
 	WrongArtifact
@@ -38,23 +38,23 @@
 // String returns the text used in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Stray reports whether the token belongs to another stream or an earlier epoch. It
-// is dropped and does not count as a fault of the chain.
+// Stray reports whether the token belongs to another stream or an earlier epoch. Such a
+// token is dropped and does not count as a fault of the chain.
 func (r Reason) Stray() bool { return r == ForeignStream || r == OldEpoch }
 
-// TokenCheck decides which tokens of a stream may reach the caller. It is a pure
-// state machine for use by one goroutine, and neither allocates nor blocks.
+// TokenCheck decides which tokens of a stream may reach the caller. It is for use by one
+// goroutine, and neither allocates memory nor blocks.
 type TokenCheck struct {
 	stream       string
 	layers       int
 	maxTokens    int
 	epoch        uint32
 	nextPosition int
-	// artifact is the artifact that each span of the current epoch must report. An
-	// engine that ignores fencing numbers may load other weights in the middle of an
-	// answer. Its layers are still complete and in order, so only the artifact in
-	// the span shows the change; without this check the answer would mix two
-	// versions. An engine that reports a false artifact is not detected.
+	// artifact is the artifact that each span of the current epoch must report.
+	// Without this check an answer could mix two versions of the weights: an engine
+	// that ignores fencing numbers may load other weights in the middle of an answer.
+	// The spans still cover every layer in order, so only their artifact shows the
+	// change. An engine that reports a false artifact is not detected.
 	artifact engineapi.Artifact
 }
 
@@ -80,7 +80,7 @@
 		return reason
 	}
 	if c.nextPosition >= c.maxTokens {
-		return TooLong
+		return AnswerTooLong
 	}
 	if reason := c.verifySpans(t.Spans); reason != Accepted {
 		return reason
@@ -89,8 +89,8 @@
 	return Accepted
 }
 
-// VerifyEnd checks the event that closes the answer. Its position must follow the
-// last accepted token; otherwise tokens before it were lost.
+// VerifyEnd checks the event that closes the answer. Its position must be the one after
+// the last accepted token. A higher position means that tokens were lost.
 func (c *TokenCheck) VerifyEnd(t *engineapi.TokenTrace) Reason { return c.verifyPosition(t) }
 
 // verifyPosition checks a token's stream, epoch and position.
@@ -110,22 +110,22 @@
 
 // verifySpans checks that spans cover layers 0 to layers-1 once and in order.
 func (c *TokenCheck) verifySpans(spans []engineapi.Span) Reason {
-	expected := 0
+	nextLayer := 0
 	for i := range spans {
 		s := &spans[i]
 		switch {
 		case s.First < 0 || s.Last < s.First || s.Last >= c.layers:
 			return BadSpan
-		case s.First > expected:
+		case s.First > nextLayer:
 			return SkippedLayer
-		case s.First < expected:
+		case s.First < nextLayer:
 			return RepeatedLayer
 		case s.Artifact != c.artifact:
 			return WrongArtifact
 		}
-		expected = s.Last + 1
+		nextLayer = s.Last + 1
 	}
-	if expected != c.layers {
+	if nextLayer != c.layers {
 		return SkippedLayer
 	}
 	return Accepted
--- a/route/stream/resume_test.go
+++ b/route/stream/resume_test.go
@@ -9,9 +9,10 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// A resumed answer imports the KV cache if the failed chain can still export it and
-// importing was measured to be faster. A chain with a failed stage or a lost cache cannot
-// export, and the next chain must recompute. The answer is unchanged in each case.
+// After a failure, the next chain must import the KV cache if the failed chain can still
+// export it and an import is expected to be faster. A chain with a failed stage or a lost
+// cache cannot export, so the next chain must recompute. The answer must be the same in
+// each case.
 func TestResumeByImport(t *testing.T) {
 	cases := []struct {
 		name     string
@@ -45,18 +46,18 @@
 	}
 }
 
-func TestImportPays(t *testing.T) {
-	second, half := cost{nanos: 1e9, known: true}, cost{nanos: 5e8, known: true}
+func TestPreferImport(t *testing.T) {
+	second, half := cost{meanNanos: 1e9, known: true}, cost{meanNanos: 5e8, known: true}
 	cases := []struct {
 		name                string
-		recompute, imported map[int]cost // by tokens
+		recompute, imported map[int]cost // measured times by number of context tokens
 		tokens              int
 		want                bool
 	}{
 		{"nothing measured", nil, nil, 1000, false},
 		{"import not tried", map[int]cost{1000: second}, nil, 1000, true},
 		{"import not tried, recompute taken from longer", map[int]cost{1000: second}, nil, 100, true},
-		{"recompute short", map[int]cost{100: {nanos: 1e7, known: true}}, map[int]cost{100: {nanos: 1, known: true}}, 100, false},
+		{"recompute short", map[int]cost{100: {meanNanos: 1e7, known: true}}, map[int]cost{100: {meanNanos: 1, known: true}}, 100, false},
 		{"import quicker", map[int]cost{1000: second}, map[int]cost{1000: half}, 1000, true},
 		{"import slower", map[int]cost{1000: half}, map[int]cost{1000: second}, 1000, false},
 		{"scaled from shorter", map[int]cost{1000: half}, map[int]cost{8000: second}, 8000, true},
@@ -70,8 +71,8 @@
 			for tokens, measured := range c.imported {
 				costs.buckets[methodImport][bucketOf(tokens)] = measured
 			}
-			pays, timeout := costs.importPays(c.tokens)
-			So(fmt.Sprint(c.name, pays), ShouldEqual, fmt.Sprint(c.name, c.want))
+			preferred, timeout := costs.preferImport(c.tokens)
+			So(fmt.Sprint(c.name, preferred), ShouldEqual, fmt.Sprint(c.name, c.want))
 			So(timeout, ShouldBeLessThanOrEqualTo, time.Second)
 		}
 	})
--- a/route/targets/targets_test.go
+++ b/route/targets/targets_test.go
@@ -17,12 +17,12 @@
 )
 
 var testModel = &ruleset.Model{
-	Layers: 8, LayerMB: 100, TokenLayerBytes: 1000, StepMillis: 1,
-	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, Pace: 1}},
+	Layers: 8, LayerMB: 100, KVBytesPerTokenLayer: 1000, StepMillis: 1,
+	Cards: map[string]ruleset.Card{"l4": {MemoryMB: 500, StepTimeFactor: 1}},
 }
 
 func newReplica(id string, from, to int) *replicalist.Replica {
-	return &replicalist.Replica{ID: id, Address: id, Domain: "d", Kind: "l4", Holds: layers.Span{From: from, To: to}}
+	return &replicalist.Replica{ID: id, Address: id, Domain: "d", CardKind: "l4", Holds: layers.Span{From: from, To: to}}
 }
 
 // soleNode is the NodeShare of the only node: all capacity and maxConns connections to each
@@ -104,8 +104,8 @@
 }
 
 // One request finds that a replica is lost. If the other requests that run through the replica
-// were not notified at once, each would have to find out itself. Requests on other replicas are
-// not notified.
+// were not notified at once, each request would have to find the loss itself. Requests on other
+// replicas are not notified.
 func TestLostReplicaNotifiesAllItsRequests(t *testing.T) {
 	m := twoStageModel()
 	notified := make(chan string, 20)
@@ -143,7 +143,8 @@
 }
 
 // A request takes a bypass around a lost stage. The first stage stays, and the later stages are
-// chosen again. The reservation moves to the new path, or some of it would never be released.
+// chosen again. The reservation moves to the new path. If it did not move, a part of the
+// reservation would never be released.
 func TestBypassMovesReservation(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -215,8 +216,8 @@
 }
 
 // A replica leaves without announcing it: it disappears from the list and continues to serve.
-// It counts as draining. If it counted as lost, all its streams would transfer data over the
-// links at once and pause for a second.
+// The replica counts as draining. If it counted as lost, all its streams would transfer data
+// over the links at once and pause for a second.
 func TestUnlistedReplicaCountsAsDraining(t *testing.T) {
 	m := twoStageModel()
 	target := choose(t, m, 100)
@@ -247,7 +248,7 @@
 	}
 	model := *testModel
 	// One crossing of a stream with 1,000 tokens takes 50 ms.
-	model.CrossBytes, model.LinkBytesPerSecond = 1000, 2e7
+	model.TransferBytesPerToken, model.LinkBytesPerSecond = 1000, 2e7
 	m := NewModelTargets("d", 1, time.Now)
 	list := []*replicalist.Replica{newReplica("a", 0, 4), newReplica("b", 4, 8), remote("x", 0, 4), remote("y", 4, 8)}
 	m.Update(&model, list, soleNode(10))
@@ -323,7 +324,7 @@
 // the replica itself. If nodes forwarded reports, the reports would never expire.
 func TestPeerReportsAreNotForwarded(t *testing.T) {
 	m := twoStageModel()
-	reports := []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: peerreports.Quorum}, {Replica: "b1", Slowdown: 5, Nodes: peerreports.Quorum}}
+	reports := []peerreports.Observation{{Replica: "a1", Unreachable: true, Observers: peerreports.Quorum}, {Replica: "b1", Slowdown: 5, Observers: peerreports.Quorum}}
 	domainNodes := []string{"n1", "n2", "n3", "n4", "n5"}
 	decision := m.Evaluate("n4", domainNodes, reports)
 	if len(decision.Accept) != 2 || len(m.Suspects()) != 1 || !m.HasRecentPeerReport("b1") || len(m.Slow()) != 1 {
@@ -336,7 +337,7 @@
 		t.Errorf("sent to %s", target.Replica)
 	}
 	m.RecordUnreachable("a1")
-	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Nodes != 1 {
+	if seen := m.Observations(); len(seen) != 1 || seen[0].Replica != "a1" || seen[0].Observers != 1 {
 		t.Errorf("after a failed try: %+v", seen)
 	}
 	m.MarkAlive("a1")
@@ -357,7 +358,7 @@
 	m.Update(testModel, []*replicalist.Replica{newReplica("a1", 0, 4), newReplica("b1", 4, 8)}, soleNode(10))
 	verifications := 0
 	for range 20 {
-		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Observation{{Replica: "a1", Unreachable: true, Nodes: 1}}).Verify)
+		verifications += len(m.Evaluate("n1", []string{"n1"}, []peerreports.Observation{{Replica: "a1", Unreachable: true, Observers: 1}}).Verify)
 		now = now.Add(verifyInterval / 10)
 	}
 	if verifications != 2 {
@@ -421,11 +422,12 @@
 }
 
 // Three nodes report that a replica refuses requests although it has capacity. A fourth node
-// sends it no new requests, and reports only refusals of its own requests.
+// accepts their reports and sends the replica no new requests. The fourth node itself reports
+// only refusals of requests that it has sent.
 func TestReportedRefusalsBackOff(t *testing.T) {
 	m := twoStageModel()
 	domainNodes := []string{"n1", "n2", "n3", "n4"}
-	reports := []peerreports.Observation{{Replica: "a1", Refusing: true, Nodes: peerreports.Quorum}, {Replica: "b1", Refusing: true, Nodes: 1}}
+	reports := []peerreports.Observation{{Replica: "a1", Refusing: true, Observers: peerreports.Quorum}, {Replica: "b1", Refusing: true, Observers: 1}}
 	decision := m.Evaluate("n4", domainNodes, reports)
 	if len(decision.Accept) != 1 || len(decision.Verify) != 0 || len(m.Suspects()) != 0 {
 		t.Fatalf("%+v", decision)
