--- a/decide/peerreports/peerreports.go
+++ b/decide/peerreports/peerreports.go
@@ -20,13 +20,16 @@
 //     connection, a replica that refuses requests although it has capacity, or the slowdown
 //     that a replica reports about itself. An observation has an age and is valid for
 //     ValidFor.
-//   - A node accepts an observation that at least Quorum nodes have made independently. If
-//     fewer nodes have made the observation, a few nodes, the Verifiers, check the replica
-//     themselves. All nodes agree on which nodes are the Verifiers of a replica. So a
-//     single wrong observation convinces no other node, and not all nodes contact the same
-//     replica because of it.
+//   - A node accepts an observation that at least Quorum nodes have made independently.
+//     If fewer nodes have made the observation, or if accepting it would exceed
+//     MaxExcludedShare, a few nodes, the Verifiers, check the replica themselves.
+//     Refusals are not checked, because the replica answers any check and refuses only
+//     requests. All nodes agree on which nodes are the Verifiers of a replica. So a
+//     single wrong observation convinces no other node, and not all nodes contact the
+//     same replica because of this observation.
 //   - At most the share MaxExcludedShare of a service's replicas is excluded because of
 //     reports from other nodes, because a network fault can make many replicas look lost.
+//     Replicas that the node already treats as lost count towards this share.
 //   - A message holds at most MaxPerMessage observations, the most recent first.
 //     Observations that no node would send are dropped and counted.
 package peerreports
@@ -48,7 +51,8 @@
 	// accepted without verification.
 	Quorum = 3
 	// Verifiers is the number of nodes that check a replica if fewer than Quorum nodes
-	// have made an observation about it.
+	// have made an observation about the replica, or if accepting the observation would
+	// exceed MaxExcludedShare.
 	Verifiers = 3
 	// MaxExcludedShare is the largest share of a service's replicas that is excluded
 	// because of reports from other nodes.
@@ -98,9 +102,9 @@
 	latest map[string]message
 }
 
-// Record stores the message of a node: its own observations or, from a hub, those of
-// several nodes. It returns how many observations were dropped.
-func (a *Aggregator) Record(now time.Time, node string, hub bool, observations []Observation) (dropped int) {
+// Record stores the message of a node: the node's own observations or, if fromHub is set,
+// the observations of several nodes. Record returns how many observations were dropped.
+func (a *Aggregator) Record(now time.Time, node string, fromHub bool, observations []Observation) (dropped int) {
 	if a.latest == nil {
 		a.latest = map[string]message{}
 	}
@@ -117,13 +121,13 @@
 		}
 		kept = append(kept, o)
 	}
-	a.latest[node] = message{receivedAt: now, fromHub: hub, observations: kept}
+	a.latest[node] = message{receivedAt: now, fromHub: fromHub, observations: kept}
 	return dropped
 }
 
-// KeepOnly drops the messages of all nodes except the given hub. The message of this hub
+// KeepOnlyFrom drops the messages of all nodes except the given hub. The message of this hub
 // includes the observations of the other nodes.
-func (a *Aggregator) KeepOnly(hub string) {
+func (a *Aggregator) KeepOnlyFrom(hub string) {
 	for node := range a.latest {
 		if node != hub {
 			delete(a.latest, node)
@@ -139,9 +143,9 @@
 // ReplyTo returns the observations to send to a node that asked. Another hub gets this
 // node's own observations and those of the nodes that report to this node. Any node that
 // is not a hub gets all observations but its own.
-func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, hub bool) []Observation {
+func (a *Aggregator) ReplyTo(now time.Time, own []Observation, asker string, askerIsHub bool) []Observation {
 	return a.merge(now, own, func(node string, m message) bool {
-		if hub {
+		if askerIsHub {
 			return !m.fromHub
 		}
 		return node != asker
--- a/route/service/leaving_test.go
+++ b/route/service/leaving_test.go
@@ -10,8 +10,8 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// statement says whether an engine is leaving, according to one source.
-type statement struct {
+// leavingStatement says whether an engine is leaving, according to one source.
+type leavingStatement struct {
 	endpoint string
 	source   balance.Source
 	leaving  bool
@@ -32,7 +32,7 @@
 	return docindex.Build(doc, 1, "digest")
 }
 
-func (s *Service) apply(st statement) {
+func (s *Service) apply(st leavingStatement) {
 	if st.source == balance.SourceEndpoint {
 		s.RecordLoad(st.endpoint, engineapi.Load{Draining: st.leaving})
 		return
@@ -62,21 +62,21 @@
 	const platform, operator, endpoint = balance.SourcePlatform, balance.SourceOperator, balance.SourceEndpoint
 	cases := []struct {
 		name       string
-		statements []statement
+		statements []leavingStatement
 		picked     bool
 	}{
 		{"no stage leaves", nil, true},
-		{"the first stage leaves", []statement{{"xa", platform, true}}, false},
-		{"the second stage leaves", []statement{{"xb", platform, true}}, false},
-		{"a stage itself reports that it leaves", []statement{{"xb", endpoint, true}}, false},
-		{"the other stage stays", []statement{{"xa", platform, true}, {"xb", platform, false}}, false},
-		{"the other stage reports that it stays", []statement{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
-		{"another source says that the stage stays", []statement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
-		{"one of two marks is taken back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
-		{"both marks are taken back", []statement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
-		{"all sources take their marks back", []statement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
-		{"a stage of another chain leaves", []statement{{"ya", operator, true}}, true},
-		{"an engine that is in no document leaves", []statement{{"za", platform, true}}, true},
+		{"the first stage leaves", []leavingStatement{{"xa", platform, true}}, false},
+		{"the second stage leaves", []leavingStatement{{"xb", platform, true}}, false},
+		{"a stage itself reports that it leaves", []leavingStatement{{"xb", endpoint, true}}, false},
+		{"the other stage stays", []leavingStatement{{"xa", platform, true}, {"xb", platform, false}}, false},
+		{"the other stage reports that it stays", []leavingStatement{{"xa", endpoint, true}, {"xb", endpoint, false}}, false},
+		{"another source says that the stage stays", []leavingStatement{{"xa", platform, true}, {"xa", endpoint, false}}, false},
+		{"one of two marks is taken back", []leavingStatement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}}, false},
+		{"both marks are taken back", []leavingStatement{{"xa", platform, true}, {"xb", platform, true}, {"xa", platform, false}, {"xb", platform, false}}, true},
+		{"all sources take their marks back", []leavingStatement{{"xa", platform, true}, {"xa", endpoint, true}, {"xa", platform, false}, {"xa", endpoint, false}}, true},
+		{"a stage of another chain leaves", []leavingStatement{{"ya", operator, true}}, true},
+		{"an engine that is in no document leaves", []leavingStatement{{"za", platform, true}}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -97,30 +97,32 @@
 	return r.Get("pastry-llm")
 }
 
-// If a mark outlives its chain, the chain is never used again. A chain is removed from
-// the document while the platform lists one of its stages as leaving. The platform takes
-// the mark back, and a later document contains the chain again.
+// If a leaving mark were kept after its chain was removed from the document, the chain
+// would never be used again. The platform marks a stage as leaving, a new document removes
+// the chain, and the platform takes the mark back. A later document contains the chain
+// again.
 func TestRemovedChainIsUsedAgainAfterItReturns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: func() time.Time { return now }})
 	r.Apply(documentWithChains("x", "y"))
 	s := r.Get("pastry-llm")
-	s.apply(statement{"xa", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"xa", balance.SourcePlatform, true})
 	r.Apply(documentWithChains("y"))
-	s.apply(statement{"xa", balance.SourcePlatform, false})
+	s.apply(leavingStatement{"xa", balance.SourcePlatform, false})
 	r.Apply(documentWithChains("x", "y"))
-	s.apply(statement{"xb", balance.SourcePlatform, true})
-	s.apply(statement{"xb", balance.SourcePlatform, false})
-	now = now.Add(2 * balance.DefaultSlowStart) // until then a new replica gets few requests
+	s.apply(leavingStatement{"xb", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"xb", balance.SourcePlatform, false})
+	now = now.Add(2 * balance.DefaultSlowStart) // during slow start a new replica gets few requests
 	s.Picker.Refresh()
 	if !s.isPicked("x") {
 		t.Error("the chain that returned gets no requests")
 	}
 }
 
-// If a changed stage is missed, marks of the old engine keep the chain out of use and
-// marks of the new engine are ignored. A document replaces one engine of a chain by
-// another one in the same failure domain, so the balancer's list of replicas stays equal.
+// If the replacement of an engine were not noticed, leaving marks of the old engine would
+// keep the chain out of use and leaving marks of the new engine would be ignored. A
+// document replaces one engine of a chain by another engine in the same failure domain.
+// The balancer's list of replicas does not show this change.
 func TestReplacedEngineNoLongerMarksChain(t *testing.T) {
 	r := NewRegistry(Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
 	r.Apply(documentWithChains("x", "y"))
@@ -130,11 +132,11 @@
 	doc.Endpoints = append(doc.Endpoints, document.Endpoint{Name: "new", FailureDomain: "bandung"})
 	doc.Services[0].Model.Replicas[0].Stages[1].Endpoint = "new"
 	r.Apply(docindex.Build(&doc, 2, "digest"))
-	s.apply(statement{"xb", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"xb", balance.SourcePlatform, true})
 	if !s.isPicked("x") {
 		t.Error("a mark of the replaced engine keeps the chain out of use")
 	}
-	s.apply(statement{"new", balance.SourcePlatform, true})
+	s.apply(leavingStatement{"new", balance.SourcePlatform, true})
 	if s.isPicked("x") {
 		t.Error("a mark of the new engine is ignored")
 	}
--- a/route/service/prefixes_test.go
+++ b/route/service/prefixes_test.go
@@ -7,8 +7,8 @@
 	. "github.com/smartystreets/goconvey/convey"
 )
 
-// Without polling load and cache events in one call, a node sends twice as many polls.
-// Only the first stage of a chain is polled for events. A replica that was polled
+// If load and cache events were not polled in one call, a node would send twice as many
+// polls. Only the first stage of a chain is polled for events. A replica that was polled
 // recently must not be polled before a replica that was not.
 func TestCacheEventsArePolledWithLoad(t *testing.T) {
 	const interval = time.Second
@@ -18,19 +18,19 @@
 		r.Apply(documentWithChains("x", "y"))
 		s := r.Get("pastry-llm")
 
-		due, ok := s.EventsPollFor("xa", interval)
+		nextPoll, ok := s.EventsPollFor("xa", interval)
 		So(ok, ShouldBeTrue)
-		So(due.Replica, ShouldEqual, "x")
-		So(due.Endpoint, ShouldEqual, "xa")
+		So(nextPoll.Replica, ShouldEqual, "x")
+		So(nextPoll.Endpoint, ShouldEqual, "xa")
 		_, ok = s.EventsPollFor("xb", interval)
 		So(ok, ShouldBeFalse)
 
 		s.MarkEventsPolled("x")
 		_, ok = s.EventsPollFor("xa", interval)
 		So(ok, ShouldBeFalse)
-		due, mustPoll := s.NextEventsPoll(interval)
+		nextPoll, mustPoll := s.NextEventsPoll(interval)
 		So(mustPoll, ShouldBeTrue)
-		So(due.Replica, ShouldEqual, "y")
+		So(nextPoll.Replica, ShouldEqual, "y")
 		s.MarkEventsPolled("y")
 		_, mustPoll = s.NextEventsPoll(interval)
 		So(mustPoll, ShouldBeFalse)
