--- a/e2e/harness/caller.go
+++ b/e2e/harness/caller.go
@@ -37,8 +37,8 @@
 }
 
 // Entry asks a node which entry VMs to use.
-func (c *Caller) Entry(ctx context.Context, node, domain string) (httpapi.EntryAnswer, error) {
-	var answer httpapi.EntryAnswer
+func (c *Caller) Entry(ctx context.Context, node, domain string) (httpapi.EntryResponse, error) {
+	var answer httpapi.EntryResponse
 	response, err := c.do(ctx, http.MethodGet, "http://"+node+"/v1/entry?failure_domain="+domain, nil, nil)
 	if err != nil {
 		return answer, err
@@ -152,7 +152,7 @@
 func (c *Caller) Order(ctx context.Context, node, key, body string) (Reply, error) {
 	header := http.Header{}
 	if key != "" {
-		header.Set(outcome.HeaderOrderKey, key)
+		header.Set(outcome.HeaderIdempotencyKey, key)
 	}
 	response, err := c.do(ctx, http.MethodPost, "http://"+node+"/services/"+Plain+"/orders", header, []byte(body))
 	if err != nil {
--- a/node/server/entries.go
+++ b/node/server/entries.go
@@ -17,8 +17,8 @@
 	server *Server
 }
 
-// Entry implements httpapi.EntryAnswerer.
-func (e *entries) Entry(team *document.Team, failureDomain string) httpapi.EntryAnswer {
+// Entry implements httpapi.EntryProvider.
+func (e *entries) Entry(team *document.Team, failureDomain string) httpapi.EntryResponse {
 	if failureDomain == "" {
 		failureDomain = e.server.settings.FailureDomain
 	}
@@ -27,7 +27,7 @@
 		FailureDomain: failureDomain,
 		Share:         e.server.teamShare(team),
 	}, e.server.entryMembers())
-	answer := httpapi.EntryAnswer{ValidForMillis: e.server.validFor(result.ValidFor).Milliseconds()}
+	answer := httpapi.EntryResponse{ValidForMillis: e.server.validFor(result.ValidFor).Milliseconds()}
 	for _, a := range result.Addresses {
 		answer.Addresses = append(answer.Addresses, httpapi.EntryAddress{
 			Address:       a.Address,
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -67,7 +67,7 @@
 	limits     *teamlimiter.Limiter
 	decisions  *decisionlog.Log
 	metrics    *metrics.Metrics
-	front      *httpapi.Front
+	front      *httpapi.Server
 	pool       *upstream.Pool
 	engines    *engineclient.Client
 	streams    *stream.Runner
@@ -175,33 +175,33 @@
 	}
 }
 
-func (s *Server) newFront() *httpapi.Front {
-	desk := &lifecycle.Desk{
-		Services: s.registry,
-		Limits:   s.limits,
-		Record:   s.decisions,
-		Figures:  s.metrics,
-		Now:      time.Now,
+func (s *Server) newFront() *httpapi.Server {
+	desk := &lifecycle.Manager{
+		Services:    s.registry,
+		TeamLimiter: s.limits,
+		Recorder:    s.decisions,
+		Metrics:     s.metrics,
+		Now:         time.Now,
 	}
-	return &httpapi.Front{
-		Directory: s.directory.Load,
-		Now:       time.Now,
-		Entries:   &entries{server: s},
-		Models: &modelservice.Server{
-			Desk:    desk,
-			Streams: s.streams,
-			Chains:  &chains.Resolver{Plans: s.book},
-			Plans:   planWatcher{s.book, s.keeper},
-			Figures: s.metrics,
+	return &httpapi.Server{
+		Directory:     s.directory.Load,
+		Now:           time.Now,
+		EntryProvider: &entries{server: s},
+		ModelServer: &modelservice.Server{
+			Lifecycle: desk,
+			Streams:   s.streams,
+			Chains:    &chains.Resolver{Plans: s.book},
+			Plans:     planWatcher{s.book, s.keeper},
+			Metrics:   s.metrics,
 		},
-		Plains: &plainservice.Server{
-			Desk: desk,
-			Path: &relay.Server{
-				HeaderCodec: plainservice.Dialect{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
-				MaxBufferedBytes: plainservice.MaxAnswer,
+		PlainServer: &plainservice.Server{
+			Lifecycle: desk,
+			Relay: &relay.Server{
+				HeaderCodec: plainservice.HeaderCodec{}, Pool: s.pool, Metrics: s.metrics, Recorder: s.decisions, Log: s.log, Now: time.Now,
+				MaxBufferedBytes: plainservice.MaxAnswerBytes,
 			},
 			Claims:  s.orders,
-			Figures: s.metrics,
+			Metrics: s.metrics,
 		},
 	}
 }
--- a/route/httpapi/model_test.go
+++ b/route/httpapi/model_test.go
@@ -17,11 +17,12 @@
 const (
 	prompt       = "Tide windows for the north pens, please"
 	answerTokens = 12
-	// failAt is the token after which a chain is made to fail.
-	failAt = 3
+	// killAfterTokens is the number of tokens after which a test kills a chain's
+	// engine.
+	killAfterTokens = 3
 )
 
-func chat(stream bool) asked {
+func chatRequest(stream bool) apiRequest {
 	body, err := json.Marshal(engineapi.ChatRequest{
 		Model:     assistant,
 		Messages:  []engineapi.Message{{Role: "user", Content: prompt}},
@@ -31,14 +32,14 @@
 	if err != nil {
 		panic(err)
 	}
-	return asked{method: http.MethodPost, path: engineapi.PathChat, key: teamKey, body: string(body)}
+	return apiRequest{method: http.MethodPost, path: engineapi.PathChat, key: teamKey, body: string(body)}
 }
 
-func undisturbed() string {
+func referenceAnswer() string {
 	return strings.Join(standinengine.Answer(layers, []engineapi.Message{{Role: "user", Content: prompt}}, answerTokens), "")
 }
 
-// event is any event of a stream towards a caller.
+// event is any event of a stream that a caller receives.
 type event struct {
 	Choices []engineapi.Choice `json:"choices"`
 	Result  *struct {
@@ -48,47 +49,47 @@
 	Error *outcome.BodyError `json:"error"`
 }
 
-// streamed is a streamed answer as a caller reads it.
-type streamed struct {
-	text  string
-	last  event
-	whole bool // the closing marker came, as the last event
+// streamedAnswer is a streamed answer as a caller reads it.
+type streamedAnswer struct {
+	text      string
+	lastEvent event
+	complete  bool // the closing marker was the last event
 }
 
-func readStream(t *testing.T, body string) streamed {
+func readStream(t *testing.T, body string) streamedAnswer {
 	t.Helper()
-	var s streamed
+	var answer streamedAnswer
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if !ok {
 			continue
 		}
-		s.whole = data == engineapi.DoneMarker
-		if s.whole {
+		answer.complete = data == engineapi.DoneMarker
+		if answer.complete {
 			continue
 		}
-		s.last = event{}
-		if err := json.Unmarshal([]byte(data), &s.last); err != nil {
+		answer.lastEvent = event{}
+		if err := json.Unmarshal([]byte(data), &answer.lastEvent); err != nil {
 			t.Fatal(err)
 		}
-		for _, choice := range s.last.Choices {
-			s.text += choice.Delta.Content
+		for _, choice := range answer.lastEvent.Choices {
+			answer.text += choice.Delta.Content
 		}
 	}
-	return s
+	return answer
 }
 
-// The caller who asks for a stream gets every token, what became of the request
-// in the last event and the trailer, and the closing marker.
+// Without the outcome and the closing marker, the caller of a stream could not tell a
+// complete answer from a partial one. The last event and the trailer say the outcome.
 func TestStreamedAnswer(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	got := s.ask(chat(true))
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	got := n.send(chatRequest(true))
 	answer := readStream(t, got.body)
-	if answer.text != undisturbed() || !answer.whole {
-		t.Errorf("whole %t: %q, want %q", answer.whole, answer.text, undisturbed())
+	if answer.text != referenceAnswer() || !answer.complete {
+		t.Errorf("complete %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
-	if r := answer.last.Result; r == nil || r.Outcome != outcome.Done || r.Tokens != answerTokens {
+	if r := answer.lastEvent.Result; r == nil || r.Outcome != outcome.Done || r.Tokens != answerTokens {
 		t.Errorf("last event: %+v", r)
 	}
 	if got.status != http.StatusOK || got.outcome() != outcome.Done || got.header.Get("Content-Type") != "text/event-stream" {
@@ -96,10 +97,10 @@
 	}
 }
 
-// The caller who asks for no stream gets the same answer in one piece.
-func TestAnswerInOnePiece(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	got := s.ask(chat(false))
+// Callers that don't ask for a stream get the same answer in one piece.
+func TestNonStreamedAnswer(t *testing.T) {
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	got := n.send(chatRequest(false))
 	var answer struct {
 		Object  string
 		Choices []struct {
@@ -113,7 +114,7 @@
 	if err := json.Unmarshal([]byte(got.body), &answer); err != nil {
 		t.Fatalf("%v: %s", err, got.body)
 	}
-	if len(answer.Choices) != 1 || answer.Choices[0].Message.Content != undisturbed() || answer.Choices[0].Finish != "stop" {
+	if len(answer.Choices) != 1 || answer.Choices[0].Message.Content != referenceAnswer() || answer.Choices[0].Finish != "stop" {
 		t.Errorf("got %+v", answer.Choices)
 	}
 	if got.outcome() != outcome.Done || answer.Object != "chat.completion" || answer.Usage.Tokens != answerTokens {
@@ -121,29 +122,29 @@
 	}
 }
 
-// The caller has read a part of the stream when the only chain dies. The status
-// has gone out, so the last event carries the error and the closing marker is
-// left out: no client takes the part for the whole.
-func TestStreamThatCanNotGoOn(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1, step: 20 * time.Millisecond})
-	killed := s.killAfter(failAt)
-	got := s.ask(chat(true))
+// The only chain is killed when the caller has part of the stream. The status has been
+// sent already, so clients could take the partial answer for a complete one. The last
+// event carries the error, and the closing marker is left out.
+func TestInterruptedStream(t *testing.T) {
+	n := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
+	killed := n.killSecondStageAfter(killAfterTokens)
+	got := n.send(chatRequest(true))
 	<-killed
 	answer := readStream(t, got.body)
-	if answer.whole || answer.text == "" || !strings.HasPrefix(undisturbed(), answer.text) {
-		t.Errorf("whole %t: %q, want a beginning of %q", answer.whole, answer.text, undisturbed())
+	if answer.complete || answer.text == "" || !strings.HasPrefix(referenceAnswer(), answer.text) {
+		t.Errorf("complete %t: %q, want a beginning of %q", answer.complete, answer.text, referenceAnswer())
 	}
-	if e := answer.last.Error; e == nil || e.Outcome != outcome.Unknown || got.outcome() != outcome.Unknown {
-		t.Errorf("last event %+v, trailer %v", answer.last, got.trailer)
+	if e := answer.lastEvent.Error; e == nil || e.Outcome != outcome.Unknown || got.outcome() != outcome.Unknown {
+		t.Errorf("last event %+v, trailer %v", answer.lastEvent, got.trailer)
 	}
 }
 
-// The caller asked for the answer in one piece, so nothing has gone out when
-// the only chain dies: the caller gets an error and no part of an answer.
-func TestOnePieceThatCanNotGoOn(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1, step: 20 * time.Millisecond})
-	killed := s.killAfter(failAt)
-	got := s.ask(chat(false))
+// The only chain is killed during an answer in one piece. Nothing has been sent to the
+// caller yet, so it gets an error and no part of the answer.
+func TestInterruptedNonStreamedAnswer(t *testing.T) {
+	n := newTestNode(t, testNodeConfig{chains: 1, tokenTime: 20 * time.Millisecond})
+	killed := n.killSecondStageAfter(killAfterTokens)
+	got := n.send(chatRequest(false))
 	<-killed
 	var body outcome.Body
 	if err := json.Unmarshal([]byte(got.body), &body); err != nil {
@@ -153,43 +154,44 @@
 		t.Errorf("%d %+v", got.status, body)
 	}
 	if got.header.Get("Retry-After") == "" {
-		t.Error("the caller is not told when to come back")
+		t.Error("Retry-After is missing")
 	}
 }
 
-// killAfter kills the second stage of the first chain once it has run for some
+// killSecondStageAfter kills the second engine of the first chain after a number of
 // tokens.
-func (s *site) killAfter(tokens int) <-chan struct{} {
+func (n *testNode) killSecondStageAfter(tokens int) <-chan struct{} {
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
-		second := s.engines[0][1]
+		second := n.engines[0][1]
 		for second.Engine.Stats().Steps < tokens {
-			time.Sleep(time.Millisecond) // nothing tells of a step
+			time.Sleep(time.Millisecond) // the engine has no event for a token
 		}
 		second.Kill()
 	}()
 	return killed
 }
 
-// No engine can be reached: nothing was sent, so the caller is told not run and
-// when to come back, as a refusal and not as a stream.
-func TestNoChainCanBeReached(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 2})
-	for _, pair := range s.engines {
+// No engine can be reached, so nothing is sent. If the answer were a broken stream,
+// callers would not know that a retry is safe. They get a refusal with the outcome "not
+// run" and a Retry-After.
+func TestUnreachableChains(t *testing.T) {
+	n := newTestNode(t, testNodeConfig{chains: 2})
+	for _, pair := range n.engines {
 		pair[0].Kill()
 	}
-	got := s.ask(chat(true))
-	refusedAs(t, got, http.StatusServiceUnavailable, "no_chain")
+	got := n.send(chatRequest(true))
+	checkRefusal(t, got, http.StatusServiceUnavailable, "no_chain")
 	if got.header.Get("Retry-After") == "" {
-		t.Error("the caller is not told when to come back")
+		t.Error("Retry-After is missing")
 	}
 }
 
-// The caller's own deadline passes: the answer comes then, not later. It says
-// not run only if the engine was still being asked what it holds, so that no
-// work had been sent; an engine at work leaves it unknown.
-func TestDeadlinePasses(t *testing.T) {
+// If the answer came after the caller's deadline, nobody would read it. The outcome is
+// "not run" only if the engine had not yet reported what it holds, because no work is
+// sent before that. If the engine was working, the outcome is "unknown".
+func TestCallerDeadline(t *testing.T) {
 	cases := []struct {
 		name   string
 		faults standinengine.Faults
@@ -200,45 +202,45 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			// The check's own bound would pass at about the same time.
-			s := newSite(t, siteConfig{chains: 1, streams: stream.Options{ReportTimeout: time.Minute}})
-			s.engines[0][0].Engine.SetFaults(c.faults)
-			a := chat(true)
+			// The default timeout of the engine report would pass at about the same
+			// time.
+			n := newTestNode(t, testNodeConfig{chains: 1, streamOptions: stream.Options{ReportTimeout: time.Minute}})
+			n.engines[0][0].Engine.SetFaults(c.faults)
+			a := chatRequest(true)
 			a.header = map[string]string{outcome.HeaderTimeout: "300"}
-			begun := time.Now()
-			got := s.ask(a)
+			start := time.Now()
+			got := n.send(a)
 			if got.status != http.StatusGatewayTimeout || got.outcome() != c.want {
 				t.Errorf("%d %s: %s", got.status, got.outcome(), got.body)
 			}
-			if took := time.Since(begun); took > 2*time.Second {
+			if took := time.Since(start); took > 2*time.Second {
 				t.Errorf("answered after %s", took)
 			}
-			if n := s.opened(); c.want == outcome.NotRun && n != 0 {
-				t.Errorf("told not run, but %d streams were opened", n)
+			if n := n.openedStreams(); c.want == outcome.NotRun && n != 0 {
+				t.Errorf("the outcome is not run, but %d streams were opened", n)
 			}
 		})
 	}
 }
 
-// A caller who names a chain of its own can't choose engines: the field is the
-// nodes' alone, and another caller's stream might be named there.
-func TestCallersDoNotChooseChains(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	a := chat(true)
+// If a caller could set the fields that nodes use to address engines, it could choose
+// engines or name the stream of another caller. These fields are ignored.
+func TestCallerChainFieldsAreIgnored(t *testing.T) {
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	a := chatRequest(true)
 	a.body = strings.Replace(a.body, `{`, `{"priority":9,"cicadatack":{"stream":"of-another","epoch":7,"resume_tokens":[" x"]},`, 1)
-	answer := readStream(t, s.ask(a).body)
-	if answer.text != undisturbed() || !answer.whole {
-		t.Errorf("whole %t: %q, want %q", answer.whole, answer.text, undisturbed())
+	answer := readStream(t, n.send(a).body)
+	if answer.text != referenceAnswer() || !answer.complete {
+		t.Errorf("complete %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 }
 
-// The caller gets a whole answer from the only chain, whose link between the stages
-// is lost for a moment before the first token. The silence ends the first epoch in a
-// fraction of a second; there is no other chain, so the same one is tried again
-// rather than the caller told that its call may have run.
-func TestOnlyChainComesBack(t *testing.T) {
-	s := newSite(t, siteConfig{chains: 1})
-	first := s.engines[0][0].Engine
+// The link between the stages of the only chain is lost for a moment before the first
+// token. Without a retry at the same chain, the caller would be told that its call may
+// have run, although the chain is back in a fraction of a second.
+func TestOnlyChainIsRetried(t *testing.T) {
+	n := newTestNode(t, testNodeConfig{chains: 1})
+	first := n.engines[0][0].Engine
 	first.SetFaults(standinengine.Faults{CutNext: true})
 	go func() {
 		for first.Stats().Ended < 1 {
@@ -246,8 +248,8 @@
 		}
 		first.SetFaults(standinengine.Faults{})
 	}()
-	answer := readStream(t, s.ask(chat(true)).body)
-	if answer.text != undisturbed() || !answer.whole {
-		t.Errorf("whole %t: %q, want %q", answer.whole, answer.text, undisturbed())
+	answer := readStream(t, n.send(chatRequest(true)).body)
+	if answer.text != referenceAnswer() || !answer.complete {
+		t.Errorf("complete %t: %q, want %q", answer.complete, answer.text, referenceAnswer())
 	}
 }
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -183,11 +183,11 @@
 func (k *Controller) recordAdapterChange(now time.Time, key recordKey, c adapters.Change, unplaced int) {
 	k.cfg.Recorder.Record(decisionlog.Decision{
 		At:      now,
-		Kind:    decisionlog.Place,
+		Kind:    decisionlog.PlaceOrder,
 		Service: key.model,
 		Chosen:  c.Replica,
 		Reason:  c.Reason + loadsAndDrops(c),
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"holders":   float64(c.Holders),
 			"target":    float64(c.TargetHolders),
 			"with_room": float64(c.AlternativeReplicaCount),
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -314,10 +314,10 @@
 	}
 	k.cfg.Recorder.Record(decisionlog.Decision{
 		At:      now,
-		Kind:    decisionlog.Place,
+		Kind:    decisionlog.PlaceOrder,
 		Service: replica.spec.key.model,
 		Chosen:  replica.spec.name,
 		Reason:  reason,
-		Figures: figures,
+		Values:  figures,
 	})
 }
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -14,60 +14,61 @@
 
 var errNoReplica = errors.New("no replica may be used now")
 
-// chooser chooses the chain of each epoch of one answer. It is used by one
-// goroutine at a time.
-type chooser struct {
-	answer *answer
-	// runs are the chains chosen, one for each epoch in order; ended counts
-	// those given up.
-	runs  []run
-	ended int
-	last  stream.AttemptResult
-	// prefixes are the names of the prompt's prefixes; nil until they are needed.
-	prefixes []uint64
+// chainChooser chooses the chain of each epoch of one call. It is used by one goroutine
+// at a time.
+type chainChooser struct {
+	call *modelCall
+	// epochs are the epochs of the call in order; endedEpochs is the number of those
+	// that have ended.
+	epochs      []epochState
+	endedEpochs int
+	lastResult  stream.AttemptResult
+	// prefixHashCache holds the hashes of the prompt's prefixes; nil until they are
+	// needed.
+	prefixHashCache []uint64
 }
 
-// maxPrefixes bounds the prefixes of a prompt that are looked for: 512 words tell
-// system prompts and templates apart.
+// maxPrefixes bounds the prefixes of a prompt that are looked up in the prefix index:
+// 512 words distinguish system prompts and templates.
 const maxPrefixes = 32
 
-func (c *chooser) hashes() []uint64 {
-	if c.prefixes == nil {
-		c.prefixes = engineapi.PrefixHashes(c.answer.chat.Messages, maxPrefixes)
+func (c *chainChooser) prefixHashes() []uint64 {
+	if c.prefixHashCache == nil {
+		c.prefixHashCache = engineapi.PrefixHashes(c.call.chat.Messages, maxPrefixes)
 	}
-	return c.prefixes
+	return c.prefixHashCache
 }
 
-// Choose picks a replica that is none of exclude. From the second epoch on the
-// retry budget must allow it.
-func (c *chooser) Choose(ctx context.Context, exclude []string) (stream.Chain, error) {
-	if len(c.runs) > 0 {
-		if err := c.mayRetry(ctx); err != nil {
+// Choose picks a replica that is not in exclude. From the second epoch on, Choose first
+// asks the retry budget and waits for the backoff.
+func (c *chainChooser) Choose(ctx context.Context, exclude []string) (stream.Chain, error) {
+	if len(c.epochs) > 0 {
+		if err := c.waitForRetry(ctx); err != nil {
 			return stream.Chain{}, err
 		}
 	}
-	chain, err := c.firstWithPlan(ctx, exclude)
-	if errors.Is(err, errNoReplica) && len(exclude) > 1 && c.patient() {
-		// Every chain has failed this answer once. The one that failed last is the
-		// only one known to be bad now.
-		chain, err = c.firstWithPlan(ctx, exclude[len(exclude)-1:])
+	chain, err := c.pickUsableChain(ctx, exclude)
+	if errors.Is(err, errNoReplica) && len(exclude) > 1 && c.extendsRetries() {
+		// Every chain has failed this call once. Only the chain that failed last is
+		// known to be failing now.
+		chain, err = c.pickUsableChain(ctx, exclude[len(exclude)-1:])
 	}
-	if errors.Is(err, errNoReplica) && len(c.runs) == c.ended && c.silent() {
-		// There is one chain only, and it was silent for a fraction of a second.
-		return c.firstWithPlan(ctx, nil)
+	if errors.Is(err, errNoReplica) && len(c.epochs) == c.endedEpochs && c.hadUnresponsiveChain() {
+		// There is only one chain, and it was unresponsive for a fraction of a second.
+		return c.pickUsableChain(ctx, nil)
 	}
 	return chain, err
 }
 
-// firstWithPlan picks until a replica's chain is known. Each replica is looked
-// at once.
-func (c *chooser) firstWithPlan(ctx context.Context, exclude []string) (stream.Chain, error) {
-	exclude = slices.Concat(exclude, c.answer.without)
+// pickUsableChain picks replicas until one has a usable chain. Each replica is tried
+// once.
+func (c *chainChooser) pickUsableChain(ctx context.Context, exclude []string) (stream.Chain, error) {
+	exclude = slices.Concat(exclude, c.call.excluded)
 	for {
-		choice, chain, err := c.pick(ctx, exclude)
+		choice, chain, err := c.pickChain(ctx, exclude)
 		if err == nil {
-			c.runs = append(c.runs, run{
-				replica: choice.ReplicaID, first: chain.Stages[0].Endpoint, since: c.answer.Now(), artifact: chain.Artifact,
+			c.epochs = append(c.epochs, epochState{
+				replica: choice.ReplicaID, firstEndpoint: chain.Stages[0].Endpoint, startedAt: c.call.Now(), artifact: chain.Artifact,
 			})
 			c.recordChoice(choice)
 			return chain, nil
@@ -79,93 +80,94 @@
 	}
 }
 
-// pick asks the balancer for a replica and resolves its chain. A replica whose
-// layers have no plan yet, or that cannot go on with this answer, is passed over:
-// that says nothing of its health.
-func (c *chooser) pick(ctx context.Context, exclude []string) (balance.Choice, stream.Chain, error) {
-	a := c.answer
-	choice, ok := a.At.Picker.Pick(balance.Query{
-		Prefix:  prefixHash(a.chat.Messages),
-		Holders: a.At.PrefixIndex.Holders(c.hashes()),
-		Cost:    a.cost,
+// pickChain asks the balancer for a replica and resolves its chain. A replica that has
+// no plan yet, or that can't continue this answer, is skipped without an effect on its
+// health.
+func (c *chainChooser) pickChain(ctx context.Context, exclude []string) (balance.Choice, stream.Chain, error) {
+	call := c.call
+	choice, ok := call.Local.Picker.Pick(balance.Query{
+		Prefix:  firstMessageHash(call.chat.Messages),
+		Holders: call.Local.PrefixIndex.Holders(c.prefixHashes()),
+		Cost:    call.expectedCost,
 		Exclude: exclude,
 	})
 	if !ok {
 		return balance.Choice{}, stream.Chain{}, errNoReplica
 	}
-	chain, err := c.resolve(ctx, choice.ReplicaID)
+	chain, err := c.resolveChain(ctx, choice.ReplicaID)
 	if err != nil {
-		a.At.Picker.Finished(choice.ReplicaID, balance.Result{Cost: a.cost, Failure: health.Canceled})
+		call.Local.Picker.Finished(choice.ReplicaID, balance.Result{Cost: call.expectedCost, Failure: health.Canceled})
 	}
 	return choice, chain, err
 }
 
 var (
-	errOtherArtifact = errors.New("the replica has other weights or another adapter than the answer so far")
-	errDiffers       = errors.New("the replica's engines differ from its plan")
+	errWrongArtifact  = errors.New("the replica has other weights or another adapter than the answer so far")
+	errMismatchesPlan = errors.New("the replica's engines differ from its plan")
 )
 
-// resolve returns a replica's chain if it can go on with this answer.
-func (c *chooser) resolve(ctx context.Context, replica string) (stream.Chain, error) {
-	a := c.answer
-	chain, err := a.server.Chains.Chain(a.Call, replica)
+// resolveChain returns a replica's chain if the chain can continue this answer.
+func (c *chainChooser) resolveChain(ctx context.Context, replica string) (stream.Chain, error) {
+	call := c.call
+	chain, err := call.server.Chains.Chain(call.Call, replica)
 	if err != nil {
 		return chain, err
 	}
-	if begun, ok := c.artifact(); ok && chain.Artifact != begun {
-		return chain, errOtherArtifact
+	if answerArtifact, ok := c.answerArtifact(); ok && chain.Artifact != answerArtifact {
+		return chain, errWrongArtifact
 	}
-	if a.server.Streams.MismatchesPlan(ctx, a.chat.Model, a.Service.Model.Layers, chain) {
-		a.server.Plans.Suspect(a.Service.Name, replica)
-		return chain, errDiffers
+	if call.server.Streams.MismatchesPlan(ctx, call.chat.Model, call.Service.Model.Layers, chain) {
+		call.server.Plans.Suspect(call.Service.Name, replica)
+		return chain, errMismatchesPlan
 	}
 	return chain, nil
 }
 
-// artifact is what made the tokens that the caller has, if it has any. The stream
-// itself refuses to go on with another; here it is a matter of not trying in vain.
-func (c *chooser) artifact() (engineapi.Artifact, bool) {
-	for _, r := range c.runs {
-		if r.started {
+// answerArtifact returns the artifact (versions of weights and adapter) that produced
+// the tokens that the caller has, if there are any. The stream refuses to continue with
+// another artifact; the check here saves the attempt.
+func (c *chainChooser) answerArtifact() (engineapi.Artifact, bool) {
+	for _, r := range c.epochs {
+		if r.gotFirstToken {
 			return r.artifact, true
 		}
 	}
 	return engineapi.Artifact{}, false
 }
 
-// Ended tells the balancer how the epoch went.
-func (c *chooser) Ended(chain stream.Chain, r stream.AttemptResult) {
-	c.last = r
-	c.ended++
-	c.runs[r.Epoch-1].silent = r.Unresponsive
-	mine := c.runs[r.Epoch-1]
-	c.answer.At.Picker.Finished(chain.Replica, balance.Result{
-		Cost:             c.answer.cost,
+// Ended reports the result of an epoch to the balancer and to the planner.
+func (c *chainChooser) Ended(chain stream.Chain, r stream.AttemptResult) {
+	c.lastResult = r
+	c.endedEpochs++
+	c.epochs[r.Epoch-1].unresponsive = r.Unresponsive
+	epoch := c.epochs[r.Epoch-1]
+	c.call.Local.Picker.Finished(chain.Replica, balance.Result{
+		Cost:             c.call.expectedCost,
 		TimeToFirstToken: r.FirstToken,
-		TotalTime:        c.answer.Now().Sub(mine.since),
-		Started:          mine.started,
-		Failure:          failureOf(r),
+		TotalTime:        c.call.Now().Sub(epoch.startedAt),
+		Started:          epoch.gotFirstToken,
+		Failure:          healthFailure(r),
 	})
 	if r.End == stream.EndMismatch || r.Reason == stream.WrongArtifact {
-		c.answer.server.Plans.Suspect(c.answer.Service.Name, chain.Replica)
+		c.call.server.Plans.Suspect(c.call.Service.Name, chain.Replica)
 	}
 	for i := range r.Hops {
-		// Without it a slow link looks like slow layers, and the plan leaves the
-		// engine out in place of the link.
-		r.Hops[i].StepMicros = float64(c.answer.At.TokenTime(r.Hops[i].Endpoint).Microseconds())
+		// Without the time per token of the endpoint itself, a slow link looks like
+		// slow layers, and the plan leaves out the engine instead of the link.
+		r.Hops[i].StepMicros = float64(c.call.Local.TokenTime(r.Hops[i].Endpoint).Microseconds())
 	}
 	if len(r.Hops) > 0 {
-		c.answer.server.Plans.Observe(c.answer.Service.Name, chain.Replica, r.Hops)
+		c.call.server.Plans.Observe(c.call.Service.Name, chain.Replica, r.Hops)
 	}
 	if r.Load != nil {
-		c.answer.At.RecordLoad(chain.Stages[0].Endpoint, *r.Load)
+		c.call.Local.RecordLoad(chain.Stages[0].Endpoint, *r.Load)
 	}
 }
 
-func (c *chooser) recordChoice(choice balance.Choice) {
+func (c *chainChooser) recordChoice(choice balance.Choice) {
 	kind := decisionlog.Route
-	if len(c.runs) > 1 {
+	if len(c.epochs) > 1 {
 		kind = decisionlog.Resume
 	}
-	c.answer.Chose(kind, choice, map[string]float64{"epoch": float64(len(c.runs))})
+	c.call.RecordChoice(kind, choice, map[string]float64{"epoch": float64(len(c.epochs))})
 }
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -6,48 +6,48 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// run is one chain's part of the answer.
-type run struct {
-	replica string
-	first   string // the chain's first endpoint, which tells the load
-	since   time.Time
-	// artifact is what the chain's engines run.
+// epochState is the state of one epoch: the part of the answer that one chain produces.
+type epochState struct {
+	replica       string
+	firstEndpoint string // the chain's first endpoint, which reports the load
+	startedAt     time.Time
+	// artifact is what the chain's engines run: versions of weights and adapter.
 	artifact engineapi.Artifact
-	// silent is set if the chain had the request and then was not heard of before
-	// its first token.
-	silent bool
-	// started is set with the first token; reported and tokens are the time and
-	// the number of tokens since the balancer was last told of the pace.
-	started  bool
-	reported time.Time
-	tokens   int
+	// unresponsive is set if the chain received the request and became unresponsive
+	// before its first token.
+	unresponsive  bool
+	gotFirstToken bool
+	// lastProgressAt is the time of the last progress report to the balancer;
+	// tokensSinceProgress is the number of tokens since that report.
+	lastProgressAt      time.Time
+	tokensSinceProgress int
 }
 
-// progressInterval is how often the balancer hears of a long answer's pace. An
-// answer of seconds on a replica that turned slow would otherwise tell of it
-// only at its end.
+// progressInterval is the interval of progress reports to the balancer. Without them,
+// the balancer would learn that a replica has become slow only at the end of an answer,
+// which may take many seconds.
 const progressInterval = time.Second
 
-// token tells the balancer how a chain gets on.
-func (c *chooser) token(trace engineapi.TokenTrace) {
-	if int(trace.Epoch) > len(c.runs) || trace.Epoch == 0 {
+// recordToken reports the progress of a chain and the load in the token's trace.
+func (c *chainChooser) recordToken(trace engineapi.TokenTrace) {
+	if int(trace.Epoch) > len(c.epochs) || trace.Epoch == 0 {
 		return
 	}
-	r := &c.runs[trace.Epoch-1]
+	r := &c.epochs[trace.Epoch-1]
 	if trace.Load != nil {
-		c.answer.At.RecordLoad(r.first, *trace.Load)
+		c.call.Local.RecordLoad(r.firstEndpoint, *trace.Load)
 	}
-	now := c.answer.Now()
-	if !r.started {
-		r.started = true
-		r.reported = now
-		c.answer.At.Picker.ResponseStarted(r.replica, now.Sub(r.since))
+	now := c.call.Now()
+	if !r.gotFirstToken {
+		r.gotFirstToken = true
+		r.lastProgressAt = now
+		c.call.Local.Picker.ResponseStarted(r.replica, now.Sub(r.startedAt))
 		return
 	}
-	r.tokens++
-	if elapsed := now.Sub(r.reported); elapsed >= progressInterval {
-		c.answer.At.Picker.Progress(r.replica, elapsed/time.Duration(r.tokens))
-		r.reported = now
-		r.tokens = 0
+	r.tokensSinceProgress++
+	if elapsed := now.Sub(r.lastProgressAt); elapsed >= progressInterval {
+		c.call.Local.Picker.Progress(r.replica, elapsed/time.Duration(r.tokensSinceProgress))
+		r.lastProgressAt = now
+		r.tokensSinceProgress = 0
 	}
 }
--- /dev/null
+++ b/route/plainservice/codec.go
@@ -0,0 +1,43 @@
+package plainservice
+
+import (
+	"net/http"
+
+	"github.com/cicadatack/cicadatack/route/headers"
+	"github.com/cicadatack/cicadatack/route/outcome"
+	"github.com/cicadatack/cicadatack/state/engineapi"
+)
+
+// HeaderCodec passes the headers of plain HTTP calls on. One response header says that
+// an endpoint has not run a call. Responses carry no request ID, and nothing to check
+// the answer by.
+type HeaderCodec struct{}
+
+var _ headers.Codec = HeaderCodec{}
+
+// ParseRequest implements headers.Codec. Package callparser has already read the headers.
+func (HeaderCodec) ParseRequest(http.Header) (headers.CallHead, error) {
+	return headers.CallHead{}, nil
+}
+
+// UpstreamHeader implements headers.Codec.
+func (HeaderCodec) UpstreamHeader(h http.Header, _ headers.UpstreamFields) http.Header {
+	return upstreamHeader(h)
+}
+
+// ParseResponse implements headers.Codec.
+func (HeaderCodec) ParseResponse(_ int, h http.Header) headers.ResponseHead {
+	return headers.ResponseHead{NotRun: h.Get(engineapi.HeaderNotRun) != ""}
+}
+
+// DownstreamHeader implements headers.Codec.
+func (HeaderCodec) DownstreamHeader(h http.Header) http.Header {
+	to := http.Header{}
+	copyEndToEndHeaders(to, h)
+	return to
+}
+
+// WriteRefusal implements headers.Codec.
+func (HeaderCodec) WriteRefusal(w http.ResponseWriter, _ headers.CallHead, r *outcome.Refusal) {
+	r.Write(w)
+}
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -1,7 +1,7 @@
-// Package plainservice answers calls of plain services. Limits and queue are the entrance's,
-// the way from the choice of an endpoint to its checked answer is relay's; what is left
-// here is what is peculiar to orders: they are claimed in the ledger before they are
-// sent, and their results are kept.
+// Package plainservice serves calls of plain services. Package lifecycle admits a call;
+// package relay chooses an endpoint, sends the call and checks the answer. This package
+// adds what orders need. An order is a call that may run at most once: it is claimed in
+// the ledger before it is sent, and its result is recorded in the ledger.
 package plainservice
 
 import (
@@ -22,59 +22,60 @@
 	"github.com/cicadatack/cicadatack/state/ledger"
 )
 
-// Claims is the part of the ledger that orders need.
+// Claims is the part of the ledger that this package uses.
 type Claims interface {
 	Claim(ctx context.Context, key ledger.Key, fingerprint string) (ledger.Claim, error)
 	Record(ctx context.Context, key ledger.Key, claim ledger.Claim, result ledger.Result) error
 	Release(ctx context.Context, key ledger.Key, claim ledger.Claim) error
 }
 
-// Figures is told what became of calls; metrics implement it.
-type Figures interface {
+// Metrics counts orders by the state of their claims.
+type Metrics interface {
 	Order(service, state string)
 }
 
-// Server answers plain calls. Safe for concurrent use.
+// Server serves calls of plain services. Safe for concurrent use.
 type Server struct {
-	Desk *lifecycle.Desk
-	// Path speaks this package's Dialect and holds answers up to MaxAnswer.
-	Path    *relay.Server
+	Lifecycle *lifecycle.Manager
+	// Relay uses HeaderCodec and buffers answers of up to MaxAnswerBytes.
+	Relay   *relay.Server
 	Claims  Claims
-	Figures Figures
+	Metrics Metrics
 }
 
 const (
-	// callCost is the cost of one plain call in the unit of a token. Plain
-	// calls have queues of their own, so only their ratio to each other counts.
+	// callCost is the cost of one plain call. Plain services have admission queues of
+	// their own, so only the ratio of the costs of plain calls matters.
 	callCost = 1
-	// defaultTimeout bounds a call without a deadline of its own.
+	// defaultTimeout bounds a call without a deadline.
 	defaultTimeout = 30 * time.Second
-	// MaxAnswer bounds an endpoint's answer in bytes. It is read whole before
-	// any of it is passed on, so that a broken answer can still be retried.
-	MaxAnswer = 8 << 20
-	// retryLater is what a caller is told when no endpoint could take a call:
-	// about the time in which an ejected endpoint is tried again.
-	retryLater = time.Second
+	// MaxAnswerBytes bounds an endpoint's answer. The answer is read whole before any
+	// byte of it is sent to the caller, so that the call can be retried if the answer
+	// breaks off.
+	MaxAnswerBytes = 8 << 20
+	// noEndpointRetryAfter is the Retry-After when no endpoint could take a call: about
+	// the time after which an ejected endpoint is tried again.
+	noEndpointRetryAfter = time.Second
 )
 
 // ServePlain answers one call.
 func (s *Server) ServePlain(w http.ResponseWriter, r *http.Request, c *callparser.Call, path string, body []byte) {
-	visit, refusal := s.Desk.Visit(c)
+	active, refusal := s.Lifecycle.Begin(c)
 	if refusal != nil {
-		visit.Refuse(w, refusal)
+		active.Refuse(w, refusal)
 		return
 	}
-	e := &exchange{
-		Visit: visit, server: s, key: r.Header.Get(outcome.HeaderOrderKey),
+	p := &plainCall{
+		ActiveCall: active, server: s, idempotencyKey: r.Header.Get(outcome.HeaderIdempotencyKey),
 		method: r.Method, path: withQuery(path, r), header: r.Header, body: body,
 	}
-	pass, err := e.Enter(r.Context(), callCost)
+	permit, err := p.Admit(r.Context(), callCost)
 	if err != nil {
-		e.NotEntered(w, err)
+		p.RespondNotAdmitted(w, err)
 		return
 	}
-	defer pass.Leave(callCost)
-	e.dispatch(w, r)
+	defer permit.Release(callCost)
+	p.dispatch(w, r)
 }
 
 func withQuery(path string, r *http.Request) string {
@@ -84,89 +85,90 @@
 	return path + "?" + r.URL.RawQuery
 }
 
-// exchange is one call underway.
-type exchange struct {
-	*lifecycle.Visit
+// plainCall is a call of a plain service that is being served.
+type plainCall struct {
+	*lifecycle.ActiveCall
 	server *Server
-	// key names an order; "" for none.
-	key    string
-	method string
-	path   string
-	header http.Header
-	body   []byte
+	// idempotencyKey identifies an order; empty if the caller sent none.
+	idempotencyKey string
+	method         string
+	path           string
+	header         http.Header
+	body           []byte
 }
 
-func (e *exchange) dispatch(w http.ResponseWriter, r *http.Request) {
-	if e.Class != admission.Order {
-		e.finish(w)(e.send(r.Context()))
+func (p *plainCall) dispatch(w http.ResponseWriter, r *http.Request) {
+	if p.Class != admission.Order {
+		p.respond(w)(p.send(r.Context()))
 		return
 	}
-	// A caller who leaves does not take an order back: it may be with the
-	// endpoint already, and its result has to reach the ledger.
-	e.order(context.WithoutCancel(r.Context()), w)
+	// A caller that cancels does not cancel its order: the endpoint may already have
+	// the order, and its result has to reach the ledger.
+	p.placeOrder(context.WithoutCancel(r.Context()), w)
 }
 
-// send gets the endpoint's answer. A call that may repeat is sent to other endpoints as
-// long as the budget allows, an order only while every one tried so far provably did
-// nothing.
-func (e *exchange) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
+// send returns the endpoint's answer. A call that may repeat is retried at other
+// endpoints as long as the retry budget allows it. An order is retried only while every
+// endpoint tried so far provably did not run it.
+func (p *plainCall) send(ctx context.Context) (*relay.Answer, *outcome.Refusal) {
 	kind := ruleset.Idempotent
-	if e.Class == admission.Order {
+	if p.Class == admission.Order {
 		kind = ruleset.NonIdempotent
 	}
-	deadline := e.Deadline
+	deadline := p.Deadline
 	if deadline.IsZero() {
-		deadline = e.Now().Add(defaultTimeout)
+		deadline = p.Now().Add(defaultTimeout)
 	}
-	timeout := deadline.Sub(e.Arrived)
-	answer, refusal := e.server.Path.Do(ctx, &relay.Request{
-		Call: headers.Call{ID: e.ID}, Team: e.Team.Name, Service: e.Service.Name, Revision: e.Directory.Revision,
-		// A document names no objective: an endpoint may take its whole time.
-		Route:   &ruleset.Route{Name: e.Service.Name, Kind: kind, Timeout: timeout, LatencyObjective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
-		Targets: endpoints{e.Visit}, Budget: e.At.RetryBudget,
-		Method: e.method, Target: e.path, Header: e.header, Body: e.body,
-		Arrived: e.Arrived, Deadline: deadline,
+	timeout := deadline.Sub(p.ArrivedAt)
+	answer, refusal := p.server.Relay.Do(ctx, &relay.Request{
+		Call: headers.CallHead{ID: p.ID}, Team: p.Team.Name, Service: p.Service.Name, Revision: p.Directory.Revision,
+		// The document sets no latency objective, so an endpoint may use the whole
+		// timeout.
+		Route:   &ruleset.Route{Name: p.Service.Name, Kind: kind, Timeout: timeout, LatencyObjective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
+		Targets: documentTargets{p.ActiveCall}, Budget: p.Local.RetryBudget,
+		Method: p.method, Target: p.path, Header: p.header, Body: p.body,
+		Arrived: p.ArrivedAt, Deadline: deadline,
 	})
 	if refusal != nil {
-		return nil, told(kind, refusal)
+		return nil, mapRefusal(kind, refusal)
 	}
 	return answer, nil
 }
 
-// told puts a refusal of the data path into the words of this door. An order whose
-// fate is not known stays in doubt.
-func told(kind ruleset.RouteKind, r *outcome.Refusal) *outcome.Refusal {
+// mapRefusal maps a refusal of package relay to the codes of this package. An order
+// that may have run is in doubt.
+func mapRefusal(kind ruleset.RouteKind, r *outcome.Refusal) *outcome.Refusal {
 	switch {
 	case r.Code == relay.ReasonCallerGone || r.Code == relay.ReasonOverloaded:
 		return r
 	case r.Outcome == outcome.Unknown && kind == ruleset.NonIdempotent:
-		return inDoubt("the order was sent and its result is not known: " + r.Message)
+		return inDoubtRefusal("the order was sent and its result is not known: " + r.Message)
 	}
 	return &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: relay.ReasonNoEndpoint, Message: r.Message, Outcome: r.Outcome,
-		RetryAfter: cmp.Or(r.RetryAfter, retryLater),
+		RetryAfter: cmp.Or(r.RetryAfter, noEndpointRetryAfter),
 	}
 }
 
-// finish returns a function that writes either an answer or a refusal.
-func (e *exchange) finish(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
+// respond returns a function that writes either an answer or a refusal.
+func (p *plainCall) respond(w http.ResponseWriter) func(*relay.Answer, *outcome.Refusal) {
 	return func(a *relay.Answer, refusal *outcome.Refusal) {
 		if refusal != nil {
-			e.Decide(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
-			e.Refuse(w, refusal)
+			p.RecordDecision(decisionlog.Finish, "", string(refusal.Outcome)+": "+refusal.Message, nil)
+			p.Refuse(w, refusal)
 			return
 		}
-		e.pass(w, a)
+		p.writeAnswer(w, a)
 	}
 }
 
-// pass hands an endpoint's answer to the caller.
-func (e *exchange) pass(w http.ResponseWriter, a *relay.Answer) {
-	copyHeader(w.Header(), a.Header)
+// writeAnswer sends an endpoint's answer to the caller.
+func (p *plainCall) writeAnswer(w http.ResponseWriter, a *relay.Answer) {
+	copyEndToEndHeaders(w.Header(), a.Header)
 	w.Header().Set(outcome.Header, string(outcome.Done))
 	w.WriteHeader(a.Status)
-	// The caller may have gone; there is nobody left to tell.
+	// A write error means that the caller has disconnected, so there is nobody to tell.
 	_, _ = w.Write(a.Body)
-	e.Finished(outcome.Done)
-	e.Decide(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
+	p.CountOutcome(outcome.Done)
+	p.RecordDecision(decisionlog.Finish, "", string(outcome.Done), map[string]float64{"status": float64(a.Status)})
 }
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -49,7 +49,7 @@
 // writeHead writes the status and headers; a negative length is omitted.
 func (req *requestState) writeHead(status int, header http.Header, length int) {
 	h := req.w.Header()
-	for name, values := range req.server.HeaderCodec.Return(header) {
+	for name, values := range req.server.HeaderCodec.DownstreamHeader(header) {
 		h[name] = values
 	}
 	if length >= 0 {
@@ -90,7 +90,7 @@
 	if err != nil {
 		return a.resultOfError(err)
 	}
-	e.KeepAlive(a.head.KeepFor)
+	e.KeepAlive(a.head.IdleTimeout)
 	answer := &Answer{Status: e.StatusCode, Header: e.Header, Body: body}
 	switch {
 	case answer.Status < http.StatusMultipleChoices:
@@ -110,16 +110,16 @@
 // Such an answer must come from the endpoint itself, carry the id of this request and be
 // unmodified.
 func (a *attempt) invalidReason() string {
-	if a.req.Call.Echoed && a.head.ID != a.req.Call.ID {
+	if a.req.Call.IDEchoed && a.head.RequestID != a.req.Call.ID {
 		return "the answer does not carry the request's id"
 	}
-	return a.head.Unsound
+	return a.head.InvalidReason
 }
 
 // discardBody reads the rest of a refusal so that its connection can be reused.
 func (a *attempt) discardBody(e *upstream.Exchange) {
 	if _, err := a.readAll(e); err == nil {
-		e.KeepAlive(a.head.KeepFor)
+		e.KeepAlive(a.head.IdleTimeout)
 	}
 }
 
@@ -147,7 +147,7 @@
 			return attemptResult{kind: resultCallerGone, detail: writeErr.Error()}
 		}
 		if errors.Is(err, io.EOF) {
-			e.KeepAlive(a.head.KeepFor)
+			e.KeepAlive(a.head.IdleTimeout)
 			req.recordFinish(map[string]float64{"status": float64(e.StatusCode)})
 			return attemptResult{kind: resultComplete, feedback: targets.Result{Complete: true}}
 		}
@@ -167,8 +167,8 @@
 	}
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: string(outcome.Done),
-		Notes: req.withRoute(), Figures: figures,
-		Quiet: !req.sampled && req.attemptCount == 1 && !req.late(),
+		Notes: req.withRoute(), Values: figures,
+		SkipLog: !req.sampled && req.attemptCount == 1 && !req.late(),
 	})
 }
 
@@ -201,7 +201,7 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "answer cut: " + reason,
 		Notes: req.withRoute(decisionlog.Note{Name: "last_event", Text: req.lastEvent.String()}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 		},
 	})
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -57,7 +57,7 @@
 	}
 	res.feedback.Duration = req.server.Now().Sub(a.startedAt)
 	if a.head.Load != nil {
-		res.feedback.Load = &targets.Load{Running: a.head.Load.Running, Waiting: a.head.Load.Waiting}
+		res.feedback.Load = &targets.Load{Running: a.head.Load.RunningRequests, Waiting: a.head.Load.WaitingRequests}
 	}
 	req.Targets.Finish(a.target, res.feedback)
 	req.lastResult = res
@@ -83,15 +83,15 @@
 
 // recordRoute records the chosen target and the reason for the choice.
 func (req *requestState) recordRoute(target targets.Target) {
-	d := decisionlog.Weighed(target.Choice)
+	d := decisionlog.FromChoice(target.Choice)
 	d.Kind, d.Chosen = decisionlog.Route, target.Replica
-	d.Figures["try"] = float64(req.attemptCount)
+	d.Values["try"] = float64(req.attemptCount)
 	d.Notes = []decisionlog.Note{{Name: "address", Text: target.Address}}
 	if len(target.Path) > 0 {
 		d.Reason = "cheapest path with capacity"
 		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: target.Path.String()})
 	}
-	d.Quiet = !req.sampled && req.attemptCount == 1
+	d.SkipLog = !req.sampled && req.attemptCount == 1
 	req.record(d)
 }
 
@@ -138,26 +138,26 @@
 // expectedTokens is the KV cache memory, in tokens, that the request is expected to need at its
 // end.
 func (req *requestState) expectedTokens() float64 {
-	answer := req.Call.Expected
+	answer := req.Call.ExpectedTokens
 	if answer == 0 {
-		answer = req.Call.MaxAnswer
+		answer = req.Call.MaxAnswerTokens
 	}
 	if answer == 0 {
 		answer = defaultAnswerTokens
 	}
-	if req.Call.MaxAnswer > 0 {
-		answer = min(answer, req.Call.MaxAnswer)
+	if req.Call.MaxAnswerTokens > 0 {
+		answer = min(answer, req.Call.MaxAnswerTokens)
 	}
-	return float64(req.Call.Prompt) + reservedAnswerShare*float64(answer)
+	return float64(req.Call.PromptTokens) + reservedAnswerShare*float64(answer)
 }
 
 // prefillTokens is the number of tokens to prefill before the next event: the prompt and, for a
 // resumed stream, the part of the answer that the caller already has.
 func (req *requestState) prefillTokens() float64 {
-	if req.answerStarted || req.Call.After != "" {
+	if req.answerStarted || req.Call.LastEventID != "" {
 		return req.expectedTokens()
 	}
-	return float64(req.Call.Prompt)
+	return float64(req.Call.PromptTokens)
 }
 
 // reservedAnswerShare is the share of an answer's expected length for which KV cache memory is
@@ -182,7 +182,7 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
 		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.RetriesLeft),
 		},
 	})
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -67,7 +67,7 @@
 // Request is a request that a listener has admitted: its caller's team, its destination and its
 // limits. The data path reads nothing else of what the caller sent.
 type Request struct {
-	Call headers.Call
+	Call headers.CallHead
 	// Team is the caller's team; "" if the route is open to all.
 	Team    string
 	Service string
@@ -101,7 +101,7 @@
 // Server serves requests that a listener has admitted. It is safe for concurrent use; the
 // fields are set before use. Engines, Prober and Reports are needed only for model services.
 type Server struct {
-	HeaderCodec headers.Dialect
+	HeaderCodec headers.Codec
 	Engines     EngineClient
 	Pool        *upstream.Pool
 	Prober      *connprobe.Prober
@@ -230,20 +230,20 @@
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Refuse, Reason: r.Code,
 		Notes: req.withRoute(decisionlog.Note{Name: "outcome", Text: string(r.Outcome)}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
-		Figures: map[string]float64{
+		Values: map[string]float64{
 			"status": float64(r.Status), "waited_ms": millis(req.server.Now().Sub(req.Arrived)), "sends": float64(req.attemptCount),
 			"retry_after_ms": millis(r.RetryAfter),
 		},
 	})
 	req.server.Metrics.Refused(req.Service, r.Code)
-	req.server.HeaderCodec.Refuse(req.w, req.Call, r)
+	req.server.HeaderCodec.WriteRefusal(req.w, req.Call, r)
 }
 
 // record adds the request's fields to a decision and records it.
 func (req *requestState) record(d decisionlog.Decision) {
 	d.At, d.Request, d.Team, d.Service, d.Revision = req.server.Now(), req.Call.ID, req.Team, req.Service, req.Revision
-	if req.Freshness != nil && d.Figures != nil {
-		d.Figures["proof_age_ms"] = millis(req.Freshness.Age())
+	if req.Freshness != nil && d.Values != nil {
+		d.Values["proof_age_ms"] = millis(req.Freshness.Age())
 	}
 	req.server.Recorder.Record(d)
 }
--- a/route/service/service.go
+++ b/route/service/service.go
@@ -39,7 +39,7 @@
 // Service is the state of one service on this node. Safe for concurrent use.
 type Service struct {
 	Name      string
-	Admission *admissionqueue.Gate
+	Admission *admissionqueue.Queue
 	Picker    *replicapicker.Picker
 	// RetryBudget limits the retries of failed requests.
 	RetryBudget *retrybudget.Budget
