--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -1,9 +1,11 @@
 // Package chains resolves a replica of a model to the chain of engines that runs its
 // streams.
 //
-// The document is the configuration of services, replicas and endpoints. It names the
-// engines of each replica and may give the layers of each engine. If it gives no layers,
-// they come from the plan that the nodes have agreed on for the replica.
+// The document is the configuration of services, replicas and endpoints. The document
+// names the engines of each replica and may give the layers of each engine. If the document
+// gives no layers, the layers come from the plan that the nodes have agreed on for the
+// replica. The plan also gives the weights and adapters. The plan's version is the
+// placement version of the chain (see package stream).
 package chains
 
 import (
--- a/route/stream/answer.go
+++ b/route/stream/answer.go
@@ -25,14 +25,16 @@
 	stalls             int
 	unresponsiveChains int                // number of chains that became unresponsive before their first token
 	lastTokenAt        time.Time          // time of the epoch's last delivered token, or start of the epoch
-	failedAt           time.Time          // time of a failure that no delivered token has followed yet, or zero
-	kvHandle           string             // exported KV cache for the next epoch, or empty
+	failedAt           time.Time          // time of the first failure since the last delivered token, or zero
+	kvHandle           string             // handle of the exported KV cache for the next epoch, or empty
 	artifact           engineapi.Artifact // artifact of the delivered tokens, if any
 	exportTime         time.Duration
 	summary            Summary
 }
 
-// run tries chains, one epoch each, until the answer is complete.
+// run tries chains, one epoch each, until the answer is complete. run returns an error if
+// the caller disconnects, the deadline passes, no chain is available, or mayAttempt allows
+// no further epoch.
 func (a *answer) run(ctx context.Context) error {
 	for epoch := uint32(1); a.mayAttempt(epoch); epoch++ {
 		chain, err := a.choose(ctx)
@@ -92,7 +94,7 @@
 }
 
 // outcome returns OutcomeNotRun for a failed request only if every chain provably ran
-// nothing. It uses AttemptResult.NotRun of each epoch, never the error's text.
+// nothing. This decision uses AttemptResult.NotRun of each epoch, never the error's text.
 func (a *answer) outcome(err error) Outcome {
 	switch {
 	case err == nil:
--- a/route/stream/artifact_test.go
+++ b/route/stream/artifact_test.go
@@ -13,15 +13,15 @@
 
 var notesAdapter = engineapi.Adapter{Name: "notes", Version: "1"}
 
-// versionedFleet is a fleet whose chains have different artifacts. It is also the chooser
-// that returns these chains.
-type versionedFleet struct {
+// fleetWithArtifacts is a fleet whose chains may have different artifacts. The fleet is also the
+// chooser that returns these chains.
+type fleetWithArtifacts struct {
 	*fleet
 	artifacts []engineapi.Artifact
 }
 
-func (v versionedFleet) Choose(ctx context.Context, exclude []string) (Chain, error) {
-	chain, err := v.fleet.Choose(ctx, exclude)
+func (v fleetWithArtifacts) Choose(ctx context.Context, excludedReplicas []string) (Chain, error) {
+	chain, err := v.fleet.Choose(ctx, excludedReplicas)
 	for i := range v.chains {
 		if chain.Replica == v.chain(i).Replica {
 			chain.Artifact = v.artifacts[i]
@@ -30,8 +30,9 @@
 	return chain, err
 }
 
-// newVersionedFleet starts one chain for each artifact, whose engines hold that artifact.
-func newVersionedFleet(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) versionedFleet {
+// newFleetWithArtifacts starts one chain for each artifact. The chain's engines hold that
+// artifact.
+func newFleetWithArtifacts(t *testing.T, cfg standin.Config, artifacts ...engineapi.Artifact) fleetWithArtifacts {
 	f := newFleet(t, 0, cfg, Options{})
 	for _, a := range artifacts {
 		cfg.Weights = a.Weights
@@ -45,10 +46,10 @@
 			}
 		}
 	}
-	return versionedFleet{f, artifacts}
+	return fleetWithArtifacts{f, artifacts}
 }
 
-func (v versionedFleet) request(stream string) Request {
+func (v fleetWithArtifacts) request(stream string) Request {
 	req := request(stream)
 	req.Chooser = v
 	return req
@@ -64,7 +65,7 @@
 func TestAnswerStaysWithItsVersion(t *testing.T) {
 	old, next := engineapi.Artifact{Weights: "v1"}, engineapi.Artifact{Weights: "v2"}
 	Convey("The resume skips the chain with the other version", t, func() {
-		v := newVersionedFleet(t, fastEngine, old, next, old)
+		v := newFleetWithArtifacts(t, fastEngine, old, next, old)
 		defer v.stop()
 		req := v.request("roll-out")
 		answer, summary, err := v.collect(context.Background(), req, func(position int) {
@@ -86,7 +87,7 @@
 func TestWeightsChangeMidAnswer(t *testing.T) {
 	old := engineapi.Artifact{Weights: "v1"}
 	Convey("The span shows the change", t, func() {
-		v := newVersionedFleet(t, fastEngine, old, old)
+		v := newFleetWithArtifacts(t, fastEngine, old, old)
 		defer v.stop()
 		var once sync.Once
 		req := v.request("mid-answer")
@@ -109,8 +110,9 @@
 // An engine drops an adapter for lack of memory without reporting it. In each of three
 // cases the caller must get the answer that the adapter generates. If the engine is asked
 // for a report, the report shows the loss and nothing is sent. If an older report is
-// cached and the engine checks fencing numbers, the engine refuses the stream. If it does
-// not check them, it runs the model without the adapter, and its first span shows that.
+// cached and the engine checks fencing numbers, the engine refuses the stream. An engine
+// that does not check fencing numbers runs the model without the adapter, and the engine's
+// first span shows the loss.
 func TestAdapterIsLost(t *testing.T) {
 	withNotes := engineapi.Artifact{Weights: "v1", Adapter: notesAdapter.String()}
 	cases := []struct {
@@ -127,7 +129,7 @@
 		Convey(c.name, t, func() {
 			cfg := fastEngine
 			cfg.CheckFencing = c.checksFencing
-			v := newVersionedFleet(t, cfg, withNotes, withNotes)
+			v := newFleetWithArtifacts(t, cfg, withNotes, withNotes)
 			defer v.stop()
 			if c.reportCached {
 				before := v.request("before")
@@ -159,11 +161,11 @@
 func TestLaterStageLosesItsCache(t *testing.T) {
 	Convey("Each loss is reported once", t, func() {
 		var mu sync.Mutex
-		var lost []string
+		var replicasWithLostCache []string
 		f := newFleet(t, 1, fastEngine, Options{ReportTTL: 1, OnCacheLost: func(model, replica string) {
 			mu.Lock()
 			defer mu.Unlock()
-			lost = append(lost, model+"/"+replica)
+			replicasWithLostCache = append(replicasWithLostCache, model+"/"+replica)
 		}})
 		defer f.stop()
 		run := func(stream string) {
@@ -172,11 +174,11 @@
 		}
 		run("first")
 		run("second")
-		So(lost, ShouldBeEmpty)
+		So(replicasWithLostCache, ShouldBeEmpty)
 		f.chains[0][1].Engine.DropCache()
 		run("third")
 		run("fourth")
-		So(lost, ShouldResemble, []string{testModel + "/replica-0"})
+		So(replicasWithLostCache, ShouldResemble, []string{testModel + "/replica-0"})
 	})
 }
 
@@ -184,7 +186,7 @@
 // role, so the stream must be sent to another chain.
 func TestOtherRoleIsNotUsed(t *testing.T) {
 	Convey("Another chain is used", t, func() {
-		v := newVersionedFleet(t, fastEngine, engineapi.Artifact{}, engineapi.Artifact{})
+		v := newFleetWithArtifacts(t, fastEngine, engineapi.Artifact{}, engineapi.Artifact{})
 		defer v.stop()
 		So(v.chains[0][0].Engine.Order(engineapi.Order{
 			Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 1, Role: engineapi.RolePrefill,
--- a/route/stream/cancel.go
+++ b/route/stream/cancel.go
@@ -11,10 +11,10 @@
 const (
 	// cancelWorkers bounds the concurrent cancel calls.
 	cancelWorkers = 32
-	// maxCancels bounds the number of queued cancels. It allows one cancel for each
-	// stage of all streams that a node can have open.
-	maxCancels    = 1 << 16
-	cancelTimeout = 1 * time.Second
+	// maxQueuedCancels allows one queued cancel for each stage of all streams that a node
+	// can have open.
+	maxQueuedCancels = 1 << 16
+	cancelTimeout    = 1 * time.Second
 )
 
 // canceller cancels an ended epoch on every stage of its chain. Closing the
@@ -43,12 +43,13 @@
 }
 
 // cancel queues one cancel for every stage of chain. Each cancel ends the stream's epochs
-// up to and including the given epoch.
+// up to and including the given epoch. If the queue is full, the cancel is dropped and
+// counted.
 func (c *canceller) cancel(chain Chain, stream string, epoch uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, stage := range chain.Stages {
-		if len(c.queue) >= maxCancels {
+		if len(c.queue) >= maxQueuedCancels {
 			c.droppedCancels++
 			continue
 		}
--- a/route/stream/check.go
+++ b/route/stream/check.go
@@ -16,13 +16,15 @@
 	FutureEpoch
 	// WrongPosition tokens have another position than the next one.
 	WrongPosition
-	// SkippedLayer tokens were computed without some layer of the model.
+	// SkippedLayer tokens have a span that starts after the next expected layer, or spans
+	// that end before the model's last layer.
 	SkippedLayer
-	// RepeatedLayer tokens were computed with a layer twice or out of order.
+	// RepeatedLayer tokens have a span that starts before the next expected layer.
 	RepeatedLayer
-	// BadSpan tokens name layers that the model does not have.
+	// BadSpan tokens have a span with a layer that the model does not have, or whose last
+	// layer comes before its first.
 	BadSpan
-	// AnswerTooLong tokens exceed the maximum number of tokens of an answer.
+	// AnswerTooLong tokens come after the answer has reached its maximum number of tokens.
 	AnswerTooLong
 	// WrongArtifact tokens were computed, on at least one stage, with other weights
 	// or another adapter than the chain's.
@@ -42,7 +44,7 @@
 // token is dropped and does not count as a fault of the chain.
 func (r Reason) Stray() bool { return r == ForeignStream || r == OldEpoch }
 
-// TokenCheck decides which tokens of a stream may reach the caller. It is for use by one
+// TokenCheck decides which tokens of a stream may reach the caller. A TokenCheck is for use by one
 // goroutine, and neither allocates memory nor blocks.
 type TokenCheck struct {
 	stream       string
@@ -89,7 +91,7 @@
 	return Accepted
 }
 
-// VerifyEnd checks the event that closes the answer. Its position must be the one after
+// VerifyEnd checks the event that closes the answer. The event's position must be the one after
 // the last accepted token. A higher position means that tokens were lost.
 func (c *TokenCheck) VerifyEnd(t *engineapi.TokenTrace) Reason { return c.verifyPosition(t) }
 
--- a/route/stream/check_test.go
+++ b/route/stream/check_test.go
@@ -10,10 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-func spansOf(pairs ...int) []engineapi.Span {
+// spansOf returns spans, given the first and last layer of each.
+func spansOf(firstAndLastLayers ...int) []engineapi.Span {
 	var spans []engineapi.Span
-	for i := 0; i+1 < len(pairs); i += 2 {
-		spans = append(spans, engineapi.Span{First: pairs[i], Last: pairs[i+1]})
+	for i := 0; i+1 < len(firstAndLastLayers); i += 2 {
+		spans = append(spans, engineapi.Span{First: firstAndLastLayers[i], Last: firstAndLastLayers[i+1]})
 	}
 	return spans
 }
@@ -26,8 +27,8 @@
 		change(&trace)
 		return trace
 	}
-	layers := func(pairs ...int) engineapi.TokenTrace {
-		return with(func(t *engineapi.TokenTrace) { t.Spans = spansOf(pairs...) })
+	layers := func(firstAndLastLayers ...int) engineapi.TokenTrace {
+		return with(func(t *engineapi.TokenTrace) { t.Spans = spansOf(firstAndLastLayers...) })
 	}
 	cases := []struct {
 		name  string
@@ -72,8 +73,8 @@
 func TestCheckMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		layers := rapid.IntRange(1, 6).Draw(t, "layers")
-		pairs := rapid.SliceOfN(rapid.IntRange(-1, 7), 0, 8).Draw(t, "pairs")
-		trace := engineapi.TokenTrace{Stream: "s", Epoch: 1, Spans: spansOf(pairs...)}
+		firstAndLastLayers := rapid.SliceOfN(rapid.IntRange(-1, 7), 0, 8).Draw(t, "pairs")
+		trace := engineapi.TokenTrace{Stream: "s", Epoch: 1, Spans: spansOf(firstAndLastLayers...)}
 		check := NewTokenCheck("s", layers, 10)
 		check.StartEpoch(1)
 		accepted := check.Verify(&trace) == Accepted
--- a/route/stream/doc.go
+++ b/route/stream/doc.go
@@ -29,20 +29,30 @@
 //
 // A chain is the engines that together run a replica of the model. Each engine is a
 // stage, which holds a range of the layers. The plan says which layers, weights and
-// adapters the engines of a replica hold. Its placement version grows with each
-// change.
+// adapters the engines of a replica should hold. The plan's placement version grows with
+// each change of the plan.
 //
 // An order tells an engine what to hold. Orders and streams carry the plan's version
 // as a fencing number. An engine that checks this number refuses outdated orders and
 // streams, but some engines ignore it.
 //
-// An engine report is an engine's reply to the question what it holds. A span in the
-// event of a token says which layers a stage ran for the token, with which artifact
-// (weights and adapter), and how long that took. The position of a token is its
-// number in the answer, counted from zero over all epochs.
+// An engine report is an engine's reply to the question what it holds. A load report says
+// how busy an engine is.
+//
+// A span in the event of a token says which layers a stage ran for the token, with which
+// artifact (weights and adapter), and how long the stage took. The position of a token is
+// the token's number in the answer, counted from zero over all epochs.
+//
+// The closing event of an answer follows the last token. The event's finish reason says why
+// the answer ended, and the event's position is the number of tokens of the answer. After
+// the closing event, the engine sends the line [DONE] and the end of the response body.
 //
 // The gap of a token is the time since the token before it. A chain is stalled if no
 // token arrives within the stall timeout, which adapts to the chain's gaps. Before
 // the first token, probes are sent along the chain. A chain that shows neither a
 // probe reply nor a token for too long is unresponsive.
+//
+// The baseline gap of an epoch is the chain's mean gap at the start of the epoch. If no
+// gap of the chain was known then, the mean of the epoch's first gaps is used. A chain whose
+// gaps grow far above the baseline gap is slow, although it may not be stalled.
 package stream
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -33,7 +33,8 @@
 }
 
 // maxStrayTokens is how many tokens of earlier epochs or other streams a chain may send
-// in one epoch. Such tokens never reach the caller. A chain that sends more is abandoned.
+// in one epoch. Such tokens never reach the caller. A chain that sends more of them is
+// abandoned.
 const maxStrayTokens = 64
 
 func (e *epoch) run(ctx context.Context) {
@@ -66,10 +67,10 @@
 // verify checks, before the request is sent, that the chain's engines hold what the plan
 // says.
 //
-// It also rejects a chain whose weights or adapter differ from those that made the
+// verify also rejects a chain whose weights or adapter differ from those that made the
 // delivered tokens. Otherwise the caller would get the beginning of one answer and the
-// end of another, and could not notice the change. Nothing has been sent to the chain
-// yet, so another chain may be tried.
+// end of another, and could not notice the change. When verify fails, nothing has
+// been sent to the chain yet, so another chain may be tried.
 func (e *epoch) verify(ctx context.Context) error {
 	if len(e.answer.deliveredTokens) > 0 && e.chain.Artifact != e.answer.artifact {
 		return fmt.Errorf("%w: got %+v, want %+v", errWrongArtifact, e.chain.Artifact, e.answer.artifact)
@@ -164,7 +165,7 @@
 const drainTimeout = 20 * time.Millisecond
 
 // dropStray drops and counts a token of another stream or an earlier epoch, and reports
-// whether the epoch has ended. It does not reset the watchdog, because such a token does
+// whether the epoch has ended. dropStray does not reset the watchdog, because such a token does
 // not show that the chain works on this stream.
 func (e *epoch) dropStray(reason Reason) bool {
 	e.answer.summary.StrayTokens++
@@ -191,8 +192,8 @@
 	case errors.Is(context.Cause(e.ctx), errStalled):
 		e.setEnd(EndStalled, err)
 	case errors.Is(err, io.EOF):
-		// The done marker came without the closing event, so tokens may be
-		// missing.
+		// The response ended with [DONE], but the closing event, which gives the
+		// number of tokens, is missing. Tokens may be missing too.
 		e.setEnd(EndConnectionLost, engineclient.ErrTruncated)
 	default:
 		e.setEnd(EndConnectionLost, err)
@@ -201,8 +202,8 @@
 }
 
 // preferCallerCause sets the epoch's end to EndCallerGone if the caller disconnected, or
-// to EndDeadline if the deadline passed. Either cancels the epoch's calls, so the error
-// that was recorded before is only a consequence.
+// to EndDeadline if the deadline passed. Both cancel the epoch's calls, so the error that
+// was recorded before is only a consequence.
 func (e *epoch) preferCallerCause(ctx context.Context) {
 	if e.answer.callerCtx.Err() != nil {
 		e.setEnd(EndCallerGone, e.answer.callerCtx.Err())
@@ -234,14 +235,14 @@
 	e.answer.runner.costs.record(e.answer.kvHandle != "", e.answer.contextTokens(), e.result.FirstToken+e.answer.exportTime)
 	if !e.gap.known {
 		// No gap of this chain has been measured yet, so the sum of the first
-		// token's span times is the first sample. It includes prefill, so the
+		// token's span times is the first sample. This sum includes prefill, so the
 		// stall timeout is too long rather than too short.
 		e.gap.sample(gapOf(0, spans))
 	}
 }
 
-// reportActivity tells the chain prober that a token has arrived. It does so at most
-// twice per probe interval, because all streams share the prober's lock.
+// reportActivity tells the chain prober that a token has arrived. Each epoch tells the
+// prober at most twice per probe interval, because all streams share the prober's lock.
 func (e *epoch) reportActivity(now time.Time) {
 	if now.Sub(e.activityReportedAt) >= e.answer.runner.prober.probeInterval()/2 {
 		e.activityReportedAt = now
@@ -263,7 +264,8 @@
 
 // stallTimeout returns how long to wait for the next token. The timeout doubles with
 // each earlier stall of this answer, because changing chains adds load and does not
-// help if every chain is slow.
+// help if every chain is slow. The timeout doubles at most maxStallDoublings times, and is
+// at most MaxStallTimeout, or MinStallTimeout if that is longer.
 func (e *epoch) stallTimeout() time.Duration {
 	timeout := e.gap.timeout(e.answer.runner.options.MinStallTimeout, e.answer.req.MaxStallTimeout)
 	return min(timeout<<min(e.answer.stalls, maxStallDoublings), max(e.answer.req.MaxStallTimeout, e.answer.runner.options.MinStallTimeout))
--- a/route/stream/fleet_test.go
+++ b/route/stream/fleet_test.go
@@ -21,7 +21,7 @@
 	testTokens = 24
 )
 
-// fleet is a set of two-stage chains of stand-in engines. It is also the chooser that
+// fleet is a set of two-stage chains of stand-in engines. The fleet is also the chooser that
 // returns these chains.
 type fleet struct {
 	t      testing.TB
@@ -82,9 +82,9 @@
 }
 
 // Choose returns the first chain that is not excluded.
-func (f *fleet) Choose(_ context.Context, exclude []string) (Chain, error) {
+func (f *fleet) Choose(_ context.Context, excludedReplicas []string) (Chain, error) {
 	for i := range f.chains {
-		if chain := f.chain(i); !slices.Contains(exclude, chain.Replica) {
+		if chain := f.chain(i); !slices.Contains(excludedReplicas, chain.Replica) {
 			return chain, nil
 		}
 	}
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -20,7 +20,7 @@
 )
 
 // gapEstimate is the moving average of a chain's token gaps and of their deviation from
-// it. chainProber uses the same estimate for the time of a chain's probe replies.
+// that average. chainProber uses the same type for the time from a probe to its reply.
 type gapEstimate struct {
 	meanNanos, devNanos float64
 	known               bool
@@ -38,7 +38,7 @@
 
 // timeout returns how long a chain may send nothing before it counts as stalled. The
 // timeout adapts to the measured gaps, so that a slow accelerator does not count as
-// stalled.
+// stalled. Before a gap was measured, the timeout is maxTimeout.
 func (g *gapEstimate) timeout(minTimeout, maxTimeout time.Duration) time.Duration {
 	if !g.known {
 		return maxTimeout
--- a/route/stream/leave_test.go
+++ b/route/stream/leave_test.go
@@ -71,7 +71,7 @@
 // disconnectPosition arrives: either the context is cancelled, or writing the token fails.
 func (f *fleet) runAndDisconnect(stream string, disconnectPosition int, cancelContext bool) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f.t.Cleanup(cancel) // not when Run returns: Run must clean up by itself
+	f.t.Cleanup(cancel) // at the end of the test, because Run must clean up without a cancelled context
 	req := request(stream)
 	req.Chat.MaxTokens = 1 << 20 // does not end before the caller disconnects
 	req.FirstTokenTimeout = time.Minute
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// probesPerTimeout is the number of probes sent within minTimeout. With 2.5, a
-	// chain is abandoned only after at least two probes without a reply. One late reply
-	// from an engine short of CPU time is not enough.
+	// probesPerTimeout is the number of probes sent within minUnresponsiveTimeout. With
+	// 2.5, a chain is abandoned only after at least two probes without a reply. One late
+	// reply from an engine short of CPU time does not make the chain unresponsive.
 	probesPerTimeout = 2.5
-	// checksPerTimeout is how often within minTimeout the stream checks when the chain
-	// was last active. A check makes no call. An unresponsive chain is detected at most
-	// one check interval late.
+	// checksPerTimeout is how often within minUnresponsiveTimeout a stream checks when
+	// the chain was last active. A check makes no call. An unresponsive chain is detected
+	// at most one check interval late.
 	checksPerTimeout = 10
-	// probeTimeoutFactor times minTimeout is the timeout of one probe. It is longer
-	// than minTimeout, after which a chain counts as unresponsive, because a late reply
-	// still shows that the chain works.
+	// probeTimeoutFactor times minUnresponsiveTimeout is the timeout of one probe. This
+	// timeout is longer than minUnresponsiveTimeout, because a late reply still shows that
+	// the chain works.
 	probeTimeoutFactor = 4
-	// maxTimeoutFactor times minTimeout bounds the timeout of a chain whose probe replies
-	// are slow. The doublings of an answer are applied after this bound.
+	// maxTimeoutFactor times minUnresponsiveTimeout bounds the time after which a chain
+	// with slow probe replies counts as unresponsive. The doublings of that time within an
+	// answer are applied after this bound.
 	maxTimeoutFactor = 4
-	// maxTimeoutDoublings bounds how often one answer doubles the timeout.
+	// maxTimeoutDoublings bounds how often one answer doubles the time after which a chain
+	// counts as unresponsive.
 	maxTimeoutDoublings = 4
 	// directProbeDuration is how long the node calls each stage directly if the first
 	// stage does not support probes along the chain. After that time such a probe is
@@ -57,9 +59,9 @@
 // its probes. No probe is sent while any of the streams receives tokens, because tokens
 // show that the same path works.
 type chainProber struct {
-	client     *engineclient.Client
-	reports    *reportChecker
-	minTimeout time.Duration
+	client                 *engineclient.Client
+	reports                *reportChecker
+	minUnresponsiveTimeout time.Duration
 
 	mu     sync.Mutex
 	chains map[chainKey]*probeState
@@ -84,20 +86,23 @@
 	directUntil time.Time
 }
 
-func newChainProber(client *engineclient.Client, reports *reportChecker, minTimeout time.Duration) *chainProber {
-	return &chainProber{client: client, reports: reports, minTimeout: minTimeout, chains: map[chainKey]*probeState{}}
+func newChainProber(client *engineclient.Client, reports *reportChecker, minUnresponsiveTimeout time.Duration) *chainProber {
+	return &chainProber{client: client, reports: reports, minUnresponsiveTimeout: minUnresponsiveTimeout, chains: map[chainKey]*probeState{}}
 }
 
-// checkInterval is the time between two calls of unresponsive.
-func (c *chainProber) checkInterval() time.Duration { return c.minTimeout / checksPerTimeout }
+// checkInterval is the time between two calls of unresponsive by one stream.
+func (c *chainProber) checkInterval() time.Duration {
+	return c.minUnresponsiveTimeout / checksPerTimeout
+}
 
 // probeInterval is the minimum time between two probes of a chain.
 func (c *chainProber) probeInterval() time.Duration {
-	return time.Duration(float64(c.minTimeout) / probesPerTimeout)
+	return time.Duration(float64(c.minUnresponsiveTimeout) / probesPerTimeout)
 }
 
 // unresponsive reports whether the chain has sent neither a probe reply nor a token for
-// its timeout. The time is counted from silentSince at the earliest.
+// the chain's timeout. The time without a reply or token is counted from silentSince at the
+// earliest.
 //
 // unresponsive also starts a probe if a probe interval has passed since the latest of
 // silentSince, the last probe, and the last probe reply or token.
@@ -114,12 +119,12 @@
 		s.probedAt = now
 		go c.probe(model, chain, s, now, now.Before(s.directUntil))
 	}
-	return now.Sub(laterOf(silentSince, s.activeAt)) >= s.timeout(c.minTimeout)<<min(doublings, maxTimeoutDoublings)
+	return now.Sub(laterOf(silentSince, s.activeAt)) >= s.timeout(c.minUnresponsiveTimeout)<<min(doublings, maxTimeoutDoublings)
 }
 
 // recordActivity records that a token arrived from a chain. If a stage or link fails
-// after that, the tokens stop and probes start one probe interval later. Two probes still
-// fit into minTimeout.
+// after the token, no more tokens arrive and probes start one probe interval later. Two
+// probes still fit into minUnresponsiveTimeout.
 func (c *chainProber) recordActivity(chain Chain, at time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,11 +141,11 @@
 
 // timeout returns how long a chain may send neither a probe reply nor a token before it
 // counts as unresponsive.
-func (s *probeState) timeout(minTimeout time.Duration) time.Duration {
+func (s *probeState) timeout(minUnresponsiveTimeout time.Duration) time.Duration {
 	if !s.responseTime.known {
-		return minTimeout
+		return minUnresponsiveTimeout
 	}
-	return s.responseTime.timeout(minTimeout, maxTimeoutFactor*minTimeout)
+	return s.responseTime.timeout(minUnresponsiveTimeout, maxTimeoutFactor*minUnresponsiveTimeout)
 }
 
 // state returns the state of a chain, and creates it if needed. The caller holds mu.
@@ -162,7 +167,7 @@
 // its own timeout, because the stream that started it may end while other streams wait
 // for the result.
 func (c *chainProber) probe(model string, chain Chain, s *probeState, start time.Time, direct bool) {
-	ctx, cancel := context.WithTimeout(context.Background(), probeTimeoutFactor*c.minTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeoutFactor*c.minUnresponsiveTimeout)
 	defer cancel()
 	requestedAt := c.reports.now()
 	alive, supported := false, false
@@ -189,7 +194,7 @@
 	s.responseTime.sample(now.Sub(start))
 }
 
-// probeChain sends a probe along the chain. It returns the engine reports of the stages,
+// probeChain sends a probe along the chain. probeChain returns the engine reports of the stages,
 // or nil if the probe failed, and whether the first stage supports such probes.
 func (c *chainProber) probeChain(ctx context.Context, chain Chain) (reports []engineapi.Report, supported bool) {
 	reports, err := c.client.ProbeChain(ctx, chain.Stages)
--- a/route/stream/probe_test.go
+++ b/route/stream/probe_test.go
@@ -26,14 +26,14 @@
 // the link between two stages drops all packets without a reset. Both stages still answer
 // the node's direct calls. The link fails before the stream is opened, or during prefill.
 func TestLinkLostBeforeFirstToken(t *testing.T) {
-	lost := standin.Faults{CutNext: true}
+	linkLost := standin.Faults{CutNext: true}
 	cases := map[string]func(f *fleet){
-		"before the open": func(f *fleet) { f.chains[0][0].Engine.SetFaults(lost) },
+		"before the open": func(f *fleet) { f.chains[0][0].Engine.SetFaults(linkLost) },
 		"during the prompt": func(f *fleet) {
 			f.chains[0][0].Engine.SetFaults(standin.Faults{Busy: true})
 			go func() {
 				waitUntil(func() bool { return f.chains[0][1].Engine.Running() > 0 })
-				f.chains[0][0].Engine.SetFaults(lost)
+				f.chains[0][0].Engine.SetFaults(linkLost)
 			}()
 		},
 	}
@@ -58,7 +58,7 @@
 // on a long prompt, in the other the stream waits for a slot. Both engines answer probes
 // for longer than the timeout, so the chain must not count as unresponsive.
 func TestBusyChainIsKept(t *testing.T) {
-	const minTimeout, probes = time.Second, 6
+	const minTimeout, probeCount = time.Second, 6
 	busy := standin.Faults{Busy: true}
 	for name, slots := range map[string]int{"long prompt": 2, "queue": 1} {
 		Convey(name, t, func() {
@@ -73,7 +73,7 @@
 			waitUntil(func() bool { return first.Running() == 1 })
 			go func() {
 				probesBefore := first.Stats().Ways
-				waitUntil(func() bool { return first.Stats().Ways >= probesBefore+probes })
+				waitUntil(func() bool { return first.Stats().Ways >= probesBefore+probeCount })
 				cancelOccupant()
 				first.SetFaults(standin.Faults{})
 			}()
@@ -104,7 +104,7 @@
 		So(summary.Recoveries[0].DetectionTime, ShouldBeLessThan, DefaultFirstTokenTimeout/2)
 	})
 	Convey("A busy stage that answers direct calls is kept", t, func() {
-		const minTimeout, reports = time.Second, 6
+		const minTimeout, reportCount = time.Second, 6
 		f := newFleet(t, 2, standin.Config{NoWay: true}, Options{MinStallTimeout: minTimeout})
 		defer f.stop()
 		first := f.chains[0][0].Engine
@@ -112,7 +112,7 @@
 		go func() {
 			waitUntil(func() bool { return first.Running() == 1 })
 			reportsBefore := first.Stats().Holdings
-			waitUntil(func() bool { return first.Stats().Holdings >= reportsBefore+reports })
+			waitUntil(func() bool { return first.Stats().Holdings >= reportsBefore+reportCount })
 			first.SetFaults(standin.Faults{})
 		}()
 		req := request("busy")
@@ -144,16 +144,17 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A chain must not count as unresponsive because a busy stage does not answer one probe,
-// but only after a whole timeout without a reply. Each reply must restart the timeout.
+// If one missing reply of a busy stage made its chain unresponsive, streams would leave a
+// healthy chain. A chain must count as unresponsive only after a whole timeout without any
+// reply, and each reply must restart the timeout.
 func TestProbeTimeout(t *testing.T) {
 	chain := Chain{Replica: "r", PlacementVersion: 1, Stages: []engineapi.Stage{{Endpoint: "e", Address: "e", First: 0, Last: 7}}}
 	// unresponsiveAfter checks the chain at each check interval until the chain counts as
-	// unresponsive, or for a minute. It returns the time from the start.
-	unresponsiveAfter := func(t *testing.T, lost func(probe int) bool, doublings int) time.Duration {
+	// unresponsive, or for a minute. The result is how long the checks took.
+	unresponsiveAfter := func(t *testing.T, isLost func(probe int) bool, doublings int) time.Duration {
 		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
-			client := probeTransport(func(probe int) bool { return !lost(probe) }).client()
+			client := probeTransport(func(probe int) bool { return !isLost(probe) }).client()
 			c := newChainProber(client, newReportChecker(client, Options{}.withDefaults()), DefaultMinStallTimeout)
 			start := time.Now()
 			for !c.unresponsive(testModel, chain, start, doublings) && time.Since(start) < time.Minute {
@@ -193,16 +194,16 @@
 			client := probeTransport(func(probe int) bool { probes = probe; return false }).client()
 			c := newChainProber(client, newReportChecker(client, Options{}.withDefaults()), DefaultMinStallTimeout)
 			start := time.Now()
-			last := start
+			lastTokenAt := start
 			for !c.unresponsive(testModel, chain, start, 0) && time.Since(start) < time.Minute {
 				time.Sleep(c.checkInterval())
 				synctest.Wait()
-				if now := time.Now(); now.Sub(last) >= gap && now.Sub(start) < gap*tokens {
+				if now := time.Now(); now.Sub(lastTokenAt) >= gap && now.Sub(start) < gap*tokens {
 					c.recordActivity(chain, now)
-					last, probesDuringTokens = now, probes
+					lastTokenAt, probesDuringTokens = now, probes
 				}
 			}
-			detection = time.Since(last)
+			detection = time.Since(lastTokenAt)
 			probesAfterLoss = probes - probesDuringTokens
 			time.Sleep(probeTimeoutFactor * DefaultMinStallTimeout) // lets pending probes end
 		})
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -17,7 +17,7 @@
 var steadyEngine = standin.Config{Step: 10 * time.Millisecond, Slots: 256, PrefillToken: 50 * time.Microsecond}
 
 // BenchmarkRecovery makes the second stage of a chain fail when each of the chain's streams
-// has delivered five tokens. It reports percentiles and the maximum of the recoveries'
+// has delivered five tokens. The benchmark reports percentiles and the maximum of the recoveries'
 // DetectionTime and ResumeTime, in milliseconds over all runs.
 func BenchmarkRecovery(b *testing.B) {
 	faults := map[string]func(*standin.Server){
@@ -84,8 +84,8 @@
 }
 
 // BenchmarkResume moves one stream from a chain with healthy stages to another chain. The
-// second chain recomputes the context, imports the KV cache, or does what the runner
-// chooses from its measurements.
+// second chain recomputes the context, imports the KV cache, or uses the method that
+// the runner chooses from its measurements.
 func BenchmarkResume(b *testing.B) {
 	forceMethod := map[string]func(*resumeCosts){
 		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
@@ -146,7 +146,7 @@
 }
 
 // BenchmarkFirstTokenLost opens streams on a chain that produces no token, while another
-// chain is healthy. It reports percentiles and the maximum of the recoveries'
+// chain is healthy. The benchmark reports percentiles and the maximum of the recoveries'
 // DetectionTime, in milliseconds over all runs.
 func BenchmarkFirstTokenLost(b *testing.B) {
 	faults := map[string]func(f *fleet){
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -20,7 +20,7 @@
 
 const (
 	// mismatchTTL is how long an engine report that does not match the plan is cached.
-	// It is short because the engine may be loading the layers of a new plan, but long
+	// This time is short because the engine may be loading the layers of a new plan, but long
 	// enough that a burst of streams makes one call.
 	mismatchTTL = 100 * time.Millisecond
 	// maxReports bounds the number of cached engine reports.
@@ -53,9 +53,9 @@
 
 	mu      sync.Mutex
 	reports map[string]*cachedReport
-	// cacheIDs are the IDs of the prefix caches that engines reported last, by the
-	// engine's address.
-	cacheIDs map[string]string
+	// cacheIDByAddress holds, for the address of each engine, the ID of the prefix cache
+	// that the engine reported last.
+	cacheIDByAddress map[string]string
 }
 
 // cachedReport is an engine report, or a call that is fetching an engine report.
@@ -64,26 +64,26 @@
 	fetched     chan struct{} // closed when the fields below are set
 	report      engineapi.Report
 	err         error
-	// validAt is the latest time at which the report is known to have been true. It
-	// comes from the engine's reply or from a stream's first token. reportedAt is the
-	// same for the engine's replies alone.
+	// validAt is the latest time at which the report is known to have been true, from the
+	// engine's reply or from a stream's first token. reportedAt is the latest such time
+	// from the engine's replies alone.
 	validAt, reportedAt time.Time
 }
 
 func newReportChecker(client *engineclient.Client, o Options) *reportChecker {
 	return &reportChecker{
-		client:      client,
-		ttl:         o.ReportTTL,
-		timeout:     o.ReportTimeout,
-		onCacheLost: o.OnCacheLost,
-		now:         time.Now,
-		reports:     map[string]*cachedReport{},
-		cacheIDs:    map[string]string{},
+		client:           client,
+		ttl:              o.ReportTTL,
+		timeout:          o.ReportTimeout,
+		onCacheLost:      o.OnCacheLost,
+		now:              time.Now,
+		reports:          map[string]*cachedReport{},
+		cacheIDByAddress: map[string]string{},
 	}
 }
 
-// verify returns nil if every stage of chain holds what the plan says. It uses only
-// reports that were requested at notBefore or later.
+// verify returns nil if every stage of chain holds what the plan says. verify uses
+// only reports that were requested at notBefore or later.
 func (c *reportChecker) verify(ctx context.Context, model string, layers int, chain Chain, notBefore time.Time) error {
 	if !covers(chain.Stages, layers) {
 		return errIncompleteChain
@@ -178,7 +178,8 @@
 }
 
 // usable reports whether a report was requested at notBefore or later, and either is
-// still being fetched or has not expired.
+// still being fetched or has not expired. A report expires ttl after validAt. A failed
+// call or a report that does not match expires after mismatchTTL, if that is shorter.
 func (r *cachedReport) usable(now time.Time, want expectedReport, ttl time.Duration, notBefore time.Time) bool {
 	if r.requestedAt.Before(notBefore) {
 		return false
@@ -229,17 +230,18 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	previous := c.cacheIDs[address]
-	if len(c.cacheIDs) >= maxReports {
-		clear(c.cacheIDs)
+	previous := c.cacheIDByAddress[address]
+	if len(c.cacheIDByAddress) >= maxReports {
+		clear(c.cacheIDByAddress)
 	}
-	c.cacheIDs[address] = cacheID
+	c.cacheIDByAddress[address] = cacheID
 	return previous != "" && previous != cacheID
 }
 
 // renew records that a chain's engines held what the plan says at the time validAt, as
-// the first token of a stream has shown. Their reports are then valid for another TTL
-// from validAt.
+// the first token of a stream has shown. Their renewable reports are then valid for
+// another TTL from validAt. The time from the engine's last reply to validAt must be shorter
+// than renewalTTLs times the TTL, or the report is not renewed.
 //
 // validAt is the time when the stream was sent, not when the token arrived. An engine
 // that was ordered to hold other layers may finish its running streams with the old
@@ -265,7 +267,7 @@
 // validAt, and lists no adapter besides the one that the stream uses.
 //
 // The tokens of a stream show the weights, the stream's own adapter, and that the
-// engines accept new work. They do not show whether other adapters are still loaded. A
+// engines accept new work. The tokens do not show whether other adapters are still loaded. A
 // report that lists other adapters is therefore not renewed, and the engine is asked
 // again when the report expires.
 func (r *cachedReport) renewable(want expectedReport, validAt time.Time) bool {
@@ -280,7 +282,9 @@
 }
 
 // recordReports stores the reports that a probe along the chain returned, and that match
-// the plan. A report replaces a cached one only if the cached one is older.
+// the plan. A report replaces the cached report of the same engine if the cached report has
+// been fetched and its validAt is earlier. For an engine without a cached report, nothing
+// is stored.
 func (c *reportChecker) recordReports(model string, chain Chain, validAt time.Time, reports []engineapi.Report) {
 	for i, stage := range chain.Stages {
 		c.recordCache(expectedFrom(model, stage, chain), stage.Address, reports[i].Cache)
@@ -292,7 +296,8 @@
 	}
 }
 
-// invalidate drops the cached reports of a chain's engines after the chain failed.
+// invalidate drops the cached reports of a chain's engines after the chain failed. A report
+// that is still being fetched is kept.
 func (c *reportChecker) invalidate(chain Chain) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/route/stream/reports_test.go
+++ b/route/stream/reports_test.go
@@ -18,7 +18,7 @@
 )
 
 // callCounter is a transport that counts the calls for engine reports and the probes along
-// a chain. It calls onOpen, if set, after an engine has replied to the call that opens a
+// a chain. callCounter calls onOpen, if set, after an engine has replied to the call that opens a
 // stream.
 type callCounter struct {
 	next        http.RoundTripper
@@ -94,9 +94,9 @@
 }
 
 // If the tokens of a long stream renewed an engine's report, new requests would be sent to
-// an engine that no longer holds the layers of the plan. The engine accepts orders from
-// anyone. It is ordered to hold other layers, and finishes its running streams with the
-// old layers.
+// an engine that no longer holds the layers of the plan. In this test, an engine that accepts
+// orders from anyone is ordered to hold other layers. The engine finishes its running streams
+// with the old layers.
 func TestLongStreamsDoNotHideNewLayers(t *testing.T) {
 	other := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 2}
 	for _, c := range []struct {
@@ -152,24 +152,24 @@
 	return all
 }
 
-// While streams renew an engine's cached report, the engine is not asked for a new one. A
-// probe reply also contains engine reports. They must replace the cached reports
-// completely, or requests would be routed to a chain for a prefix cache or an adapter that
-// a later stage has lost.
+// The first token of each stream extends the validity of the cached engine reports, so an
+// engine with many streams is rarely asked for a new report. Meanwhile, probe replies contain
+// new engine reports. The new reports must replace the cached reports completely. Otherwise requests
+// would be routed to a chain for a prefix cache or an adapter that a later stage has lost.
 func TestChainProbeUpdatesWholeReport(t *testing.T) {
 	Convey("Reports of a probe along the chain", t, func() {
 		f, calls, _ := newFleetWithClock(t, 1)
 		defer f.stop()
 		f.mustAnswer("first")
 		checker, chain := f.runner.reports, f.chain(0)
-		lost := 0
-		checker.onCacheLost = func(string, string) { lost++ }
+		cacheLossCount := 0
+		checker.onCacheLost = func(string, string) { cacheLossCount++ }
 		reports := f.reports(0)
 		checker.recordReports(testModel, chain, checker.now().Add(1), reports)
 		reports[1].Cache = "another"
 		reports[1].Adapters = []engineapi.Adapter{{Name: "notes", Version: "1"}}
 		checker.recordReports(testModel, chain, checker.now().Add(2), reports)
-		So(lost, ShouldEqual, 1)
+		So(cacheLossCount, ShouldEqual, 1)
 		So(checker.reports[chain.Stages[1].Address].report.Adapters, ShouldResemble, reports[1].Adapters)
 
 		// Streams without an adapter do not show whether the adapter is loaded.
@@ -182,7 +182,8 @@
 
 // BenchmarkReportCalls measures how many report calls and probes a node makes per second.
 // The node opens 50 streams a second over 35 chains of two stages, with the default
-// settings. Each case has another time to the first token or another gap between tokens:
+// settings. The cases differ in the time to the first token, the gap between tokens and the
+// number of tokens:
 //
 //	go test -run '^$' -bench ReportCalls -benchtime 1x ./route/stream
 func BenchmarkReportCalls(b *testing.B) {
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -64,7 +64,7 @@
 
 // preferImport reports whether importing a context of the given number of tokens is
 // expected to be faster than recomputing it, or should be tried for a first measurement.
-// It also returns the timeout of the export.
+// preferImport also returns the timeout of the export.
 func (r *resumeCosts) preferImport(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,7 +96,8 @@
 }
 
 // prepareResume asks the failed chain to export the stream's KV cache, if the next chain
-// should import it rather than recompute the context. Engines keep the KV cache of an
+// should import the KV cache rather than recompute the context. A chain that sent no token
+// is not asked. Engines keep the KV cache of an
 // ended stream for a while. If a stage is unavailable, the export fails and the next
 // chain recomputes the context.
 func (a *answer) prepareResume(ctx context.Context, failed Chain, result AttemptResult) {
--- a/route/stream/reuse_test.go
+++ b/route/stream/reuse_test.go
@@ -14,8 +14,8 @@
 )
 
 // If each stream opened a new connection, a node would run out of local ports at some
-// hundred answers a second. A connection can be reused only if the node reads the done
-// marker and the end of the body after the closing event.
+// hundred answers a second. A connection can be reused only if the node reads the line
+// [DONE] and the end of the body after the closing event.
 func TestWholeAnswersShareAConnection(t *testing.T) {
 	var connections atomic.Int64
 	mux := http.NewServeMux()
--- a/route/stream/runner.go
+++ b/route/stream/runner.go
@@ -9,11 +9,11 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// Deliver sends a token to the caller. It returns an error if the caller has
+// Deliver sends a token to the caller, and returns an error if the caller has
 // disconnected. The trace's spans are valid until Deliver returns.
 type Deliver func(token string, trace engineapi.TokenTrace) error
 
-// Runner runs streams on the replicas of one model. It is safe for
+// Runner runs streams on the replicas of one model. A Runner is safe for
 // concurrent use.
 type Runner struct {
 	client      *engineclient.Client
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -27,7 +27,7 @@
 func layer(n int) *int { return &n }
 
 // A chain fails in the middle of an answer. The runner detects the failure by the
-// connection, by the stall timeout or by the token check. It resumes on the second chain
+// connection, by the stall timeout or by the token check. The runner resumes on the second chain
 // after the last delivered token. A token that is delivered twice, missing or computed
 // with the wrong layers would change the answer's bytes.
 func TestChainFailsPartway(t *testing.T) {
@@ -49,7 +49,7 @@
 		{"repeated layer", injectFaults(0, standin.Faults{RepeatLayer: layer(2)}), EndInvalidToken, RepeatedLayer},
 		{"wrong stream", injectFaults(0, standin.Faults{WrongStream: true}), EndInvalidToken, WrongPosition},
 		{"wrong position", injectFaults(0, standin.Faults{WrongPosition: true}), EndInvalidToken, WrongPosition},
-		{"done marker before the closing event", injectFaults(0, standin.Faults{EarlyDone: failAt + 2}), EndConnectionLost, Accepted},
+		{"[DONE] before the closing event", injectFaults(0, standin.Faults{EarlyDone: failAt + 2}), EndConnectionLost, Accepted},
 	}
 	for _, c := range cases {
 		Convey(c.name, t, func() {
@@ -130,13 +130,13 @@
 func failAtRandom(t *testing.T, draw *rand.Rand, faults []func(*standin.Server)) {
 	f := newFleet(t, 3, fastEngine, Options{})
 	defer f.stop()
-	type event struct{ position, chain, stage, fault int }
-	var events []event
+	type plannedFault struct{ position, chain, stage, fault int }
+	var plannedFaults []plannedFault
 	for chain := range 2 {
-		events = append(events, event{draw.IntN(testTokens+1) - 1, chain, draw.IntN(2), draw.IntN(len(faults))})
+		plannedFaults = append(plannedFaults, plannedFault{draw.IntN(testTokens+1) - 1, chain, draw.IntN(2), draw.IntN(len(faults))})
 	}
 	inject := func(position int) {
-		for _, e := range events {
+		for _, e := range plannedFaults {
 			if e.position == position {
 				faults[e.fault](f.chains[e.chain][e.stage])
 			}
@@ -147,7 +147,7 @@
 	inject(-1) // before the request
 	answer, summary, err := f.collect(context.Background(), req, inject)
 	if err != nil || answer != expectedAnswer(req) || summary.Outcome != OutcomeDone {
-		t.Errorf("%v: %v, %q, %+v", events, err, answer, summary)
+		t.Errorf("%v: %v, %q, %+v", plannedFaults, err, answer, summary)
 	}
 }
 
@@ -210,7 +210,7 @@
 }
 
 // If a stage turns slow but never exceeds the stall timeout, the stream must move to
-// another chain once. Without that, the answer would stay slow to its end. If there is no
+// another chain once. Without the change, the answer would stay slow to its end. If there is no
 // other chain, the stream must stay.
 func TestStreamLeavesSlowChain(t *testing.T) {
 	for _, chains := range []int{1, 2} {
@@ -282,9 +282,9 @@
 }
 
 // A request must not be answered by an engine that holds other layers than the plan says.
-// The engine ignores fencing numbers and has accepted an old order. Its report shows the
-// other layers before the request is sent. If an earlier report is cached, the spans show
-// them.
+// The engine ignores fencing numbers and has accepted an old order. Before the
+// request is sent, the engine's report shows the other layers. If an earlier report is still
+// cached, the spans show the other layers.
 func TestEngineHoldsOtherLayers(t *testing.T) {
 	old := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 0}
 	Convey("Before the first use the report does not match", t, func() {
@@ -369,8 +369,8 @@
 }
 
 // When all chains fail, the reported outcome must be true. If the chains fail before the
-// request is sent, no engine has run any part of it. If they fail during the answer, the
-// engines have run a part of it.
+// request is sent, no engine has run any part of the request. If they fail during the answer,
+// the engines may have run a part of the request.
 func TestAllChainsDead(t *testing.T) {
 	kill := func(f *fleet) {
 		for _, chain := range f.chains {
@@ -470,7 +470,8 @@
 }
 
 // If the first chain ignores the cancel of its epoch and continues, its tokens must not
-// reach the caller. Its connection is closed, and its epoch is older than the current one.
+// reach the caller. The chain's connection is closed, and the chain's epoch is older than
+// the current epoch.
 func TestEngineIgnoresCancel(t *testing.T) {
 	Convey("A chain that ignores the cancel does not affect the answer", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{MinStallTimeout: 30 * time.Millisecond})
--- a/route/stream/slow.go
+++ b/route/stream/slow.go
@@ -8,23 +8,24 @@
 
 const (
 	// slowWindowTokens is the number of tokens in a window, whose mean gap is compared
-	// with the baseline.
+	// with the baseline gap (see slowDetector).
 	slowWindowTokens = 16
-	// A chain is slow only if the mean gap is above slowFactor times the baseline. Gaps
-	// also grow when an engine runs more streams in a batch, but far less than this, so
-	// a burst of requests does not make streams change chains.
+	// A chain is slow only if the mean gap of a window is above slowFactor times the
+	// baseline gap. Gaps also grow when an engine runs more streams in a batch, but by far
+	// less than slowFactor. A burst of requests therefore does not make streams change
+	// chains.
 	slowFactor = 8
-	// minSlowGap is the longest mean gap that never counts as slow. A person who reads
-	// the answer does not notice such a gap. The value is close to the 95th percentile of
-	// token gaps that callers are promised.
+	// minSlowGap is the longest mean gap of a window that never counts as slow. A person
+	// who reads the answer does not notice such a gap. The value is close to the
+	// 95th percentile of token gaps that callers are promised.
 	minSlowGap = 40 * time.Millisecond
 )
 
-// slowDetector compares the mean gap of each window of tokens with the chain's baseline.
-// The baseline is the chain's mean gap at the start of the epoch, or the mean gap of the
-// first window if none was known. Without the detector, an answer of hundreds of tokens
-// would stay slow to its end if a stage or link turns slow but never exceeds the stall
-// timeout.
+// slowDetector compares the mean gap of each window of tokens with the baseline gap. The
+// baseline gap is the chain's mean gap at the start of the epoch. If no gap of the chain was
+// known then, the mean gap of the first window is used. Without the detector, an answer of
+// hundreds of tokens would stay slow to its end if a stage or link turns slow but never
+// exceeds the stall timeout.
 type slowDetector struct {
 	baselineGap time.Duration
 	gapSum      time.Duration
@@ -48,8 +49,9 @@
 }
 
 // leaveSlowChain ends the epoch if its chain has turned slow and the chooser returns
-// another chain, and reports whether it did. It asks the chooser at most once per answer,
-// because each change costs a prefill and gains nothing if every chain is slow.
+// another chain, and reports whether the epoch was ended. An answer asks the chooser at most
+// once for this reason, because each change of chain costs a prefill and gains
+// nothing if every chain is slow.
 func (e *epoch) leaveSlowChain(ctx context.Context) bool {
 	if !e.slowness.slow || e.answer.leftSlowChain || !e.mayLeaveChain() {
 		return false
@@ -64,9 +66,9 @@
 	return true
 }
 
-// mayLeaveChain reports whether another epoch is allowed after this one. Without this
-// check, the chooser could return a chain that is never used, and it expects a call of
-// Ended for each chain that it returns.
+// mayLeaveChain reports whether another epoch is allowed after this one. The chooser
+// expects a call of Ended for each chain that it returns. Without this check, the chooser
+// could return a chain on which no epoch runs, and Ended would not be called.
 func (e *epoch) mayLeaveChain() bool {
 	o := e.answer.runner.options
 	return e.answer.executions+1 < o.MaxExecutions && int(e.number) < o.MaxAttempts
--- a/route/stream/token_bench_test.go
+++ b/route/stream/token_bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// BenchmarkRunnerToken measures the node's time per token, without network and engine: for
-// decoding, the token check, gap measurements and the watchdog.
+// BenchmarkRunnerToken measures the node's time per token, without network and engine. The
+// time includes parsing the event, the token check, gap measurements and the watchdog.
 func BenchmarkRunnerToken(b *testing.B) { benchToken(b, engineapi.Artifact{}) }
 
 // BenchmarkRunnerTokenWithArtifact is BenchmarkRunnerToken with weights and an adapter
@@ -42,7 +42,7 @@
 func (o oneChain) Choose(context.Context, []string) (Chain, error) { return o.chain, nil }
 func (o oneChain) Ended(Chain, AttemptResult)                      {}
 
-// cannedEngine is a transport that replies like the engines of a chain, from memory.
+// cannedEngine is a transport that generates the replies of a chain's engines in memory.
 type cannedEngine struct {
 	stages   []engineapi.Stage
 	tokens   int
--- a/route/stream/types.go
+++ b/route/stream/types.go
@@ -36,13 +36,14 @@
 	Artifact engineapi.Artifact
 }
 
-// Chooser picks the chain of each epoch and receives the epoch's result. It is
+// Chooser picks the chain of each epoch and receives the epoch's result. A Chooser is
 // called from many goroutines.
 type Chooser interface {
-	// Choose returns a chain whose replica is not in exclude. An error ends the
-	// stream, because no other chain should be tried.
-	Choose(ctx context.Context, exclude []string) (Chain, error)
-	// Ended receives the result of an epoch on chain. It is called once for each chain
+	// Choose returns a chain whose replica is not in excludedReplicas. An error ends the
+	// stream, because no other chain should be tried. If the stream only looks for a
+	// replacement of a slow chain, an error leaves the stream on the slow chain.
+	Choose(ctx context.Context, excludedReplicas []string) (Chain, error)
+	// Ended receives the result of an epoch on chain. Ended is called once for each chain
 	// that Choose returned.
 	Ended(chain Chain, result AttemptResult)
 }
@@ -63,7 +64,7 @@
 	MaxStallTimeout time.Duration
 	// Deadline is the time at which the answer is ended. Zero means no deadline.
 	Deadline time.Time
-	// Chooser, if set, replaces the Runner's Chooser for this answer. It can use
+	// Chooser, if set, replaces the Runner's Chooser for this answer. This Chooser can use
 	// the request's team and prompt prefix for its choice.
 	Chooser Chooser
 }
@@ -95,8 +96,9 @@
 	EndCallerGone
 	// EndDeadline epochs exceeded the request's deadline.
 	EndDeadline
-	// EndMismatch epochs sent nothing, because an engine does not hold what the plan
-	// says or returned no engine report.
+	// EndMismatch epochs sent nothing to the chain. An engine does not hold what the plan
+	// says or returned no engine report, or the chain's stages do not cover the model's
+	// layers, or the chain's artifact differs from that of the delivered tokens.
 	EndMismatch
 	// EndRefused epochs ended when an engine refused the request before any work.
 	EndRefused
@@ -108,13 +110,15 @@
 	// EndStalled epochs produced at least one token, and then none within the stall
 	// timeout.
 	EndStalled
-	// EndConnectionLost epochs lost the connection to the first stage, or the
-	// first stage closed the stream because a later stage failed.
+	// EndConnectionLost epochs failed when an engine may have done work, without a
+	// timeout or a rejected token. For example, the connection to the first stage was
+	// lost, the first stage closed the stream because a later stage failed, or the closing
+	// event is missing.
 	EndConnectionLost
 	// EndInvalidToken epochs produced a token that TokenCheck rejected.
 	EndInvalidToken
-	// EndSlow epochs were ended because their token gaps were far above the chain's
-	// usual gap. The answer continues on another chain.
+	// EndSlow epochs were ended because their token gaps were far above the
+	// baseline gap. The answer continues on another chain.
 	EndSlow
 )
 
@@ -150,9 +154,9 @@
 	// delivered fewer than two tokens.
 	MeanGap time.Duration
 	// Load is the load report in the answer's closing event, or nil. Load reports in
-	// earlier events are not kept. AgeMillis is a load report's age when it was sent,
-	// so at the epoch's end a load report from a minute before would be taken for a
-	// new one.
+	// earlier events are not kept, because AgeMillis is the age of a load report when it
+	// was sent. At the epoch's end, a load report that was sent a minute before would be
+	// taken for a new one.
 	Load *engineapi.Load
 	// Hops are the mean times that a token spent on each stage and its outgoing link.
 	Hops []Hop
@@ -163,14 +167,15 @@
 	Endpoint   string
 	MeanMicros float64
 	// StepMicros is the time to compute the stage's layers for a token, without the
-	// link, as the engine reports it, or zero if unknown. The Chooser sets it.
+	// link, as the engine reports it, or zero if unknown. The Chooser sets
+	// StepMicros.
 	StepMicros float64
 }
 
 // Recovery is one change of chain during an answer.
 type Recovery struct {
-	// Cause is how the previous epoch ended. Reason is why TokenCheck rejected its
-	// token, if Cause is EndInvalidToken.
+	// Cause is how the previous epoch ended. Reason is why TokenCheck rejected a
+	// token of that epoch, if Cause is EndInvalidToken.
 	Cause  End
 	Reason Reason
 	// DetectionTime is the time from the old chain's last token until the failure was
--- a/route/stream/watchdog.go
+++ b/route/stream/watchdog.go
@@ -13,8 +13,8 @@
 	errUnresponsive = fmt.Errorf("%w: the chain answers no probe", errStalled)
 )
 
-// maxTimerDelay is how late the timer may fire. If it fires later, the watchdog assumes
-// that this node was paused, and not the chain.
+// maxTimerDelay is how late the timer may fire. If the timer fires later, the watchdog
+// assumes that this node was paused, and not the chain.
 const maxTimerDelay = 50 * time.Millisecond
 
 // watchdog cancels an epoch that produces no token in time.
@@ -22,8 +22,9 @@
 // When this node resumes after a pause, all its timers fire at once, while tokens that
 // arrived during the pause are still unread. If each watchdog cancelled its epoch, every
 // stream would move to another chain without need. A watchdog whose timer fires late
-// therefore waits for one more timeout. It does so only once per token, because otherwise
-// a node whose timers are always late would never detect a stall.
+// therefore waits for one more timeout. The wait is extended only once per token, because
+// otherwise a node whose timers are always late would never detect a stall. The wait for the
+// first token may be extended more often, because it has a deadline.
 type watchdog struct {
 	cancel context.CancelCauseFunc
 
@@ -39,7 +40,7 @@
 // engine's queue is not known beforehand, so the deadline must be long. chainProber
 // detects a frozen stage or a failed link sooner.
 type firstTokenWait struct {
-	silentSince  time.Time // the earliest time from which the chain counts as not replying
+	silentSince  time.Time // the time without a reply or token is counted from here at the earliest
 	deadline     time.Time
 	unresponsive func(since time.Time) bool
 }
@@ -105,7 +106,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.firstToken != firstToken {
-		return // the token arrived while unresponsive ran
+		return // the first token arrived, or the epoch ended, while unresponsive ran
 	}
 	if unresponsive {
 		w.cancel(errUnresponsive)
@@ -118,9 +119,11 @@
 	w.schedule(max(delay, 0))
 }
 
-// expired reports whether the wait has timed out. If it has not, but a check of the wait
-// for a first token is due, expired returns that wait. The caller then calls unresponsive
-// of the returned wait.
+// expired is called when the timer has fired. expired returns one of three results:
+//   - nil, true: The wait has timed out, and the caller cancels the epoch.
+//   - nil, false: The wait was stopped, restarted or extended, and the caller returns.
+//   - the wait for the first token, false: A check is due, and the caller calls the
+//     function unresponsive of that wait.
 func (w *watchdog) expired(now time.Time) (*firstTokenWait, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
