--- a/decide/admission/forecast.go
+++ b/decide/admission/forecast.go
@@ -142,7 +142,7 @@
 	f.headroom = max(f.headroom, q.lowDemandHeadroom(slotRate))
 	f.longJobsAllocation = allocate(slotRate*float64(q.longJobSlots), q.teamList, func(t *team) float64 { return t.demand[long] })
 	for _, t := range q.teamList {
-		t.longForecastRate = f.longJobsAllocation.rate(t.demand[long], t.flow.Weight())
+		t.longJobForecastRate = f.longJobsAllocation.rate(t.demand[long], t.flow.Weight())
 	}
 }
 
--- a/decide/admission/list.go
+++ b/decide/admission/list.go
@@ -13,9 +13,9 @@
 
 func (l jobLength) other() jobLength { return long - l }
 
-// item is a waiting or running request. The fields that the function sweep reads come
-// first. With thousands of waiting requests, sweep spends most of its time on loading these
-// fields from memory.
+// item is a waiting or running request. The fields that refuseLateRequests reads come
+// first. With thousands of waiting requests, refuseLateRequests spends most of its time on
+// loading these fields from memory.
 type item struct {
 	next      *item
 	prev      *item
@@ -34,8 +34,9 @@
 // looks at each request of the block, so smaller blocks make this part shorter.
 const blockSize = 64
 
-// block is a sequence of adjacent requests in a list. From the values of the block, a
-// review recognizes that no request of the block will be late.
+// block is a sequence of adjacent waiting requests in a list, at most blockSize of them.
+// From the values of the block, a review recognizes that no request of the block will be
+// late.
 //
 // A review that looked at every request took 0.8 ms with 10,000 waiting requests. This
 // review ran ten times a second under the service's lock, and all calls on this service
@@ -47,8 +48,9 @@
 	waitingCount int
 	addedCount   int     // requests ever added, including those that have left the block
 	cost         float64 // sum of the expected costs of the waiting requests, tokens
-	// earliestDeadline is not after the deadline of any waiting request of the block. After
-	// a request has left the block, earliestDeadline may be before all of these deadlines.
+	// earliestDeadline is a lower bound on the deadlines of the waiting requests in this
+	// block. It is not raised when a request leaves the block; a review that looks at each
+	// request of the block sets it again.
 	earliestDeadline time.Time
 }
 
@@ -61,7 +63,7 @@
 	firstBlock *block
 	lastBlock  *block
 	freeBlock  *block  // the block that was emptied last, for reuse
-	cost       float64 // sum of the expected costs, tokens
+	totalCost  float64 // sum of the expected costs, tokens
 }
 
 func (l *list) push(it *item) {
@@ -73,7 +75,7 @@
 		l.tail.next = it
 	}
 	l.tail = it
-	l.cost += it.Cost
+	l.totalCost += it.Cost
 	l.addToBlock(it)
 }
 
@@ -112,9 +114,9 @@
 	}
 	it.prev = nil
 	it.next = nil
-	l.cost -= it.Cost
+	l.totalCost -= it.Cost
 	if l.head == nil {
-		l.cost = 0 // drop accumulated rounding errors
+		l.totalCost = 0 // drop accumulated rounding errors
 	}
 }
 
--- a/decide/admission/load_test.go
+++ b/decide/admission/load_test.go
@@ -204,9 +204,10 @@
 
 func TestHotCallerAtStart(t *testing.T) {
 	// If a node starts in a rush and a team offers ten times the capacity in responses of
-	// 15 s, this team takes every slot within 1.5 s. By then the other team has not yet
-	// filled the slots that it needs. No response ends for the next 7 s, so the callers of
-	// the other team wait for seconds.
+	// 15 s on average, this team takes every slot within 1.5 s. By then the other team has
+	// not yet filled the slots that it needs. Each response takes at least half of the
+	// average, so no response of the hot team ends in the first 7 s, and the callers of the
+	// other team wait for seconds.
 	Convey("A hot team leaves slots to another team from the first second on", t, func() {
 		for _, c := range []hotCase{{0.05, 10, 1500}, {0.2, 10, 1500}} {
 			for _, assumedRate := range []float64{0, slotRate} {
--- a/decide/admission/predict.go
+++ b/decide/admission/predict.go
@@ -11,17 +11,17 @@
 // position describes a place in a team's queue by the team's work that is served before a
 // request in this place. All work is in expected tokens.
 type position struct {
-	higherClassAhead float64 // the team's work in higher classes
-	sameLengthAhead  float64 // the team's work in the same class and job length
-	otherLengthAhead float64 // the team's work in the same class, the other job length
-	longAhead        float64 // the team's work in long jobs of all classes
-	jobLength        jobLength
+	earlierClassAhead   float64 // the team's work in the classes that are served earlier
+	sameJobLengthAhead  float64 // the team's work in the same class and job length
+	otherJobLengthAhead float64 // the team's work in the same class, the other job length
+	longAhead           float64 // the team's work in long jobs of all classes
+	jobLength           jobLength
 }
 
 // addWorkAhead moves the position behind further requests of the same class and job length.
 // cost is the expected cost of these requests, in tokens.
 func (p *position) addWorkAhead(cost float64) {
-	p.sameLengthAhead += cost
+	p.sameJobLengthAhead += cost
 	if p.jobLength == long {
 		p.longAhead += cost
 	}
@@ -41,10 +41,10 @@
 	if f.drainRate <= 0 {
 		return 0
 	}
-	wait := (q.scheduler.Debt(t.flow) + p.higherClassAhead + p.sameLengthAhead + p.otherLengthAhead) / t.forecastRate
+	wait := (q.scheduler.Debt(t.flow) + p.earlierClassAhead + p.sameJobLengthAhead + p.otherJobLengthAhead) / t.forecastRate
 	if p.jobLength == long {
 		longJobRate := max(t.forecastRate/2, t.forecastRate-t.demand[short])
-		wait = max(wait, p.sameLengthAhead/longJobRate, p.longAhead/t.longForecastRate)
+		wait = max(wait, p.sameJobLengthAhead/longJobRate, p.longAhead/t.longJobForecastRate)
 	}
 	return toDuration(wait + q.meanCost()/f.drainRate)
 }
--- a/decide/admission/queue.go
+++ b/decide/admission/queue.go
@@ -203,7 +203,7 @@
 // deadlines and starts requests in the free slots.
 func (q *Queue) review(now time.Time) {
 	q.recomputeForecast(now)
-	earliest := q.sweep(now)
+	earliest := q.refuseLateRequests(now)
 	q.dispatch(now)
 	q.nextReview = now.Add(TickInterval)
 	if earliest.After(now) {
@@ -233,7 +233,7 @@
 		t = &team{name: name}
 		t.flow = q.scheduler.Add(defaultWeight, t)
 		t.forecastRate = q.forecast.allJobsAllocation.rate(0, defaultWeight)
-		t.longForecastRate = q.forecast.longJobsAllocation.rate(0, defaultWeight)
+		t.longJobForecastRate = q.forecast.longJobsAllocation.rate(0, defaultWeight)
 		t.listIndex = len(q.teamList)
 		q.teamList = append(q.teamList, t)
 		q.teams[name] = t
--- a/decide/admission/rate.go
+++ b/decide/admission/rate.go
@@ -22,8 +22,10 @@
 	firstAddAt time.Time // when the first value was added after the sum had fallen below negligibleSum
 }
 
-// negligibleSum is the sum, in tokens, below which a decayingSum restarts. A sum of one
-// token decays to this value in slightly more than 20 times rateTimeConstant.
+// negligibleSum is the sum, in tokens, below which a decayingSum restarts: the next
+// added value counts as the first one, and perSecond averages over the time since that
+// value. A sum of one token decays to negligibleSum in slightly more than 20 times
+// rateTimeConstant.
 const negligibleSum = 1e-9
 
 func (d *decayingSum) add(now time.Time, x float64) {
--- a/decide/admission/refuse.go
+++ b/decide/admission/refuse.go
@@ -61,55 +61,58 @@
 func (q *Queue) tailPosition(it *item) position {
 	t := it.team
 	c := &t.queues[it.Class]
-	workAhead := c.lists[it.jobLength].cost
+	workAhead := c.lists[it.jobLength].totalCost
 	return position{
-		higherClassAhead: t.higherClassWork(it.Class),
-		sameLengthAhead:  workAhead,
-		otherLengthAhead: c.otherLengthWorkAhead(it.jobLength, workAhead),
-		longAhead:        t.longWork(),
-		jobLength:        it.jobLength,
+		earlierClassAhead:   t.earlierClassWork(it.Class),
+		sameJobLengthAhead:  workAhead,
+		otherJobLengthAhead: c.otherJobLengthWorkAhead(it.jobLength, workAhead),
+		longAhead:           t.longWork(),
+		jobLength:           it.jobLength,
 	}
 }
 
-// sweep refuses the waiting requests that will miss their deadlines. It returns the
-// earliest deadline of the requests that stay, or the zero time if no request stays.
+// refuseLateRequests refuses the waiting requests that will miss their deadlines. It returns
+// the earliest deadline of the requests that stay, or the zero time if no request stays.
 //
 // After a loss of capacity, the queue holds requests that were admitted correctly but can't
 // be served in time any more. These requests are refused now, while their callers can still
 // use another service. Until their deadlines, they would also count as work that is served
 // before new requests.
-func (q *Queue) sweep(now time.Time) (earliestDeadline time.Time) {
+func (q *Queue) refuseLateRequests(now time.Time) (earliestDeadline time.Time) {
 	for _, t := range q.teamList {
 		if t.flow.Waiting() {
-			earliestDeadline = earlier(earliestDeadline, q.sweepTeam(now, t))
+			earliestDeadline = earlier(earliestDeadline, q.refuseLateInTeam(now, t))
 		}
 	}
 	return earliestDeadline
 }
 
-func (q *Queue) sweepTeam(now time.Time, t *team) (earliestDeadline time.Time) {
+func (q *Queue) refuseLateInTeam(now time.Time, t *team) (earliestDeadline time.Time) {
 	var p position
 	for class := range t.queues {
-		p.higherClassAhead = t.higherClassWork(Class(class))
+		p.earlierClassAhead = t.earlierClassWork(Class(class))
 		for l := range t.queues[class].lists {
 			p.jobLength = jobLength(l)
-			earliestDeadline = earlier(earliestDeadline, q.sweepList(now, t, &t.queues[class], &p))
+			earliestDeadline = earlier(earliestDeadline, q.refuseLateInList(now, t, &t.queues[class], &p))
 		}
 	}
 	return earliestDeadline
 }
 
-// sweepList refuses the late requests of one class and job length. It moves the position
-// behind each request that stays. Blocks in which no request can be late are skipped.
-func (q *Queue) sweepList(now time.Time, t *team, c *classQueue, p *position) (earliestDeadline time.Time) {
-	p.sameLengthAhead = 0
+// refuseLateInList refuses the late requests of one class and job length. p counts the work
+// ahead of the next request; the cost of each request that is kept is added to p. Blocks in
+// which no request can be late are kept whole. refuseLateInList returns the earliest
+// deadline of the kept requests. For a block that is kept whole, this is the lower bound
+// block.earliestDeadline.
+func (q *Queue) refuseLateInList(now time.Time, t *team, c *classQueue, p *position) (earliestDeadline time.Time) {
+	p.sameJobLengthAhead = 0
 	for b := c.lists[p.jobLength].firstBlock; b != nil; b = b.next {
 		if q.allOnTime(now, t, c, b, *p) {
 			p.addWorkAhead(b.cost)
 			earliestDeadline = earlier(earliestDeadline, b.earliestDeadline)
 			continue
 		}
-		earliestDeadline = earlier(earliestDeadline, q.sweepBlock(now, c, b, p))
+		earliestDeadline = earlier(earliestDeadline, q.refuseLateInBlock(now, c, b, p))
 	}
 	return earliestDeadline
 }
@@ -122,13 +125,13 @@
 		return false
 	}
 	p.addWorkAhead(b.cost)
-	p.otherLengthAhead = c.otherLengthWorkAhead(p.jobLength, p.sameLengthAhead)
+	p.otherJobLengthAhead = c.otherJobLengthWorkAhead(p.jobLength, p.sameJobLengthAhead)
 	return !q.missesDeadline(t, p, b.earliestDeadline.Sub(now))
 }
 
-func (q *Queue) sweepBlock(now time.Time, c *classQueue, b *block, p *position) (earliestDeadline time.Time) {
+func (q *Queue) refuseLateInBlock(now time.Time, c *classQueue, b *block, p *position) (earliestDeadline time.Time) {
 	b.each(func(it *item) {
-		p.otherLengthAhead = c.otherLengthWorkAhead(p.jobLength, p.sameLengthAhead)
+		p.otherJobLengthAhead = c.otherJobLengthWorkAhead(p.jobLength, p.sameJobLengthAhead)
 		if q.refuseIfLate(now, it, *p) {
 			return
 		}
--- a/decide/admission/step.go
+++ b/decide/admission/step.go
@@ -6,28 +6,30 @@
 )
 
 const (
-	// stepTimeConstant is the time constant of the recent total demand. A step is a sudden
-	// rise of this demand.
+	// stepTimeConstant is the time constant of the recent total demand, which is the demand
+	// of all teams together. A step is a sudden rise of this demand.
 	stepTimeConstant = time.Second
-	// minStepWindow is the shortest time over which the recent total demand is calculated.
-	minStepWindow = stepTimeConstant / 2
+	// minRecentDemandWindow is the shortest time over which the recent total demand is
+	// calculated.
+	minRecentDemandWindow = stepTimeConstant / 2
 	// stepResetPause is the time without an offered request after which the recent total
 	// demand restarts from zero.
 	stepResetPause = 3 * stepTimeConstant
-	// stepDemandRatio is the ratio of the recent total demand to the measured total demand
-	// above which a step is detected. The measured total demand has the time constant
+	// minStepDemandRatio is the ratio of the recent total demand to the measured total
+	// demand above which a step is detected. The measured total demand has the time constant
 	// rateTimeConstant. At 64 requests a second, random variation changes the recent total
 	// demand by 9% (standard deviation).
-	stepDemandRatio = 1.5
+	minStepDemandRatio = 1.5
 )
 
 // stepDetector detects a sudden rise of the total demand of all teams.
 //
 // After a quiet period, the demand measured with the time constant rateTimeConstant takes
-// seconds to show such a rise. Without this detector, a node that is offered twice its
-// capacity after a pause of 8 s predicts waits that are too short: the node expects each
-// team to get the part of the drain rate that the other teams do not seem to need. One
-// refusal in ten then comes more than three seconds after the offer.
+// seconds to show such a rise. Suppose that a node is offered twice its capacity after a
+// pause of 8 s. Without this detector, the measured demands of the teams are too low, and
+// the node expects each team to get the part of the drain rate that the other teams do not
+// seem to need. The predicted waits are then too short, and one refusal in ten comes more
+// than three seconds after the offer.
 type stepDetector struct {
 	sum        float64
 	updatedAt  time.Time // time of the last add
@@ -50,9 +52,9 @@
 // demand measured with the time constant rateTimeConstant. It returns 1 if random variation
 // may explain the difference.
 func (s *stepDetector) riseFactor(now time.Time, measuredDemand float64) float64 {
-	age := max(now.Sub(s.firstAddAt), minStepWindow).Seconds() / stepTimeConstant.Seconds()
+	age := max(now.Sub(s.firstAddAt), minRecentDemandWindow).Seconds() / stepTimeConstant.Seconds()
 	recentDemand := s.valueAt(now) / (stepTimeConstant.Seconds() * (1 - math.Exp(-age)))
-	if recentDemand <= stepDemandRatio*measuredDemand || measuredDemand == 0 {
+	if recentDemand <= minStepDemandRatio*measuredDemand || measuredDemand == 0 {
 		return 1
 	}
 	return recentDemand / measuredDemand
--- a/decide/admission/team.go
+++ b/decide/admission/team.go
@@ -8,17 +8,17 @@
 
 // team holds the waiting requests of one team and its measured demand and forecast rates.
 type team struct {
-	name             string
-	listIndex        int // in Queue.teamList
-	flow             *fairness.Flow[*team]
-	queues           [classCount]classQueue
-	runningCount     int
-	configured       bool                        // SetTeam was called
-	offeredWork      [jobLengthCount]decayingSum // recent work, in expected tokens, by job length
-	demand           [jobLengthCount]float64     // expected tokens per second at the last forecast
-	forecastRate     float64                     // forecast rate of service, in expected tokens per second
-	longForecastRate float64                     // forecast rate of service of the long jobs, same unit
-	lastRetryAt      time.Time                   // when the last refused caller was told to retry, before jitter
+	name                string
+	listIndex           int // in Queue.teamList
+	flow                *fairness.Flow[*team]
+	queues              [classCount]classQueue
+	runningCount        int
+	configured          bool                        // SetTeam was called
+	offeredWork         [jobLengthCount]decayingSum // recent work, in expected tokens, by job length
+	demand              [jobLengthCount]float64     // expected tokens per second at the last forecast
+	forecastRate        float64                     // forecast rate of service, in expected tokens per second
+	longJobForecastRate float64                     // forecast rate of service of the long jobs, same unit
+	lastRetryAt         time.Time                   // when the last refused caller was told to retry, before jitter
 }
 
 // idle reports whether none of the team's requests waits or runs.
@@ -28,14 +28,14 @@
 func (t *team) longWork() float64 {
 	sum := 0.0
 	for c := range t.queues {
-		sum += t.queues[c].lists[long].cost
+		sum += t.queues[c].lists[long].totalCost
 	}
 	return sum
 }
 
-// higherClassWork returns the expected tokens of the team's waiting requests in all classes
+// earlierClassWork returns the expected tokens of the team's waiting requests in all classes
 // that are served before the given class.
-func (t *team) higherClassWork(class Class) float64 {
+func (t *team) earlierClassWork(class Class) float64 {
 	sum := 0.0
 	for c := range class {
 		sum += t.queues[c].cost()
@@ -74,7 +74,7 @@
 	virtualTime [jobLengthCount]float64 // work started per job length, in expected tokens; raised by push and charge
 }
 
-func (c *classQueue) cost() float64 { return c.lists[short].cost + c.lists[long].cost }
+func (c *classQueue) cost() float64 { return c.lists[short].totalCost + c.lists[long].totalCost }
 
 // push adds a request to the list of its job length. If this list was empty, its virtual
 // time is raised to that of the other job length, so that a job length gains nothing from a
@@ -88,21 +88,21 @@
 		c.virtualTime[l] = max(c.virtualTime[l], c.virtualTime[l.other()])
 	}
 	if l == long && c.lists[long].head == nil {
-		c.virtualTime[long] = max(c.virtualTime[long], c.virtualTime[short]+c.lists[short].cost)
+		c.virtualTime[long] = max(c.virtualTime[long], c.virtualTime[short]+c.lists[short].totalCost)
 	}
 	c.lists[l].push(it)
 }
 
-// otherLengthWorkAhead returns the work of the other job length that is served before a
+// otherJobLengthWorkAhead returns the work of the other job length that is served before a
 // request of job length l. workAhead is the work of job length l that is served before this
 // request.
-func (c *classQueue) otherLengthWorkAhead(l jobLength, workAhead float64) float64 {
+func (c *classQueue) otherJobLengthWorkAhead(l jobLength, workAhead float64) float64 {
 	other := c.lists[l.other()]
 	virtualTimeDiff := c.virtualTime[l] + workAhead - c.virtualTime[l.other()]
 	if other.head == nil || virtualTimeDiff < 0 {
 		return 0
 	}
-	return min(virtualTimeDiff+other.head.Cost, other.cost)
+	return min(virtualTimeDiff+other.head.Cost, other.totalCost)
 }
 
 // firstItem returns the oldest request of the job length with the lower virtual time, or
--- a/decide/admission/types.go
+++ b/decide/admission/types.go
@@ -169,7 +169,7 @@
 }
 
 const (
-	defaultMaxWaiting          = 20000
+	defaultMaxWaitingRequests  = 20000
 	defaultWaitWithoutDeadline = 30 * time.Second
 	defaultLongCost            = 2048
 	defaultMaxRetryAfter       = time.Minute
@@ -196,7 +196,7 @@
 
 func (c Config) withDefaults() Config {
 	if c.MaxWaiting <= 0 {
-		c.MaxWaiting = defaultMaxWaiting
+		c.MaxWaiting = defaultMaxWaitingRequests
 	}
 	if c.DefaultWait <= 0 {
 		c.DefaultWait = defaultWaitWithoutDeadline
--- a/decide/balance/balancer.go
+++ b/decide/balance/balancer.go
@@ -219,8 +219,9 @@
 	return average + (sample-average)*movingAverageGain
 }
 
-// Started records that the first part of an answer arrived. The call is optional. A
-// call of Started shows earlier than Finished that a replica is not frozen.
+// Started records that the first part of an answer arrived. The call is
+// optional. The first part of an answer shows earlier than the end of the answer that
+// the replica is not frozen.
 func (b *Balancer) Started(now time.Time, id string, timeToFirstToken time.Duration) {
 	if m := b.members[id]; m != nil {
 		b.detector.FirstResponse(now, m.health, timeToFirstToken)
--- a/decide/balance/doc.go
+++ b/decide/balance/doc.go
@@ -53,6 +53,8 @@
 //   - Prefix: the first part of a prompt. A replica caches the state that it computes
 //     from a prefix. A hash ring maps each prefix to one replica, the owner of the
 //     prefix.
+//   - Affinity: the choice of a replica by the prefix of a request, so that the replica
+//     probably has the prefix cached.
 //   - Leaving: shutting down. A leaving replica refuses new requests.
 //   - Ejected: taken out of use for some time by package health, because the replica is
 //     slow or failing.
--- a/decide/balance/full.go
+++ b/decide/balance/full.go
@@ -48,12 +48,12 @@
 // replica's capacity; see candidateWhenAllFull. A replica in backoff is picked only
 // if all other replicas are excluded or in backoff.
 //
-// When all replicas are full, a node can send a request only when one of its own
-// requests ends. The node knows at once which replica then has a free slot. With
-// round robin the next request would go to another replica. Some engines then had
-// idle slots while others had a queue, and load reports showed this imbalance too
-// late to correct it. If each node spreads its own requests evenly, the requests
-// of all nodes together are spread evenly too.
+// While all replicas are full, Headroom usually lets a node send another request only
+// when one of the node's own requests ends. The node knows at once which replica then
+// has a free slot. With round robin the next request goes to another replica: some
+// replicas have idle slots while others have a queue, and load reports show this
+// imbalance too late to correct it. If each node spreads its own requests evenly, the
+// requests of all nodes together are spread evenly too.
 func (b *Balancer) pickWhenAllFull(now time.Time, q Query) (Choice, bool) {
 	var best, runnerUp memberWithScore
 	for _, t := range [...]*tier{&b.nearTier, &b.spillTier} {
@@ -81,7 +81,7 @@
 	if best.member == nil {
 		return Choice{}, false
 	}
-	c := b.newChoice(now, best.member, ReasonFewestOwn)
+	c := b.newChoice(now, best.member, ReasonFewestOwnRequests)
 	if best.member.tier == &b.spillTier {
 		c.Reason = ReasonSpill
 	}
--- a/decide/balance/pattern_test.go
+++ b/decide/balance/pattern_test.go
@@ -204,7 +204,7 @@
 // the other domain.
 func TestOnlySurplusSpills(t *testing.T) {
 	domains := []string{"bandung", "bekasi"}
-	nearOnly := fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
+	nearOnly := newFixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(6) })
 	for _, c := range []struct {
 		name            string
 		callsPerSecond  float64
--- a/decide/balance/pick.go
+++ b/decide/balance/pick.go
@@ -67,8 +67,9 @@
 
 // estimatedLoad returns the replica's load in requests. While the replica has free
 // slots, each request counts as 1, because a request with a slot of its own does
-// not wait for other requests. Once the replica is full, the node's own requests
-// are weighted by cost if the weighted sum is larger than their number.
+// not wait for other requests. Once the replica is full, each of the node's
+// own requests counts as its cost divided by the mean cost, provided that the sum is
+// larger than the number of these requests.
 func (b *Balancer) estimatedLoad(now time.Time, m *member) float64 {
 	otherNodeRequests := b.estimatedOtherNodeRequests(now, m)
 	requestCount := float64(m.inflightRequests) + otherNodeRequests
@@ -211,10 +212,10 @@
 	return i
 }
 
-// acceptsPrefix reports whether a replica may be picked for a request because of
-// the request's prefix. A replica that is excluded by the query, in backoff or not
-// usable may not be picked. If the mean utilization of the subset is 1 or more,
-// acceptsPrefixWhenAllFull decides. Otherwise two conditions must hold:
+// acceptsPrefix reports whether a replica may be picked by the prefix of a request. A
+// replica that is excluded by the query, in backoff or not usable may not be picked.
+// If the mean utilization of the subset is 1 or more, acceptsPrefixWhenAllFull
+// decides. Otherwise two conditions must hold:
 //   - The replica's load with one more request, multiplied by its slowness, is at
 //     most the load limit. The load limit is the utilization limit times the
 //     replica's effective capacity, rounded up to a whole number of requests. The
--- a/decide/balance/pollschedule.go
+++ b/decide/balance/pollschedule.go
@@ -83,8 +83,9 @@
 	return now.Sub(entryOf(e).lastContact) >= roundDuration/2
 }
 
-// Oldest returns the endpoint with the oldest contact and the time of that contact.
-// The zero time means that the endpoint was never contacted.
+// Oldest returns the endpoint with the oldest contact and the time of that contact,
+// which is zero if there was no contact with the endpoint. ok is false if the set of
+// endpoints is empty.
 func (s *PollSchedule) Oldest() (endpoint string, lastContact time.Time, ok bool) {
 	oldest := s.entriesByContact.Front()
 	if oldest == nil {
--- a/decide/balance/pollschedule_test.go
+++ b/decide/balance/pollschedule_test.go
@@ -9,7 +9,8 @@
 )
 
 // If an endpoint that does not answer is polled repeatedly, the other endpoints are
-// not polled. The endpoint with the oldest contact must be polled first. A new
+// not polled. A contact is a load report that an endpoint made, or a poll that is sent
+// to the endpoint. The endpoint with the oldest contact must be polled first. A new
 // endpoint must be polled before all others, and a removed endpoint never.
 func TestOldestEndpointIsPolledFirst(t *testing.T) {
 	Convey("The endpoint with the oldest contact comes first", t, func() {
--- a/decide/balance/sim_test.go
+++ b/decide/balance/sim_test.go
@@ -38,8 +38,8 @@
 	cacheIndex       *cacheindex.Index // nil if prefixes are placed by hash alone
 }
 
-// fixedRulePolicy returns a constructor of policies with the given rule.
-func fixedRulePolicy(pickRule func(p *policy, q Query) Replica) func(int) *policy {
+// newFixedRulePolicy returns a constructor of policies with the given rule.
+func newFixedRulePolicy(pickRule func(p *policy, q Query) Replica) func(int) *policy {
 	return func(node int) *policy {
 		return &policy{Balancer: New(Config{}), pickRule: pickRule, nextReplicaIndex: node * 5, reportedLoad: map[string]int{}}
 	}
@@ -58,9 +58,9 @@
 }
 
 var (
-	roundRobin        = fixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(len(p.replicas)) })
-	hashOnly          = fixedRulePolicy(func(p *policy, q Query) Replica { return p.replicas[q.Prefix%uint64(len(p.replicas))] })
-	leastReportedLoad = fixedRulePolicy(func(p *policy, _ Query) Replica {
+	roundRobin        = newFixedRulePolicy(func(p *policy, _ Query) Replica { return p.nextRoundRobinOfFirst(len(p.replicas)) })
+	hashOnly          = newFixedRulePolicy(func(p *policy, q Query) Replica { return p.replicas[q.Prefix%uint64(len(p.replicas))] })
+	leastReportedLoad = newFixedRulePolicy(func(p *policy, _ Query) Replica {
 		return slices.MinFunc(p.replicas, func(x, y Replica) int { return p.reportedLoad[x.ID] - p.reportedLoad[y.ID] })
 	})
 )
--- a/decide/balance/tier.go
+++ b/decide/balance/tier.go
@@ -46,8 +46,8 @@
 	return ring
 }
 
-// attachMembers sets the tier of each member. Callers must call attachMembers after
-// the tier has been copied to its final address.
+// attachMembers sets the tier of each member to t. Members keep this pointer, so call
+// attachMembers only after the tier has been copied to its final address.
 func (t *tier) attachMembers() {
 	for _, m := range t.members {
 		m.tier = t
@@ -108,7 +108,8 @@
 
 // meanUtilization returns the mean utilization of the tier, as doc.go defines it.
 // For a member that has not reported its load, meanUtilization assumes that other
-// nodes have otherNodeRequestsPerCapacity requests there per unit of capacity.
+// nodes have otherNodeRequestsPerCapacity requests per unit of capacity at this
+// member.
 func (t *tier) meanUtilization() float64 {
 	capacity := t.capacity()
 	if capacity == 0 {
--- a/decide/balance/types.go
+++ b/decide/balance/types.go
@@ -95,9 +95,9 @@
 	// ReasonPrefixCached means that, of the replicas that accept the request, the
 	// picked one probably has the longest part of the prompt cached.
 	ReasonPrefixCached
-	// ReasonFewestOwn means that all replicas were full. The picked replica had the
+	// ReasonFewestOwnRequests means that all replicas were full. The picked replica had the
 	// fewest in-flight requests of this node relative to its capacity.
-	ReasonFewestOwn
+	ReasonFewestOwnRequests
 )
 
 var reasonNames = [...]string{
@@ -149,7 +149,7 @@
 	// SourceEndpoint is the replica itself, which states in a load report that it
 	// is leaving.
 	SourceEndpoint
-	// SourcePeer is another node.
+	// SourcePeer is a peer: another node of the node's failure domain.
 	SourcePeer
 	// SourceOperator is the environment document or a drain command.
 	SourceOperator
--- a/decide/cacheindex/cacheindex.go
+++ b/decide/cacheindex/cacheindex.go
@@ -108,8 +108,9 @@
 	}
 }
 
-// Clear drops the entries of a replica and keeps its sequence number. Call Clear when a
-// stage of the replica has lost its cache, but not the stage that publishes the events.
+// Clear drops the entries of a replica and keeps its sequence number. One stage
+// publishes the events of a replica. Call Clear when another stage has lost its cache: no
+// event reports this loss.
 func (x *Index) Clear(replica string) {
 	if s := x.states[replica]; s != nil {
 		s.lru.Init()
--- a/decide/health/config.go
+++ b/decide/health/config.go
@@ -10,7 +10,7 @@
 	DefaultInterval             = 500 * time.Millisecond
 	DefaultMinSamples           = 5
 	DefaultMaxConsecutive       = 3
-	DefaultErrorShare           = 0.5
+	DefaultMaxErrorShare        = 0.5
 	DefaultLatencyFactor        = 3.0
 	DefaultLatencyFloor         = 50 * time.Millisecond
 	DefaultSilenceFactor        = 5.0
@@ -32,9 +32,9 @@
 	// MaxConsecutive is the number of consecutive failures that ejects an endpoint at
 	// once.
 	MaxConsecutive int
-	// ErrorShare is the error share (see the package doc) above which an endpoint is
+	// MaxErrorShare is the error share (see the package doc) above which an endpoint is
 	// ejected.
-	ErrorShare float64
+	MaxErrorShare float64
 	// An endpoint is ejected as slow if its delay exceeds the median delay by both the
 	// factor LatencyFactor and the difference LatencyFloor.
 	LatencyFactor float64
@@ -64,7 +64,7 @@
 	c.Interval = cmp.Or(c.Interval, DefaultInterval)
 	c.MinSamples = cmp.Or(c.MinSamples, DefaultMinSamples)
 	c.MaxConsecutive = cmp.Or(c.MaxConsecutive, DefaultMaxConsecutive)
-	c.ErrorShare = cmp.Or(c.ErrorShare, DefaultErrorShare)
+	c.MaxErrorShare = cmp.Or(c.MaxErrorShare, DefaultMaxErrorShare)
 	c.LatencyFactor = cmp.Or(c.LatencyFactor, DefaultLatencyFactor)
 	c.LatencyFloor = cmp.Or(c.LatencyFloor, DefaultLatencyFloor)
 	c.SilenceFactor = cmp.Or(c.SilenceFactor, DefaultSilenceFactor)
--- a/decide/health/detector.go
+++ b/decide/health/detector.go
@@ -243,7 +243,7 @@
 	median := d.medianDelayFor(e)
 	e.slowness = relativeDelay(e.delay, median)
 	switch {
-	case e.errorShare > d.cfg.ErrorShare && !d.commonFailure:
+	case e.errorShare > d.cfg.MaxErrorShare && !d.commonFailure:
 		d.eject(now, e, ErrorShare)
 	case d.isSlow(e.delay, median):
 		d.eject(now, e, Slow)
--- a/decide/health/doc.go
+++ b/decide/health/doc.go
@@ -27,7 +27,9 @@
 //
 // Overloaded and leaving endpoints are not ejected (see Failure.Faulty). An
 // endpoint is out of rotation while it is ejected or probing. The error share of
-// an endpoint is the share of its requests that fail, as a moving average. For
+// an endpoint is the share of its requests that fail, as a moving average. The
+// slowness of an endpoint is its delay divided by the median delay, limited to the
+// range from 1 to 4. For
 // slowness or for its error share, an endpoint is ejected only if at most
 // MaxEjectedShare of the set is then out of rotation. For all other causes the
 // bound is MaxUnresponsiveShare. If more endpoints than that are slow or fail,
--- a/decide/health/endpoint.go
+++ b/decide/health/endpoint.go
@@ -31,7 +31,7 @@
 	NoCause Cause = iota
 	// ConsecutiveFailures means that Config.MaxConsecutive requests in a row failed.
 	ConsecutiveFailures
-	// ErrorShare means that the endpoint's error share exceeded Config.ErrorShare.
+	// ErrorShare means that the endpoint's error share exceeded Config.MaxErrorShare.
 	ErrorShare
 	// Slow means that the endpoint's delay was too long compared with the median delay.
 	Slow
@@ -63,7 +63,7 @@
 	ejections        int // number of consecutive ejections
 
 	delay               float64 // moving average of Outcome.Delay, seconds
-	errorShare          float64 // moving average of the outcomes: 0 if no request fails, 1 if all requests fail
+	errorShare          float64 // moving average over the outcomes; a failure counts as 1, every other outcome as 0
 	responseTime        float64 // moving average of the time to a first response, seconds
 	slowness            float64
 	samples             int
--- a/decide/health/health_test.go
+++ b/decide/health/health_test.go
@@ -66,8 +66,9 @@
 }
 
 // Guards against a bad endpoint that keeps getting requests, which then fail or wait
-// there. Without the Detector the endpoint would get ten requests a second. For each kind
-// of fault, it may get at most maxRequests before it is ejected.
+// at this endpoint. Without the Detector the endpoint would get ten requests a second. For
+// each kind of fault, the endpoint may get at most maxRequests in the first 4 s of the
+// fault.
 func TestEjection(t *testing.T) {
 	fails := func(f Failure) Outcome { return Outcome{TimeSinceSent: step, Failure: f} }
 	for _, c := range []struct {
@@ -75,7 +76,7 @@
 		bad         outcomes
 		silent      []int
 		cause       Cause
-		maxRequests int // maximum number of requests to the endpoint in 4 s
+		maxRequests int // maximum number of requests to the endpoint in the first 4 s of the fault
 	}{
 		{"refuses connections", outcomes{0: fails(Unreachable)}, nil, ConsecutiveFailures, 3},
 		{"breaks every stream", outcomes{0: fails(BrokenResponse)}, nil, ConsecutiveFailures, 3},
--- a/decide/internal/sim/service.go
+++ b/decide/internal/sim/service.go
@@ -73,7 +73,8 @@
 	nextTickAt time.Time
 }
 
-// Run runs the scenario with the policy.
+// Run runs the scenario with the policy and returns all calls, including retries, with
+// their outcomes.
 func Run(s Scenario, policy AdmissionPolicy) *Result {
 	r := &scenarioRun{Scenario: s, Loop: NewLoop(), policy: policy, rng: rand.New(rand.NewPCG(s.Seed, 2))}
 	for i, l := range s.Loads {
--- a/decide/limits/loans.go
+++ b/decide/limits/loans.go
@@ -42,12 +42,12 @@
 }
 
 // earlierEnd returns the time at which the loan ends if this time is between start and
-// end. Otherwise earlierEnd returns the parameter end.
-func (l loan) earlierEnd(start, latest time.Time) time.Time {
-	if l.until.After(start) && l.until.Before(latest) {
+// latestEnd. Otherwise earlierEnd returns latestEnd.
+func (l loan) earlierEnd(start, latestEnd time.Time) time.Time {
+	if l.until.After(start) && l.until.Before(latestEnd) {
 		return l.until
 	}
-	return latest
+	return latestEnd
 }
 
 func (t *team) findPeer(node string) *peer {
--- a/decide/limits/splitter_test.go
+++ b/decide/limits/splitter_test.go
@@ -139,7 +139,7 @@
 			demand               func(float64, int) float64
 			connected            func(float64, int, int) bool
 			fromSecond, toSecond float64
-			// Each of these bounds is a part of the limit. minThrough is the minimum that
+			// Each of these bounds is a multiple of the limit. minThrough is the minimum that
 			// the Splitters admit. minWholeEach is the minimum that nodes admit if each
 			// allows the whole limit, minLastKnown the minimum with lastKnownDemand.
 			// maxEven is the maximum with disconnectedHomes.
--- a/decide/nodelist/nodelist_test.go
+++ b/decide/nodelist/nodelist_test.go
@@ -15,11 +15,11 @@
 }
 
 func names(list []Node) string {
-	var words []string
+	var nodeNames []string
 	for _, n := range list {
-		words = append(words, n.Name)
+		nodeNames = append(nodeNames, n.Name)
 	}
-	return strings.Join(words, " ")
+	return strings.Join(nodeNames, " ")
 }
 
 // Guards against a dead node that callers are still told to connect to. Also guards
--- a/decide/reservations/reservations.go
+++ b/decide/reservations/reservations.go
@@ -31,21 +31,21 @@
 	"time"
 )
 
-// ValidFor is how long a report is valid, so that the totals do not change when up to
-// three exchanges are lost.
+// ValidFor is how long a report is valid. With this value, the totals do not change when up
+// to three exchanges in a row are lost.
 const ValidFor = time.Second
 
 // Totals is the capacity that several nodes have reserved together.
 type Totals struct {
-	// Nodes is the number of nodes whose reservations are included.
-	Nodes int
+	// NodeCount is the number of nodes whose reservations are included.
+	NodeCount int
 	// ReservedByReplica is the reserved capacity of each replica, in tokens times layers.
 	ReservedByReplica map[string]float64
 }
 
 // Plus returns the sum of t and other.
 func (t Totals) Plus(other Totals) Totals {
-	sum := Totals{Nodes: t.Nodes + other.Nodes, ReservedByReplica: maps.Clone(t.ReservedByReplica)}
+	sum := Totals{NodeCount: t.NodeCount + other.NodeCount, ReservedByReplica: maps.Clone(t.ReservedByReplica)}
 	if sum.ReservedByReplica == nil {
 		sum.ReservedByReplica = map[string]float64{}
 	}
@@ -114,7 +114,7 @@
 		if now.Sub(r.receivedAt) >= ValidFor || !include(node, r) {
 			continue
 		}
-		sum.Nodes += r.totals.Nodes
+		sum.NodeCount += r.totals.NodeCount
 		for replica, amount := range r.totals.ReservedByReplica {
 			sum.ReservedByReplica[replica] += amount
 		}
--- a/decide/reservations/reservations_test.go
+++ b/decide/reservations/reservations_test.go
@@ -9,7 +9,7 @@
 var start = time.Date(2026, 1, 1, 4, 0, 0, 0, time.UTC)
 
 func oneNode(amount float64) Totals {
-	return Totals{Nodes: 1, ReservedByReplica: map[string]float64{"r": amount}}
+	return Totals{NodeCount: 1, ReservedByReplica: map[string]float64{"r": amount}}
 }
 
 // domain simulates the exchanges of a failure domain. The first nodes in the list are the
@@ -71,8 +71,8 @@
 		}
 		for i := range c.nodes {
 			others := d.aggregators[i].FromOthers(now)
-			if others.Nodes != c.nodes-1 || others.ReservedByReplica["r"] != total-d.ownReserved[i] {
-				t.Errorf("%d nodes, %d hubs: node %d counts %d others with %v, want %v", c.nodes, c.hubs, i, others.Nodes, others.ReservedByReplica["r"], total-d.ownReserved[i])
+			if others.NodeCount != c.nodes-1 || others.ReservedByReplica["r"] != total-d.ownReserved[i] {
+				t.Errorf("%d nodes, %d hubs: node %d counts %d others with %v, want %v", c.nodes, c.hubs, i, others.NodeCount, others.ReservedByReplica["r"], total-d.ownReserved[i])
 			}
 		}
 	}
@@ -84,15 +84,15 @@
 	var b Aggregator
 	b.Record(start, "a", false, oneNode(5))
 	b.Record(start.Add(ValidFor/2), "b", false, oneNode(7))
-	if got := b.FromOthers(start.Add(ValidFor - 1)); got.Nodes != 2 || got.ReservedByReplica["r"] != 12 {
+	if got := b.FromOthers(start.Add(ValidFor - 1)); got.NodeCount != 2 || got.ReservedByReplica["r"] != 12 {
 		t.Errorf("%+v", got)
 	}
-	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 1 || got.ReservedByReplica["r"] != 7 {
+	if got := b.FromOthers(start.Add(ValidFor)); got.NodeCount != 1 || got.ReservedByReplica["r"] != 7 {
 		t.Errorf("%+v", got)
 	}
 	b.KeepOnlyFrom("c")
-	b.Record(start.Add(ValidFor), "c", true, Totals{Nodes: 9, ReservedByReplica: map[string]float64{"r": 20}})
-	if got := b.FromOthers(start.Add(ValidFor)); got.Nodes != 9 || got.ReservedByReplica["r"] != 20 {
+	b.Record(start.Add(ValidFor), "c", true, Totals{NodeCount: 9, ReservedByReplica: map[string]float64{"r": 20}})
+	if got := b.FromOthers(start.Add(ValidFor)); got.NodeCount != 9 || got.ReservedByReplica["r"] != 20 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/decide/stall/stall.go
+++ b/decide/stall/stall.go
@@ -90,8 +90,9 @@
 	d.stdDev = max(d.stdDev, (float64(silence)*falseAlarmFactor-d.mean)/timeoutDeviations)
 }
 
-// falseAlarmFactor sets the timeout after a false alarm: unless a maximum of Timeout is
-// lower, the timeout is at least this factor times the silence that caused the alarm.
+// falseAlarmFactor sets the timeout after a check that found no loss. The timeout is then
+// at least falseAlarmFactor times the silence that triggered the check, but never above
+// the maximum that Timeout allows.
 const falseAlarmFactor = 1.5
 
 // Timeout returns the silence after which the path of the stream is checked. maxPause is
--- a/decide/storereaders/storereaders_test.go
+++ b/decide/storereaders/storereaders_test.go
@@ -50,7 +50,7 @@
 // not a reader.
 func TestReadersToAsk(t *testing.T) {
 	members := fleet(2, 50, 3)
-	members[0].Address = "" // has an entry because no reader received a request from it
+	members[0].Address = "" // n0-00 has an entry because no reader has received a request from n0-00
 	for _, name := range []string{"n0-40", "new"} {
 		got := ""
 		for _, m := range ReadersToAsk(name, "d0", members) {
--- a/fleet/bookings/bookings.go
+++ b/fleet/bookings/bookings.go
@@ -109,7 +109,7 @@
 }
 
 func (e *Exchange) held() reservations.Totals {
-	return reservations.Totals{Nodes: 1, ReservedByReplica: e.own()}
+	return reservations.Totals{NodeCount: 1, ReservedByReplica: e.own()}
 }
 
 func (e *Exchange) call(ctx context.Context, to Peer, hub bool, held reservations.Totals, claims []peerreports.Observation) (*bookingspb.ExchangeResponse, error) {
@@ -169,7 +169,7 @@
 }
 
 func toWire(held reservations.Totals) *bookingspb.Held {
-	wire := &bookingspb.Held{Nodes: int32(held.Nodes)}
+	wire := &bookingspb.Held{Nodes: int32(held.NodeCount)}
 	for replica, amount := range held.ReservedByReplica {
 		wire.Replicas = append(wire.Replicas, replica)
 		wire.Amounts = append(wire.Amounts, float32(amount))
@@ -180,7 +180,7 @@
 // fromWire reads what another node told. Of lists of different lengths, which no node
 // writes, the part that both have counts.
 func fromWire(wire *bookingspb.Held) reservations.Totals {
-	held := reservations.Totals{Nodes: int(max(0, wire.GetNodes())), ReservedByReplica: map[string]float64{}}
+	held := reservations.Totals{NodeCount: int(max(0, wire.GetNodes())), ReservedByReplica: map[string]float64{}}
 	amounts := wire.GetAmounts()
 	for i, replica := range wire.GetReplicas() {
 		if i < len(amounts) && amounts[i] > 0 {
--- a/fleet/bookings/bookings_test.go
+++ b/fleet/bookings/bookings_test.go
@@ -46,7 +46,7 @@
 		node
 		want float64
 	}{{a, 110}, {b, 101}, {c, 11}} {
-		if got := n.Others(); got.Nodes != 2 || got.ReservedByReplica["r"] != n.want {
+		if got := n.Others(); got.NodeCount != 2 || got.ReservedByReplica["r"] != n.want {
 			t.Errorf("%s: %+v, want %v of two", n.name, got, n.want)
 		}
 	}
@@ -70,7 +70,7 @@
 		"the same replica": {Nodes: 1, Replicas: []string{"r", "r"}, Amounts: []float32{2, 3}},
 	} {
 		held := fromWire(wire)
-		if held.Nodes < 0 || held.ReservedByReplica["r"] < 0 || held.ReservedByReplica["r"] > 5 || held.ReservedByReplica["s"] != 0 {
+		if held.NodeCount < 0 || held.ReservedByReplica["r"] < 0 || held.ReservedByReplica["r"] > 5 || held.ReservedByReplica["s"] != 0 {
 			t.Errorf("%s: %+v", name, held)
 		}
 	}
--- a/route/targets/model.go
+++ b/route/targets/model.go
@@ -388,7 +388,7 @@
 func (m *ModelTargets) SetPeerReservations(reserved reservations.Totals) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.selector.SetPeerReservations(m.domain, reserved.Nodes, reserved.ReservedByReplica)
+	m.selector.SetPeerReservations(m.domain, reserved.NodeCount, reserved.ReservedByReplica)
 	m.wakeOne()
 }
 
