--- a/node/server/plans.go
+++ b/node/server/plans.go
@@ -29,11 +29,11 @@
 	*layerplans.Controller
 }
 
-// Suspect tells both the cache, which reads the plan again, and the controller, which
-// looks at the engines if it is this node's turn.
-func (w planWatcher) Suspect(model, replica string) {
-	w.Cache.Suspect(model, replica)
-	w.Controller.Suspect(model, replica)
+// ReportPlanMismatch tells both the cache, which reads the plan again, and the
+// controller, which looks at the engines if it is this node's turn.
+func (w planWatcher) ReportPlanMismatch(model, replica string) {
+	w.Cache.ReportPlanMismatch(model, replica)
+	w.Controller.ReportPlanMismatch(model, replica)
 }
 
 // plansFor says whether it is this node's turn to keep a model's plans in a
--- a/route/engineclient/client.go
+++ b/route/engineclient/client.go
@@ -89,7 +89,7 @@
 
 // ProbeChain asks the first engine of a chain to check that the later stages answer
 // over the links that carry activations. It returns the report of each stage.
-// Status(err) is 404 or 405 if the engine doesn't support the call.
+// HTTPStatus(err) is 404 or 405 if the engine doesn't support the call.
 func (c *Client) ProbeChain(ctx context.Context, chain []engineapi.Stage) ([]engineapi.Report, error) {
 	var reply engineapi.WayReply
 	req := engineapi.WayRequest{Chain: chain}
@@ -97,13 +97,13 @@
 	return reply.Holdings, err
 }
 
-// Order tells an engine which layers to hold. Status(err) is 409 if the engine has
+// Order tells an engine which layers to hold. HTTPStatus(err) is 409 if the engine has
 // accepted an order with a later placement version.
 func (c *Client) Order(ctx context.Context, address string, order engineapi.Order) error {
 	return c.call(ctx, http.MethodPost, address, engineapi.PathOrders, order, nil)
 }
 
-// OrderAdapters tells an engine which adapters to hold. Status(err) is 409 if the
+// OrderAdapters tells an engine which adapters to hold. HTTPStatus(err) is 409 if the
 // engine has accepted an order with a later version.
 func (c *Client) OrderAdapters(ctx context.Context, address string, order engineapi.AdapterOrder) error {
 	return c.call(ctx, http.MethodPost, address, engineapi.PathAdapters, order, nil)
@@ -212,7 +212,7 @@
 }
 
 func sendError(address string, state State, status int, cause error) error {
-	return Error.Wrap(&SendError{Endpoint: address, State: state, Status: status, Cause: cause})
+	return Error.Wrap(&SendError{Endpoint: address, State: state, HTTPStatus: status, Cause: cause})
 }
 
 // drainAndClose reads the rest of a body before it closes the body, so that the
--- a/route/engineclient/client_test.go
+++ b/route/engineclient/client_test.go
@@ -67,7 +67,7 @@
 		So(err, ShouldBeNil)
 		So(holding.Holding, ShouldResemble, engineapi.Holding{Model: "toy", Last: 3, PlacementVersion: 2})
 		err = client.Order(ctx, srv.Address, engineapi.Order{Model: "toy", Last: 1, PlacementVersion: 1})
-		So(Status(err), ShouldEqual, http.StatusConflict)
+		So(HTTPStatus(err), ShouldEqual, http.StatusConflict)
 		So(client.Order(ctx, srv.Address, engineapi.Order{Model: "toy", Last: 1, PlacementVersion: 3}), ShouldBeNil)
 		load, err := client.Load(ctx, srv.Address)
 		So(err, ShouldBeNil)
@@ -157,7 +157,7 @@
 		So(client.Order(context.Background(), address, engineapi.Order{}), ShouldBeNil)
 		err := client.Order(context.Background(), address, engineapi.Order{})
 		So(attempts, ShouldEqual, 3)
-		So(Status(err), ShouldEqual, http.StatusServiceUnavailable)
+		So(HTTPStatus(err), ShouldEqual, http.StatusServiceUnavailable)
 		So(NotRun(err), ShouldBeFalse)
 	})
 }
--- a/route/engineclient/errors.go
+++ b/route/engineclient/errors.go
@@ -35,8 +35,8 @@
 	Endpoint string
 	// State says whether the request may have run.
 	State State
-	// Status is the HTTP status with which the engine refused the call, or zero.
-	Status int
+	// HTTPStatus is the HTTP status with which the engine refused the call, or zero.
+	HTTPStatus int
 	// Cause is the underlying error, or nil if the engine answered.
 	Cause error
 }
@@ -50,7 +50,7 @@
 	if e.Cause != nil {
 		return fmt.Sprintf("%s: %s: %v", e.Endpoint, state, e.Cause)
 	}
-	return fmt.Sprintf("%s: %s: status %d", e.Endpoint, state, e.Status)
+	return fmt.Sprintf("%s: %s: status %d", e.Endpoint, state, e.HTTPStatus)
 }
 
 // Unwrap returns Cause.
@@ -62,12 +62,12 @@
 	return errors.As(err, &send) && send.State == StateNotRun
 }
 
-// Status returns the HTTP status with which the engine refused the call, or zero if
+// HTTPStatus returns the HTTP status with which the engine refused the call, or zero if
 // err carries none.
-func Status(err error) int {
+func HTTPStatus(err error) int {
 	var send *SendError
 	if errors.As(err, &send) {
-		return send.Status
+		return send.HTTPStatus
 	}
 	return 0
 }
--- a/route/httpapi/site_test.go
+++ b/route/httpapi/site_test.go
@@ -196,7 +196,7 @@
 
 type noPlans struct{}
 
-func (noPlans) Suspect(string, string)               {}
+func (noPlans) ReportPlanMismatch(string, string)    {}
 func (noPlans) Observe(string, string, []stream.Hop) {}
 
 type noFigures struct{}
--- a/route/layerplans/adapters.go
+++ b/route/layerplans/adapters.go
@@ -289,7 +289,7 @@
 		return
 	}
 	k.cfg.Log.Warn("adapter order not accepted", "endpoint", name, "version", order.Version, "error", err)
-	if engineclient.Status(err) == http.StatusConflict {
+	if engineclient.HTTPStatus(err) == http.StatusConflict {
 		k.updateRecord(replica.spec, func(r *plan.Record) bool {
 			return r.RaiseAdapters(replica.spec.name, replica.reports[name].AdapterVersion)
 		})
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -153,9 +153,9 @@
 	return stages
 }
 
-// Suspect requests a read of a replica's plan because an engine holds other layers or
-// adapters than the plan says.
-func (c *Cache) Suspect(model, replica string) {
+// ReportPlanMismatch requests a read of a replica's plan because an engine holds other
+// layers or adapters than the plan says.
+func (c *Cache) ReportPlanMismatch(model, replica string) {
 	c.mu.RLock()
 	key, known := c.keyOf[replicaID{model, replica}]
 	c.mu.RUnlock()
--- a/route/layerplans/controller.go
+++ b/route/layerplans/controller.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// Suspect schedules a check of a replica because an engine holds other layers or adapters
-// than the plan says.
-func (k *Controller) Suspect(model, replica string) {
+// ReportPlanMismatch schedules a check of a replica because an engine holds other layers
+// or adapters than the plan says.
+func (k *Controller) ReportPlanMismatch(model, replica string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.suspects[replicaID{model, replica}] = true
--- a/route/layerplans/controller_test.go
+++ b/route/layerplans/controller_test.go
@@ -51,15 +51,15 @@
 }
 
 type pendingLoad struct {
-	order engineapi.Order
-	ready time.Time
+	order   engineapi.Order
+	readyAt time.Time
 }
 
 func (f *fakeEngines) HoldingReport(_ context.Context, address string) (engineapi.Report, error) {
 	if f.unreachable[address] {
 		return engineapi.Report{}, errors.New("no answer")
 	}
-	if l, ok := f.loading[address]; ok && !f.now.Before(l.ready) {
+	if l, ok := f.loading[address]; ok && !f.now.Before(l.readyAt) {
 		f.holdings[address] = engineapi.Holding(l.order)
 	}
 	return engineapi.Report{
@@ -70,7 +70,7 @@
 
 func (f *fakeEngines) OrderAdapters(_ context.Context, address string, order engineapi.AdapterOrder) error {
 	if order.Version < f.adapters[address].Version {
-		return &engineclient.SendError{Endpoint: address, Status: http.StatusConflict}
+		return &engineclient.SendError{Endpoint: address, HTTPStatus: http.StatusConflict}
 	}
 	f.adapters[address] = order
 	f.adapterOrderTimes = append(f.adapterOrderTimes, f.now.Sub(startTime))
--- a/route/layerplans/orders.go
+++ b/route/layerplans/orders.go
@@ -153,7 +153,7 @@
 	defer cancel()
 	if err := k.cfg.EngineClient.Order(ctx, pending.endpoint.Address, pending.order); err != nil {
 		k.cfg.Log.Warn("order not accepted", "endpoint", pending.endpoint.Name, "version", pending.order.PlacementVersion, "error", err)
-		if engineclient.Status(err) == http.StatusConflict {
+		if engineclient.HTTPStatus(err) == http.StatusConflict {
 			k.raiseVersion(spec, pending.report.PlacementVersion)
 		}
 		return
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -343,7 +343,7 @@
 
 // If the memory of the tightest engine were ignored, adapters would be planned that do
 // not fit. Each engine holds the part of an adapter that belongs to its layers.
-func TestAdapterMemoryOfTightestEngine(t *testing.T) {
+func TestAdapterMemoryOfEngineWithLeastMemory(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{{Name: "wide", MemoryMegabytes: 100}, {Name: "tight", MemoryMegabytes: 5}}
 	doc.Endpoints[0].Accelerator, doc.Endpoints[1].Accelerator, doc.Endpoints[2].Accelerator = "wide", "tight", "wide"
--- a/route/modelservice/adapter.go
+++ b/route/modelservice/adapter.go
@@ -40,7 +40,7 @@
 		return without, nil
 	}
 	for _, replica := range used {
-		s.Plans.Suspect(c.Service.Name, replica) // this node may know an old plan
+		s.Plans.ReportPlanMismatch(c.Service.Name, replica) // this node may know an old plan
 	}
 	return nil, &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: "no_adapter",
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -116,7 +116,7 @@
 		return chain, errOtherArtifact
 	}
 	if a.server.Streams.MismatchesPlan(ctx, a.chat.Model, a.Service.Model.Layers, chain) {
-		a.server.Plans.Suspect(a.Service.Name, replica)
+		a.server.Plans.ReportPlanMismatch(a.Service.Name, replica)
 		return chain, errDiffers
 	}
 	return chain, nil
@@ -147,7 +147,7 @@
 		Failure:          failureOf(r),
 	})
 	if r.End == stream.EndMismatch || r.Reason == stream.WrongArtifact {
-		c.answer.server.Plans.Suspect(c.answer.Service.Name, chain.Replica)
+		c.answer.server.Plans.ReportPlanMismatch(c.answer.Service.Name, chain.Replica)
 	}
 	for i := range r.Hops {
 		// Without it a slow link looks like slow layers, and the plan leaves the
--- a/route/modelservice/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -38,7 +38,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(data)))}, err
 }
 
-func (r *replicas) Suspect(_, replica string)            { r.suspected = append(r.suspected, replica) }
+func (r *replicas) ReportPlanMismatch(_, replica string) { r.suspected = append(r.suspected, replica) }
 func (r *replicas) Observe(string, string, []stream.Hop) {}
 
 // The caller's answer goes on where it can. Passing over a replica costs nothing;
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -33,8 +33,8 @@
 
 // Plans is told how replicas do, for the planner.
 type Plans interface {
-	// Suspect says that an engine holds something else than the plan.
-	Suspect(model, replica string)
+	// ReportPlanMismatch says that an engine holds something else than the plan.
+	ReportPlanMismatch(model, replica string)
 	// Observe takes the mean times of a stream's hops.
 	Observe(model, replica string, hops []stream.Hop)
 }
--- a/route/stream/epoch.go
+++ b/route/stream/epoch.go
@@ -94,7 +94,7 @@
 }
 
 func (e *epoch) handleOpenError(ctx context.Context, err error) {
-	e.result.Status = engineclient.Status(err)
+	e.result.Status = engineclient.HTTPStatus(err)
 	e.result.NotRun = engineclient.NotRun(err)
 	switch {
 	case e.result.NotRun && e.result.Status != 0:
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -194,7 +194,7 @@
 func (c *chainProber) probeChain(ctx context.Context, chain Chain) (reports []engineapi.Report, supported bool) {
 	reports, err := c.client.ProbeChain(ctx, chain.Stages)
 	if err != nil {
-		status := engineclient.Status(err)
+		status := engineclient.HTTPStatus(err)
 		return nil, status != http.StatusNotFound && status != http.StatusMethodNotAllowed
 	}
 	return reports, true
