--- a/route/engineclient/client.go
+++ b/route/engineclient/client.go
@@ -22,9 +22,9 @@
 	// dialTimeout bounds the time to connect. Connections over loopback or within a
 	// site take far less.
 	dialTimeout = 1 * time.Second
-	// maxIdleConnsPerEngine bounds the idle connections kept to one engine. It
-	// equals the engine's slots, so that a full engine's streams need no new
-	// connections.
+	// maxIdleConnsPerEngine bounds the idle connections kept to one engine. The
+	// limit is set to the number of slots of an engine, so that the streams of an
+	// engine with no free slot need no new connections.
 	maxIdleConnsPerEngine = 128
 	idleTimeout           = 30 * time.Second
 )
--- a/route/engineclient/doc.go
+++ b/route/engineclient/doc.go
@@ -11,7 +11,7 @@
 //		...
 //	}
 //
-// # Failures that the states of errors prevent
+// # Why errors carry a state
 //
 // After a failed send the router does not know whether the engine has started to run
 // the request, but a caller must be able to rely on the answer "not run". Every error
@@ -21,6 +21,7 @@
 //
 // Every read is bounded, so a faulty engine cannot fill the node's memory.
 //
-// A slot of an engine is its capacity to run one request. An epoch is one attempt to run
-// a stream's request on a chain.
+// A slot of an engine is its capacity to run one request. A chain is the sequence of
+// engines that together hold all layers of a model; the first engine receives the request.
+// An epoch is one attempt to run a stream's request on a chain.
 package engineclient
--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -6,6 +6,10 @@
 // that the replica has accepted so far, so the replica refuses the second node's order.
 // The layers that a replica holds are known only from the replica's own reports.
 //
+// The list of replicas is what a node has read from the store: each replica with its
+// state and the layers that it holds. The list shows a change only after the replica's
+// next heartbeat and the node's next read of the store.
+//
 // A replica that starts again under the same ID is a new incarnation of the replica and
 // counts its accepted orders from zero.
 package layerorders
@@ -44,8 +48,8 @@
 	// the first replica was listed. Without the bound, a domain whose replicas start one
 	// by one would stay without a plan.
 	maxSettleTime = 4 * time.Second
-	// maxReportDelay is the time from the end of a load until the list of replicas shows
-	// its result: a heartbeat and a read of the store.
+	// maxReportDelay is the longest time from the end of a load until the list of
+	// replicas shows the loaded layers: a heartbeat and a read of the store.
 	maxReportDelay = 2500 * time.Millisecond
 )
 
@@ -81,7 +85,7 @@
 }
 
 // New returns a Controller. settleTime is how long the first plan of a domain
-// waits for further replicas after the last new replica was listed.
+// waits for further replicas after the number of replicas in the list last changed.
 func New(service string, client ReplicaClient, settleTime time.Duration, log hclog.Logger) *Controller {
 	return &Controller{
 		service: service, client: client, settleTime: settleTime, log: log.With("service", service),
@@ -91,8 +95,8 @@
 }
 
 // Reconcile plans the layers of a domain's replicas and sends the orders that are due.
-// suspected reports whether a replica is thought to be down. revision is the store
-// revision at which the list was read.
+// list is the list of replicas, and revision is the store revision at which the list was
+// read. suspected reports whether a replica is thought to be down.
 func (k *Controller) Reconcile(ctx context.Context, now time.Time, model *ruleset.Model, domain string, revision int64, list []*replicalist.Replica, suspected func(id string) bool) {
 	replicas := replicasInDomain(domain, list)
 	for _, o := range k.plan(now, model, domain, replicas, suspected) {
@@ -169,8 +173,8 @@
 	return true
 }
 
-// plannerReplica returns a replica as input of the planner. Until the list shows the result
-// of a pending order, the replica counts as holding the ordered span.
+// plannerReplica returns a replica as input of the planner. Until the list of replicas
+// shows the result of a pending order, the replica counts as holding the ordered span.
 func (k *Controller) plannerReplica(now time.Time, model *ruleset.Model, r *replicalist.Replica, suspected bool) layers.Replica {
 	replica := layers.Replica{
 		ID: r.ID, MemoryMB: model.CardKinds[r.CardKind].MemoryMB, Held: r.Holds,
@@ -204,7 +208,8 @@
 // is sent once more if the replica has accepted another number of orders than expected but
 // still holds the layers that the plan assumed. The number differs when this node has just
 // taken over from another node. Without the second attempt, a domain that lacks layers
-// would wait for the next read of the list. Otherwise the next plan follows the report.
+// would wait for the next read of the list of replicas. In all other cases the order is
+// not sent again, and the report decides which orders the replica is sent next.
 func (k *Controller) deliver(ctx context.Context, r *replicalist.Replica, revision int64, o layers.Order) {
 	expectedCount := k.expectedOrders(r)
 	if k.sendOrder(ctx, r, revision, expectedCount, o) {
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -74,7 +74,7 @@
 	recordsWithAdapters map[recordKey]bool
 }
 
-// replicaID identifies a replica.
+// replicaID identifies a replica by its model and the replica's name in the document.
 type replicaID struct {
 	model   string
 	replica string
--- a/route/layerplans/rollout.go
+++ b/route/layerplans/rollout.go
@@ -10,9 +10,9 @@
 )
 
 // drainTimeout bounds the time that engines have to finish their streams before they load
-// other weights. An answer of 4,000 tokens at the guaranteed 36 ms between tokens takes
-// 144 s. A stream that is not finished after drainTimeout resumes on another replica, if
-// another replica has the stream's version of the weights.
+// other weights. Callers are promised at most 36 ms between tokens, so an answer of
+// 4,000 tokens takes up to 144 s. A stream that is not finished after drainTimeout resumes
+// on another replica, if another replica has the stream's version of the weights.
 const drainTimeout = 150 * time.Second
 
 // mayCommit reports whether a plan that was decided for a reason may be written now.
--- a/route/layerplans/rollout_test.go
+++ b/route/layerplans/rollout_test.go
@@ -341,8 +341,8 @@
 	}
 }
 
-// If the memory of the tightest engine were ignored, adapters would be planned that do
-// not fit. Each engine holds the part of an adapter that belongs to its layers.
+// If the memory of the engine with the least free memory were ignored, adapters would be
+// planned that do not fit. Each engine holds the part of an adapter that belongs to its layers.
 func TestAdapterMemoryOfEngineWithLeastMemory(t *testing.T) {
 	doc := documentOf(1, 1, 0)
 	doc.Accelerators = []document.Accelerator{{Name: "wide", MemoryMegabytes: 100}, {Name: "tight", MemoryMegabytes: 5}}
--- a/route/service/prefixes.go
+++ b/route/service/prefixes.go
@@ -73,9 +73,12 @@
 	LastPolledAt time.Time
 }
 
-// NextEventsPoll returns the replica with the oldest poll for cache events in the subset.
-// mustPoll says whether some replica of the subset must be polled at this poll opportunity.
-// interval is the time between poll opportunities.
+// NextEventsPoll returns the replica of the subset that has gone longest without a poll
+// for cache events. interval is the time between two poll opportunities. One replica is
+// polled at an opportunity, so a round of polls takes one interval per replica of the
+// subset. mustPoll says whether a poll is due now: if this opportunity were not used, some
+// replica of the subset would go without a poll for more than a round, even if every later
+// opportunity were used.
 func (s *Service) NextEventsPoll(interval time.Duration) (next EventsPoll, mustPoll bool) {
 	p := s.PrefixIndex
 	p.mu.Lock()
