--- a/route/httpapi/testnode_test.go
+++ b/route/httpapi/testnode_test.go
@@ -197,7 +197,7 @@
 
 type discardPlans struct{}
 
-func (discardPlans) Suspect(string, string)               {}
+func (discardPlans) ReportPlanMismatch(string, string)    {}
 func (discardPlans) Observe(string, string, []stream.Hop) {}
 
 type discardMetrics struct{}
--- a/route/layerplans/cache.go
+++ b/route/layerplans/cache.go
@@ -74,7 +74,7 @@
 	recordsWithAdapters map[recordKey]bool
 }
 
-// replicaID identifies a replica.
+// replicaID identifies a replica by its model and the replica's name in the document.
 type replicaID struct {
 	model   string
 	replica string
@@ -153,9 +153,9 @@
 	return stages
 }
 
-// Suspect requests a read of a replica's plan because an engine holds other layers or
-// adapters than the plan says.
-func (c *Cache) Suspect(model, replica string) {
+// ReportPlanMismatch requests a read of a replica's plan because an engine holds other
+// layers or adapters than the plan says.
+func (c *Cache) ReportPlanMismatch(model, replica string) {
 	c.mu.RLock()
 	key, known := c.keyOf[replicaID{model, replica}]
 	c.mu.RUnlock()
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -117,7 +117,7 @@
 		return chain, errWrongArtifact
 	}
 	if call.server.Streams.MismatchesPlan(ctx, call.chat.Model, call.Service.Model.Layers, chain) {
-		call.server.Plans.Suspect(call.Service.Name, replica)
+		call.server.Plans.ReportPlanMismatch(call.Service.Name, replica)
 		return chain, errMismatchesPlan
 	}
 	return chain, nil
@@ -149,7 +149,7 @@
 		Failure:          healthFailure(r),
 	})
 	if r.End == stream.EndMismatch || r.Reason == stream.WrongArtifact {
-		c.call.server.Plans.Suspect(c.call.Service.Name, chain.Replica)
+		c.call.server.Plans.ReportPlanMismatch(c.call.Service.Name, chain.Replica)
 	}
 	for i := range r.Hops {
 		// Without the time per token of the endpoint itself, a slow link looks like
--- a/route/modelservice/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -38,7 +38,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(data)))}, err
 }
 
-func (r *fakeReplicas) Suspect(_, replica string) {
+func (r *fakeReplicas) ReportPlanMismatch(_, replica string) {
 	r.suspectedReplicas = append(r.suspectedReplicas, replica)
 }
 func (r *fakeReplicas) Observe(string, string, []stream.Hop) {}
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -39,8 +39,8 @@
 
 // Plans receives observations of replicas for the planner of their layers.
 type Plans interface {
-	// Suspect says that an engine of the replica does not hold what the plan says.
-	Suspect(model, replica string)
+	// ReportPlanMismatch says that an engine of the replica does not hold what the plan says.
+	ReportPlanMismatch(model, replica string)
 	// Observe takes the mean times of the hops of a stream.
 	Observe(model, replica string, hops []stream.Hop)
 }
