--- a/node/server/server.go
+++ b/node/server/server.go
@@ -184,7 +184,7 @@
 		Now:         time.Now,
 	}
 	return &httpapi.Server{
-		Directory:     s.directory.Load,
+		DocumentIndex: s.directory.Load,
 		Now:           time.Now,
 		EntryProvider: &entries{server: s},
 		ModelServer: &modelservice.Server{
--- a/route/callparser/callparser.go
+++ b/route/callparser/callparser.go
@@ -36,10 +36,10 @@
 	Team    *document.Team
 	Service *document.Service
 	// Adapter is the name of the adapter that a model call uses, if any.
-	Adapter   string
-	Class     admission.Class
-	ArrivedAt time.Time
-	Directory *docindex.Index
+	Adapter       string
+	Class         admission.Class
+	ArrivedAt     time.Time
+	DocumentIndex *docindex.Index
 	// LatestStart is the latest time at which the call may leave the admission queue.
 	LatestStart time.Time
 	// Deadline is when the caller stops waiting; zero means no limit.
@@ -68,7 +68,7 @@
 	if !docindex.MayCall(team, service) {
 		return nil, newRefusal(http.StatusForbidden, "not_allowed", fmt.Sprintf("team %q may not call %q", team.Name, service))
 	}
-	c := &Call{ID: NewRequestID(), Team: team, Service: s, ArrivedAt: now, Directory: d}
+	c := &Call{ID: NewRequestID(), Team: team, Service: s, ArrivedAt: now, DocumentIndex: d}
 	if refusal := c.readHeaders(r); refusal != nil {
 		return nil, refusal
 	}
@@ -89,7 +89,7 @@
 }
 
 func (c *Call) queueDeadline() time.Duration {
-	if ms := c.Directory.Document.Policy.QueueDeadlineMillis; ms > 0 {
+	if ms := c.DocumentIndex.Document.Policy.QueueDeadlineMillis; ms > 0 {
 		return time.Duration(ms) * time.Millisecond
 	}
 	return defaultQueueDeadline
--- a/route/callparser/callparser_test.go
+++ b/route/callparser/callparser_test.go
@@ -14,7 +14,7 @@
 // sha256Key is the digest of "key".
 const sha256Key = "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683"
 
-func testDirectory(queueDeadline int) *docindex.Index {
+func testDocumentIndex(queueDeadline int) *docindex.Index {
 	return docindex.Build(&document.Document{
 		Services: []document.Service{{Name: "stock-ledger", Kind: document.KindPlain, Plain: &document.Plain{}}},
 		Teams:    []document.Team{{Name: "menteng", KeySHA256: []string{sha256Key}}},
@@ -52,7 +52,7 @@
 			r := &http.Request{Header: http.Header{"Authorization": {"Bearer key"}}}
 			r.Header.Set(outcome.HeaderClass, c.class)
 			r.Header.Set(outcome.HeaderTimeout, c.timeout)
-			got, refusal := New(testDirectory(c.queueDeadline), r, "stock-ledger", now)
+			got, refusal := New(testDocumentIndex(c.queueDeadline), r, "stock-ledger", now)
 			if refusal != nil || c.refused != "" {
 				checkRefusal(t, refusal, c.refused)
 				return
--- a/route/chains/chains.go
+++ b/route/chains/chains.go
@@ -55,7 +55,7 @@
 	if err != nil {
 		return stream.Chain{}, Error.Wrap(err)
 	}
-	return buildChain(c.Directory, replica, replicaPlan, artifact)
+	return buildChain(c.DocumentIndex, replica, replicaPlan, artifact)
 }
 
 // artifactOf returns the weights and adapter that a call runs on a replica. If the plan
--- a/route/chains/chains_test.go
+++ b/route/chains/chains_test.go
@@ -32,7 +32,7 @@
 			{Name: "open", Stages: []document.Stage{{Endpoint: "a"}, {Endpoint: "b"}}},
 		}}}},
 	}
-	c := &callparser.Call{Service: &doc.Services[0], Directory: docindex.Build(doc, 1, "digest")}
+	c := &callparser.Call{Service: &doc.Services[0], DocumentIndex: docindex.Build(doc, 1, "digest")}
 	planned := fakePlans{{Endpoint: "a", Last: 1}, {Endpoint: "b", First: 2, Last: 7}}
 	cases := []struct {
 		replica        string
--- a/route/decisionlog/decisionlog.go
+++ b/route/decisionlog/decisionlog.go
@@ -110,12 +110,12 @@
 // has its own lock, so that recording does not serialize all requests.
 type Log struct {
 	logger hclog.Logger
-	shards [shardCount]shardOf
+	shards [shardCount]decisionShard
 }
 
-type shardOf struct {
+type decisionShard struct {
 	mu        sync.Mutex
-	latest    [decisionsPerShard]Decision
+	decisions [decisionsPerShard]Decision
 	nextIndex int
 }
 
@@ -129,21 +129,21 @@
 	if !d.SkipLog && l.logger.IsInfo() {
 		l.logger.Info("decision", logFields(d)...)
 	}
-	s := l.shard(d.Request)
+	s := l.shardOf(d.Request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.latest[s.nextIndex] = d
+	s.decisions[s.nextIndex] = d
 	s.nextIndex = (s.nextIndex + 1) % decisionsPerShard
 }
 
 // Explain returns the decisions about a request that are still in memory, oldest first.
 func (l *Log) Explain(request string) []Decision {
-	s := l.shard(request)
+	s := l.shardOf(request)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []Decision
 	for i := range decisionsPerShard {
-		d := s.latest[(s.nextIndex+i)%decisionsPerShard]
+		d := s.decisions[(s.nextIndex+i)%decisionsPerShard]
 		if d.Request == request && request != "" {
 			found = append(found, d)
 		}
@@ -151,33 +151,33 @@
 	return found
 }
 
-func (l *Log) shard(request string) *shardOf {
+func (l *Log) shardOf(request string) *decisionShard {
 	h := fnv.New32a()
 	h.Write([]byte(request))
 	return &l.shards[h.Sum32()%shardCount]
 }
 
 func logFields(d Decision) []any {
-	f := []any{"request", d.Request, "kind", d.Kind, "reason", d.Reason}
-	f = appendNonEmpty(f, "team", d.Team)
-	f = appendNonEmpty(f, "service", d.Service)
-	f = appendNonEmpty(f, "chosen", d.Chosen)
+	fields := []any{"request", d.Request, "kind", d.Kind, "reason", d.Reason}
+	fields = appendNonEmpty(fields, "team", d.Team)
+	fields = appendNonEmpty(fields, "service", d.Service)
+	fields = appendNonEmpty(fields, "chosen", d.Chosen)
 	for _, a := range d.Alternatives {
-		f = append(f, "alternative."+a.Name, a.Score)
+		fields = append(fields, "alternative."+a.Name, a.Score)
 		if a.CachedBlocks > 0 {
-			f = append(f, "alternative_held_blocks."+a.Name, a.CachedBlocks)
+			fields = append(fields, "alternative_held_blocks."+a.Name, a.CachedBlocks)
 		}
 	}
 	for name, value := range d.Values {
-		f = append(f, name, value)
+		fields = append(fields, name, value)
 	}
 	for _, n := range d.Notes {
-		f = appendNonEmpty(f, n.Name, n.Text)
+		fields = appendNonEmpty(fields, n.Name, n.Text)
 	}
 	if d.Revision > 0 {
-		f = append(f, "revision", d.Revision)
+		fields = append(fields, "revision", d.Revision)
 	}
-	return f
+	return fields
 }
 
 func appendNonEmpty(f []any, name, value string) []any {
--- a/route/httpapi/httpapi.go
+++ b/route/httpapi/httpapi.go
@@ -62,9 +62,10 @@
 	Weight        float64 `json:"weight"`
 }
 
-// Server serves the callers' listener. Safe for concurrent use.
+// Server serves the callers' listener. DocumentIndex returns the document in force, or
+// nil if the node has none yet. Safe for concurrent use.
 type Server struct {
-	Directory     func() *docindex.Index
+	DocumentIndex func() *docindex.Index
 	ModelServer   ModelServer
 	PlainServer   PlainServer
 	EntryProvider EntryProvider
@@ -109,7 +110,7 @@
 // requireDocument returns the document in force. A node that has not received a
 // document can't check keys and does not know the services, so the request is refused.
 func (s *Server) requireDocument(w http.ResponseWriter) *docindex.Index {
-	d := s.Directory()
+	d := s.DocumentIndex()
 	if d == nil {
 		r := newRefusal(http.StatusServiceUnavailable, "not_ready", "this node has no environment document yet")
 		r.RetryAfter = notReadyRetryAfter
--- a/route/httpapi/refusal_test.go
+++ b/route/httpapi/refusal_test.go
@@ -60,7 +60,7 @@
 // a Retry-After.
 func TestNodeWithoutDocumentRefuses(t *testing.T) {
 	n := newTestNode(t, testNodeConfig{chains: 1})
-	n.directory.Store(nil)
+	n.documentIndex.Store(nil)
 	for _, path := range []string{"/v1/entry", "/v1/chat/completions", "/services/stock-ledger/orders"} {
 		method := http.MethodPost
 		if path == "/v1/entry" {
--- a/route/httpapi/testnode_test.go
+++ b/route/httpapi/testnode_test.go
@@ -53,7 +53,7 @@
 	server         *httpapi.Server
 	url            string
 	document       *document.Document
-	directory      atomic.Pointer[docindex.Index]
+	documentIndex  atomic.Pointer[docindex.Index]
 	store          *storetest.Client
 	plainEndpoints []*standinplain.Server
 	engines        [][2]*standinengine.Server
@@ -87,7 +87,7 @@
 		},
 	}
 	n.document.Services = []document.Service{n.startModel(cfg), n.startPlain(cfg)}
-	n.directory.Store(docindex.Build(n.document, 1, "digest"))
+	n.documentIndex.Store(docindex.Build(n.document, 1, "digest"))
 	n.startNode(cfg.streamOptions)
 	return n
 }
@@ -163,7 +163,7 @@
 	claims := ledger.New(n.store, "java", ledger.Config{CallTimeout: 100 * time.Millisecond})
 	n.t.Cleanup(claims.Close)
 	registry := service.NewRegistry(service.Config{Node: "entry-1", FailureDomain: "bandung", Now: time.Now})
-	registry.Apply(n.directory.Load())
+	registry.Apply(n.documentIndex.Load())
 	limiter := teamlimiter.New(limits.New(limits.Config{Self: "entry-1"}), time.Now)
 	recorder := decisionlog.NewLog(hclog.NewNullLogger())
 	pool := upstream.New(time.Now)
@@ -172,8 +172,8 @@
 	n.t.Cleanup(client.CloseIdle)
 	manager := &lifecycle.Manager{Services: registry, TeamLimiter: limiter, Recorder: recorder, Metrics: discardMetrics{}, Now: time.Now}
 	n.server = &httpapi.Server{
-		Directory: n.directory.Load,
-		Now:       time.Now,
+		DocumentIndex: n.documentIndex.Load,
+		Now:           time.Now,
 		ModelServer: &modelservice.Server{
 			Lifecycle: manager, Streams: stream.New(client, nil, streams),
 			Chains: &chains.Resolver{}, Plans: discardPlans{}, Metrics: discardMetrics{},
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -1,7 +1,8 @@
-// Package ingress accepts callers' requests by the rules of package ruleset. It reads
-// the headers, finds the route, checks the key and the limits, reads the body, and
-// passes the request to package relay, which sends it to an endpoint. A request that is
-// not accepted is refused at once, with the outcome "not run".
+// Package ingress accepts callers' requests by the rules of package ruleset, which are
+// the node's configuration. It reads the headers, finds the route, checks the key and
+// the limits, reads the body, and passes the request to package relay, which sends it
+// to an endpoint. A request that is not accepted is refused at once, with the outcome
+// "not run".
 package ingress
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/cicadatack/cicadatack/route/targets"
 )
 
-// Rules gives the current configuration.
+// Rules gives the current rules, which are the node's configuration.
 type Rules interface {
 	relay.ConfigFreshness
 	// Current returns the newest configuration, or nil if none has been loaded yet.
--- a/route/lifecycle/lifecycle.go
+++ b/route/lifecycle/lifecycle.go
@@ -105,10 +105,10 @@
 	return &Permit{call: c, queuePermit: queuePermit, expectedCost: cost, admittedAt: c.Now()}, nil
 }
 
-// latestStart returns the time by which the call must start so that its answer is
-// complete at the deadline, or Call.LatestStart if that is earlier. In overload, nearly
-// all calls start just before their latest start. If the run time were not subtracted
-// from the deadline, part of the work would be for callers that have stopped waiting.
+// latestStart returns the time by which the call must leave the admission queue: the
+// deadline less the expected run time, but at most Call.LatestStart. In overload,
+// nearly all calls start just before that time. If the run time were not subtracted,
+// part of the work would be for callers that have stopped waiting.
 func (c *ActiveCall) latestStart(cost float64) time.Time {
 	if c.Deadline.IsZero() {
 		return c.LatestStart
@@ -212,6 +212,6 @@
 		Chosen:   chosen,
 		Reason:   reason,
 		Values:   values,
-		Revision: c.Directory.Revision,
+		Revision: c.DocumentIndex.Revision,
 	}
 }
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -36,12 +36,12 @@
 }
 
 const (
-	// maxConsecutiveFailures bounds the consecutive chains without a token when retries
-	// are extended (see extendsRetries).
+	// maxConsecutiveFailures is the number of consecutive chains without a token after
+	// which an extended retry ends (see extendsRetries).
 	maxConsecutiveFailures = 6
 	// minExtendedBackoff and maxExtendedBackoff bound the backoff of extended retries,
-	// which doubles with each retry. All retries together outlast a pause of every
-	// chain of some seconds.
+	// which doubles with each retry. If all chains pause for a few seconds, the retries
+	// last longer than the pause.
 	minExtendedBackoff = 100 * time.Millisecond
 	maxExtendedBackoff = time.Second
 )
--- a/route/modelservice/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -47,11 +47,11 @@
 // of the retry budget and count against a healthy replica. Such a replica is skipped.
 func TestUnusableChainsAreSkipped(t *testing.T) {
 	cases := []struct {
-		name, replica, planned, begun string
-		want                          error
-		suspected                     bool
+		name, replica, planned, answerVersion string
+		want                                  error
+		suspected                             bool
 	}{
-		{"nothing begun", "v2-a", "v2", "", nil, false},
+		{"no token sent yet", "v2-a", "v2", "", nil, false},
 		{"the version of the answer", "v1-a", "v1", "v1", nil, false},
 		{"another version", "v2-a", "v2", "v1", errWrongArtifact, false},
 		{"engines that differ from the plan", "v1-a", "v2", "v2", errMismatchesPlan, true},
@@ -64,8 +64,8 @@
 			server:     &Server{Chains: r, Plans: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
 			chat:       engineapi.ChatRequest{Model: "pastry-llm"},
 		}}
-		if c.begun != "" {
-			chooser.epochs = []epochState{{artifact: engineapi.Artifact{Weights: "v0"}}, {gotFirstToken: true, artifact: engineapi.Artifact{Weights: c.begun}}}
+		if c.answerVersion != "" {
+			chooser.epochs = []epochState{{artifact: engineapi.Artifact{Weights: "v0"}}, {gotFirstToken: true, artifact: engineapi.Artifact{Weights: c.answerVersion}}}
 		}
 		if _, err := chooser.resolveChain(context.Background(), c.replica); !errors.Is(err, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, err, c.want)
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -143,7 +143,7 @@
 }
 
 func (m *modelCall) policy() document.Policy {
-	return m.Directory.Document.Policy
+	return m.DocumentIndex.Document.Policy
 }
 
 // completedWork returns the work done, in tokens: the prompt's cost and the generated
--- a/route/modelservice/response.go
+++ b/route/modelservice/response.go
@@ -79,12 +79,12 @@
 
 // encodeEventFrame encodes a token's event and splits it where the token goes. All but
 // the token is the same in every event of an answer, so it is encoded once.
-func (rw *responseWriter) encodeEventFrame() (before, after []byte) {
+func (rw *responseWriter) encodeEventFrame() (prefix, suffix []byte) {
 	const placeholder = "\x00"
 	quoted, _ := json.Marshal(placeholder)                                         // can't fail for a string
 	event, _ := json.Marshal(rw.chunk(engineapi.Delta{Content: placeholder}, nil)) // can't fail for these fields
-	before, after, _ = bytes.Cut(event, quoted)
-	return append([]byte(eventStart), before...), append(after, eventEnd...)
+	prefix, suffix, _ = bytes.Cut(event, quoted)
+	return append([]byte(eventStart), prefix...), append(suffix, eventEnd...)
 }
 
 // writeToken passes one checked token to the caller, or collects the token for an
@@ -141,17 +141,17 @@
 }
 
 func (rw *responseWriter) writeEvent(data []byte) error {
-	line := make([]byte, 0, len(eventStart)+len(data)+len(eventEnd))
-	line = append(line, eventStart...)
-	line = append(line, data...)
-	line = append(line, eventEnd...)
-	return rw.writeAndFlush(line)
+	event := make([]byte, 0, len(eventStart)+len(data)+len(eventEnd))
+	event = append(event, eventStart...)
+	event = append(event, data...)
+	event = append(event, eventEnd...)
+	return rw.writeAndFlush(event)
 }
 
 // writeAndFlush sends one event without buffering, so that the caller gets the first
 // tokens early.
-func (rw *responseWriter) writeAndFlush(line []byte) error {
-	if _, err := rw.w.Write(line); err != nil {
+func (rw *responseWriter) writeAndFlush(event []byte) error {
+	if _, err := rw.w.Write(event); err != nil {
 		return err
 	}
 	if rw.flusher != nil {
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -121,7 +121,7 @@
 
 func (p *plainCall) allEndpointsCheckKeys() bool {
 	for _, name := range p.Service.Plain.Endpoints {
-		endpoint, known := p.Directory.Endpoint(name)
+		endpoint, known := p.DocumentIndex.Endpoint(name)
 		if !known || !endpoint.ChecksKeys {
 			return false
 		}
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -121,7 +121,7 @@
 	}
 	timeout := deadline.Sub(p.ArrivedAt)
 	answer, refusal := p.server.Relay.Do(ctx, &relay.Request{
-		Call: headers.CallHead{ID: p.ID}, Team: p.Team.Name, Service: p.Service.Name, Revision: p.Directory.Revision,
+		Call: headers.CallHead{ID: p.ID}, Team: p.Team.Name, Service: p.Service.Name, Revision: p.DocumentIndex.Revision,
 		// The document sets no latency objective, so an endpoint may use the whole
 		// timeout.
 		Route:   &ruleset.Route{Name: p.Service.Name, Kind: kind, Timeout: timeout, LatencyObjective: timeout, MaxReplicas: retry.DefaultMaxAttempts},
--- a/route/plainservice/targets.go
+++ b/route/plainservice/targets.go
@@ -22,7 +22,7 @@
 		if !ok {
 			return targets.Target{}, targets.ErrNoEndpoint
 		}
-		endpoint, known := d.call.Directory.Endpoint(choice.ReplicaID)
+		endpoint, known := d.call.DocumentIndex.Endpoint(choice.ReplicaID)
 		if known {
 			return targets.Target{Replica: choice.ReplicaID, Address: endpoint.Address, Domain: endpoint.FailureDomain, Choice: &choice}, nil
 		}
