--- a/route/layerorders/layerorders.go
+++ b/route/layerorders/layerorders.go
@@ -173,8 +173,8 @@
 // of a pending order, the replica counts as holding the ordered span.
 func (k *Controller) plannerReplica(now time.Time, model *ruleset.Model, r *replicalist.Replica, suspected bool) layers.Replica {
 	replica := layers.Replica{
-		ID: r.ID, MemoryMB: model.Cards[r.CardKind].MemoryMB, Held: r.Holds,
-		Fixed: r.ExecutingOrder, Excluded: r.Draining || suspected || model.Cards[r.CardKind].MemoryMB == 0,
+		ID: r.ID, MemoryMB: model.CardKinds[r.CardKind].MemoryMB, Held: r.Holds,
+		Fixed: r.ExecutingLayerOrder, Excluded: r.Draining || suspected || model.CardKinds[r.CardKind].MemoryMB == 0,
 	}
 	p, ok := k.pendingOrders[r.ID]
 	if !ok {
@@ -214,7 +214,7 @@
 	if !ok {
 		return
 	}
-	if report.AcceptedOrders != expectedCount && report.Holds == r.Holds && !report.ExecutingOrder && k.sendOrder(ctx, r, revision, report.AcceptedOrders, o) {
+	if report.AcceptedLayerOrders != expectedCount && report.Holds == r.Holds && !report.ExecutingLayerOrder && k.sendOrder(ctx, r, revision, report.AcceptedLayerOrders, o) {
 		return
 	}
 	k.clearPending(r.ID, report)
@@ -255,8 +255,8 @@
 		k.log.Warn("replica report not read", "replica", r.ID, "error", err)
 		return report, false
 	}
-	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedOrders, "holds", report.Holds, "busy", report.ExecutingOrder, "born", report.Incarnation)
-	k.setAcceptedOrders(r, report.AcceptedOrders)
+	k.log.Info("report", "replica", r.ID, "orders", report.AcceptedLayerOrders, "holds", report.Holds, "busy", report.ExecutingLayerOrder, "born", report.Incarnation)
+	k.setAcceptedOrders(r, report.AcceptedLayerOrders)
 	return report, true
 }
 
@@ -266,7 +266,7 @@
 func (k *Controller) clearPending(replica string, report replicareport.Report) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.ExecutingOrder {
+	if p, ok := k.pendingOrders[replica]; ok && report.Holds != p.span && !report.ExecutingLayerOrder {
 		delete(k.pendingOrders, replica)
 	}
 }
--- a/route/modelservice/progress.go
+++ b/route/modelservice/progress.go
@@ -41,7 +41,7 @@
 	if !r.gotFirstToken {
 		r.gotFirstToken = true
 		r.lastProgressAt = now
-		c.call.Local.Picker.Started(r.replica, now.Sub(r.startedAt))
+		c.call.Local.Picker.ResponseStarted(r.replica, now.Sub(r.startedAt))
 		return
 	}
 	r.tokensSinceProgress++
