--- a/route/stream/doc.go
+++ b/route/stream/doc.go
@@ -39,6 +39,14 @@
 // An engine report is an engine's reply to the question what it holds. A load report says
 // how busy an engine is.
 //
+// An engine keeps the KV cache of prompts in its prefix cache. A cache event is an
+// engine's message that it has stored a prefix of a prompt in this cache or removed one.
+//
+// An export makes the KV cache of a stream on a failed chain available to other chains. The
+// failed chain replies with a handle. In an import, the next chain receives this handle
+// with the request and loads the KV cache instead of recomputing the context, which is the
+// prompt and the answer so far.
+//
 // A span in the event of a token says which layers a stage ran for the token, with which
 // artifact (weights and adapter), and how long the stage took. The position of a token is
 // the token's number in the answer, counted from zero over all epochs.
--- a/route/stream/fleet_test.go
+++ b/route/stream/fleet_test.go
@@ -114,11 +114,11 @@
 	return []engineapi.Message{{Role: "user", Content: text}}
 }
 
-func request(stream string) Request {
+func request(streamID string) Request {
 	return Request{
-		StreamID: stream,
+		StreamID: streamID,
 		Layers:   testLayers,
-		Chat:     engineapi.ChatRequest{Model: testModel, Messages: question("butter for " + stream), MaxTokens: testTokens},
+		Chat:     engineapi.ChatRequest{Model: testModel, Messages: question("butter for " + streamID), MaxTokens: testTokens},
 	}
 }
 
--- a/route/stream/gap.go
+++ b/route/stream/gap.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// The stall timeout is gapFactor times the mean gap plus devFactor times the mean
+	// The stall timeout is stallTimeoutFactor times the mean gap plus devFactor times the mean
 	// deviation of the gaps. This sum is far above the gaps of a chain with steady load.
-	gapFactor = 4
-	devFactor = 8
+	stallTimeoutFactor = 4
+	devFactor          = 8
 	// meanWeight and devWeight are the weights of a new sample in the moving averages,
 	// the same as in TCP's retransmission timer (RFC 6298).
 	meanWeight = 1.0 / 8
@@ -43,7 +43,7 @@
 	if !g.known {
 		return maxTimeout
 	}
-	estimate := time.Duration(gapFactor*g.meanNanos + devFactor*g.devNanos)
+	estimate := time.Duration(stallTimeoutFactor*g.meanNanos + devFactor*g.devNanos)
 	return min(max(estimate, minTimeout), max(maxTimeout, minTimeout))
 }
 
--- a/route/stream/probe.go
+++ b/route/stream/probe.go
@@ -101,8 +101,9 @@
 }
 
 // unresponsive reports whether the chain has sent neither a probe reply nor a token for
-// the chain's timeout. The time without a reply or token is counted from silentSince at the
-// earliest.
+// the chain's timeout. This time starts at the chain's last probe reply or token, or at
+// silentSince if that is later. silentSince is when the stream began to wait for its first
+// token, or, if the stream's timer fired late, when the timer last fired late.
 //
 // unresponsive also starts a probe if a probe interval has passed since the latest of
 // silentSince, the last probe, and the last probe reply or token.
--- a/route/stream/recovery_bench_test.go
+++ b/route/stream/recovery_bench_test.go
@@ -88,8 +88,8 @@
 // the runner chooses from its measurements.
 func BenchmarkResume(b *testing.B) {
 	forceMethod := map[string]func(*resumeCosts){
-		"recompute": func(c *resumeCosts) { c.setAll(methodImport, time.Hour) },
-		"import":    func(c *resumeCosts) { c.setAll(methodRecompute, time.Hour) },
+		"recompute": func(c *resumeCosts) { c.setAll(resumeByImport, time.Hour) },
+		"import":    func(c *resumeCosts) { c.setAll(resumeByRecompute, time.Hour) },
 		"chosen":    func(c *resumeCosts) {},
 	}
 	cfg := standin.Config{
--- a/route/stream/reports.go
+++ b/route/stream/reports.go
@@ -25,10 +25,11 @@
 	mismatchTTL = 100 * time.Millisecond
 	// maxReports bounds the number of cached engine reports.
 	maxReports = 4096
-	// renewalTTLs times ReportTTL is how long tokens may renew an engine report before
-	// the engine is asked again. Renewal is bounded because spans name the layers but
-	// not the placement version. With one call in 20 s instead of one in 2 s, a busy
-	// engine gets a tenth of the calls.
+	// The first token of a stream extends the validity of a cached engine report without
+	// a call to the engine, but only if the stream was sent less than renewalTTLs times
+	// ReportTTL after the engine's last reply. The extension is bounded because spans do
+	// not name the placement version, so they do not show that it has changed. With a
+	// ReportTTL of 2 s, a busy engine is asked about every 20 s instead of every 2 s.
 	renewalTTLs = 10
 )
 
@@ -220,10 +221,11 @@
 // updateCacheID stores the ID of an engine's prefix cache and reports whether the ID has
 // changed.
 //
-// If only a later stage restarts, it loses its part of every cached prompt. The first
-// stage still has its part, and cache events are read only from the first stage. Without
-// this check, requests would still be routed to the chain for a cached prompt that it
-// must recompute, in preference to replicas that have the prompt cached.
+// If only a later stage restarts, it loses its part of every cached prompt. The node reads
+// cache events only from the first stage, which still has its part, so these events do not
+// show the loss. Without the comparison of IDs, the router would still believe that the
+// chain has the prompt cached. The router would then prefer the chain to replicas that
+// really have the prompt cached.
 func (c *reportChecker) updateCacheID(address, cacheID string) bool {
 	if c.onCacheLost == nil || cacheID == "" {
 		return false
--- a/route/stream/reports_test.go
+++ b/route/stream/reports_test.go
@@ -100,8 +100,11 @@
 func TestLongStreamsDoNotHideNewLayers(t *testing.T) {
 	other := engineapi.Order{Model: testModel, First: 0, Last: testLayers/2 - 1, PlacementVersion: 2}
 	for _, c := range []struct {
-		name     string
-		position int // position of the token before which the engine is ordered to hold other layers
+		name string
+		// The engine is ordered to hold other layers just before the token with this
+		// position is added to the answer. With -1, the engine is ordered as soon as it
+		// has replied to the call that opens the stream, before the first token is read.
+		position int
 	}{{"before the first token", -1}, {"later", failAt}} {
 		Convey("A stream sent before the engine changed renews no report: "+c.name, t, func() {
 			f, calls, advance := newFleetWithClock(t, 2)
@@ -198,7 +201,8 @@
 	}
 }
 
-// streamLoad describes the streams of a benchmark.
+// streamLoad holds the timing and the number of tokens of each stream in
+// BenchmarkReportCalls.
 type streamLoad struct {
 	firstTokenTime, tokenGap time.Duration
 	tokens                   int
@@ -214,7 +218,7 @@
 		stages           = 2
 		streamsPerSecond = 50
 		measuredTime     = 20 * time.Second
-		promptWords      = 3 // number of words in the prompt; each stage computes all of them
+		promptWords      = 3 // words in the prompt; each stage spends PrefillToken on each word
 	)
 	warmUp := load.duration() + 2*time.Second
 	cfg := standin.Config{Step: load.tokenGap, Slots: 256, PrefillToken: (load.firstTokenTime - load.tokenGap) / (stages * promptWords)}
--- a/route/stream/resume.go
+++ b/route/stream/resume.go
@@ -25,18 +25,18 @@
 }
 
 const (
-	costBuckets      = 24
-	costSampleWeight = 1.0 / 4
-	methodRecompute  = 0
-	methodImport     = 1
+	costBuckets       = 24
+	costSampleWeight  = 1.0 / 4
+	resumeByRecompute = 0
+	resumeByImport    = 1
 )
 
 func bucketOf(tokens int) int { return min(bits.Len(uint(max(tokens, 0))), costBuckets-1) }
 
 func (r *resumeCosts) record(byImport bool, tokens int, elapsed time.Duration) {
-	method := methodRecompute
+	method := resumeByRecompute
 	if byImport {
-		method = methodImport
+		method = resumeByImport
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -49,9 +49,10 @@
 }
 
 const (
-	// minExportRecompute is the shortest recompute time for which an export is
-	// requested. A shorter recompute finishes before an export could.
-	minExportRecompute = 20 * time.Millisecond
+	// An export of the failed chain's KV cache is requested only if recomputing the
+	// context is expected to take at least minRecomputeTimeForExport. A shorter recompute
+	// ends before an export could.
+	minRecomputeTimeForExport = 20 * time.Millisecond
 	// minTrialRecompute is the shortest recompute time for which an import is tried
 	// before any import was measured. Such a recompute takes so long that the caller
 	// should not notice if the first import takes longer.
@@ -68,11 +69,11 @@
 func (r *resumeCosts) preferImport(tokens int) (bool, time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	recomputeTime, known := r.estimate(methodRecompute, tokens)
-	if !known || recomputeTime < minExportRecompute {
+	recomputeTime, known := r.estimate(resumeByRecompute, tokens)
+	if !known || recomputeTime < minRecomputeTimeForExport {
 		return false, 0
 	}
-	importTime, known := r.estimate(methodImport, tokens)
+	importTime, known := r.estimate(resumeByImport, tokens)
 	if !known {
 		return recomputeTime >= minTrialRecompute, recomputeTime / exportTimeoutDivisor
 	}
--- a/route/stream/resume_test.go
+++ b/route/stream/resume_test.go
@@ -31,7 +31,7 @@
 		Convey(c.name, t, func() {
 			f := newFleet(t, 2, fastEngine, Options{})
 			defer f.stop()
-			f.runner.costs.setAll(methodRecompute, time.Second)
+			f.runner.costs.setAll(resumeByRecompute, time.Second)
 			req := request(c.name)
 			answer, summary, err := f.collect(context.Background(), req, func(position int) {
 				if position == failAt {
@@ -66,10 +66,10 @@
 		for _, c := range cases {
 			var costs resumeCosts
 			for tokens, measured := range c.recompute {
-				costs.buckets[methodRecompute][bucketOf(tokens)] = measured
+				costs.buckets[resumeByRecompute][bucketOf(tokens)] = measured
 			}
 			for tokens, measured := range c.imported {
-				costs.buckets[methodImport][bucketOf(tokens)] = measured
+				costs.buckets[resumeByImport][bucketOf(tokens)] = measured
 			}
 			preferred, timeout := costs.preferImport(c.tokens)
 			So(fmt.Sprint(c.name, preferred), ShouldEqual, fmt.Sprint(c.name, c.want))
--- a/route/stream/runner_test.go
+++ b/route/stream/runner_test.go
@@ -226,8 +226,9 @@
 				case 1:
 					startedAt = time.Now()
 				case slowWindowTokens:
-					// On a busy machine the baseline gap is long, and only gaps
-					// above slowFactor times the baseline count as slow.
+					// Only gaps above slowFactor times the baseline gap count as
+					// slow. On a busy machine the baseline gap is long, so the
+					// injected gap grows with the mean gap measured here.
 					slow = max(slow, 3*slowFactor*time.Since(startedAt)/slowWindowTokens)
 				case 2 * slowWindowTokens:
 					f.chains[0][1].Engine.SetFaults(standin.Faults{SlowPerToken: slow})
@@ -426,7 +427,9 @@
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		underway := request("underway")
-		underway.Chat.MaxTokens = 400 // more than an engine generates ahead of the caller's reads
+		// An engine generates tokens ahead of the caller's reads. With 400 tokens, the
+		// engine is still generating and holds its only slot when the second request arrives.
+		underway.Chat.MaxTokens = 400
 		var answer string
 		var summary, other Summary
 		var err, otherErr error
@@ -469,9 +472,10 @@
 	})
 }
 
-// If the first chain ignores the cancel of its epoch and continues, its tokens must not
-// reach the caller. The chain's connection is closed, and the chain's epoch is older than
-// the current epoch.
+// If the first chain ignores the cancel of its epoch and continues, its late tokens must
+// not reach the caller. First, the Runner closes its connection to the chain when the epoch
+// ends, and reads no more tokens from it. Second, TokenCheck drops each token whose epoch is
+// older than the current epoch.
 func TestEngineIgnoresCancel(t *testing.T) {
 	Convey("A chain that ignores the cancel does not affect the answer", t, func() {
 		f := newFleet(t, 2, fastEngine, Options{MinStallTimeout: 30 * time.Millisecond})
--- a/route/stream/slow.go
+++ b/route/stream/slow.go
@@ -21,11 +21,13 @@
 	minSlowGap = 40 * time.Millisecond
 )
 
-// slowDetector compares the mean gap of each window of tokens with the baseline gap. The
+// slowDetector detects that a chain has turned slow during an epoch. After each window of
+// slowWindowTokens tokens, add compares the window's mean gap with the baseline gap. The
 // baseline gap is the chain's mean gap at the start of the epoch. If no gap of the chain was
-// known then, the mean gap of the first window is used. Without the detector, an answer of
-// hundreds of tokens would stay slow to its end if a stage or link turns slow but never
-// exceeds the stall timeout.
+// known then, the mean gap of the first window is used.
+//
+// A stage or link may turn slow although no gap exceeds the stall timeout. Without the
+// detector, an answer of hundreds of tokens would then stay slow to its end.
 type slowDetector struct {
 	baselineGap time.Duration
 	gapSum      time.Duration
--- a/route/stream/types.go
+++ b/route/stream/types.go
@@ -197,7 +197,8 @@
 	FinishReason string
 	// Tokens is how many tokens were delivered.
 	Tokens int
-	// Epochs is how many chains were tried.
+	// Epochs is the number of epochs, including those that ended before the request was
+	// sent to the chain.
 	Epochs int
 	// StrayTokens is the number of dropped tokens, which belonged to earlier epochs or
 	// to other streams.
