--- a/node/cmd/cicadactl/nodes.go
+++ b/node/cmd/cicadactl/nodes.go
@@ -104,7 +104,7 @@
 	for _, a := range d.Alternatives {
 		fmt.Fprintf(out, "; instead of %s (score %.3f)", a.Name, a.Score)
 	}
-	for _, n := range d.Notes {
+	for _, n := range d.TextValues {
 		if n.Text != "" {
 			fmt.Fprintf(out, "; %s %s", n.Name, n.Text)
 		}
--- a/node/server/server.go
+++ b/node/server/server.go
@@ -188,11 +188,11 @@
 		Now:           time.Now,
 		EntryProvider: &entries{server: s},
 		ModelServer: &modelservice.Server{
-			Lifecycle: desk,
-			Streams:   s.streams,
-			Chains:    &chains.Resolver{Plans: s.book},
-			Plans:     planWatcher{s.book, s.keeper},
-			Metrics:   s.metrics,
+			Lifecycle:    desk,
+			Streams:      s.streams,
+			Chains:       &chains.Resolver{Plans: s.book},
+			PlanObserver: planWatcher{s.book, s.keeper},
+			Metrics:      s.metrics,
 		},
 		PlainServer: &plainservice.Server{
 			Lifecycle: desk,
--- a/route/decisionlog/decisionlog.go
+++ b/route/decisionlog/decisionlog.go
@@ -47,8 +47,8 @@
 	CachedBlocks int `json:"held_blocks,omitempty"`
 }
 
-// Note is an input of a decision that is not a number.
-type Note struct {
+// TextValue is an input of a decision that is not a number.
+type TextValue struct {
 	Name string `json:"name"`
 	Text string `json:"text"`
 }
@@ -65,8 +65,8 @@
 	Alternatives []Alternative `json:"alternatives,omitempty"`
 	// Values are the numbers behind the decision, by name. Names of quantities include
 	// the unit.
-	Values map[string]float64 `json:"figures,omitempty"`
-	Notes  []Note             `json:"notes,omitempty"`
+	Values     map[string]float64 `json:"figures,omitempty"`
+	TextValues []TextValue        `json:"notes,omitempty"`
 	// Revision is the version of the document or configuration that was in force.
 	Revision int64 `json:"revision,omitempty"`
 	// SkipLog keeps the decision out of the log but not out of memory. Of the requests
@@ -171,7 +171,7 @@
 	for name, value := range d.Values {
 		f = append(f, name, value)
 	}
-	for _, n := range d.Notes {
+	for _, n := range d.TextValues {
 		f = appendNonEmpty(f, n.Name, n.Text)
 	}
 	if d.Revision > 0 {
--- a/route/decisionlog/record_bench_test.go
+++ b/route/decisionlog/record_bench_test.go
@@ -13,7 +13,7 @@
 	return Decision{
 		At: time.Now(), Request: "9c41d07be2a35f68", Kind: Route, Team: "bogor", Service: "pastry-llm", Chosen: "i-40e75c2659",
 		Reason: "cheapest path with room", Revision: 16, SkipLog: skipLog,
-		Notes: []Note{
+		TextValues: []TextValue{
 			{Name: "address", Text: "10.3.64.16:8066"},
 			{Name: "path", Text: "i-40e75c2659:0-14 i-d6abcb5c10:14-28 i-236a4d829b:28-36 i-62b11cb140:36-44 i-6be3e1e180:44-52 i-ddbcef27a2:52-60"},
 		},
--- a/route/httpapi/refusal_test.go
+++ b/route/httpapi/refusal_test.go
@@ -13,8 +13,8 @@
 // If a refused call reached an endpoint, the outcome "not run" would be false, and a
 // retry could run the call twice. Each refusal has a status, a code and the outcome.
 func TestRefusedCallsReachNoEndpoint(t *testing.T) {
-	const chat = "/v1/chat/completions"
-	const orders = "/services/stock-ledger/orders"
+	const chatPath = "/v1/chat/completions"
+	const stockLedgerOrdersPath = "/services/stock-ledger/orders"
 	good := `{"model":"pastry-llm","messages":[{"role":"user","content":"flour"}]}`
 	huge := strings.Repeat("x", 4<<20+1)
 	cases := []struct {
@@ -23,27 +23,27 @@
 		status  int
 		code    string
 	}{
-		{"no key", apiRequest{http.MethodPost, chat, "", good, nil}, 401, "unknown_key"},
-		{"unknown key", apiRequest{http.MethodPost, chat, "no-key", good, nil}, 401, "unknown_key"},
+		{"no key", apiRequest{http.MethodPost, chatPath, "", good, nil}, 401, "unknown_key"},
+		{"unknown key", apiRequest{http.MethodPost, chatPath, "no-key", good, nil}, 401, "unknown_key"},
 		{"unknown key asks for entry", apiRequest{http.MethodGet, "/v1/entry", "no-key", "", nil}, 401, "unknown_key"},
-		{"unknown key orders", apiRequest{http.MethodPost, orders, "no-key", "", nil}, 401, "unknown_key"},
-		{"bad JSON", apiRequest{http.MethodPost, chat, teamKey, `{"model":`, nil}, 400, "bad_json"},
-		{"no messages", apiRequest{http.MethodPost, chat, teamKey, `{"model":"pastry-llm"}`, nil}, 400, "no_messages"},
-		{"negative length", apiRequest{http.MethodPost, chat, teamKey, `{"messages":[{}],"max_tokens":-1}`, nil}, 400, "bad_max_tokens"},
-		{"unknown model", apiRequest{http.MethodPost, chat, teamKey, `{"model":"x","messages":[{}]}`, nil}, 404, "unknown_service"},
-		{"unknown adapter", apiRequest{http.MethodPost, chat, teamKey, `{"model":"pastry-llm:x","messages":[{}]}`, nil}, 404, "unknown_adapter"},
-		{"adapter that no replica holds", apiRequest{http.MethodPost, chat, teamKey, `{"model":"pastry-llm:notes","messages":[{}]}`, nil}, 503, "no_adapter"},
+		{"unknown key orders", apiRequest{http.MethodPost, stockLedgerOrdersPath, "no-key", "", nil}, 401, "unknown_key"},
+		{"bad JSON", apiRequest{http.MethodPost, chatPath, teamKey, `{"model":`, nil}, 400, "bad_json"},
+		{"no messages", apiRequest{http.MethodPost, chatPath, teamKey, `{"model":"pastry-llm"}`, nil}, 400, "no_messages"},
+		{"negative length", apiRequest{http.MethodPost, chatPath, teamKey, `{"messages":[{}],"max_tokens":-1}`, nil}, 400, "bad_max_tokens"},
+		{"unknown model", apiRequest{http.MethodPost, chatPath, teamKey, `{"model":"x","messages":[{}]}`, nil}, 404, "unknown_service"},
+		{"unknown adapter", apiRequest{http.MethodPost, chatPath, teamKey, `{"model":"pastry-llm:x","messages":[{}]}`, nil}, 404, "unknown_adapter"},
+		{"adapter that no replica holds", apiRequest{http.MethodPost, chatPath, teamKey, `{"model":"pastry-llm:notes","messages":[{}]}`, nil}, 503, "no_adapter"},
 		{"unknown service", apiRequest{http.MethodPost, "/services/x/orders", teamKey, "", nil}, 404, "unknown_service"},
 		{"unknown path", apiRequest{http.MethodGet, "/v2", teamKey, "", nil}, 404, "unknown_path"},
-		{"wrong method", apiRequest{http.MethodGet, chat, teamKey, "", nil}, 405, "method_not_allowed"},
-		{"unknown method", apiRequest{"BREW", orders, teamKey, "", nil}, 405, "method_not_allowed"},
-		{"model that is plain", apiRequest{http.MethodPost, chat, teamKey, `{"model":"stock-ledger","messages":[{}]}`, nil}, 400, "not_a_model"},
+		{"wrong method", apiRequest{http.MethodGet, chatPath, teamKey, "", nil}, 405, "method_not_allowed"},
+		{"unknown method", apiRequest{"BREW", stockLedgerOrdersPath, teamKey, "", nil}, 405, "method_not_allowed"},
+		{"model that is plain", apiRequest{http.MethodPost, chatPath, teamKey, `{"model":"stock-ledger","messages":[{}]}`, nil}, 400, "not_a_model"},
 		{"plain that is a model", apiRequest{http.MethodPost, "/services/pastry-llm/x", teamKey, "", nil}, 400, "not_plain"},
-		{"service that the team may not call", apiRequest{http.MethodPost, orders, assistantOnlyKey, "", nil}, 403, "not_allowed"},
-		{"prompt too large", apiRequest{http.MethodPost, chat, teamKey, huge, nil}, 413, "body_too_large"},
-		{"order too large", apiRequest{http.MethodPost, orders, teamKey, huge, nil}, 413, "body_too_large"},
-		{"bad class", apiRequest{http.MethodPost, chat, teamKey, good, map[string]string{outcome.HeaderClass: "urgent"}}, 400, "bad_class"},
-		{"bad timeout", apiRequest{http.MethodPost, orders, teamKey, "", map[string]string{outcome.HeaderTimeout: "soon"}}, 400, "bad_timeout"},
+		{"service that the team may not call", apiRequest{http.MethodPost, stockLedgerOrdersPath, assistantOnlyKey, "", nil}, 403, "not_allowed"},
+		{"prompt too large", apiRequest{http.MethodPost, chatPath, teamKey, huge, nil}, 413, "body_too_large"},
+		{"order too large", apiRequest{http.MethodPost, stockLedgerOrdersPath, teamKey, huge, nil}, 413, "body_too_large"},
+		{"bad class", apiRequest{http.MethodPost, chatPath, teamKey, good, map[string]string{outcome.HeaderClass: "urgent"}}, 400, "bad_class"},
+		{"bad timeout", apiRequest{http.MethodPost, stockLedgerOrdersPath, teamKey, "", map[string]string{outcome.HeaderTimeout: "soon"}}, 400, "bad_timeout"},
 	}
 	n := newTestNode(t, testNodeConfig{chains: 1})
 	n.document.Services[0].Model.Adapters = []document.Adapter{{Name: "notes", Version: "1"}}
--- a/route/httpapi/testnode_test.go
+++ b/route/httpapi/testnode_test.go
@@ -176,7 +176,7 @@
 		Now:       time.Now,
 		ModelServer: &modelservice.Server{
 			Lifecycle: manager, Streams: stream.New(client, nil, streams),
-			Chains: &chains.Resolver{}, Plans: discardPlans{}, Metrics: discardMetrics{},
+			Chains: &chains.Resolver{}, PlanObserver: discardPlans{}, Metrics: discardMetrics{},
 		},
 		PlainServer: &plainservice.Server{
 			Lifecycle: manager, Claims: claims, Metrics: discardMetrics{},
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -184,13 +184,13 @@
 }
 
 const (
-	// streamAcceptTime is how long a draining node accepts streams. Callers have been
+	// streamAcceptPeriodWhileDraining is how long a draining node accepts streams. Callers have been
 	// told to use other nodes, and a stream of some seconds still ends before the node
 	// stops. A longer stream would be cut, so it is better started at another node.
-	streamAcceptTime = 2500 * time.Millisecond
-	// shortRequestAcceptTime is how long a draining node accepts requests that are not
+	streamAcceptPeriodWhileDraining = 2500 * time.Millisecond
+	// shortRequestAcceptPeriodWhileDraining is how long a draining node accepts requests that are not
 	// streams.
-	shortRequestAcceptTime = 5500 * time.Millisecond
+	shortRequestAcceptPeriodWhileDraining = 5500 * time.Millisecond
 )
 
 // refuseWhileDraining refuses requests whose answers would not end before the node
@@ -201,11 +201,11 @@
 		return nil
 	}
 	in.w.Header().Set("Connection", "close")
-	acceptTime := shortRequestAcceptTime
+	acceptPeriod := shortRequestAcceptPeriodWhileDraining
 	if in.request.Route.Kind == ruleset.Stream {
-		acceptTime = streamAcceptTime
+		acceptPeriod = streamAcceptPeriodWhileDraining
 	}
-	if drainingFor < acceptTime {
+	if drainingFor < acceptPeriod {
 		return nil
 	}
 	return relay.NotRun(http.StatusServiceUnavailable, reasonDraining, "this node is about to stop", drainRetryAfter)
--- a/route/modelservice/adapter.go
+++ b/route/modelservice/adapter.go
@@ -40,7 +40,7 @@
 		return without, nil
 	}
 	for _, replica := range subset {
-		s.Plans.Suspect(c.Service.Name, replica) // this node's plan may be outdated
+		s.PlanObserver.Suspect(c.Service.Name, replica) // this node's plan may be outdated
 	}
 	return nil, &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: "no_adapter",
--- a/route/modelservice/chooser.go
+++ b/route/modelservice/chooser.go
@@ -117,7 +117,7 @@
 		return chain, errWrongArtifact
 	}
 	if call.server.Streams.MismatchesPlan(ctx, call.chat.Model, call.Service.Model.Layers, chain) {
-		call.server.Plans.Suspect(call.Service.Name, replica)
+		call.server.PlanObserver.Suspect(call.Service.Name, replica)
 		return chain, errMismatchesPlan
 	}
 	return chain, nil
@@ -149,7 +149,7 @@
 		Failure:          healthFailure(r),
 	})
 	if r.End == stream.EndMismatch || r.Reason == stream.WrongArtifact {
-		c.call.server.Plans.Suspect(c.call.Service.Name, chain.Replica)
+		c.call.server.PlanObserver.Suspect(c.call.Service.Name, chain.Replica)
 	}
 	for i := range r.Hops {
 		// Without the time per token of the endpoint itself, a slow link looks like
@@ -157,7 +157,7 @@
 		r.Hops[i].StepMicros = float64(c.call.Local.TokenTime(r.Hops[i].Endpoint).Microseconds())
 	}
 	if len(r.Hops) > 0 {
-		c.call.server.Plans.Observe(c.call.Service.Name, chain.Replica, r.Hops)
+		c.call.server.PlanObserver.Observe(c.call.Service.Name, chain.Replica, r.Hops)
 	}
 	if r.Load != nil {
 		c.call.Local.RecordLoad(chain.Stages[0].Endpoint, *r.Load)
--- a/route/modelservice/chooser_test.go
+++ b/route/modelservice/chooser_test.go
@@ -61,7 +61,7 @@
 		service := &document.Service{Name: "pastry-llm", Model: &document.Model{Layers: 1}}
 		chooser := &chainChooser{call: &modelCall{
 			ActiveCall: &lifecycle.ActiveCall{Call: &callparser.Call{Service: service}},
-			server:     &Server{Chains: r, Plans: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
+			server:     &Server{Chains: r, PlanObserver: r, Streams: stream.New(engineclient.New(r), nil, stream.Options{})},
 			chat:       engineapi.ChatRequest{Model: "pastry-llm"},
 		}}
 		if c.begun != "" {
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -37,8 +37,8 @@
 	Chain(c *callparser.Call, replica string) (stream.Chain, error)
 }
 
-// Plans receives observations of replicas for the planner of their layers.
-type Plans interface {
+// PlanObserver receives observations of replicas for the planner of their layers.
+type PlanObserver interface {
 	// Suspect says that an engine of the replica does not hold what the plan says.
 	Suspect(model, replica string)
 	// Observe takes the mean times of the hops of a stream.
@@ -47,11 +47,11 @@
 
 // Server serves calls of model services. Safe for concurrent use.
 type Server struct {
-	Lifecycle *lifecycle.Manager
-	Streams   *stream.Runner
-	Chains    Chains
-	Plans     Plans
-	Metrics   Metrics
+	Lifecycle    *lifecycle.Manager
+	Streams      *stream.Runner
+	Chains       Chains
+	PlanObserver PlanObserver
+	Metrics      Metrics
 }
 
 const (
--- a/route/relay/buffered.go
+++ b/route/relay/buffered.go
@@ -167,7 +167,7 @@
 	}
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: string(outcome.Done),
-		Notes: req.withRoute(), Values: figures,
+		TextValues: req.withRoute(), Values: figures,
 		SkipLog: !req.sampled && req.attemptCount == 1 && !req.late(),
 	})
 }
@@ -200,7 +200,7 @@
 func (req *requestState) abort(reason string) {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Finish, Chosen: req.lastTarget.Replica, Reason: "answer cut: " + reason,
-		Notes: req.withRoute(decisionlog.Note{Name: "last_event", Text: req.lastEvent.String()}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
+		TextValues: req.withRoute(decisionlog.TextValue{Name: "last_event", Text: req.lastEvent.String()}, decisionlog.TextValue{Name: "last_try", Text: req.lastResult.detail}),
 		Values: map[string]float64{
 			"sends": float64(req.attemptCount), "events": float64(req.eventCount), "took_ms": millis(req.server.Now().Sub(req.Arrived)),
 		},
--- a/route/relay/request.go
+++ b/route/relay/request.go
@@ -86,10 +86,10 @@
 	d := decisionlog.FromChoice(target.Choice)
 	d.Kind, d.Chosen = decisionlog.Route, target.Replica
 	d.Values["try"] = float64(req.attemptCount)
-	d.Notes = []decisionlog.Note{{Name: "address", Text: target.Address}}
+	d.TextValues = []decisionlog.TextValue{{Name: "address", Text: target.Address}}
 	if len(target.Path) > 0 {
 		d.Reason = "cheapest path with capacity"
-		d.Notes = append(d.Notes, decisionlog.Note{Name: "path", Text: target.Path.String()})
+		d.TextValues = append(d.TextValues, decisionlog.TextValue{Name: "path", Text: target.Path.String()})
 	}
 	d.SkipLog = !req.sampled && req.attemptCount == 1
 	req.record(d)
@@ -181,7 +181,7 @@
 	req.budgetWait += req.server.Now().Sub(waitStart)
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Retry, Chosen: lastOf(req.failedReplicas), Reason: d.Reason.String(),
-		Notes: []decisionlog.Note{{Name: "end", Text: res.detail}},
+		TextValues: []decisionlog.TextValue{{Name: "end", Text: res.detail}},
 		Values: map[string]float64{
 			"not_run": boolFigure(res.notRun()), "sends": float64(req.attemptCount), "again": boolFigure(d.Retry), "budget_left": math.Floor(d.RetriesLeft),
 		},
--- a/route/relay/reroute.go
+++ b/route/relay/reroute.go
@@ -193,12 +193,12 @@
 }
 
 func (m *pathMonitor) recordBypass(path paths.Path, reason string, err error) {
-	notes := []decisionlog.Note{{Name: "path", Text: path.String()}}
+	notes := []decisionlog.TextValue{{Name: "path", Text: path.String()}}
 	if err != nil {
-		notes = append(notes, decisionlog.Note{Name: "error", Text: err.Error()})
+		notes = append(notes, decisionlog.TextValue{Name: "error", Text: err.Error()})
 	}
 	m.attempt.req.record(decisionlog.Decision{
-		Kind: decisionlog.Reroute, Chosen: m.attempt.target.Replica, Reason: reason, Notes: notes,
+		Kind: decisionlog.Reroute, Chosen: m.attempt.target.Replica, Reason: reason, TextValues: notes,
 		Values: map[string]float64{
 			"taken": boolFigure(err == nil), "silent_ms": millis(m.silentFor()), "crossings": float64(path.Crossings()),
 		},
--- a/route/relay/server.go
+++ b/route/relay/server.go
@@ -229,7 +229,7 @@
 func (req *requestState) refuse(r *outcome.Refusal) {
 	req.record(decisionlog.Decision{
 		Kind: decisionlog.Refuse, Reason: r.Code,
-		Notes: req.withRoute(decisionlog.Note{Name: "outcome", Text: string(r.Outcome)}, decisionlog.Note{Name: "last_try", Text: req.lastResult.detail}),
+		TextValues: req.withRoute(decisionlog.TextValue{Name: "outcome", Text: string(r.Outcome)}, decisionlog.TextValue{Name: "last_try", Text: req.lastResult.detail}),
 		Values: map[string]float64{
 			"status": float64(r.Status), "waited_ms": millis(req.server.Now().Sub(req.Arrived)), "sends": float64(req.attemptCount),
 			"retry_after_ms": millis(r.RetryAfter),
@@ -249,9 +249,9 @@
 }
 
 // withRoute appends the name of the route to the notes.
-func (req *requestState) withRoute(list ...decisionlog.Note) []decisionlog.Note {
+func (req *requestState) withRoute(list ...decisionlog.TextValue) []decisionlog.TextValue {
 	if req.Route != nil {
-		list = append(list, decisionlog.Note{Name: "route", Text: req.Route.Name})
+		list = append(list, decisionlog.TextValue{Name: "route", Text: req.Route.Name})
 	}
 	return list
 }
