--- a/route/decisionlog/record_bench_test.go
+++ b/route/decisionlog/record_bench_test.go
@@ -22,8 +22,8 @@
 }
 
 // Measures the cost of a decision that is only kept in memory, and of one that is
-// logged as well. A request without failures has two decisions, of which one in ten is
-// logged.
+// logged as well. A request without failures has two decisions; one in ten of such
+// decisions is logged.
 func BenchmarkRecord(b *testing.B) {
 	log := NewLog(hclog.New(&hclog.LoggerOptions{Output: io.Discard, JSONFormat: true, Level: hclog.Info}))
 	for name, skipLog := range map[string]bool{"remembered": true, "logged": false} {
--- a/route/headers/headers.go
+++ b/route/headers/headers.go
@@ -44,8 +44,8 @@
 	Remaining time.Duration
 	// LastEventID replaces CallHead.LastEventID when package relay resumes a stream.
 	LastEventID string
-	// Path is the chain of replicas that serves the request; empty for an endpoint that
-	// serves alone.
+	// Path lists, in order, the replicas that the request passes through; empty if one
+	// endpoint serves the request alone.
 	Path paths.Path
 }
 
--- a/route/ingress/ingress.go
+++ b/route/ingress/ingress.go
@@ -184,12 +184,12 @@
 }
 
 const (
-	// streamAcceptPeriodWhileDraining is how long a draining node accepts streams. Callers have been
-	// told to use other nodes, and a stream of some seconds still ends before the node
-	// stops. A longer stream would be cut, so it is better started at another node.
+	// streamAcceptPeriodWhileDraining is how long a draining node accepts streams.
+	// Callers have been told to use other nodes, and a stream of some seconds still ends
+	// before the node stops. A longer stream would be cut, so it is better started at another node.
 	streamAcceptPeriodWhileDraining = 2500 * time.Millisecond
-	// shortRequestAcceptPeriodWhileDraining is how long a draining node accepts requests that are not
-	// streams.
+	// shortRequestAcceptPeriodWhileDraining is how long a draining node accepts requests
+	// that are not streams.
 	shortRequestAcceptPeriodWhileDraining = 5500 * time.Millisecond
 )
 
--- a/route/ingress/ingress_test.go
+++ b/route/ingress/ingress_test.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// All nodes of a fleet start at once while callers already send. If requests were
-// refused in the milliseconds before the configuration is read, their callers would
+// When all nodes of a fleet start at once, callers may send requests in the milliseconds
+// before the configuration is read. If the nodes refused these requests, the callers would
 // find no other node, and all would retry late.
 func TestRequestsWaitForFirstRules(t *testing.T) {
 	l := &delayedRules{rules: &ruleset.Ruleset{}, loaded: make(chan struct{}), checked: make(chan struct{}, 1)}
--- a/route/modelservice/adapter.go
+++ b/route/modelservice/adapter.go
@@ -17,13 +17,15 @@
 // some hundred megabytes at some hundred megabytes per second takes a few more.
 const adapterRetryAfter = 5 * time.Second
 
-// replicasWithoutAdapter lists the replicas of this node's subset whose plans lack the
-// call's adapter. If all of them lack it, the call is refused at once.
+// replicasWithoutAdapter lists the replicas of this node's subset that have no plan or
+// whose plan lacks the call's adapter. If these are all replicas of the subset, the call
+// is refused at once.
 //
 // The call does not wait for the adapter. Adapters are loaded one after the other at
 // the weight store's rate, so a load takes seconds to minutes and its end is not known.
 // Calls that wait for one adapter would fill the queue in front of all other calls. The
-// adapter is loaded without waiting calls, because the document names it.
+// adapter is loaded even if no call waits for it, because the environment document names
+// it.
 func (s *Server) replicasWithoutAdapter(c *callparser.Call, call *lifecycle.ActiveCall) ([]string, *outcome.Refusal) {
 	if c.Adapter == "" {
 		return nil, nil
@@ -40,7 +42,7 @@
 		return without, nil
 	}
 	for _, replica := range subset {
-		s.PlanObserver.Suspect(c.Service.Name, replica) // this node's plan may be outdated
+		s.PlanObserver.Suspect(c.Service.Name, replica) // this node's copy of the plan may be outdated
 	}
 	return nil, &outcome.Refusal{
 		Status: http.StatusServiceUnavailable, Code: "no_adapter",
--- a/route/modelservice/attempts.go
+++ b/route/modelservice/attempts.go
@@ -24,7 +24,7 @@
 		Idempotent:   true,
 		NotRun:       c.lastResult.NotRun,
 		Deadline:     c.call.Deadline,
-		Alternatives: 1, // Choose finds out whether another replica is available
+		Alternatives: 1, // assumed; Choose fails if no other replica is available
 	})
 	if !d.Retry {
 		return fmt.Errorf("not tried again: %s", d.Reason)
--- a/route/modelservice/modelservice.go
+++ b/route/modelservice/modelservice.go
@@ -6,6 +6,14 @@
 // another chain after the last token that the caller has. The part of an answer that
 // one chain produces is an epoch. Package stream runs the epochs; this package chooses
 // their chains and decides about retries.
+//
+// Terms:
+//   - The environment document is the configuration of services, replicas, endpoints and
+//     teams. It names the adapters that callers may ask for.
+//   - The plan of a replica says which layers each engine is to hold, and which weights
+//     and adapters the replica is to hold. The nodes agree on the plan. A replica whose
+//     layers are given in the environment document needs no plan.
+//   - The subset of a node is the replicas of a service that the node sends calls to.
 package modelservice
 
 import (
@@ -93,7 +101,8 @@
 	}
 }
 
-// expectedCost returns the work of a call in generated tokens.
+// expectedCost estimates the work of a call, in units of the work of one generated
+// token: max_tokens plus the cost of the prompt.
 func expectedCost(chat engineapi.ChatRequest) float64 {
 	promptBytes := 0
 	for _, m := range chat.Messages {
--- a/route/plainservice/codec.go
+++ b/route/plainservice/codec.go
@@ -8,9 +8,10 @@
 	"github.com/cicadatack/cicadatack/state/engineapi"
 )
 
-// HeaderCodec passes the headers of plain HTTP calls on. One response header says that
-// an endpoint has not run a call. Responses carry no request ID, and nothing to check
-// the answer by.
+// HeaderCodec is the headers.Codec of plain HTTP calls. It passes end-to-end headers on
+// and reads one response header, which says that an endpoint has not run a call. Responses
+// carry no request ID and nothing else by which to check that the answer is the
+// endpoint's own.
 type HeaderCodec struct{}
 
 var _ headers.Codec = HeaderCodec{}
--- a/route/plainservice/order.go
+++ b/route/plainservice/order.go
@@ -46,8 +46,9 @@
 		p.respond(w)(p.send(ctx))
 		return
 	}
-	// Of an answer, the ledger keeps status, content type and body. A compressed body
-	// would be replayed without its Content-Encoding header.
+	// The ledger keeps only status, content type and body of an answer, so a compressed
+	// answer would be replayed without its Content-Encoding header. The endpoint is
+	// therefore asked for an uncompressed answer.
 	p.header = p.header.Clone()
 	p.header.Set("Accept-Encoding", "identity")
 	key := ledger.Key{Team: p.Team.Name, Service: p.Service.Name, Key: p.idempotencyKey}
--- a/route/plainservice/plainservice.go
+++ b/route/plainservice/plainservice.go
@@ -45,7 +45,7 @@
 
 const (
 	// callCost is the cost of one plain call. Plain services have admission queues of
-	// their own, so only the ratio of the costs of plain calls matters.
+	// their own, so the cost matters only relative to other plain calls.
 	callCost = 1
 	// defaultTimeout bounds a call without a deadline.
 	defaultTimeout = 30 * time.Second
