--- a/decide/admission/fleet_test.go
+++ b/decide/admission/fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/cicadatack/cicadatack/decide/internal/sim"
 )
 
-// newFleet returns the simulated fleet of the benchmark. Three nodes receive unequal shares
+// newFleet returns the fleet that the tests of this file simulate. Three nodes receive unequal shares
 // of the calls and send them to six replicas with 16 slots each. A response takes 0.5 s,
 // and callers wait at most 4 s for it.
 func newFleet(offeredLoad float64, seed uint64) sim.FleetScenario {
